--- a/src/main/java/org/gullway/CloudLoop.java
+++ b/src/main/java/org/gullway/CloudLoop.java
@@ -22,9 +22,9 @@
 import org.gullway.protocol.CloudMessages;
 import org.gullway.protocol.CloudMessages.Listed;
 import org.gullway.protocol.MalformedException;
-import org.gullway.transport.EventLoop;
 import org.gullway.transport.Budget;
 import org.gullway.transport.Client;
+import org.gullway.transport.EventLoop;
 import org.gullway.transport.Reply;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -60,17 +60,25 @@
     private final Deque<Pending> rentals = new ArrayDeque<>();
     /** Machines rented or found that are not on record yet. */
     private final Map<String, Arrival> arrivals = new LinkedHashMap<>();
+
     private final Set<String> failed = new LinkedHashSet<>();
     private final Map<String, Instant> gone = new HashMap<>();
 
-    private record Pending(String charter, FleetPlan.Rental rental) {
-    }
+    private record Pending(String charter, FleetPlan.Rental rental) {}
 
-    private record Arrival(FleetPlan.Rental rental, Instant rented) {
-    }
+    private record Arrival(FleetPlan.Rental rental, Instant rented) {}
 
-    CloudLoop(EventLoop loop, Client http, String address, double callsPerSecond, ClusterView view, Placing placing,
-              FleetPlan fleet, Incarnation self, InstantSource timeOfDay, Runnable changed) {
+    CloudLoop(
+            EventLoop loop,
+            Client http,
+            String address,
+            double callsPerSecond,
+            ClusterView view,
+            Placing placing,
+            FleetPlan fleet,
+            Incarnation self,
+            InstantSource timeOfDay,
+            Runnable changed) {
         this.loop = loop;
         this.http = http;
         this.address = address;
@@ -93,7 +101,9 @@
 
     void tick(boolean leading) {
         Instant now = loop.now();
-        if (!typesAt.plus(placing.types().isEmpty() ? Duration.ofSeconds(1) : TYPES_EVERY).isAfter(now) && spend()) {
+        if (!typesAt.plus(placing.types().isEmpty() ? Duration.ofSeconds(1) : TYPES_EVERY)
+                        .isAfter(now)
+                && spend()) {
             typesAt = now;
             askTypes();
         }
@@ -111,8 +121,8 @@
                 if (!spend()) {
                     break;
                 }
-                Pending pending = new Pending(
-                        self.node() + "-" + Long.toString(self.number(), 36) + "-" + ++charters, rental);
+                Pending pending =
+                        new Pending(self.node() + "-" + Long.toString(self.number(), 36) + "-" + ++charters, rental);
                 rentals.add(pending);
                 rent(pending);
             }
@@ -136,7 +146,8 @@
 
     private void rent(Pending pending) {
         FleetPlan.Rental rental = pending.rental();
-        byte[] body = CloudMessages.rental(pending.charter(), rental.type(), rental.zone(), rental.spot(), rental.count());
+        byte[] body =
+                CloudMessages.rental(pending.charter(), rental.type(), rental.zone(), rental.spot(), rental.count());
         http.call(address, Reply.Request.post("/rentals", body, LIMIT), reply -> {
             boolean refused = reply.kind() == Reply.Kind.ANSWERED && (reply.status() == 503 || reply.status() == 400);
             if (!reply.ok() && !refused) {
@@ -204,7 +215,8 @@
         if (names.isEmpty() || !spend()) {
             return;
         }
-        List<String> batch = names.stream().limit(CloudMessages.MOST_RETURNED_AT_ONCE).toList();
+        List<String> batch =
+                names.stream().limit(CloudMessages.MOST_RETURNED_AT_ONCE).toList();
         returning = true;
         http.call(address, Reply.Request.post("/rentals/return", CloudMessages.giveBack(batch), LIMIT), reply -> {
             returning = false;
@@ -251,11 +263,14 @@
                 if (!gone.containsKey(machine.name())) {
                     failed.add(machine.name());
                 }
-            } else if (view.machine(machine.name()) == null && !gone.containsKey(machine.name())
+            } else if (view.machine(machine.name()) == null
+                    && !gone.containsKey(machine.name())
                     && !arrivals.containsKey(machine.name())) {
-                arrivals.put(machine.name(), new Arrival(
-                        new FleetPlan.Rental(machine.type(), machine.zone(), machine.spot(), 1),
-                        timeOfDay.instant().minus(machine.age())));
+                arrivals.put(
+                        machine.name(),
+                        new Arrival(
+                                new FleetPlan.Rental(machine.type(), machine.zone(), machine.spot(), 1),
+                                timeOfDay.instant().minus(machine.age())));
             }
         }
         changed.run();
@@ -268,9 +283,11 @@
             Grouping grouping = new Grouping(view, draft, Long.toString(self.number(), 36) + "-" + ++groupings);
             for (Map.Entry<String, Arrival> entry : arrivals.entrySet()) {
                 FleetPlan.Rental rental = entry.getValue().rental();
-                Instant rented = entry.getValue().rented() == null ? timeOfDay : entry.getValue().rented();
-                if (!grouping.add(MachineRecord.booting(entry.getKey(), rental.type(), rental.zone(), rental.spot(), rented,
-                        self, 0))) {
+                Instant rented = entry.getValue().rented() == null
+                        ? timeOfDay
+                        : entry.getValue().rented();
+                if (!grouping.add(MachineRecord.booting(
+                        entry.getKey(), rental.type(), rental.zone(), rental.spot(), rented, self, 0))) {
                     break;
                 }
             }
--- a/src/main/java/org/gullway/Controller.java
+++ b/src/main/java/org/gullway/Controller.java
@@ -60,6 +60,7 @@
     private static final Duration MESH_LIMIT = Duration.ofSeconds(2);
     /** Rounds gather what comes in between; a long one leaves twice its time for everything else. */
     private static final Duration LEAST_PAUSE = Duration.ofMillis(10);
+
     private static final Duration LONGEST_PAUSE = Duration.ofMillis(300);
     private static final Duration ROUND_BUDGET = Duration.ofMillis(150);
     private static final Duration ASK_PEERS_EVERY = Duration.ofSeconds(1);
@@ -95,6 +96,7 @@
     private final DecisionSteps steps = new DecisionSteps(ROUND_BUDGET);
     /** The commit that the present round makes. */
     private Draft draft;
+
     private Runnable open;
     private Instant readySince;
     private boolean scheduled;
@@ -106,26 +108,39 @@
      * @param timeOfDay the wall clock, which wanders within the bound that the platform states
      * @param seed of everything that is decided by chance; no two processes may share it
      */
-    Controller(Settings settings, OperatorSettings operator, EventLoop loop, Client http, InstantSource timeOfDay,
-               long seed) {
+    Controller(
+            Settings settings,
+            OperatorSettings operator,
+            EventLoop loop,
+            Client http,
+            InstantSource timeOfDay,
+            long seed) {
         this.loop = loop;
         this.http = http;
         this.timeOfDay = timeOfDay;
         SplittableRandom random = new SplittableRandom(seed);
-        this.self = new Incarnation(settings.nodeName(),
-                (timeOfDay.millis() << 12 | random.nextInt(1 << 12)) & Long.MAX_VALUE);
+        this.self = new Incarnation(
+                settings.nodeName(), (timeOfDay.millis() << 12 | random.nextInt(1 << 12)) & Long.MAX_VALUE);
         Membership membership = new Membership(self, operator.membershipLease());
-        this.ledger = new Ledger(loop, new StateStore(http, settings.stateAddress()), view, membership,
-                new Ledger.Pace(settings.stateChangesPerSecond(), settings.stateRequestsPerSecond(),
-                        settings.peers().size() + 1), watchWait(settings), this::schedule);
+        this.ledger = new Ledger(
+                loop,
+                new StateStore(http, settings.stateAddress()),
+                view,
+                membership,
+                new Ledger.Pace(
+                        settings.stateChangesPerSecond(),
+                        settings.stateRequestsPerSecond(),
+                        settings.peers().size() + 1),
+                watchWait(settings),
+                this::schedule);
         this.placing = new Placing(settings.teams());
         Duration report = settings.reportInterval();
         this.ended = new EndedAttempts(view);
         this.cancelled = new CancelledTasks(view, settings.cancelLimit());
         Map<String, String> zones = new HashMap<>();
         settings.peers().forEach(peer -> zones.put(peer.name(), peer.zone()));
-        this.machines = new MachineControl(view, self, report, new Neighbours(zones, settings.cancelLimit()), ended,
-                cancelled);
+        this.machines =
+                new MachineControl(view, self, report, new Neighbours(zones, settings.cancelLimit()), ended, cancelled);
         this.leases = new LeaseKeeper(view, self, cancelled, settings.cancelLimit(), settings.workerLease());
         this.horizon = new CancellationHorizon(view, zones.keySet());
         Urgency urgency = new Urgency(settings.objectives());
@@ -133,15 +148,35 @@
         this.booking = new ReservedBooking(view, placing, pauses, urgency);
         this.queue = new BestEffortQueue(view, placing, pauses, urgency, idle, self.node(), report, random.split());
         this.repair = new Repair(view, placing, self.node(), random.split());
-        List<String> nodes = new ArrayList<>(settings.peers().stream().map(Settings.Peer::name).toList());
+        List<String> nodes = new ArrayList<>(
+                settings.peers().stream().map(Settings.Peer::name).toList());
         nodes.add(self.node());
         this.shares = new Shares(view, placing, self.node(), nodes);
-        this.fleet = new FleetPlan(view, placing,
+        this.fleet = new FleetPlan(
+                view,
+                placing,
                 new FleetPlan.Policy(operator.spareShare(), operator.idleReturn(), operator.bootPatience()));
-        this.cloud = new CloudLoop(loop, http, settings.cloudAddress(), settings.cloudRequestsPerSecond(), view, placing,
-                fleet, self, timeOfDay, this::schedule);
-        this.users = new UserApi(loop, view, ledger, placing, random.split(), metrics,
-                4 * settings.stateChangesPerCommit(), cancelled, this::schedule);
+        this.cloud = new CloudLoop(
+                loop,
+                http,
+                settings.cloudAddress(),
+                settings.cloudRequestsPerSecond(),
+                view,
+                placing,
+                fleet,
+                self,
+                timeOfDay,
+                this::schedule);
+        this.users = new UserApi(
+                loop,
+                view,
+                ledger,
+                placing,
+                random.split(),
+                metrics,
+                4 * settings.stateChangesPerCommit(),
+                cancelled,
+                this::schedule);
         this.reports = new ReportIntake(loop, this::report);
         this.limits = new Draft.Limits(settings.stateChangesPerCommit(), settings.stateValueBytes());
         settings.peers().forEach(peer -> meshAddresses.put(peer.name(), peer.address()));
@@ -164,7 +199,8 @@
                 .add("arrivals", () -> ifLeading(() -> cloud.propose(draft, draft.timeOfDay())))
                 .add("booking", () -> ifLeading(() -> booking.propose(draft, loop.now())))
                 .add("idle work", () -> ifLeading(() -> idle.propose(draft, loop.now())))
-                .add("queue", () -> queue.propose(draft, () -> machines.ready(loop.now()), loop.now()).forEach(this::send))
+                .add("queue", () -> queue.propose(draft, () -> machines.ready(loop.now()), loop.now())
+                        .forEach(this::send))
                 .add("ends", () -> ended.propose(draft, ledger.plenty(), loop.now()))
                 .add("fleet", () -> ifLeading(() -> fleet.propose(draft, loop.now(), draft.timeOfDay())));
     }
@@ -276,8 +312,14 @@
                 case "/offers" -> queue.offered(Offer.decode(call.body()), loop.now());
                 case "/cancelled" -> {
                     Set<String> known = Cancellations.decodeKnown(call.body());
-                    call.answer(200, Cancellations.encode(self.node(), self.number(),
-                            cancelled.known().stream().filter(job -> !known.contains(job.id())).toList()));
+                    call.answer(
+                            200,
+                            Cancellations.encode(
+                                    self.node(),
+                                    self.number(),
+                                    cancelled.known().stream()
+                                            .filter(job -> !known.contains(job.id()))
+                                            .toList()));
                     return;
                 }
                 case "/ends" -> machines.noticed(EndNotice.decode(call.body()), loop.now());
@@ -344,8 +386,11 @@
         }
         Duration took = Duration.between(began, loop.now());
         Duration pause = took.multipliedBy(2);
-        notBefore = loop.now().plus(pause.compareTo(LEAST_PAUSE) < 0 ? LEAST_PAUSE
-                : pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause);
+        notBefore = loop.now()
+                .plus(
+                        pause.compareTo(LEAST_PAUSE) < 0
+                                ? LEAST_PAUSE
+                                : pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause);
         metrics.round(took);
     }
 
@@ -360,7 +405,8 @@
         if (readySince == null) {
             readySince = now;
         }
-        if (view.members().keySet().containsAll(meshAddresses.keySet()) || readySince.plus(WAIT_FOR_OTHERS).isBefore(now)) {
+        if (view.members().keySet().containsAll(meshAddresses.keySet())
+                || readySince.plus(WAIT_FOR_OTHERS).isBefore(now)) {
             open.run();
             open = null;
         }
@@ -398,9 +444,11 @@
             return;
         }
         askedPeersAt = now;
-        byte[] known = Cancellations.encodeKnown(cancelled.known().stream().map(Cancellations.Job::id).toList());
-        meshAddresses.values().forEach(address ->
-                http.call(address, Reply.Request.post("/cancelled", known, MESH_LIMIT), reply -> {
+        byte[] known = Cancellations.encodeKnown(
+                cancelled.known().stream().map(Cancellations.Job::id).toList());
+        meshAddresses
+                .values()
+                .forEach(address -> http.call(address, Reply.Request.post("/cancelled", known, MESH_LIMIT), reply -> {
                     if (!reply.ok()) {
                         return;
                     }
@@ -419,26 +467,32 @@
 
     /** Stopping is safe without the state service, and a cancelled job's limit does not wait for it. */
     private void pressCancelled(Instant now) {
-        cancelled.press(now).forEach(push -> command(push, outcome -> cancelled.pressed(push, loop.now()),
-                cancelled::answered));
+        cancelled
+                .press(now)
+                .forEach(push -> command(push, outcome -> cancelled.pressed(push, loop.now()), cancelled::answered));
         cloud.giveBackWithoutRecord(cancelled.machinesToReturn(timeOfDay.instant()));
     }
 
     private void send(MachineControl.Push push) {
-        command(push, outcome -> machines.pushEnded(push, outcome, loop.now()),
+        command(
+                push,
+                outcome -> machines.pushEnded(push, outcome, loop.now()),
                 answer -> machines.answered(answer, loop.now()));
     }
 
-    private void command(MachineControl.Push push, Consumer<MachineControl.Outcome> ended, Consumer<WorkerReport> answers) {
+    private void command(
+            MachineControl.Push push, Consumer<MachineControl.Outcome> ended, Consumer<WorkerReport> answers) {
         metrics.pushed();
         byte[] body = Command.direct(push.token(), push.session(), push.commands());
         http.call(push.address(), Reply.Request.post("/do", body, COMMAND_LIMIT), reply -> {
             boolean answered = reply.kind() == Reply.Kind.ANSWERED && (reply.status() == 200 || reply.status() == 409);
-            MachineControl.Outcome outcome = answered ? MachineControl.Outcome.ANSWERED : switch (reply.kind()) {
-                case NO_SOCKET -> MachineControl.Outcome.NOT_TRIED;
-                case NOT_SENT -> MachineControl.Outcome.NOT_SENT;
-                default -> MachineControl.Outcome.UNKNOWN;
-            };
+            MachineControl.Outcome outcome = answered
+                    ? MachineControl.Outcome.ANSWERED
+                    : switch (reply.kind()) {
+                        case NO_SOCKET -> MachineControl.Outcome.NOT_TRIED;
+                        case NOT_SENT -> MachineControl.Outcome.NOT_SENT;
+                        default -> MachineControl.Outcome.UNKNOWN;
+                    };
             ended.accept(outcome);
             if (answered) {
                 try {
@@ -458,23 +512,31 @@
 
     private void send(String node, List<EndNotice> notices) {
         for (int i = 0; i < notices.size(); i += EndNotice.MOST_TOGETHER) {
-            tellPeer(node, "/ends", EndNotice.encode(
-                    notices.subList(i, Math.min(notices.size(), i + EndNotice.MOST_TOGETHER))));
+            tellPeer(
+                    node,
+                    "/ends",
+                    EndNotice.encode(notices.subList(i, Math.min(notices.size(), i + EndNotice.MOST_TOGETHER))));
         }
     }
 
     private void tellPeer(String node, String path, byte[] body) {
         String address = meshAddresses.get(node);
         if (address != null) {
-            http.call(address, Reply.Request.post(path, body, MESH_LIMIT), reply -> { });
+            http.call(address, Reply.Request.post(path, body, MESH_LIMIT), reply -> {});
         }
     }
 
     private void logFigures() {
         int waiting = view.jobs().stream().mapToInt(j -> j.waiting()).sum();
         long up = view.machines().stream().filter(m -> m.takesTasks()).count();
-        metrics.log(String.format("%s epoch=%d jobs=%d waiting=%d machines=%d/%d%s",
-                ledger.entitled() ? leads() ? "leader" : "member" : "outside", view.epoch(), view.jobs().size(),
-                waiting, up, view.machines().size(), view.closed().isEmpty() ? "" : " closed=" + view.closed().size()));
+        metrics.log(String.format(
+                "%s epoch=%d jobs=%d waiting=%d machines=%d/%d%s",
+                ledger.entitled() ? leads() ? "leader" : "member" : "outside",
+                view.epoch(),
+                view.jobs().size(),
+                waiting,
+                up,
+                view.machines().size(),
+                view.closed().isEmpty() ? "" : " closed=" + view.closed().size()));
     }
 }
--- a/src/main/java/org/gullway/Daemon.java
+++ b/src/main/java/org/gullway/Daemon.java
@@ -27,19 +27,25 @@
     private static final int BODY_LIMIT = 64 * 1024;
     private static final int BUFFER = 8 * 1024;
 
-    private Daemon() {
-    }
+    private Daemon() {}
 
     static void start(Settings settings, OperatorSettings operator) {
         XnioWorker worker = worker();
         ByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER, 256, 4);
         XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
-        long seed = System.nanoTime() ^ System.currentTimeMillis() << 20 ^ settings.nodeName().hashCode();
+        long seed = System.nanoTime()
+                ^ System.currentTimeMillis() << 20
+                ^ settings.nodeName().hashCode();
         Sockets sockets = new Sockets(settings.sockets());
         Set<String> essential = new HashSet<>(List.of(settings.stateAddress(), settings.cloudAddress()));
         settings.peers().forEach(peer -> essential.add(peer.address()));
-        Controller controller = new Controller(settings, operator, loop, new HttpClient(loop, buffers, sockets, essential),
-                InstantSource.system(), seed);
+        Controller controller = new Controller(
+                settings,
+                operator,
+                loop,
+                new HttpClient(loop, buffers, sockets, essential),
+                InstantSource.system(),
+                seed);
         HttpServer.start(worker, buffers, sockets, settings.meshAddress(), BODY_LIMIT, controller::answerPeer);
         LOG.info("{} listens on {} to the other controllers", settings.nodeName(), settings.meshAddress());
         loop.execute(() -> controller.start(() -> worker.execute(() -> {
@@ -56,14 +62,15 @@
 
     private static XnioWorker worker() {
         try {
-            return Xnio.getInstance().createWorker(OptionMap.builder()
-                    .set(Options.WORKER_NAME, "gullway")
-                    .set(Options.WORKER_IO_THREADS, 1)
-                    .set(Options.WORKER_TASK_CORE_THREADS, 1)
-                    .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                    .set(Options.TCP_NODELAY, true)
-                    .set(Options.REUSE_ADDRESSES, true)
-                    .getMap());
+            return Xnio.getInstance()
+                    .createWorker(OptionMap.builder()
+                            .set(Options.WORKER_NAME, "gullway")
+                            .set(Options.WORKER_IO_THREADS, 1)
+                            .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                            .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                            .set(Options.TCP_NODELAY, true)
+                            .set(Options.REUSE_ADDRESSES, true)
+                            .getMap());
         } catch (IOException e) {
             throw new UncheckedIOException("cannot start the event loop", e);
         }
--- a/src/main/java/org/gullway/Main.java
+++ b/src/main/java/org/gullway/Main.java
@@ -11,7 +11,10 @@
 import picocli.CommandLine.Option;
 
 /** The command line. */
-@Command(name = "gullway", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
+@Command(
+        name = "gullway",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
         description = "Schedules users' jobs on rented machines. One process runs on every controller.")
 public final class Main implements Callable<Integer> {
     private static final int FAULTY_SETTINGS = 2;
--- a/src/main/java/org/gullway/Metrics.java
+++ b/src/main/java/org/gullway/Metrics.java
@@ -40,7 +40,8 @@
         (done ? commits : refusals).increment();
         record(commit, time);
         for (String key : keys) {
-            (key.startsWith(Keys.JOBS) ? jobChanges : key.startsWith(Keys.GROUPS) ? groupChanges : otherChanges).increment();
+            (key.startsWith(Keys.JOBS) ? jobChanges : key.startsWith(Keys.GROUPS) ? groupChanges : otherChanges)
+                    .increment();
         }
     }
 
@@ -57,12 +58,22 @@
     }
 
     void log(String situation) {
-        LOG.info("{} accepted={} p99={}ms commits={} refused={} changes={}/{}/{} p50={}ms p99={}ms rounds={} max={}ms pushes={} offers={}",
-                situation, acceptance.getTotalCount(), acceptance.getValueAtPercentile(99),
-                (long) commits.count(), (long) refusals.count(),
-                (long) jobChanges.count(), (long) groupChanges.count(), (long) otherChanges.count(),
-                commit.getValueAtPercentile(50), commit.getValueAtPercentile(99),
-                round.getTotalCount(), round.getMaxValue(), (long) pushes.count(), (long) offers.count());
+        LOG.info(
+                "{} accepted={} p99={}ms commits={} refused={} changes={}/{}/{} p50={}ms p99={}ms rounds={} max={}ms pushes={} offers={}",
+                situation,
+                acceptance.getTotalCount(),
+                acceptance.getValueAtPercentile(99),
+                (long) commits.count(),
+                (long) refusals.count(),
+                (long) jobChanges.count(),
+                (long) groupChanges.count(),
+                (long) otherChanges.count(),
+                commit.getValueAtPercentile(50),
+                commit.getValueAtPercentile(99),
+                round.getTotalCount(),
+                round.getMaxValue(),
+                (long) pushes.count(),
+                (long) offers.count());
         acceptance.reset();
         commit.reset();
         round.reset();
--- a/src/main/java/org/gullway/ReportIntake.java
+++ b/src/main/java/org/gullway/ReportIntake.java
@@ -26,10 +26,10 @@
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     /** Time that reports may take now; the last one of a turn may make it negative. */
     private Duration left = LONGEST_TURN;
+
     private Instant earnedAt;
 
-    private record Waiting(Call call, Instant came) {
-    }
+    private record Waiting(Call call, Instant came) {}
 
     ReportIntake(EventLoop loop, Consumer<Call> handler) {
         this.loop = loop;
--- a/src/main/java/org/gullway/UserApi.java
+++ b/src/main/java/org/gullway/UserApi.java
@@ -24,10 +24,10 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.JobState;
 import org.gullway.protocol.JobStatus;
-import org.gullway.protocol.MalformedException;
 import org.gullway.protocol.MachineType;
-import org.gullway.transport.EventLoop;
+import org.gullway.protocol.MalformedException;
 import org.gullway.transport.Call;
+import org.gullway.transport.EventLoop;
 import org.gullway.transport.Reply;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -67,17 +67,22 @@
         }
     };
 
-    private record Submission(JobRequest request, Instant came, List<Call> calls) {
-    }
+    private record Submission(JobRequest request, Instant came, List<Call> calls) {}
 
-    private record Cancellation(String id, Instant came, List<Call> calls) {
-    }
+    private record Cancellation(String id, Instant came, List<Call> calls) {}
 
-    private record Poll(String id, Instant came, Call call) {
-    }
+    private record Poll(String id, Instant came, Call call) {}
 
-    UserApi(EventLoop loop, ClusterView view, Ledger ledger, Placing placing, RandomGenerator random, Metrics metrics,
-            int guardsPerCommit, CancelledTasks cancelled, Runnable changed) {
+    UserApi(
+            EventLoop loop,
+            ClusterView view,
+            Ledger ledger,
+            Placing placing,
+            RandomGenerator random,
+            Metrics metrics,
+            int guardsPerCommit,
+            CancelledTasks cancelled,
+            Runnable changed) {
         this.loop = loop;
         this.view = view;
         this.ledger = ledger;
@@ -113,21 +118,26 @@
         }
         if (!placing.possible(request)) {
             // A job accepted earlier is never refused; only the store can say that it was not.
-            lookUp(id, found -> {
-                if (found == null) {
-                    complain(call, 422, "no machine type, zone or team limit allows this job");
-                } else {
-                    answer(call, found);
-                }
-            }, () -> call.refuse(503, RETRY_AFTER));
+            lookUp(
+                    id,
+                    found -> {
+                        if (found == null) {
+                            complain(call, 422, "no machine type, zone or team limit allows this job");
+                        } else {
+                            answer(call, found);
+                        }
+                    },
+                    () -> call.refuse(503, RETRY_AFTER));
             return;
         }
         if (submissions.size() >= MOST_PENDING) {
             call.refuse(429, RETRY_AFTER.multipliedBy(2));
             return;
         }
-        submissions.computeIfAbsent(id, i -> new Submission(known(request), loop.now(), new ArrayList<>()))
-                .calls().add(call);
+        submissions
+                .computeIfAbsent(id, i -> new Submission(known(request), loop.now(), new ArrayList<>()))
+                .calls()
+                .add(call);
         changed.run();
     }
 
@@ -136,10 +146,31 @@
         if (r.types() == null) {
             return r;
         }
-        List<String> types = placing.types().values().stream().map(MachineType::name).filter(r.types()::contains).toList();
-        return new JobRequest(r.id(), r.jobClass(), r.team(), r.shape(), r.rank(), r.tasks(), r.cpus(), r.cards(), r.memoryGb(),
-                r.image(), r.imageGb(), types, r.zone(), r.oneZone(), r.spread(), r.spot(), r.estimate(),
-                r.checkpoint(), r.save(), r.deadline());
+        List<String> types = placing.types().values().stream()
+                .map(MachineType::name)
+                .filter(r.types()::contains)
+                .toList();
+        return new JobRequest(
+                r.id(),
+                r.jobClass(),
+                r.team(),
+                r.shape(),
+                r.rank(),
+                r.tasks(),
+                r.cpus(),
+                r.cards(),
+                r.memoryGb(),
+                r.image(),
+                r.imageGb(),
+                types,
+                r.zone(),
+                r.oneZone(),
+                r.spread(),
+                r.spot(),
+                r.estimate(),
+                r.checkpoint(),
+                r.save(),
+                r.deadline());
     }
 
     // Cancellation
@@ -152,22 +183,28 @@
         } else if (cancellations.size() >= MOST_PENDING) {
             call.refuse(429, RETRY_AFTER);
         } else if (view.job(id) == null) {
-            lookUp(id, found -> {
-                if (found == null) {
-                    call.answer(404, new byte[0]);
-                } else if (found.state().isFinal()) {
-                    answerShort(call, found);
-                } else {
-                    enqueueCancel(id, call);
-                }
-            }, () -> call.refuse(503, RETRY_AFTER));
+            lookUp(
+                    id,
+                    found -> {
+                        if (found == null) {
+                            call.answer(404, new byte[0]);
+                        } else if (found.state().isFinal()) {
+                            answerShort(call, found);
+                        } else {
+                            enqueueCancel(id, call);
+                        }
+                    },
+                    () -> call.refuse(503, RETRY_AFTER));
         } else {
             enqueueCancel(id, call);
         }
     }
 
     private void enqueueCancel(String id, Call call) {
-        cancellations.computeIfAbsent(id, i -> new Cancellation(i, loop.now(), new ArrayList<>())).calls().add(call);
+        cancellations
+                .computeIfAbsent(id, i -> new Cancellation(i, loop.now(), new ArrayList<>()))
+                .calls()
+                .add(call);
         changed.run();
     }
 
@@ -200,10 +237,14 @@
             if (key.startsWith(Keys.JOBS)) {
                 Submission submission = submissions.remove(key.substring(Keys.JOBS.length()));
                 if (submission != null && value instanceof JobRecord job) {
-                    LOG.debug("{} of {} accepted after {}", job.request().id(), job.request().jobClass(),
+                    LOG.debug(
+                            "{} of {} accepted after {}",
+                            job.request().id(),
+                            job.request().jobClass(),
                             Duration.between(submission.came(), loop.now()));
                     metrics.accepted(Duration.between(submission.came(), loop.now()));
-                    byte[] body = Cbor.encode(Cbor.map().put("name_id", job.request().id())
+                    byte[] body = Cbor.encode(Cbor.map()
+                            .put("name_id", job.request().id())
                             .put("tide", job.state().wire()));
                     submission.calls().forEach(call -> call.answer(201, body));
                 }
@@ -270,13 +311,16 @@
             polls.add(new Poll(id, loop.now(), call));
             verifySoon();
         } else {
-            lookUp(id, found -> {
-                if (found == null) {
-                    call.answer(404, new byte[0]);
-                } else {
-                    answer(call, found);
-                }
-            }, () -> call.refuse(503, RETRY_AFTER));
+            lookUp(
+                    id,
+                    found -> {
+                        if (found == null) {
+                            call.answer(404, new byte[0]);
+                        } else {
+                            answer(call, found);
+                        }
+                    },
+                    () -> call.refuse(503, RETRY_AFTER));
         }
     }
 
@@ -311,8 +355,8 @@
             if (stale == null) {
                 // The store was busy: ask again while the users still wait, those who can not wait come back later.
                 Instant oldest = loop.now().minus(POLL_PATIENCE);
-                batch.stream().filter(poll -> poll.came().isBefore(oldest))
-                        .forEach(poll -> poll.call().refuse(503, RETRY_AFTER));
+                batch.stream().filter(poll -> poll.came().isBefore(oldest)).forEach(poll -> poll.call()
+                        .refuse(503, RETRY_AFTER));
                 batch.removeIf(poll -> poll.came().isBefore(oldest));
                 polls.addAll(0, batch);
                 loop.after(VERIFY_AGAIN, () -> {
@@ -327,13 +371,16 @@
                 if (status != null && !stale.contains(Keys.job(poll.id()))) {
                     answer(poll.call(), status);
                 } else {
-                    lookUp(poll.id(), found -> {
-                        if (found == null) {
-                            poll.call().answer(404, new byte[0]);
-                        } else {
-                            answer(poll.call(), found);
-                        }
-                    }, () -> poll.call().refuse(503, RETRY_AFTER));
+                    lookUp(
+                            poll.id(),
+                            found -> {
+                                if (found == null) {
+                                    poll.call().answer(404, new byte[0]);
+                                } else {
+                                    answer(poll.call(), found);
+                                }
+                            },
+                            () -> poll.call().refuse(503, RETRY_AFTER));
                 }
             }
             if (!polls.isEmpty()) {
--- a/src/main/java/org/gullway/bookkeeping/Ledger.java
+++ b/src/main/java/org/gullway/bookkeeping/Ledger.java
@@ -30,6 +30,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
     /** How old the view may be for this controller to act on it. */
     private static final Duration FRESH = Duration.ofSeconds(10);
+
     private static final Duration LONGEST_AWAITED = Duration.ofSeconds(5);
     private static final Duration RETRY = Duration.ofMillis(250);
     private static final Duration BUSY_MEMORY = Duration.ofSeconds(10);
@@ -46,6 +47,7 @@
         private static final double FREE_PART = 0.6;
         /** The leader books most of the work; the others share the rest. */
         private static final double LEADERS_PART = 0.55;
+
         private static final double OTHERS_PART = 0.4;
         private static final double WATCHES_PART = 0.45;
         private static final double COMMITS_PART = 0.35;
@@ -56,7 +58,11 @@
         }
     }
 
-    private enum Phase { OUTSIDE, JOINING, MEMBER }
+    private enum Phase {
+        OUTSIDE,
+        JOINING,
+        MEMBER
+    }
 
     private final EventLoop loop;
     private final StateStore store;
@@ -70,16 +76,19 @@
     private final Budget questions;
     /** Until then the store counts as busy, and this controller keeps to its fair part of the changes. */
     private Instant busyUntil = Instant.MIN;
+
     private Phase phase = Phase.OUTSIDE;
     private boolean synced;
     private Instant lastWatched = Instant.MIN;
     /** When the last reading or watch that was answered had been sent. */
     private Instant knownUntil = Instant.MIN;
+
     private final Duration watchWait;
     private boolean committing;
     private Instant commitNotBefore = Instant.MIN;
     /** Revision that the watch has to reach before the view is good enough for another commit. */
     private long awaited;
+
     private Instant awaitedSince;
     private final Map<String, Refusal> refusals = new HashMap<>();
     /** Revision at which the own member key was written; a reading that is older shows a former one. */
@@ -88,11 +97,18 @@
     private long joinedAt;
     /** Counts memberships: an answer to a commit of an earlier one says nothing of what is on its way now. */
     private int term;
+
     private long watchRun;
     private int renewals;
 
-    public Ledger(EventLoop loop, StateStore store, ClusterView view, Membership membership,
-                  Pace pace, Duration watchWait, Runnable changed) {
+    public Ledger(
+            EventLoop loop,
+            StateStore store,
+            ClusterView view,
+            Membership membership,
+            Pace pace,
+            Duration watchWait,
+            Runnable changed) {
         this.loop = loop;
         this.store = store;
         this.view = view;
@@ -444,7 +460,9 @@
         boolean wrong = false;
         for (String key : failed) {
             Refusal before = refusals.put(key, new Refusal(marks.get(key), revision));
-            wrong |= key.startsWith(Keys.LIVE) && before != null && before.mark() > 0
+            wrong |= key.startsWith(Keys.LIVE)
+                    && before != null
+                    && before.mark() > 0
                     && before.mark() == marks.get(key)
                     && knownTo >= before.revision();
         }
@@ -457,8 +475,7 @@
         }
     }
 
-    private record Refusal(long mark, long revision) {
-    }
+    private record Refusal(long mark, long revision) {}
 
     private void await(long revision) {
         if (view.watched() < revision) {
--- a/src/main/java/org/gullway/bookkeeping/RecordCodec.java
+++ b/src/main/java/org/gullway/bookkeeping/RecordCodec.java
@@ -30,8 +30,7 @@
 
 /** Records as values of the state store. */
 public final class RecordCodec {
-    private RecordCodec() {
-    }
+    private RecordCodec() {}
 
     public static ObjectNode encode(Object value) {
         if (value instanceof JobRecord job) {
@@ -42,14 +41,19 @@
         }
         if (value instanceof ShareRecord share) {
             ObjectNode node = Cbor.map();
-            share.teams().forEach((team, amount) -> node.putArray(team).add(amount.cpus()).add(amount.cards()));
+            share.teams()
+                    .forEach((team, amount) ->
+                            node.putArray(team).add(amount.cpus()).add(amount.cards()));
             return node;
         }
         if (value instanceof Incarnation incarnation) {
             return encode(incarnation);
         }
         if (value instanceof Draft.Ended ended) {
-            return Cbor.map().put("state", ended.state().wire()).put("tasks", ended.tasks()).put("done", ended.done());
+            return Cbor.map()
+                    .put("state", ended.state().wire())
+                    .put("tasks", ended.tasks())
+                    .put("done", ended.done());
         }
         if (value instanceof ClosedMachines closed) {
             ObjectNode node = Cbor.map();
@@ -77,7 +81,8 @@
             node.put("cancelled", job.cancelledAt().toEpochMilli());
         }
         node.put("submitted", job.submitted().toEpochMilli())
-                .put("attempts", job.attempts()).put("errors", job.errors());
+                .put("attempts", job.attempts())
+                .put("errors", job.errors());
         ArrayNode done = node.putArray("done");
         for (int bound : job.done().bounds()) {
             done.add(bound);
@@ -93,8 +98,12 @@
         ArrayNode stopping = null;
         for (Placement p : job.live()) {
             long since = p.since().toEpochMilli() - job.submitted().toEpochMilli();
-            byPlace.computeIfAbsent(List.of(p.machine(), p.session(), since),
-                    k -> live.addArray().add(p.machine()).add(p.session()).add(since)).add(p.task()).add(p.attempt());
+            byPlace.computeIfAbsent(List.of(p.machine(), p.session(), since), k -> live.addArray()
+                            .add(p.machine())
+                            .add(p.session())
+                            .add(since))
+                    .add(p.task())
+                    .add(p.attempt());
             if (p.stopping()) {
                 stopping = stopping == null ? node.putArray("stopping") : stopping;
                 stopping.add(p.task());
@@ -108,8 +117,14 @@
         node.put("epoch", group.epoch());
         ArrayNode machines = node.putArray("machines");
         for (MachineRecord machine : group.machines()) {
-            machines.addArray().add(machine.name()).add(machine.type()).add(machine.zone()).add(machine.spot())
-                    .add(machine.session()).add(machine.fate().name()).add(machine.rented().toEpochMilli())
+            machines.addArray()
+                    .add(machine.name())
+                    .add(machine.type())
+                    .add(machine.zone())
+                    .add(machine.spot())
+                    .add(machine.session())
+                    .add(machine.fate().name())
+                    .add(machine.rented().toEpochMilli())
                     .add(machine.address() == null ? "" : machine.address());
         }
         return node;
@@ -142,7 +157,9 @@
 
     public static Draft.Ended ended(JsonNode value) throws MalformedException {
         Fields fields = Fields.of(value);
-        return new Draft.Ended(JobState.of(fields.text("state")), fields.countUpTo("tasks", JobRequest.MOST_TASKS),
+        return new Draft.Ended(
+                JobState.of(fields.text("state")),
+                fields.countUpTo("tasks", JobRequest.MOST_TASKS),
                 fields.countUpTo("done", JobRequest.MOST_TASKS));
     }
 
@@ -160,8 +177,13 @@
             Instant since = submitted.plusMillis(place.path(2).asLong());
             for (int i = 3; i + 1 < place.size(); i += 2) {
                 int task = place.get(i).asInt();
-                live.add(new Placement(task, place.get(i + 1).asLong(), machine, place.path(1).asLong(),
-                        stopping.contains(task), since));
+                live.add(new Placement(
+                        task,
+                        place.get(i + 1).asLong(),
+                        machine,
+                        place.path(1).asLong(),
+                        stopping.contains(task),
+                        since));
             }
         }
         JsonNode done = value.path("done");
@@ -175,15 +197,25 @@
         } catch (IllegalArgumentException e) {
             throw new MalformedException("done: " + e.getMessage());
         }
-        return new JobRecord(JobRequest.parse(value.path("request")), fields.textOrNull("owner"),
-                submitted, fields.has("cancelled") ? Instant.ofEpochMilli(fields.count("cancelled")) : null, ranges,
-                fields.count("attempts"), fields.countUpTo("errors", Integer.MAX_VALUE), List.copyOf(live));
+        return new JobRecord(
+                JobRequest.parse(value.path("request")),
+                fields.textOrNull("owner"),
+                submitted,
+                fields.has("cancelled") ? Instant.ofEpochMilli(fields.count("cancelled")) : null,
+                ranges,
+                fields.count("attempts"),
+                fields.countUpTo("errors", Integer.MAX_VALUE),
+                List.copyOf(live));
     }
 
     private static ShareRecord share(JsonNode value) {
         Map<String, ShareRecord.Amount> teams = new TreeMap<>();
-        value.fields().forEachRemaining(e -> teams.put(e.getKey(),
-                new ShareRecord.Amount(e.getValue().path(0).asDouble(), e.getValue().path(1).asDouble())));
+        value.fields()
+                .forEachRemaining(e -> teams.put(
+                        e.getKey(),
+                        new ShareRecord.Amount(
+                                e.getValue().path(0).asDouble(),
+                                e.getValue().path(1).asDouble())));
         return new ShareRecord(teams);
     }
 
@@ -199,9 +231,17 @@
                 throw new MalformedException("fate is unknown");
             }
             String address = item.path(7).asText();
-            machines.add(new MachineRecord(item.path(0).asText(), address.isEmpty() ? null : address,
-                    item.path(1).asText(), item.path(2).asText(), item.path(3).asBoolean(), controller,
-                    item.path(4).asLong(), epoch, fate, Instant.ofEpochMilli(item.path(6).asLong())));
+            machines.add(new MachineRecord(
+                    item.path(0).asText(),
+                    address.isEmpty() ? null : address,
+                    item.path(1).asText(),
+                    item.path(2).asText(),
+                    item.path(3).asBoolean(),
+                    controller,
+                    item.path(4).asLong(),
+                    epoch,
+                    fate,
+                    Instant.ofEpochMilli(item.path(6).asLong())));
         }
         return new GroupRecord(id, controller, epoch, List.copyOf(machines));
     }
--- a/src/main/java/org/gullway/bookkeeping/StateStore.java
+++ b/src/main/java/org/gullway/bookkeeping/StateStore.java
@@ -34,9 +34,16 @@
 
         /** The request may have been carried out, or may be carried out later. */
         boolean unknown() {
-            return kind == Reply.Kind.UNKNOWN || kind == Reply.Kind.ANSWERED && (status == 200 && body == null
-                    || status != 200 && status != 400 && status != 404 && status != 409 && status != 410
-                    && status != 429 && status != 503);
+            return kind == Reply.Kind.UNKNOWN
+                    || kind == Reply.Kind.ANSWERED
+                            && (status == 200 && body == null
+                                    || status != 200
+                                            && status != 400
+                                            && status != 404
+                                            && status != 409
+                                            && status != 410
+                                            && status != 429
+                                            && status != 503);
         }
 
         long revision() {
@@ -68,8 +75,10 @@
     }
 
     public void watch(String prefix, long from, Duration wait, Consumer<Outcome> callback) {
-        call(Reply.Request.get("/watch?under=" + prefix + "&from=" + from + "&block_ms=" + wait.toMillis(),
-                wait.plus(LIMIT)), callback);
+        call(
+                Reply.Request.get(
+                        "/watch?under=" + prefix + "&from=" + from + "&block_ms=" + wait.toMillis(), wait.plus(LIMIT)),
+                callback);
     }
 
     public void grant(Duration life, Consumer<Outcome> callback) {
@@ -85,8 +94,12 @@
     }
 
     /** Commits the changes if all guards hold; keys for which {@code tethered} holds live as long as the lease. */
-    public void commit(Collection<String> guards, ToLongFunction<String> mark, Map<String, ?> changes, long lease,
-                       Consumer<Outcome> callback) {
+    public void commit(
+            Collection<String> guards,
+            ToLongFunction<String> mark,
+            Map<String, ?> changes,
+            long lease,
+            Consumer<Outcome> callback) {
         ObjectNode node = Cbor.map();
         ArrayNode conditions = node.putArray("guards");
         for (String key : guards) {
--- a/src/main/java/org/gullway/coordination/BestEffortQueue.java
+++ b/src/main/java/org/gullway/coordination/BestEffortQueue.java
@@ -40,12 +40,10 @@
     private Instant offeredAt = Instant.MIN;
 
     /** Room of a peer's machine that was offered here. */
-    private record Foreign(Offer offer, Instant until) {
-    }
+    private record Foreign(Offer offer, Instant until) {}
 
     /** Offers on their way to a peer. */
-    public record Outgoing(String peer, List<Offer> offers) {
-    }
+    public record Outgoing(String peer, List<Offer> offers) {}
 
     /** One job's tasks that are about to be placed; candidates are looked up once. */
     private final class Pull {
@@ -89,8 +87,15 @@
         }
     }
 
-    public BestEffortQueue(ClusterView view, Placing placing, JobPauses pauses, Urgency urgency, IdleWork idle,
-                           String self, Duration offerLife, RandomGenerator random) {
+    public BestEffortQueue(
+            ClusterView view,
+            Placing placing,
+            JobPauses pauses,
+            Urgency urgency,
+            IdleWork idle,
+            String self,
+            Duration offerLife,
+            RandomGenerator random) {
         this.view = view;
         this.placing = placing;
         this.pauses = pauses;
@@ -122,7 +127,8 @@
         if (mine.isEmpty() && !offering && foreign.isEmpty()) {
             return List.of();
         }
-        mine.sort(Comparator.<JobRecord, org.gullway.protocol.Rank>comparing(j -> j.request().rank())
+        mine.sort(Comparator.<JobRecord, org.gullway.protocol.Rank>comparing(
+                        j -> j.request().rank())
                 .thenComparing(urgency::due)
                 .thenComparing(j -> j.request().id()));
         Map<MachineRecord, Offer> room = new LinkedHashMap<>();
@@ -133,7 +139,9 @@
         }
         for (Foreign each : foreign.values()) {
             MachineRecord machine = view.machine(each.offer().machine());
-            if (machine != null && machine.takesTasks() && machine.session() == each.offer().session()
+            if (machine != null
+                    && machine.takesTasks()
+                    && machine.session() == each.offer().session()
                     && now.isBefore(each.until())) {
                 room.put(machine, each.offer());
             }
@@ -155,15 +163,22 @@
             return;
         }
         // Turns by due time alone would let small jobs fill every gap for ever before a job of large tasks.
-        List<JobRecord> stalled = mine.stream().filter(job -> job.stalledAt(draft.timeOfDay()))
-                .sorted(JobRecord.STALLED_ORDER).toList();
+        List<JobRecord> stalled = mine.stream()
+                .filter(job -> job.stalledAt(draft.timeOfDay()))
+                .sorted(JobRecord.STALLED_ORDER)
+                .toList();
         Set<String> held = beginOneByOne(draft, room, stalled);
         List<JobRecord> others = mine.stream()
-                .filter(job -> !IdleWork.isIdle(job) && !held.contains(job.request().team())).toList();
+                .filter(job ->
+                        !IdleWork.isIdle(job) && !held.contains(job.request().team()))
+                .toList();
         // A team within its guarantee need not wait for others: its jobs have their turns first.
         Guarantees guarantees = Guarantees.of(view, placing);
         Predicate<JobRecord> late = job -> urgency.tooLate(job, draft.timeOfDay());
-        fill(draft, room.keySet(), others.stream().filter(late.negate().and(guarantees::holdFor)).toList(),
+        fill(
+                draft,
+                room.keySet(),
+                others.stream().filter(late.negate().and(guarantees::holdFor)).toList(),
                 Integer.MAX_VALUE);
         fill(draft, room.keySet(), others.stream().filter(late.negate()).toList(), Integer.MAX_VALUE);
         fill(draft, room.keySet(), others, Integer.MAX_VALUE);
@@ -190,8 +205,10 @@
         }
         // The leader keeps machines for such jobs, whoever commands them.
         List<MachineRecord> withGathered = new ArrayList<>(room.keySet());
-        view.closed().stream().map(view::machine)
-                .filter(m -> m != null && m.takesTasks() && view.isLive(m.controller())).forEach(withGathered::add);
+        view.closed().stream()
+                .map(view::machine)
+                .filter(m -> m != null && m.takesTasks() && view.isLive(m.controller()))
+                .forEach(withGathered::add);
         for (JobRecord known : stalled) {
             if (held.contains(known.request().team())) {
                 continue;
@@ -199,8 +216,10 @@
             fill(draft, withGathered, List.of(known), 1);
             JobRecord job = draft.job(known.request().id());
             if (job != null && job.live().isEmpty() && placing.withinShare(job, draft) == 0) {
-                ShareRecord.Amount cap = draft.share(Keys.shareOf(job)).of(job.request().team());
-                if (cap.cpus() >= job.request().cpus() && cap.cards() >= job.request().cards()) {
+                ShareRecord.Amount cap =
+                        draft.share(Keys.shareOf(job)).of(job.request().team());
+                if (cap.cpus() >= job.request().cpus()
+                        && cap.cards() >= job.request().cards()) {
                     held.add(job.request().team());
                 }
             }
@@ -230,12 +249,14 @@
         }
     }
 
-    private void fill(Draft draft, Collection<MachineRecord> room, List<JobRecord> jobs, int mostEach, Allowed allowed) {
+    private void fill(
+            Draft draft, Collection<MachineRecord> room, List<JobRecord> jobs, int mostEach, Allowed allowed) {
         Map<String, Deque<JobRecord>> waiting = new TreeMap<>();
         for (JobRecord known : jobs) {
             JobRecord job = draft.job(known.request().id());
             if (job != null && job.waiting() > 0) {
-                waiting.computeIfAbsent(job.request().team(), t -> new ArrayDeque<>()).add(job);
+                waiting.computeIfAbsent(job.request().team(), t -> new ArrayDeque<>())
+                        .add(job);
             }
         }
         waiting.keySet().stream().filter(team -> !turns.contains(team)).forEach(team -> turns.add(0, team));
@@ -254,8 +275,13 @@
     }
 
     /** One team's turn: one task of its first job that fits. */
-    private boolean turn(Draft draft, Collection<MachineRecord> room, Deque<JobRecord> jobs, Map<String, Pull> pulls,
-                         int mostEach, Allowed allowed) {
+    private boolean turn(
+            Draft draft,
+            Collection<MachineRecord> room,
+            Deque<JobRecord> jobs,
+            Map<String, Pull> pulls,
+            int mostEach,
+            Allowed allowed) {
         while (jobs != null && !jobs.isEmpty()) {
             JobRecord job = jobs.peek();
             Pull pull = pulls.computeIfAbsent(job.request().id(), id -> new Pull(job, draft, room, mostEach));
@@ -282,7 +308,8 @@
             List<String> peers = new ArrayList<>(view.members().keySet());
             peers.removeAll(asked);
             if (!peers.isEmpty()) {
-                List<Offer> list = byPeer.computeIfAbsent(peers.get(random.nextInt(peers.size())), p -> new ArrayList<>());
+                List<Offer> list =
+                        byPeer.computeIfAbsent(peers.get(random.nextInt(peers.size())), p -> new ArrayList<>());
                 if (list.size() < Offer.MOST_TOGETHER) {
                     list.add(new Offer(machine.name(), machine.session(), asked));
                 }
--- a/src/main/java/org/gullway/coordination/CancellationHorizon.java
+++ b/src/main/java/org/gullway/coordination/CancellationHorizon.java
@@ -34,8 +34,10 @@
 
     /** @param knownUntil what the store says */
     public Instant until(Instant knownUntil) {
-        return peers.stream().map(peer -> toldAt.getOrDefault(peer, Instant.MIN))
+        return peers.stream()
+                .map(peer -> toldAt.getOrDefault(peer, Instant.MIN))
                 .map(told -> told.isAfter(knownUntil) ? told : knownUntil)
-                .min(Instant::compareTo).orElse(knownUntil);
+                .min(Instant::compareTo)
+                .orElse(knownUntil);
     }
 }
--- a/src/main/java/org/gullway/coordination/CancelledTasks.java
+++ b/src/main/java/org/gullway/coordination/CancelledTasks.java
@@ -34,14 +34,13 @@
     private final Map<String, Learned> learned = new LinkedHashMap<>();
     /** Attempts that a worker's answer has shown to be gone while this controller was not entitled. */
     private final Set<AttemptId> gone = new HashSet<>();
+
     private final Map<String, Instant> pressedAt = new HashMap<>();
     private int pressing;
 
-    private record Learned(Cancellations.Job job, Instant at) {
-    }
+    private record Learned(Cancellations.Job job, Instant at) {}
 
-    private record Left(Instant cancelledAt, AttemptId id, String machine, long session) {
-    }
+    private record Left(Instant cancelledAt, AttemptId id, String machine, long session) {}
 
     public CancelledTasks(ClusterView view, Duration cancelLimit) {
         this.view = view;
@@ -68,8 +67,12 @@
     }
 
     private static Cancellations.Job told(JobRecord job) {
-        return new Cancellations.Job(job.request().id(), job.cancelledAt().toEpochMilli(), job.live().stream()
-                .map(p -> new Cancellations.Attempt(p.task(), p.attempt(), p.machine(), p.session())).toList());
+        return new Cancellations.Job(
+                job.request().id(),
+                job.cancelledAt().toEpochMilli(),
+                job.live().stream()
+                        .map(p -> new Cancellations.Attempt(p.task(), p.attempt(), p.machine(), p.session()))
+                        .toList());
     }
 
     /** All cancelled jobs known here whose tasks may still be on machines. */
@@ -103,14 +106,23 @@
         List<Left> left = new ArrayList<>();
         for (JobRecord job : view.jobs()) {
             if (job.cancelled()) {
-                job.live().forEach(p -> add(left, new Left(job.cancelledAt(), AttemptId.of(job, p), p.machine(), p.session())));
+                job.live()
+                        .forEach(p ->
+                                add(left, new Left(job.cancelledAt(), AttemptId.of(job, p), p.machine(), p.session())));
             }
         }
         learned.forEach((id, each) -> {
             if (!view.isCancelled(id)) {
                 Instant at = Instant.ofEpochMilli(each.job().cancelledAt());
-                each.job().attempts().forEach(a ->
-                        add(left, new Left(at, new AttemptId(new TaskId(id, a.task()), a.attempt()), a.machine(), a.session())));
+                each.job()
+                        .attempts()
+                        .forEach(a -> add(
+                                left,
+                                new Left(
+                                        at,
+                                        new AttemptId(new TaskId(id, a.task()), a.attempt()),
+                                        a.machine(),
+                                        a.session())));
             }
         });
         return left;
@@ -167,7 +179,9 @@
         due.forEach((name, stops) -> {
             MachineRecord machine = view.machine(name);
             Instant before = pressedAt.getOrDefault(name, Instant.MIN);
-            if (machine.address() != null && pressing < MOST_PRESSING && !before.plus(PRESS_AGAIN).isAfter(now)) {
+            if (machine.address() != null
+                    && pressing < MOST_PRESSING
+                    && !before.plus(PRESS_AGAIN).isAfter(now)) {
                 pressing++;
                 pressedAt.put(name, Instant.MAX.minus(PRESS_AGAIN));
                 pushes.add(new Push(name, machine.address(), view.epoch(), machine.session(), stops, now));
@@ -185,11 +199,13 @@
     /** Takes the answer to a direct command; a report would not do, since it may be an old copy. */
     public void answered(WorkerReport answer) {
         Set<AttemptId> live = new HashSet<>();
-        answer.tasks().stream().filter(task -> !task.ended())
+        answer.tasks().stream()
+                .filter(task -> !task.ended())
                 .forEach(task -> live.add(new AttemptId(task.task(), task.attempt())));
         for (Left left : left()) {
-            if (left.machine().equals(answer.machine()) && (answer.session() > left.session()
-                    || answer.session() == left.session() && !live.contains(left.id()))) {
+            if (left.machine().equals(answer.machine())
+                    && (answer.session() > left.session()
+                            || answer.session() == left.session() && !live.contains(left.id()))) {
                 // What begins there later ends with the lease, which nobody renews while its start may be on its way.
                 gone.add(left.id());
             }
--- a/src/main/java/org/gullway/coordination/ClusterView.java
+++ b/src/main/java/org/gullway/coordination/ClusterView.java
@@ -58,6 +58,7 @@
     private final Map<String, Map<String, Room>> shareUse = new HashMap<>();
     /** Machines whose records or placements have changed since that was last asked. */
     private final Set<String> touched = new HashSet<>();
+
     private final Map<String, Map<AttemptId, Placement>> onMachine = new HashMap<>();
     private final Map<String, Set<String>> images = new HashMap<>();
     /** Removals that the watch has not reached yet, so that an earlier put it still brings does not undo them. */
@@ -69,9 +70,11 @@
             return size() > MOST_CANCELLED_REMEMBERED;
         }
     });
+
     private long watched;
     /** Revision of the last loss of a member, as far as known. */
     private long lossSeen;
+
     private Incarnation leader;
     private long epoch;
     private Set<String> closed = Set.of();
@@ -176,7 +179,9 @@
             }
         }
         if (before != null) {
-            before.machines().stream().map(MachineRecord::name).filter(name -> !machines.containsKey(name))
+            before.machines().stream()
+                    .map(MachineRecord::name)
+                    .filter(name -> !machines.containsKey(name))
                     .forEach(images::remove);
         }
     }
@@ -184,7 +189,9 @@
     /** Only what differs is counted anew: most changes of a record leave most of its placements as they are. */
     private void replaceJob(String id, JobRecord next) {
         JobRecord before = next == null ? jobs.remove(id) : jobs.put(id, next);
-        boolean sameShare = before != null && next != null && Objects.equals(before.owner(), next.owner())
+        boolean sameShare = before != null
+                && next != null
+                && Objects.equals(before.owner(), next.owner())
                 && before.cancelled() == next.cancelled();
         Set<Placement> kept = Set.of();
         if (sameShare && !before.live().isEmpty()) {
@@ -211,11 +218,13 @@
             touched.add(placement.machine());
             machineUse.computeIfAbsent(placement.machine(), m -> new Room()).add(request, sign);
             shareUse.computeIfAbsent(Keys.shareOf(job), s -> new HashMap<>())
-                    .computeIfAbsent(request.team(), t -> new Room()).add(request, sign);
+                    .computeIfAbsent(request.team(), t -> new Room())
+                    .add(request, sign);
             Map<AttemptId, Placement> there = onMachine.computeIfAbsent(placement.machine(), m -> new HashMap<>());
             if (sign > 0) {
                 there.put(AttemptId.of(job, placement), placement);
-                images.computeIfAbsent(placement.machine(), m -> new HashSet<>()).add(request.image());
+                images.computeIfAbsent(placement.machine(), m -> new HashSet<>())
+                        .add(request.image());
             } else {
                 there.remove(AttemptId.of(job, placement));
                 if (there.isEmpty()) {
--- a/src/main/java/org/gullway/coordination/DecisionSteps.java
+++ b/src/main/java/org/gullway/coordination/DecisionSteps.java
@@ -15,8 +15,7 @@
 public final class DecisionSteps {
     private static final Logger LOG = LoggerFactory.getLogger(DecisionSteps.class);
 
-    private record Step(String name, Runnable action) {
-    }
+    private record Step(String name, Runnable action) {}
 
     private final List<Step> steps = new ArrayList<>();
     private final Duration budget;
--- a/src/main/java/org/gullway/coordination/Draft.java
+++ b/src/main/java/org/gullway/coordination/Draft.java
@@ -24,8 +24,7 @@
  */
 public final class Draft {
     /** The final state of a job, as it is kept under {@link Keys#ended}. */
-    public record Ended(JobState state, int tasks, int done) {
-    }
+    public record Ended(JobState state, int tasks, int done) {}
 
     /** Limits of one commit of the state store. */
     public record Limits(int changes, int guards, int valueBytes) {
@@ -55,6 +54,7 @@
     private final Map<String, Room> machineExtra = new HashMap<>();
     /** By share and team. */
     private final Map<String, Room> shareExtra = new HashMap<>();
+
     private int bytes;
 
     public Draft(ClusterView view, Incarnation self, Limits limits, Instant timeOfDay) {
@@ -84,7 +84,8 @@
 
     /** Whether so many further changes, each with a further guard beside it, fit into this commit. */
     public boolean hasRoomFor(int more) {
-        return changes.size() + more <= limits.changes() && guards.size() + 2 * more <= limits.guards()
+        return changes.size() + more <= limits.changes()
+                && guards.size() + 2 * more <= limits.guards()
                 && bytes < Limits.COMMIT_BYTES;
     }
 
@@ -103,8 +104,11 @@
         if (value instanceof JobRecord job) {
             return job.bytes();
         }
-        return value == null ? 0 : value instanceof GroupRecord group
-                ? OTHER_BYTES + group.machines().size() * MACHINE_BYTES : OTHER_BYTES;
+        return value == null
+                ? 0
+                : value instanceof GroupRecord group
+                        ? OTHER_BYTES + group.machines().size() * MACHINE_BYTES
+                        : OTHER_BYTES;
     }
 
     public void remove(String key) {
@@ -134,7 +138,9 @@
         if (job.over()) {
             remove(Keys.job(id));
             JobState state = job.state();
-            put(Keys.ended(id), new Ended(state, job.request().tasks(), job.done().size()));
+            put(
+                    Keys.ended(id),
+                    new Ended(state, job.request().tasks(), job.done().size()));
         } else {
             put(Keys.job(id), job);
         }
@@ -269,8 +275,13 @@
     /** Places one task on each of these machines, on which room was taken before. */
     void place(JobRecord job, List<MachineRecord> machines) {
         if (LOG.isDebugEnabled()) {
-            LOG.debug("{} of {}: {} tasks from attempt {} on go to {}", job.request().id(), job.request().jobClass(),
-                    machines.size(), job.attempts() + 1, machines.stream().map(MachineRecord::name).toList());
+            LOG.debug(
+                    "{} of {}: {} tasks from attempt {} on go to {}",
+                    job.request().id(),
+                    job.request().jobClass(),
+                    machines.size(),
+                    job.attempts() + 1,
+                    machines.stream().map(MachineRecord::name).toList());
         }
         putJob(job.placed(machines, timeOfDay));
     }
--- a/src/main/java/org/gullway/coordination/EndedAttempts.java
+++ b/src/main/java/org/gullway/coordination/EndedAttempts.java
@@ -35,7 +35,8 @@
 
     public void add(AttemptId attempt, End end, Instant now) {
         JobRecord job = view.job(attempt.task().job());
-        Placement placement = job == null || contains(attempt) ? null
+        Placement placement = job == null || contains(attempt)
+                ? null
                 : job.placementOf(attempt.task().index(), attempt.attempt());
         if (placement != null) {
             Waiting waiting = byJob.computeIfAbsent(attempt.task().job(), j -> new Waiting(now));
@@ -65,16 +66,22 @@
 
     /** Ends the jobs that are over with the ends known here: users wait for that. */
     public void finish(Draft draft) {
-        propose(draft, (job, waiting) -> job.cancelled() || job.done().size() + waiting.ends.size() >= job.request().tasks());
+        propose(
+                draft,
+                (job, waiting) -> job.cancelled()
+                        || job.done().size() + waiting.ends.size()
+                                >= job.request().tasks());
     }
 
     /** Records the ends of jobs that go on: at once if changes are plentiful, or else when they have waited long. */
     public void propose(Draft draft, boolean plenty, Instant now) {
-        propose(draft, (job, waiting) -> plenty || waiting.since.plus(LONGEST_KEPT).isBefore(now));
+        propose(
+                draft,
+                (job, waiting) -> plenty || waiting.since.plus(LONGEST_KEPT).isBefore(now));
     }
 
     private void propose(Draft draft, BiPredicate<JobRecord, Waiting> due) {
-        for (Iterator<Map.Entry<String, Waiting>> it = byJob.entrySet().iterator(); it.hasNext();) {
+        for (Iterator<Map.Entry<String, Waiting>> it = byJob.entrySet().iterator(); it.hasNext(); ) {
             Map.Entry<String, Waiting> entry = it.next();
             JobRecord known = view.job(entry.getKey());
             JobRecord job = draft.job(entry.getKey());
--- a/src/main/java/org/gullway/coordination/FleetPlan.java
+++ b/src/main/java/org/gullway/coordination/FleetPlan.java
@@ -16,7 +16,6 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
 import org.gullway.protocol.Rank;
-import org.gullway.protocol.Settings;
 
 /**
  * The leader's sizing of the fleet. All waiting tasks are laid out on the free room of machines that are up or
@@ -27,18 +26,17 @@
     private static final int MOST_TASKS_LAID_OUT = 20_000;
     /** Sizing looks at the whole fleet; machines take far longer to come up. */
     private static final Duration PLAN_EVERY = Duration.ofMillis(500);
+
     private static final int KEPT_MACHINES = 4;
     private static final Duration BURST_MEMORY = Duration.ofMinutes(1);
     private static final Duration BURST_HALF_LIFE = Duration.ofSeconds(90);
     private static final Duration NO_CAPACITY_PAUSE = Duration.ofSeconds(10);
 
     /** What can be set about the size of the fleet. */
-    public record Policy(double spareShare, Duration idleReturn, int bootPatience) {
-    }
+    public record Policy(double spareShare, Duration idleReturn, int bootPatience) {}
 
     /** Something to rent. */
-    public record Rental(String type, String zone, boolean spot, int count) {
-    }
+    public record Rental(String type, String zone, boolean spot, int count) {}
 
     private record Offering(MachineType type, String zone, boolean spot) {
         double pricePerCpu() {
@@ -61,7 +59,9 @@
         }
 
         boolean take(JobRequest job) {
-            if (cpus + 1e-6 < job.cpus() || cards + 1e-6 < job.cards() || memoryGb + 1e-6 < job.memoryGb()
+            if (cpus + 1e-6 < job.cpus()
+                    || cards + 1e-6 < job.cards()
+                    || memoryGb + 1e-6 < job.memoryGb()
                     || !suits(offering, job)) {
                 return false;
             }
@@ -83,6 +83,7 @@
     private final Set<String> counted = new HashSet<>();
     /** Processors of a large urgent job of late: it may come again at any moment, all at once. */
     private double burst;
+
     private double leastExcess;
     private double toDrain;
     private Instant excessSince;
@@ -95,7 +96,9 @@
     }
 
     private static boolean suits(Offering offering, JobRequest job) {
-        return (!offering.spot() || job.spot()) && offering.type().allowedFor(job) && offering.type().fits(job)
+        return (!offering.spot() || job.spot())
+                && offering.type().allowedFor(job)
+                && offering.type().fits(job)
                 && (job.zone() == null || job.zone().equals(offering.zone()));
     }
 
@@ -105,8 +108,7 @@
 
     private Optional<Offering> offering(Rental rental) {
         MachineType type = placing.types().get(rental.type());
-        return type == null ? Optional.empty()
-                : Optional.of(new Offering(type, rental.zone(), rental.spot()));
+        return type == null ? Optional.empty() : Optional.of(new Offering(type, rental.zone(), rental.spot()));
     }
 
     private List<Offering> offerings(Instant now) {
@@ -123,7 +125,8 @@
         view.machines().forEach(m -> inZone.merge(m.zone(), 1L, Long::sum));
         list.sort(Comparator.comparingDouble(Offering::pricePerCpu)
                 .thenComparing(o -> inZone.getOrDefault(o.zone(), 0L))
-                .thenComparing(o -> o.type().name()).thenComparing(Offering::zone));
+                .thenComparing(o -> o.type().name())
+                .thenComparing(Offering::zone));
         return list;
     }
 
@@ -142,7 +145,8 @@
     }
 
     private double fading(Instant now) {
-        return burstAt.equals(Instant.MIN) ? 0
+        return burstAt.equals(Instant.MIN)
+                ? 0
                 : Math.pow(0.5, Duration.between(burstAt, now).toMillis() / (double) BURST_HALF_LIFE.toMillis());
     }
 
@@ -155,15 +159,20 @@
         List<Slot> slots = new ArrayList<>();
         double smallest = Double.MAX_VALUE;
         for (JobRecord job : view.jobs()) {
-            smallest = job.waiting() > 0 || job.reserved() ? Math.min(smallest, job.request().cpus()) : smallest;
+            smallest = job.waiting() > 0 || job.reserved()
+                    ? Math.min(smallest, job.request().cpus())
+                    : smallest;
         }
         for (MachineRecord machine : view.machines()) {
             MachineType type = placing.types().get(machine.type());
             if (type != null && machine.fate() == Fate.STAYS) {
                 ClusterView.Room used = view.usedOn(machine.name());
                 if (used.cpus + smallest <= type.cpus() + 1e-6) {
-                    slots.add(new Slot(new Offering(type, machine.zone(), machine.spot()),
-                            type.cpus() - used.cpus, type.cards() - used.cards, type.memoryGb() - used.memoryGb));
+                    slots.add(new Slot(
+                            new Offering(type, machine.zone(), machine.spot()),
+                            type.cpus() - used.cpus,
+                            type.cards() - used.cards,
+                            type.memoryGb() - used.memoryGb));
                 }
             }
         }
@@ -193,8 +202,8 @@
         List<Rental> rentals = new ArrayList<>();
         counts.forEach((o, n) -> {
             for (int left = n; left > 0; left -= CloudMessages.MOST_RENTED_AT_ONCE) {
-                rentals.add(new Rental(o.type().name(), o.zone(), o.spot(),
-                        Math.min(left, CloudMessages.MOST_RENTED_AT_ONCE)));
+                rentals.add(new Rental(
+                        o.type().name(), o.zone(), o.spot(), Math.min(left, CloudMessages.MOST_RENTED_AT_ONCE)));
             }
         });
         return rentals;
@@ -203,7 +212,8 @@
     /** Urgent work first, then small jobs: one huge array must not use up what one look lays out. */
     private List<JobRecord> byNeed() {
         List<JobRecord> jobs = new ArrayList<>(view.jobs());
-        jobs.sort(Comparator.<JobRecord, Rank>comparing(job -> job.request().rank()).thenComparingInt(JobRecord::waiting));
+        jobs.sort(Comparator.<JobRecord, Rank>comparing(job -> job.request().rank())
+                .thenComparingInt(JobRecord::waiting));
         return jobs;
     }
 
@@ -213,8 +223,16 @@
         private final Map<String, Double> byTeam = new HashMap<>();
 
         Allowance() {
-            placing.teams().forEach(team -> byTeam.put(team.name(), Math.max(0, team.cpusLimit()
-                    - view.shares().values().stream().mapToDouble(share -> share.of(team.name()).cpus()).sum())));
+            placing.teams()
+                    .forEach(team -> byTeam.put(
+                            team.name(),
+                            Math.max(
+                                    0,
+                                    team.cpusLimit()
+                                            - view.shares().values().stream()
+                                                    .mapToDouble(share -> share.of(team.name())
+                                                            .cpus())
+                                                    .sum())));
         }
 
         /** Takes what it can of so many tasks. */
@@ -222,9 +240,15 @@
             JobRequest request = job.request();
             String share = Keys.shareOf(job);
             String key = share + '\n' + request.team();
-            double held = byShare.computeIfAbsent(key, k -> Math.max(0,
-                    view.shares().getOrDefault(share, ShareRecord.EMPTY).of(request.team()).cpus()
-                            - view.usedOf(share, request.team()).cpus));
+            double held = byShare.computeIfAbsent(
+                    key,
+                    k -> Math.max(
+                            0,
+                            view.shares()
+                                            .getOrDefault(share, ShareRecord.EMPTY)
+                                            .of(request.team())
+                                            .cpus()
+                                    - view.usedOf(share, request.team()).cpus));
             double open = byTeam.getOrDefault(request.team(), 0.0);
             int taken = (int) Math.min(tasks, (held + open) / request.cpus() + 1e-6);
             double cpus = taken * request.cpus();
@@ -235,11 +259,16 @@
     }
 
     private static Slot empty(Offering offering) {
-        return new Slot(offering, offering.type().cpus(), offering.type().cards(), offering.type().memoryGb());
+        return new Slot(
+                offering,
+                offering.type().cpus(),
+                offering.type().cards(),
+                offering.type().memoryGb());
     }
 
     /** Lays out up to so many tasks and returns how many found a place; slots that become full are dropped. */
-    private static int layOut(JobRequest job, int tasks, List<Slot> slots, List<Slot> rented, List<Offering> offerings) {
+    private static int layOut(
+            JobRequest job, int tasks, List<Slot> slots, List<Slot> rented, List<Offering> offerings) {
         int laid = 0;
         for (List<Slot> there : List.of(slots, rented)) {
             for (int i = 0; i < there.size() && laid < tasks; i++) {
@@ -292,7 +321,9 @@
                 continue;
             }
             if (!machine.up()) {
-                if (machine.rented().plus(type.boot().multipliedBy(policy.bootPatience())).isBefore(timeOfDay)) {
+                if (machine.rented()
+                        .plus(type.boot().multipliedBy(policy.bootPatience()))
+                        .isBefore(timeOfDay)) {
                     draft.putMachine(draft.machine(machine.name()).meant(Fate.LOST));
                 }
                 continue;
@@ -300,7 +331,10 @@
             double free = placing.freeCpus(machine, draft);
             boolean empty = view.usedOn(machine.name()).tasks == 0;
             Instant since = empty ? idleSince.computeIfAbsent(machine.name(), m -> now) : now;
-            if (empty && waiting == 0 && spare - type.cpus() >= wanted && since.plus(policy.idleReturn()).isBefore(now)
+            if (empty
+                            && waiting == 0
+                            && spare - type.cpus() >= wanted
+                            && since.plus(policy.idleReturn()).isBefore(now)
                     || free > 0 && type.cpus() <= Math.min(toDrain, spare - wanted)) {
                 draft.putMachine(draft.machine(machine.name()).meant(Fate.LEAVING));
                 spare -= free;
@@ -321,7 +355,10 @@
         leastExcess = Math.min(leastExcess, excess);
         if (!excessSince.plus(policy.idleReturn()).isAfter(now)) {
             // Room lies in fragments: what a few large machines hold is kept, which matters to small fleets alone.
-            double largest = placing.types().values().stream().mapToDouble(MachineType::cpus).max().orElse(0);
+            double largest = placing.types().values().stream()
+                    .mapToDouble(MachineType::cpus)
+                    .max()
+                    .orElse(0);
             toDrain = leastExcess - KEPT_MACHINES * largest;
             excessSince = null;
         }
@@ -342,8 +379,9 @@
         }
         List<MachineRecord> machines = new ArrayList<>(view.machines());
         machines.removeIf(machine -> !placing.types().containsKey(machine.type()));
-        machines.sort(Comparator.<MachineRecord>comparingDouble(machine -> -new Offering(
-                placing.types().get(machine.type()), machine.zone(), machine.spot()).pricePerCpu())
+        machines.sort(Comparator.<MachineRecord>comparingDouble(
+                        machine -> -new Offering(placing.types().get(machine.type()), machine.zone(), machine.spot())
+                                .pricePerCpu())
                 .thenComparingDouble(machine -> busy.getOrDefault(view.groupOf(machine.name()), 0.0))
                 .thenComparing(machine -> view.groupOf(machine.name()))
                 .thenComparingDouble(machine -> view.usedOn(machine.name()).cpus));
--- a/src/main/java/org/gullway/coordination/GroupRecord.java
+++ b/src/main/java/org/gullway/coordination/GroupRecord.java
@@ -30,10 +30,18 @@
     }
 
     public GroupRecord without(String name) {
-        return new GroupRecord(id, controller, epoch, machines.stream().filter(m -> !m.name().equals(name)).toList());
+        return new GroupRecord(
+                id,
+                controller,
+                epoch,
+                machines.stream().filter(m -> !m.name().equals(name)).toList());
     }
 
     public GroupRecord claimed(Incarnation by, long newEpoch) {
-        return new GroupRecord(id, by, newEpoch, machines.stream().map(m -> m.claimed(by, newEpoch)).toList());
+        return new GroupRecord(
+                id,
+                by,
+                newEpoch,
+                machines.stream().map(m -> m.claimed(by, newEpoch)).toList());
     }
 }
--- a/src/main/java/org/gullway/coordination/Grouping.java
+++ b/src/main/java/org/gullway/coordination/Grouping.java
@@ -40,8 +40,10 @@
         if (counts.isEmpty()) {
             return false;
         }
-        String node = counts.entrySet().stream().min(Map.Entry.<String, Integer>comparingByValue()
-                .thenComparing(Map.Entry.comparingByKey())).orElseThrow().getKey();
+        String node = counts.entrySet().stream()
+                .min(Map.Entry.<String, Integer>comparingByValue().thenComparing(Map.Entry.comparingByKey()))
+                .orElseThrow()
+                .getKey();
         List<String> groups = open.get(node);
         GroupRecord group = groups.isEmpty() ? null : draft.group(groups.get(groups.size() - 1));
         if (group != null && group.machines().size() >= GroupRecord.MOST_MACHINES) {
--- a/src/main/java/org/gullway/coordination/Guarantees.java
+++ b/src/main/java/org/gullway/coordination/Guarantees.java
@@ -19,15 +19,18 @@
 
     public static Guarantees of(ClusterView view, Placing placing) {
         List<JobRecord> jobs = new ArrayList<>(view.jobs());
-        jobs.sort(Comparator.comparing(JobRecord::submitted).thenComparing(job -> job.request().id()));
+        jobs.sort(Comparator.comparing(JobRecord::submitted)
+                .thenComparing(job -> job.request().id()));
         Map<String, Double> cpus = new HashMap<>();
         Map<String, Double> cards = new HashMap<>();
         Set<String> within = new HashSet<>();
         for (JobRecord job : jobs) {
             Settings.Team team = placing.team(job.request().team());
             if (team != null && !job.cancelled()) {
-                double usedCpus = cpus.merge(team.name(), job.unfinished() * job.request().cpus(), Double::sum);
-                double usedCards = cards.merge(team.name(), job.unfinished() * job.request().cards(), Double::sum);
+                double usedCpus =
+                        cpus.merge(team.name(), job.unfinished() * job.request().cpus(), Double::sum);
+                double usedCards = cards.merge(
+                        team.name(), job.unfinished() * job.request().cards(), Double::sum);
                 if (usedCpus <= team.cpus() && usedCards <= team.cards()) {
                     within.add(job.request().id());
                 }
--- a/src/main/java/org/gullway/coordination/IdleWork.java
+++ b/src/main/java/org/gullway/coordination/IdleWork.java
@@ -16,6 +16,7 @@
     private static final Duration EVERY = Duration.ofSeconds(1);
     /** Work that has only just come mostly finds its place by itself. */
     private static final Duration JUST_COME = Duration.ofSeconds(2);
+
     private static final int MOST_LOOKED_AT = 256;
     private static final int MOST_JOBS = 8;
 
@@ -45,12 +46,18 @@
         List<JobRecord> waiting = new ArrayList<>();
         for (JobRecord known : view.jobs()) {
             JobRecord job = draft.job(known.request().id());
-            if (job != null && !job.reserved() && !isIdle(job) && job.waiting() > 0 && !pauses.paused(job, now)
-                    && job.submitted().plus(JUST_COME).isBefore(draft.timeOfDay()) && placing.withinShare(job, draft) > 0) {
+            if (job != null
+                    && !job.reserved()
+                    && !isIdle(job)
+                    && job.waiting() > 0
+                    && !pauses.paused(job, now)
+                    && job.submitted().plus(JUST_COME).isBefore(draft.timeOfDay())
+                    && placing.withinShare(job, draft) > 0) {
                 waiting.add(job);
             }
         }
-        waiting.sort(Comparator.comparing(JobRecord::submitted).thenComparing(job -> job.request().id()));
+        waiting.sort(Comparator.comparing(JobRecord::submitted)
+                .thenComparing(job -> job.request().id()));
         return waiting;
     }
 
@@ -72,7 +79,9 @@
 
     /** The leader's part: stops idle tasks for what waits before them, so many as that could use. */
     public void propose(Draft draft, Instant now) {
-        if (proposedAt.plus(EVERY).isAfter(now) || view.jobs().stream().noneMatch(job -> isIdle(job) && !job.live().isEmpty())) {
+        if (proposedAt.plus(EVERY).isAfter(now)
+                || view.jobs().stream()
+                        .noneMatch(job -> isIdle(job) && !job.live().isEmpty())) {
             return;
         }
         proposedAt = now;
@@ -82,7 +91,9 @@
         }
         List<MachineRecord> machines = new ArrayList<>();
         for (MachineRecord machine : view.machines()) {
-            if (machine.takesTasks() && view.isLive(machine.controller()) && !view.closed().contains(machine.name())) {
+            if (machine.takesTasks()
+                    && view.isLive(machine.controller())
+                    && !view.closed().contains(machine.name())) {
                 machines.add(machine);
             }
         }
@@ -92,7 +103,9 @@
         }
         lookFrom = machines.isEmpty() ? 0 : (lookFrom + MOST_LOOKED_AT) % machines.size();
         RoomMaking rooms = new RoomMaking(view, placing, urgency, draft, looked);
-        waiting.stream().limit(MOST_JOBS).forEach(job -> rooms.makeRoom(job,
-                Math.min(job.waiting(), placing.withinShare(job, draft)), looked, IdleWork::isIdle));
+        waiting.stream()
+                .limit(MOST_JOBS)
+                .forEach(job -> rooms.makeRoom(
+                        job, Math.min(job.waiting(), placing.withinShare(job, draft)), looked, IdleWork::isIdle));
     }
 }
--- a/src/main/java/org/gullway/coordination/JobPauses.java
+++ b/src/main/java/org/gullway/coordination/JobPauses.java
@@ -13,8 +13,7 @@
     private static final int FREE_ERRORS = 3;
     private static final Duration LONGEST = Duration.ofSeconds(30);
 
-    private record Pause(int errors, Instant until) {
-    }
+    private record Pause(int errors, Instant until) {}
 
     private final Map<String, Pause> pauses = new HashMap<>();
 
--- a/src/main/java/org/gullway/coordination/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/JobRecord.java
@@ -24,18 +24,26 @@
  * @param attempts number of attempts that were placed so far, which numbers the next one
  * @param errors attempts that failed since the last one that did not
  */
-public record JobRecord(JobRequest request, String owner, Instant submitted, Instant cancelledAt, Ranges done,
-                        long attempts, int errors, List<Placement> live) {
+public record JobRecord(
+        JobRequest request,
+        String owner,
+        Instant submitted,
+        Instant cancelledAt,
+        Ranges done,
+        long attempts,
+        int errors,
+        List<Placement> live) {
 
     /** Generous size of one placement in the record, counted as the state store counts. */
     public static final int PLACEMENT_BYTES = 36;
+
     private static final Duration LONGEST_STALLED = Duration.ofSeconds(100);
     private static final int RANGE_BYTES = 10;
     private static final int FIXED_BYTES = 1500;
 
     /** Which of the jobs that stall comes first: one that has not begun, then the largest task, then the oldest. */
-    public static final Comparator<JobRecord> STALLED_ORDER = Comparator
-            .<JobRecord>comparingInt(job -> job.done().size() == 0 ? 0 : 1)
+    public static final Comparator<JobRecord> STALLED_ORDER = Comparator.<JobRecord>comparingInt(
+                    job -> job.done().size() == 0 ? 0 : 1)
             .thenComparingDouble(job -> -job.request().cpus())
             .thenComparing(JobRecord::submitted)
             .thenComparing(job -> job.request().id());
@@ -91,7 +99,8 @@
 
     /** Whether no task runs although the job was accepted long ago: it then gets one task before all others. */
     public boolean stalledAt(Instant timeOfDay) {
-        return live.isEmpty() && waiting() > 0
+        return live.isEmpty()
+                && waiting() > 0
                 && submitted.plus(LONGEST_STALLED).isBefore(timeOfDay);
     }
 
@@ -167,7 +176,14 @@
 
     public JobRecord stopping(Predicate<Placement> which) {
         UnaryOperator<Placement> stop = p -> which.test(p) ? p.stopped() : p;
-        return new JobRecord(request, owner, submitted, cancelledAt, done, attempts, errors,
+        return new JobRecord(
+                request,
+                owner,
+                submitted,
+                cancelledAt,
+                done,
+                attempts,
+                errors,
                 live.stream().map(stop).toList());
     }
 
--- a/src/main/java/org/gullway/coordination/Keys.java
+++ b/src/main/java/org/gullway/coordination/Keys.java
@@ -12,11 +12,11 @@
     public static final String SHARES = LIVE + "shares/";
     /** The share for all that the leader books. */
     public static final String LEADERS_SHARE = SHARES + "leader";
+
     private static final String NODE_SHARES = SHARES + "node/";
     private static final String ENDED = "ended/";
 
-    private Keys() {
-    }
+    private Keys() {}
 
     public static String member(String node) {
         return MEMBERS + node;
--- a/src/main/java/org/gullway/coordination/LeaseKeeper.java
+++ b/src/main/java/org/gullway/coordination/LeaseKeeper.java
@@ -25,9 +25,11 @@
 public final class LeaseKeeper {
     /** Health checks come about once a second, so outside something is wrong if none has come for so long. */
     private static final Duration OUTSIDE_SILENT = Duration.ofMillis(2500);
+
     private static final Duration REFUSAL_MEMORY = Duration.ofSeconds(25);
     /** Steady clocks drift apart by 0.05%: for the controller's and the worker's together, and for the timers' steps. */
     private static final long DRIFT_DIVISOR = 500;
+
     private static final Duration SLACK = Duration.ofMillis(250);
 
     private final ClusterView view;
@@ -37,12 +39,15 @@
     private final Map<String, Instant> refused = new HashMap<>();
     private Instant outsideHeardAt = Instant.MIN;
 
-    public LeaseKeeper(ClusterView view, Incarnation self, CancelledTasks cancelled, Duration cancelLimit,
-                       Duration workerLease) {
+    public LeaseKeeper(
+            ClusterView view, Incarnation self, CancelledTasks cancelled, Duration cancelLimit, Duration workerLease) {
         this.view = view;
         this.self = self;
         this.cancelled = cancelled;
-        this.renewedFor = cancelLimit.minus(cancelLimit.dividedBy(DRIFT_DIVISOR)).minus(workerLease).minus(SLACK);
+        this.renewedFor = cancelLimit
+                .minus(cancelLimit.dividedBy(DRIFT_DIVISOR))
+                .minus(workerLease)
+                .minus(SLACK);
     }
 
     /**
@@ -57,13 +62,17 @@
     /** Whether this worker's report is answered although this controller is not entitled, if leases may be renewed. */
     public boolean keeps(WorkerReport report, Instant now) {
         MachineRecord machine = view.machine(report.machine());
-        if (machine == null || machine.session() != report.session() || machine.fate() == MachineRecord.Fate.LOST
-                || report.token() > view.epoch() || cancelled.mayBegin(machine, report)) {
+        if (machine == null
+                || machine.session() != report.session()
+                || machine.fate() == MachineRecord.Fate.LOST
+                || report.token() > view.epoch()
+                || cancelled.mayBegin(machine, report)) {
             return false;
         }
         Instant before = refused.put(report.machine(), now);
         // A worker that asks around in vain is away for ten seconds, which a zone that is cut off does not have.
-        return !self.node().equals(machine.controller().node()) || outsideHeardAt.plus(OUTSIDE_SILENT).isBefore(now)
+        return !self.node().equals(machine.controller().node())
+                || outsideHeardAt.plus(OUTSIDE_SILENT).isBefore(now)
                 || before != null && before.plus(REFUSAL_MEMORY).isAfter(now);
     }
 
--- a/src/main/java/org/gullway/coordination/MachineControl.java
+++ b/src/main/java/org/gullway/coordination/MachineControl.java
@@ -34,6 +34,7 @@
     private static final Duration TELL_AGAIN = Duration.ofMillis(1500);
     /** After that the end is recorded here: the keeper may be out of reach, or change again and again. */
     private static final Duration TOLD_IN_VAIN = Duration.ofSeconds(4);
+
     private static final Duration NOTICE_MARGIN = Duration.ofSeconds(1);
     private static final Duration ERROR_WINDOW = Duration.ofMinutes(2);
     private static final int ERRORS_OF_JOBS = 2;
@@ -57,14 +58,21 @@
     private final Set<String> newSessions = new HashSet<>();
     /** Groups of a controller that some of their workers cannot reach. */
     private final Set<String> strayGroups = new HashSet<>();
+
     private final Map<String, List<EndNotice>> notices = new TreeMap<>();
     /** Jobs that have failed lately here, and whether they do so on every machine. */
     private final Map<String, Boolean> failingJobs = new HashMap<>();
+
     private int pushing;
     private Instant raisedAt = Instant.MIN;
 
-    public MachineControl(ClusterView view, Incarnation self, Duration reportInterval, Neighbours neighbours,
-                          EndedAttempts ended, CancelledTasks cancelled) {
+    public MachineControl(
+            ClusterView view,
+            Incarnation self,
+            Duration reportInterval,
+            Neighbours neighbours,
+            EndedAttempts ended,
+            CancelledTasks cancelled) {
         this.view = view;
         this.self = self;
         this.reportInterval = reportInterval;
@@ -81,16 +89,13 @@
     /** How a report is answered. */
     public sealed interface Answer {
         /** @param changed whether the report may give this controller something to do */
-        record Commands(long token, List<Command> commands, boolean changed) implements Answer {
-        }
+        record Commands(long token, List<Command> commands, boolean changed) implements Answer {}
 
         /** The worker should report to another controller; null leaves the choice to it. */
-        record Elsewhere(String controller) implements Answer {
-        }
+        record Elsewhere(String controller) implements Answer {}
 
         /** This controller's knowledge is behind the worker's. */
-        record NotYet() implements Answer {
-        }
+        record NotYet() implements Answer {}
     }
 
     /** Commands to be sent to a worker now. */
@@ -110,11 +115,13 @@
             return new Answer.Commands(view.epoch(), cancelled.stops(report), false);
         }
         if (!self.equals(record.controller())) {
-            String better = view.isLive(record.controller()) ? record.controller().node()
+            String better = view.isLive(record.controller())
+                    ? record.controller().node()
                     : successor(view.group(view.groupOf(record.name())));
             if (!self.node().equals(better)) {
                 // While its group is being taken over, an answer keeps its lease; the way back there would only fail.
-                return stray(record, now) ? new Answer.Commands(view.epoch(), cancelled.stops(report), true)
+                return stray(record, now)
+                        ? new Answer.Commands(view.epoch(), cancelled.stops(report), true)
                         : new Answer.Elsewhere(better);
             }
         }
@@ -133,7 +140,8 @@
     /** Whether a worker that was sent on is back because it cannot reach its controller, and may stay for one report. */
     private boolean stray(MachineRecord record, Instant now) {
         Worker worker = workers.computeIfAbsent(record.name(), m -> new Worker(now));
-        if (worker.strayedAt() == null || worker.strayedAt().plus(reportInterval.multipliedBy(10)).isBefore(now)) {
+        if (worker.strayedAt() == null
+                || worker.strayedAt().plus(reportInterval.multipliedBy(10)).isBefore(now)) {
             worker.strayed(now);
             return false;
         }
@@ -195,17 +203,23 @@
 
     /** Whether the machine is this controller's, and the watch has brought all that was recorded before. */
     private boolean mine(MachineRecord record) {
-        return record != null && record.up() && self.equals(record.controller())
+        return record != null
+                && record.up()
+                && self.equals(record.controller())
                 && view.watched() >= view.machineMark(record.name());
     }
 
     private boolean commands(MachineRecord record, Worker worker) {
-        return mine(record) && worker != null && worker.newest() != null
+        return mine(record)
+                && worker != null
+                && worker.newest() != null
                 && worker.newest().session() == record.session();
     }
 
     private List<Command> forgets(Worker worker, MachineRecord record) {
-        if (!commands(record, worker) || !worker.fenced(record) || worker.tasks().isEmpty()) {
+        if (!commands(record, worker)
+                || !worker.fenced(record)
+                || worker.tasks().isEmpty()) {
             return List.of();
         }
         List<Command> list = new ArrayList<>();
@@ -309,7 +323,8 @@
 
     private static Duration grace(JobRecord job) {
         JobRequest request = job.request();
-        return job.cancelled() || !request.saves() ? Duration.ZERO
+        return job.cancelled() || !request.saves()
+                ? Duration.ZERO
                 : request.save().multipliedBy(2).plusSeconds(1);
     }
 
@@ -330,10 +345,11 @@
                 worker.succeeded();
                 tell(job, id, End.DONE, worker, now);
             } else if (task.ended() && fenced) {
-                boolean failed = switch (task.cause()) {
-                    case ERROR, UNKNOWN_JOB, OTHER -> true;
-                    default -> false;
-                };
+                boolean failed =
+                        switch (task.cause()) {
+                            case ERROR, UNKNOWN_JOB, OTHER -> true;
+                            default -> false;
+                        };
                 if (failed) {
                     worker.failed(job.request().id(), now);
                 }
@@ -388,7 +404,8 @@
             }
             raise |= worker.openBelow() >= draft.epoch();
             beforeTaken(draft, record, worker, now);
-            if (draft.machine(entry.getKey()).fate() == Fate.STAYS && draft.canPutMachine(record.name())
+            if (draft.machine(entry.getKey()).fate() == Fate.STAYS
+                    && draft.canPutMachine(record.name())
                     && (worker.noticeEnd() != null || isFaulty(worker, now))) {
                 draft.putMachine(record.meant(Fate.LEAVING));
             }
@@ -412,10 +429,16 @@
             }
             for (Placement placement : job.live()) {
                 MachineRecord record = draft.machine(placement.machine());
-                if (record != null && self.equals(record.controller()) && record.session() == placement.session()
-                        && record.fate() != Fate.LOST && draft.canPutMachine(record.name())
+                if (record != null
+                        && self.equals(record.controller())
+                        && record.session() == placement.session()
+                        && record.fate() != Fate.LOST
+                        && draft.canPutMachine(record.name())
                         && !seenGone(record, AttemptId.of(job, placement))) {
-                    LOG.info("gives up {}, a task of {} should have been gone", record.name(), job.request().id());
+                    LOG.info(
+                            "gives up {}, a task of {} should have been gone",
+                            record.name(),
+                            job.request().id());
                     draft.putMachine(record.meant(Fate.LOST));
                 }
             }
@@ -444,13 +467,16 @@
         machinesOf.forEach((id, machines) -> {
             JobRecord job = view.job(id);
             if (job != null) {
-                failingJobs.put(id, machines >= MACHINES_OF_A_FAILING_JOB && job.done().size() == 0);
+                failingJobs.put(
+                        id, machines >= MACHINES_OF_A_FAILING_JOB && job.done().size() == 0);
             }
         });
     }
 
     private boolean isFaulty(Worker worker, Instant now) {
-        return worker.failedLately(now, ERROR_WINDOW).stream().filter(job -> !failingJobs.getOrDefault(job, false)).count()
+        return worker.failedLately(now, ERROR_WINDOW).stream()
+                        .filter(job -> !failingJobs.getOrDefault(job, false))
+                        .count()
                 >= ERRORS_OF_JOBS;
     }
 
@@ -483,11 +509,13 @@
 
     /** Groups whose controller is lost, and those of a live one that many of their workers cannot reach. */
     private void claim(Draft draft) {
-        strayGroups.removeIf(id -> view.group(id) == null || self.equals(view.group(id).controller()));
+        strayGroups.removeIf(
+                id -> view.group(id) == null || self.equals(view.group(id).controller()));
         for (GroupRecord group : view.groups()) {
             boolean lost = !view.isLive(group.controller()) && self.node().equals(successor(group));
             if ((lost || strayGroups.contains(group.id()) && manyStrayed(group)) && draft.hasRoomFor(2)) {
-                draft.putGroup(draft.group(group.id()).claimed(self, lost ? epochAfterLoss(draft, group) : draft.raiseEpoch()));
+                draft.putGroup(draft.group(group.id())
+                        .claimed(self, lost ? epochAfterLoss(draft, group) : draft.raiseEpoch()));
             }
         }
     }
@@ -507,8 +535,10 @@
 
     private boolean manyStrayed(GroupRecord group) {
         long up = group.machines().stream().filter(MachineRecord::up).count();
-        long here = group.machines().stream().map(m -> workers.get(m.name()))
-                .filter(w -> w != null && w.strayedAt() != null).count();
+        long here = group.machines().stream()
+                .map(m -> workers.get(m.name()))
+                .filter(w -> w != null && w.strayedAt() != null)
+                .count();
         return 2 * here >= up;
     }
 
@@ -516,7 +546,10 @@
         newSessions.removeIf(name -> {
             Worker worker = workers.get(name);
             MachineRecord record = view.machine(name);
-            return worker == null || worker.newest() == null || record == null || !self.equals(record.controller())
+            return worker == null
+                    || worker.newest() == null
+                    || record == null
+                    || !self.equals(record.controller())
                     || record.session() >= worker.newest().session();
         });
         for (String name : newSessions) {
@@ -535,8 +568,12 @@
         for (Map.Entry<String, Worker> entry : workers.entrySet()) {
             MachineRecord record = view.machine(entry.getKey());
             Worker worker = entry.getValue();
-            if (worker.deafSince() == null && !worker.mute() && worker.heard().isAfter(recent) && commands(record, worker)
-                    && record.takesTasks() && worker.fenced(record)) {
+            if (worker.deafSince() == null
+                    && !worker.mute()
+                    && worker.heard().isAfter(recent)
+                    && commands(record, worker)
+                    && record.takesTasks()
+                    && worker.fenced(record)) {
                 ready.add(record);
             }
         }
@@ -549,7 +586,8 @@
             MachineRecord record = view.machine(entry.getKey());
             Worker worker = entry.getValue();
             boolean mine = record != null && self.equals(record.controller());
-            boolean strayed = worker.strayedAt() != null && now.isBefore(worker.strayedAt().plus(Duration.ofMinutes(1)));
+            boolean strayed = worker.strayedAt() != null
+                    && now.isBefore(worker.strayedAt().plus(Duration.ofMinutes(1)));
             return !mine && !strayed && !worker.commanding();
         });
     }
--- a/src/main/java/org/gullway/coordination/MachineRecord.java
+++ b/src/main/java/org/gullway/coordination/MachineRecord.java
@@ -11,8 +11,17 @@
  * @param epoch its group's epoch
  * @param rented time of day of the rental, as far as known
  */
-public record MachineRecord(String name, String address, String type, String zone, boolean spot,
-                            Incarnation controller, long session, long epoch, Fate fate, Instant rented) {
+public record MachineRecord(
+        String name,
+        String address,
+        String type,
+        String zone,
+        boolean spot,
+        Incarnation controller,
+        long session,
+        long epoch,
+        Fate fate,
+        Instant rented) {
 
     /** What is meant to become of a machine. */
     public enum Fate {
@@ -25,8 +34,8 @@
         LOST
     }
 
-    public static MachineRecord booting(String name, String type, String zone, boolean spot, Instant rented,
-                                        Incarnation controller, long epoch) {
+    public static MachineRecord booting(
+            String name, String type, String zone, boolean spot, Instant rented, Incarnation controller, long epoch) {
         return new MachineRecord(name, null, type, zone, spot, controller, 0, epoch, Fate.STAYS, rented);
     }
 
--- a/src/main/java/org/gullway/coordination/Membership.java
+++ b/src/main/java/org/gullway/coordination/Membership.java
@@ -10,6 +10,7 @@
 public final class Membership {
     /** Steady clocks may differ by 0.05% each; twice that, and a little for the timer steps. */
     private static final long DRIFT_DIVISOR = 500;
+
     private static final Duration SLACK = Duration.ofMillis(50);
 
     private final Incarnation self;
@@ -40,7 +41,8 @@
     }
 
     public void renewed(Instant requestSent) {
-        trustedUntil = requestSent.plus(life).minus(life.dividedBy(DRIFT_DIVISOR)).minus(SLACK);
+        trustedUntil =
+                requestSent.plus(life).minus(life.dividedBy(DRIFT_DIVISOR)).minus(SLACK);
     }
 
     public void lost() {
--- a/src/main/java/org/gullway/coordination/Neighbours.java
+++ b/src/main/java/org/gullway/coordination/Neighbours.java
@@ -12,6 +12,9 @@
  */
 public record Neighbours(Map<String, String> zoneOf, Duration cancelLimit) {
     List<String> inZone(String zone) {
-        return zoneOf.entrySet().stream().filter(e -> e.getValue().equals(zone)).map(Map.Entry::getKey).toList();
+        return zoneOf.entrySet().stream()
+                .filter(e -> e.getValue().equals(zone))
+                .map(Map.Entry::getKey)
+                .toList();
     }
 }
--- a/src/main/java/org/gullway/coordination/Placing.java
+++ b/src/main/java/org/gullway/coordination/Placing.java
@@ -44,10 +44,13 @@
         Settings.Team team = teams.get(job.team());
         // An array needs its limit for one task at a time, everything else for all of its tasks.
         int together = job.shape() == JobRequest.Shape.ARRAY ? 1 : job.tasks();
-        return team != null && together * job.cpus() <= team.cpusLimit() + EPSILON
+        return team != null
+                && together * job.cpus() <= team.cpusLimit() + EPSILON
                 && together * job.cards() <= team.cardsLimit() + EPSILON
-                && types.values().stream().anyMatch(type -> type.fits(job) && type.allowedFor(job)
-                && (job.zone() == null || type.zones().contains(job.zone())));
+                && types.values().stream()
+                        .anyMatch(type -> type.fits(job)
+                                && type.allowedFor(job)
+                                && (job.zone() == null || type.zones().contains(job.zone())));
     }
 
     /** How many more tasks of the job its share of the team's limit allows. */
@@ -56,7 +59,8 @@
         String share = Keys.shareOf(job);
         ShareRecord.Amount cap = draft.share(share).of(request.team());
         double byCpus = (cap.cpus() - draft.cpusUsedOf(share, request.team()) + EPSILON) / request.cpus();
-        double byCards = request.cards() == 0 ? byCpus
+        double byCards = request.cards() == 0
+                ? byCpus
                 : (cap.cards() - draft.cardsUsedOf(share, request.team()) + EPSILON) / request.cards();
         return (int) Math.max(0, Math.min(byCpus, byCards));
     }
@@ -109,8 +113,8 @@
      * was chosen is fuller afterwards, so it is filled before the next. Exception to the fullest fit (dong-xanh
      * steady): a machine without the image starts the task seconds later, so it fits less well than any that has it.
      */
-    public List<MachineRecord> take(JobRecord job, int tasks, Collection<MachineRecord> machines, Draft draft,
-                                    ClusterView view) {
+    public List<MachineRecord> take(
+            JobRecord job, int tasks, Collection<MachineRecord> machines, Draft draft, ClusterView view) {
         return take(job, List.of(), tasks, machines, draft, view);
     }
 
@@ -118,14 +122,19 @@
      * The same for a job of which tasks are about to be placed on some machines: those count for its zones as well.
      * Once a job bound to one zone was pulled task by task, each time as if it had none, and spread over two.
      */
-    public List<MachineRecord> take(JobRecord job, List<MachineRecord> planned, int tasks, Collection<MachineRecord> machines,
-                                    Draft draft, ClusterView view) {
+    public List<MachineRecord> take(
+            JobRecord job,
+            List<MachineRecord> planned,
+            int tasks,
+            Collection<MachineRecord> machines,
+            Draft draft,
+            ClusterView view) {
         JobRequest request = job.request();
         List<Candidate> candidates = new ArrayList<>();
         for (MachineRecord machine : machines) {
             if (tasks > 0 && suits(request, machine) && hasRoom(request, machine, draft)) {
-                candidates.add(new Candidate(machine, view.hasImage(machine.name(), request.image()),
-                        freeCpus(machine, draft)));
+                candidates.add(new Candidate(
+                        machine, view.hasImage(machine.name(), request.image()), freeCpus(machine, draft)));
             }
         }
         if (candidates.size() > 1) {
@@ -143,7 +152,8 @@
         List<MachineRecord> taken = new ArrayList<>();
         for (Candidate candidate : candidates) {
             MachineRecord machine = candidate.machine();
-            while (taken.size() < tasks && hasRoom(request, machine, draft)
+            while (taken.size() < tasks
+                    && hasRoom(request, machine, draft)
                     && (!minded || allowedBeside(request, zones, machine.zone()))) {
                 draft.take(job, machine);
                 taken.add(machine);
@@ -160,6 +170,7 @@
 
     private record Candidate(MachineRecord machine, boolean image, double free) {
         private static final Comparator<Candidate> ORDER = Comparator.<Candidate>comparingInt(c -> c.image ? 0 : 1)
-                .thenComparingDouble(Candidate::free).thenComparing(c -> c.machine.name());
+                .thenComparingDouble(Candidate::free)
+                .thenComparing(c -> c.machine.name());
     }
 }
--- a/src/main/java/org/gullway/coordination/Ranges.java
+++ b/src/main/java/org/gullway/coordination/Ranges.java
@@ -10,6 +10,7 @@
 
     /** Alternating first and last numbers, ascending, with gaps between the ranges. */
     private final int[] bounds;
+
     private final int size;
 
     private Ranges(int[] bounds) {
--- a/src/main/java/org/gullway/coordination/Repair.java
+++ b/src/main/java/org/gullway/coordination/Repair.java
@@ -16,6 +16,7 @@
 public final class Repair {
     /** It looks at all placements of all jobs; what is lost has been missing for seconds by then. */
     private static final Duration EVERY = Duration.ofMillis(250);
+
     private static final Duration BALANCE_EVERY = Duration.ofSeconds(5);
 
     private final ClusterView view;
@@ -84,12 +85,18 @@
         balancedAt = now;
         Map<Incarnation, Integer> counts = new HashMap<>();
         view.members().values().forEach(member -> counts.put(member, 0));
-        view.groups().forEach(group -> counts.computeIfPresent(group.controller(), (c, n) -> n + group.machines().size()));
+        view.groups()
+                .forEach(group -> counts.computeIfPresent(
+                        group.controller(), (c, n) -> n + group.machines().size()));
         for (GroupRecord group : view.groups()) {
-            Incarnation fewest = Collections.min(counts.entrySet(), Map.Entry.<Incarnation, Integer>comparingByValue()
-                    .thenComparing(e -> e.getKey().node())).getKey();
+            Incarnation fewest = Collections.min(
+                            counts.entrySet(),
+                            Map.Entry.<Incarnation, Integer>comparingByValue()
+                                    .thenComparing(e -> e.getKey().node()))
+                    .getKey();
             int size = group.machines().size();
-            if (counts.containsKey(group.controller()) && draft.hasRoomFor(2)
+            if (counts.containsKey(group.controller())
+                    && draft.hasRoomFor(2)
                     && counts.get(group.controller()) - counts.get(fewest) > size + GroupRecord.MOST_MACHINES / 2) {
                 draft.putGroup(draft.group(group.id()).claimed(fewest, draft.raiseEpoch()));
                 counts.merge(group.controller(), -size, Integer::sum);
--- a/src/main/java/org/gullway/coordination/ReservedBooking.java
+++ b/src/main/java/org/gullway/coordination/ReservedBooking.java
@@ -21,6 +21,7 @@
 
     /** In a large fleet the marks change all the time, and each change costs one of few that the store allows. */
     private static final Duration CLOSE_PAUSE = Duration.ofSeconds(2);
+
     private static final int MOST_GATHERING = 3;
     private static final int MOST_LOOKED_AT = 256;
     /** Once so many jobs found no room, those after them have to wait for machines. */
@@ -77,7 +78,9 @@
                 mostFree = hopeless ? mostFree : mostFree(draft, withRoom);
             }
         }
-        if (!unfitted.isEmpty() && machines.size() > MOST_LOOKED_AT && roomMadeAt.plus(ROOM_PAUSE).isAfter(now)) {
+        if (!unfitted.isEmpty()
+                && machines.size() > MOST_LOOKED_AT
+                && roomMadeAt.plus(ROOM_PAUSE).isAfter(now)) {
             return;
         }
         roomMadeAt = now;
@@ -115,12 +118,20 @@
     /** Stops best-effort tasks of lower rank for all waiting tasks that the team's limit allows; false if not enough. */
     private boolean makeRoom(RoomMaking rooms, Draft draft, JobRecord job, List<MachineRecord> machines) {
         int tasks = Math.min(job.waiting(), placing.withinShare(job, draft));
-        return rooms.makeRoom(job, tasks, machines, other -> !other.reserved()
-                && other.request().rank().compareTo(job.request().rank()) > 0);
+        return rooms.makeRoom(
+                job,
+                tasks,
+                machines,
+                other -> !other.reserved()
+                        && other.request().rank().compareTo(job.request().rank()) > 0);
     }
 
     private double mostFree(Draft draft, List<MachineRecord> machines) {
-        return machines.stream().mapToDouble(machine -> placing.freeCpus(machine, draft)).max().orElse(0) + 1e-6;
+        return machines.stream()
+                        .mapToDouble(machine -> placing.freeCpus(machine, draft))
+                        .max()
+                        .orElse(0)
+                + 1e-6;
     }
 
     /** By rank, then jobs within their team's guarantee, then by age. */
@@ -170,11 +181,14 @@
                 if (tasks <= 0 || chosen.size() >= ClosedMachines.MOST) {
                     break;
                 }
-                if (type == null || !type.fits(request) || !placing.allowed(job, machine, view)
+                if (type == null
+                        || !type.fits(request)
+                        || !placing.allowed(job, machine, view)
                         || !chosen.add(machine.name())) {
                     continue;
                 }
-                tasks -= (int) Math.min(type.cpus() / request.cpus(), type.memoryGb() / Math.max(1e-9, request.memoryGb()));
+                tasks -= (int)
+                        Math.min(type.cpus() / request.cpus(), type.memoryGb() / Math.max(1e-9, request.memoryGb()));
             }
         }
         return chosen;
@@ -187,15 +201,21 @@
     private Set<String> gathering(Draft draft) {
         List<JobRecord> stalled = view.jobs().stream()
                 .filter(job -> !job.reserved() && job.stalledAt(draft.timeOfDay()))
-                .sorted(JobRecord.STALLED_ORDER).limit(MOST_GATHERING).toList();
+                .sorted(JobRecord.STALLED_ORDER)
+                .limit(MOST_GATHERING)
+                .toList();
         Set<String> chosen = new LinkedHashSet<>();
         for (JobRecord job : stalled) {
             view.machines().stream()
-                    .filter(m -> m.takesTasks() && view.isLive(m.controller()) && !chosen.contains(m.name())
-                            && placing.types().containsKey(m.type()) && placing.types().get(m.type()).fits(job.request())
+                    .filter(m -> m.takesTasks()
+                            && view.isLive(m.controller())
+                            && !chosen.contains(m.name())
+                            && placing.types().containsKey(m.type())
+                            && placing.types().get(m.type()).fits(job.request())
                             && placing.allowed(job, m, view))
                     .max(Comparator.<MachineRecord>comparingDouble(m -> placing.freeCpus(m, draft))
-                            .thenComparing(m -> view.closed().contains(m.name())).thenComparing(MachineRecord::name))
+                            .thenComparing(m -> view.closed().contains(m.name()))
+                            .thenComparing(MachineRecord::name))
                     .ifPresent(m -> chosen.add(m.name()));
         }
         return chosen;
@@ -207,7 +227,9 @@
         boolean other = !wanted.equals(view.closed());
         boolean opens = wanted.isEmpty() || view.closed().isEmpty();
         boolean small = view.machines().size() <= MOST_LOOKED_AT;
-        if (other && draft.hasRoomFor(1) && (opens || small || !closedAt.plus(CLOSE_PAUSE).isAfter(draft.timeOfDay()))) {
+        if (other
+                && draft.hasRoomFor(1)
+                && (opens || small || !closedAt.plus(CLOSE_PAUSE).isAfter(draft.timeOfDay()))) {
             closedAt = draft.timeOfDay();
             draft.put(Keys.CLOSED, new ClosedMachines(wanted));
         }
--- a/src/main/java/org/gullway/coordination/RoomMaking.java
+++ b/src/main/java/org/gullway/coordination/RoomMaking.java
@@ -28,6 +28,7 @@
     private final Draft draft;
     /** Room that is free, or will be once stopping tasks are gone, less what is meant for waiting tasks. */
     private final Map<String, Free> free = new HashMap<>();
+
     private final Map<String, List<Victim>> stoppable = new HashMap<>();
     private final Set<String> meant = new LinkedHashSet<>();
 
@@ -55,15 +56,12 @@
         }
     }
 
-    private record Victim(JobRecord job, Placement placement, double loss) {
-    }
+    private record Victim(JobRecord job, Placement placement, double loss) {}
 
     /** One task's room on a machine and what it costs. */
-    private record Way(MachineRecord machine, List<Victim> victims, double loss) {
-    }
+    private record Way(MachineRecord machine, List<Victim> victims, double loss) {}
 
-    RoomMaking(ClusterView view, Placing placing, Urgency urgency, Draft draft,
-               Collection<MachineRecord> machines) {
+    RoomMaking(ClusterView view, Placing placing, Urgency urgency, Draft draft, Collection<MachineRecord> machines) {
         this.view = view;
         this.placing = placing;
         this.urgency = urgency;
@@ -131,10 +129,12 @@
         return true;
     }
 
-    private void consider(JobRecord job, MachineRecord machine, Predicate<JobRecord> displaceable, Collection<Way> ways) {
+    private void consider(
+            JobRecord job, MachineRecord machine, Predicate<JobRecord> displaceable, Collection<Way> ways) {
         List<Victim> victims = victims(job.request(), machine, free.get(machine.name()), displaceable);
         if (victims != null) {
-            ways.add(new Way(machine, victims, victims.stream().mapToDouble(Victim::loss).sum()));
+            ways.add(new Way(
+                    machine, victims, victims.stream().mapToDouble(Victim::loss).sum()));
         }
     }
 
--- a/src/main/java/org/gullway/coordination/Shares.java
+++ b/src/main/java/org/gullway/coordination/Shares.java
@@ -25,6 +25,7 @@
     private static final double LEAST_RAISE = 0.1;
     /** Lowering by less is not worth a change of the store. */
     private static final double LEAST_LOWERING = 0.02;
+
     private static final Duration LOWERING_PAUSE = Duration.ofSeconds(2);
     /** Who could not use its part for so long gives it to the others, and asks again after as long. */
     private static final Duration LONGEST_UNUSED = Duration.ofSeconds(3);
@@ -42,8 +43,7 @@
     private final Map<String, Unused> unused = new HashMap<>();
 
     /** @param until before that the share is not raised again */
-    private record Unused(double used, Instant since, Instant until) {
-    }
+    private record Unused(double used, Instant since, Instant until) {}
 
     /** @param nodes all controllers of the deployment, this one included */
     public Shares(ClusterView view, Placing placing, String self, Collection<String> nodes) {
@@ -58,7 +58,8 @@
     public void propose(Draft draft, boolean leading, boolean plenty, Instant now) {
         Map<String, Map<String, double[]>> needs = needs(draft.timeOfDay());
         List<String> held = leading ? List.of(Keys.LEADERS_SHARE, own) : List.of(own);
-        boolean mayLower = !loweredAt.plus(plenty ? QUICK_LOWERING_PAUSE : LOWERING_PAUSE).isAfter(now);
+        boolean mayLower =
+                !loweredAt.plus(plenty ? QUICK_LOWERING_PAUSE : LOWERING_PAUSE).isAfter(now);
         for (String share : held) {
             ShareRecord before = draft.share(share);
             ShareRecord after = before;
@@ -95,28 +96,45 @@
             need[0] += job.unfinished() * job.request().cpus();
             need[1] += job.unfinished() * job.request().cards();
             if (job.waiting() > 0) {
-                need[2] = need[2] == 0 ? job.request().cpus() : Math.min(need[2], job.request().cpus());
+                need[2] = need[2] == 0
+                        ? job.request().cpus()
+                        : Math.min(need[2], job.request().cpus());
                 if (job.stalledAt(timeOfDay)) {
                     need[4] = Math.max(need[4], job.request().cpus());
                     need[5] = Math.max(need[5], job.request().cards());
                 }
-                need[3] = need[3] == 0 ? job.request().cards() : Math.min(need[3], job.request().cards());
+                need[3] = need[3] == 0
+                        ? job.request().cards()
+                        : Math.min(need[3], job.request().cards());
             }
         }
         return needs;
     }
 
-    private ShareRecord adjust(Draft draft, String share, ShareRecord record, Settings.Team team,
-                               Map<String, Map<String, double[]>> needs, boolean mayLower, Instant now) {
+    private ShareRecord adjust(
+            Draft draft,
+            String share,
+            ShareRecord record,
+            Settings.Team team,
+            Map<String, Map<String, double[]>> needs,
+            boolean mayLower,
+            Instant now) {
         ShareRecord.Amount cap = record.of(team.name());
         double cpus = wanted(draft, share, team, needs, 0, mayLower, now);
         double cards = wanted(draft, share, team, needs, 1, mayLower, now);
-        return cpus == cap.cpus() && cards == cap.cards() ? record
+        return cpus == cap.cpus() && cards == cap.cards()
+                ? record
                 : record.with(team.name(), new ShareRecord.Amount(cpus, cards));
     }
 
-    private double wanted(Draft draft, String share, Settings.Team team, Map<String, Map<String, double[]>> needs,
-                          int dimension, boolean mayLower, Instant now) {
+    private double wanted(
+            Draft draft,
+            String share,
+            Settings.Team team,
+            Map<String, Map<String, double[]>> needs,
+            int dimension,
+            boolean mayLower,
+            Instant now) {
         double limit = dimension == 0 ? team.cpusLimit() : team.cardsLimit();
         double cap = part(draft.share(share), team.name(), dimension);
         double need = need(needs, share, team.name(), dimension);
@@ -136,7 +154,8 @@
         // A large task that waits to begin gathers what ends until there is enough for it.
         double largest = need(needs, share, team.name(), 4 + dimension);
         boolean gathers = largest > 0 && cap >= largest && cap - used < largest;
-        Unused lying = lying(share + '\n' + team.name() + '\n' + dimension, used, othersShort && cap > used && !gathers, now);
+        Unused lying =
+                lying(share + '\n' + team.name() + '\n' + dimension, used, othersShort && cap > used && !gathers, now);
         if (need > cap && !now.isBefore(lying.until())) {
             double spare = Math.max(0, free - missing - (need - cap));
             double raise = Math.min(free, need - cap + Math.min(limit * LEAST_RAISE, spare / 2));
@@ -181,7 +200,8 @@
      * A share's part of a limit that all press: the leader's need goes first, the queues divide the rest by their
      * needs, but none that waits to begin a large task gets less than that task.
      */
-    private double part(String share, String team, double limit, Map<String, Map<String, double[]>> needs, int dimension) {
+    private double part(
+            String share, String team, double limit, Map<String, Map<String, double[]>> needs, int dimension) {
         double leaders = Math.min(limit, need(needs, Keys.LEADERS_SHARE, team, dimension));
         if (share.equals(Keys.LEADERS_SHARE)) {
             return leaders;
@@ -190,7 +210,11 @@
         queues.add(share);
         queues.remove(Keys.LEADERS_SHARE);
         double rest = limit - leaders;
-        double all = Math.max(1e-9, queues.stream().mapToDouble(q -> need(needs, q, team, dimension)).sum());
+        double all = Math.max(
+                1e-9,
+                queues.stream()
+                        .mapToDouble(q -> need(needs, q, team, dimension))
+                        .sum());
         double fixed = 0;
         double others = 0;
         for (String queue : queues) {
@@ -232,7 +256,9 @@
         double cardsOnRecord = 0;
         for (JobRecord known : view.jobs()) {
             JobRecord other = draft.job(known.request().id());
-            if (other != null && job.owner().equals(other.owner()) && other.request().team().equals(team)) {
+            if (other != null
+                    && job.owner().equals(other.owner())
+                    && other.request().team().equals(team)) {
                 cpusOnRecord += other.live().size() * other.request().cpus();
                 cardsOnRecord += other.live().size() * other.request().cards();
             }
@@ -245,8 +271,10 @@
         draft.rely(Keys.member(job.owner()));
         if (cpus > 0 || cards > 0) {
             draft.put(from, draft.share(from).with(team, held.plus(-cpus, -cards)));
-            draft.put(Keys.share(to), draft.share(Keys.share(to)).with(team,
-                    draft.share(Keys.share(to)).of(team).plus(cpus, cards)));
+            draft.put(
+                    Keys.share(to),
+                    draft.share(Keys.share(to))
+                            .with(team, draft.share(Keys.share(to)).of(team).plus(cpus, cards)));
         }
         draft.moveUse(job, Keys.share(to));
         draft.putJob(job.ownedBy(to));
@@ -256,7 +284,9 @@
     static void release(Draft draft, ClusterView view, Placing placing) {
         for (String key : view.shares().keySet()) {
             String node = Keys.holderOf(key);
-            if (node == null || view.members().containsKey(node) || draft.changes().containsKey(key)
+            if (node == null
+                    || view.members().containsKey(node)
+                    || draft.changes().containsKey(key)
                     || !draft.hasRoomFor(2)) {
                 continue;
             }
@@ -265,12 +295,13 @@
             for (Settings.Team team : placing.teams()) {
                 ClusterView.Room room = view.usedOf(key, team.name());
                 ShareRecord.Amount held = share.of(team.name());
-                used = used.with(team.name(), new ShareRecord.Amount(Math.min(held.cpus(), room.cpus),
-                        Math.min(held.cards(), room.cards)));
+                used = used.with(
+                        team.name(),
+                        new ShareRecord.Amount(Math.min(held.cpus(), room.cpus), Math.min(held.cards(), room.cards)));
             }
-            boolean less = share.teams().entrySet().stream().anyMatch(e ->
-                    e.getValue().cpus() > view.usedOf(key, e.getKey()).cpus + 1e-6
-                    || e.getValue().cards() > view.usedOf(key, e.getKey()).cards + 1e-6);
+            boolean less = share.teams().entrySet().stream()
+                    .anyMatch(e -> e.getValue().cpus() > view.usedOf(key, e.getKey()).cpus + 1e-6
+                            || e.getValue().cards() > view.usedOf(key, e.getKey()).cards + 1e-6);
             if (less) {
                 draft.rely(Keys.member(node));
                 draft.put(key, used);
--- a/src/main/java/org/gullway/coordination/SilentMachines.java
+++ b/src/main/java/org/gullway/coordination/SilentMachines.java
@@ -24,6 +24,7 @@
     private static final Duration LATE = Duration.ofSeconds(2);
     /** A command that had no answer for so long was not just cut short by a connection that ended. */
     private static final Duration DEAF = Duration.ofSeconds(3);
+
     private static final Duration EVERY = Duration.ofMillis(500);
 
     private final ClusterView view;
@@ -33,12 +34,17 @@
     private final Map<String, Worker> workers;
     /** When each zone was last seen cut off. */
     private final Map<String, Instant> cutOffAt = new HashMap<>();
+
     private Instant proposedAt = Instant.MIN;
     /** Since when reports are taken without a break; before that, silence says nothing about a worker. */
     private Instant listeningSince = Instant.MAX;
 
-    SilentMachines(ClusterView view, Incarnation self, Duration reportInterval, Neighbours neighbours,
-                   Map<String, Worker> workers) {
+    SilentMachines(
+            ClusterView view,
+            Incarnation self,
+            Duration reportInterval,
+            Neighbours neighbours,
+            Map<String, Worker> workers) {
         this.view = view;
         this.self = self;
         this.reportInterval = reportInterval;
@@ -80,9 +86,11 @@
             if (record == null || !record.up() || !self.equals(record.controller())) {
                 continue;
             }
-            boolean heard = worker.deafSince() == null && !worker.mute() && !worker.reported().isBefore(late);
-            if (record.fate() == Fate.STAYS && (worker.mute()
-                    || lostSince(worker).isBefore(worker.deafSince() == null ? late : deaf))) {
+            boolean heard = worker.deafSince() == null
+                    && !worker.mute()
+                    && !worker.reported().isBefore(late);
+            if (record.fate() == Fate.STAYS
+                    && (worker.mute() || lostSince(worker).isBefore(worker.deafSince() == null ? late : deaf))) {
                 mean(draft, record, Fate.SILENT);
             } else if (record.fate() == Fate.SILENT && heard) {
                 mean(draft, record, Fate.STAYS);
@@ -112,8 +120,12 @@
      * no command: such reports look alive, yet nothing can be started or stopped there. While all are silent or deaf
      * the fault is more likely to be this controller's own network, and then it takes longer.
      */
-    private void giveUp(Draft draft, List<MachineRecord> candidates, Map<String, Boolean> zoneHeard, boolean othersWell,
-                        Instant now) {
+    private void giveUp(
+            Draft draft,
+            List<MachineRecord> candidates,
+            Map<String, Boolean> zoneHeard,
+            boolean othersWell,
+            Instant now) {
         Instant longLimit = now.minus(givenUpAfter()).minus(reportInterval.multipliedBy(4));
         Instant heldLimit = now.minus(givenUpAfter()).minus(neighbours.cancelLimit());
         zoneHeard.forEach((zone, heard) -> {
@@ -125,9 +137,14 @@
             Instant since = lostSince(workers.get(record.name()));
             // Once the zone is back its workers have their time to report again.
             boolean held = cutOffAt.getOrDefault(record.zone(), Instant.MIN).isAfter(now.minus(givenUpAfter()))
-                    && since.isAfter(heldLimit) && !holdsCancelled(record);
+                    && since.isAfter(heldLimit)
+                    && !holdsCancelled(record);
             if ((othersWell || since.isBefore(longLimit)) && !held && mean(draft, record, Fate.LOST)) {
-                LOG.info("gives up {} in {}, silent or deaf for {}", record.name(), record.zone(), Duration.between(since, now));
+                LOG.info(
+                        "gives up {} in {}, silent or deaf for {}",
+                        record.name(),
+                        record.zone(),
+                        Duration.between(since, now));
             }
         }
     }
@@ -149,7 +166,8 @@
     }
 
     private static Instant lostSince(Worker worker) {
-        return worker.deafSince() == null ? worker.heard()
+        return worker.deafSince() == null
+                ? worker.heard()
                 : Collections.min(List.of(worker.heard(), worker.deafSince()));
     }
 }
--- a/src/main/java/org/gullway/coordination/Urgency.java
+++ b/src/main/java/org/gullway/coordination/Urgency.java
@@ -13,6 +13,7 @@
     private static final double ESTIMATE_SHARE = 0.7;
     /** Nobody waits for ever: a job as late as this has its turn by age again. */
     private static final Duration LONGEST_PASSED_OVER = Duration.ofMinutes(10);
+
     private static final Duration NO_AIM = Duration.ofMinutes(5);
 
     private final Map<String, Duration> finishWithin = new HashMap<>();
--- a/src/main/java/org/gullway/coordination/Worker.java
+++ b/src/main/java/org/gullway/coordination/Worker.java
@@ -21,26 +21,29 @@
     private final Map<AttemptId, Long> endedAtToken = new HashMap<>();
     /** When the keeper of the job was first and last told of an end that is not on record yet. */
     private final Map<AttemptId, Told> told = new HashMap<>();
+
     private Instant heard;
     private Instant reported = Instant.MIN;
     private long commandedUnder;
     private Instant noticeEnd;
     /** A start was sent under this token and its outcome is open; only a higher confirmed token rules it out. */
     private long openBelow;
+
     private boolean commanding;
     private Instant quietUntil = Instant.MIN;
     /** Since when commands have had no answer; reports alone do not show that the machine hears. */
     private Instant deafSince;
+
     private boolean mute;
     private Instant askedAt = Instant.MIN;
     private Instant lookAt = Instant.MIN;
     /** When the worker first came here although another controller commands its machine. */
     private Instant strayedAt;
+
     private boolean stays;
     private final Map<String, Instant> failedJobs = new HashMap<>();
 
-    private record Told(Instant first, Instant last) {
-    }
+    private record Told(Instant first, Instant last) {}
 
     /** @param heard when this controller began to count the worker's silence */
     Worker(Instant heard) {
@@ -76,7 +79,9 @@
             told.clear();
             noticeEnd = null;
         }
-        boolean same = newest != null && newest.session() == report.session() && newest.token() == report.token()
+        boolean same = newest != null
+                && newest.session() == report.session()
+                && newest.token() == report.token()
                 && newest.tasks().equals(report.tasks());
         newest = report;
         heard = now;
@@ -102,7 +107,13 @@
             if (LOG.isDebugEnabled()) {
                 TaskReport before = tasks.get(id);
                 if (before == null || before.phase() != task.phase()) {
-                    LOG.debug("{}#{} is {} {} on {}", task.task(), task.attempt(), task.phase(), task.cause(), report.machine());
+                    LOG.debug(
+                            "{}#{} is {} {} on {}",
+                            task.task(),
+                            task.attempt(),
+                            task.phase(),
+                            task.cause(),
+                            report.machine());
                 }
             }
             if (task.ended() && task.cause() != TaskReport.Cause.DONE) {
--- a/src/main/java/org/gullway/protocol/Cancellations.java
+++ b/src/main/java/org/gullway/protocol/Cancellations.java
@@ -27,12 +27,10 @@
     private static final int MOST_ATTEMPTS = 10_000;
 
     /** A cancelled job: when that was, as the time of day in milliseconds, and its attempts that may still be live. */
-    public record Job(String id, long cancelledAt, List<Attempt> attempts) {
-    }
+    public record Job(String id, long cancelledAt, List<Attempt> attempts) {}
 
     /** One attempt of a task in a session of a machine. */
-    public record Attempt(int task, long attempt, String machine, long session) {
-    }
+    public record Attempt(int task, long attempt, String machine, long session) {}
 
     public static byte[] encodeKnown(Collection<String> jobs) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(16 * jobs.size());
--- a/src/main/java/org/gullway/protocol/Cbor.java
+++ b/src/main/java/org/gullway/protocol/Cbor.java
@@ -13,8 +13,7 @@
 public final class Cbor {
     private static final ObjectMapper MAPPER = new CBORMapper(new CBORFactory());
 
-    private Cbor() {
-    }
+    private Cbor() {}
 
     public static ObjectNode map() {
         return JsonNodeFactory.instance.objectNode();
--- a/src/main/java/org/gullway/protocol/CloudMessages.java
+++ b/src/main/java/org/gullway/protocol/CloudMessages.java
@@ -13,33 +13,48 @@
     public static final int MOST_RETURNED_AT_ONCE = 100;
     public static final int PAGE = 500;
 
-    private CloudMessages() {
-    }
+    private CloudMessages() {}
 
     /** A machine as the cloud's lagging list shows it. */
-    public record Listed(String name, String address, String type, String zone, boolean spot, boolean failed,
-                         boolean booting, Duration age) {
-    }
+    public record Listed(
+            String name,
+            String address,
+            String type,
+            String zone,
+            boolean spot,
+            boolean failed,
+            boolean booting,
+            Duration age) {}
 
     /** One page of the machine list. */
-    public record Page(List<Listed> machines, boolean more) {
-    }
+    public record Page(List<Listed> machines, boolean more) {}
 
     public static List<MachineType> types(byte[] body) throws MalformedException {
         List<MachineType> types = new ArrayList<>();
         for (Fields type : Fields.of(Cbor.decode(body)).list("breeds")) {
             List<String> zones = type.textsOrNull("shores");
-            types.add(new MachineType(type.text("name"), type.positive("cpus"),
-                    type.has("cards") ? type.amount("cards") : 0, type.amount("mem_gb"),
-                    type.amount("local_gb"), type.positive("pull_gb_per_s"), type.amount("price"),
-                    type.amount("low_price"), type.seconds("startup_s"), zones == null ? List.of() : zones));
+            types.add(new MachineType(
+                    type.text("name"),
+                    type.positive("cpus"),
+                    type.has("cards") ? type.amount("cards") : 0,
+                    type.amount("mem_gb"),
+                    type.amount("local_gb"),
+                    type.positive("pull_gb_per_s"),
+                    type.amount("price"),
+                    type.amount("low_price"),
+                    type.seconds("startup_s"),
+                    zones == null ? List.of() : zones));
         }
         return types;
     }
 
     public static byte[] rental(String request, String type, String zone, boolean spot, int count) {
-        return Cbor.encode(Cbor.map().put("charter", request).put("breed", type).put("shore", zone)
-                .put("driftwood", spot).put("count", count));
+        return Cbor.encode(Cbor.map()
+                .put("charter", request)
+                .put("breed", type)
+                .put("shore", zone)
+                .put("driftwood", spot)
+                .put("count", count));
     }
 
     public static List<String> rented(byte[] body) throws MalformedException {
@@ -59,8 +74,14 @@
         List<Listed> machines = new ArrayList<>();
         for (Fields item : Fields.of(map).list("perches")) {
             String state = item.text("tide");
-            machines.add(new Listed(item.text("name_id"), item.textOrNull("endpoint"), item.text("breed"),
-                    item.text("shore"), item.flag("driftwood"), "failed".equals(state), "booting".equals(state),
+            machines.add(new Listed(
+                    item.text("name_id"),
+                    item.textOrNull("endpoint"),
+                    item.text("breed"),
+                    item.text("shore"),
+                    item.flag("driftwood"),
+                    "failed".equals(state),
+                    "booting".equals(state),
                     item.seconds("held_s")));
         }
         return new Page(machines, map.path("more").asBoolean());
--- a/src/main/java/org/gullway/protocol/Command.java
+++ b/src/main/java/org/gullway/protocol/Command.java
@@ -7,7 +7,11 @@
 
 /** A command to a worker about one attempt of a task. */
 public record Command(Kind kind, TaskId task, long attempt, Duration grace) {
-    public enum Kind { START, STOP, FORGET }
+    public enum Kind {
+        START,
+        STOP,
+        FORGET
+    }
 
     public static Command start(TaskId task, long attempt) {
         return new Command(Kind.START, task, attempt, Duration.ZERO);
@@ -23,11 +27,13 @@
 
     private void writeTo(ArrayNode list) {
         ObjectNode node = list.addObject();
-        node.put("call", switch (kind) {
-            case START -> "start";
-            case STOP -> "halt";
-            case FORGET -> "forget";
-        });
+        node.put(
+                "call",
+                switch (kind) {
+                    case START -> "start";
+                    case STOP -> "halt";
+                    case FORGET -> "forget";
+                });
         node.put("leg", task.toString()).put("launch", attempt);
         if (kind == Kind.STOP) {
             node.put("slack_s", JobRequest.seconds(grace));
--- a/src/main/java/org/gullway/protocol/JobRequest.java
+++ b/src/main/java/org/gullway/protocol/JobRequest.java
@@ -73,21 +73,42 @@
             throw new MalformedException("legs is below 1");
         }
         List<String> types = fields.textsOrNull("breeds");
-        return new JobRequest(id, fields.text("herd"), fields.text("crew"), shape, Rank.of(fields.text("rank")), tasks,
-                fields.positive("cpus"), fields.amount("cards"), fields.amount("mem_gb"),
-                fields.text("kit"), fields.amount("image_gb"),
-                types, fields.textOrNull("shore"),
-                fields.flag("same_place"), fields.flag("spread"), fields.flag("driftwood"),
+        return new JobRequest(
+                id,
+                fields.text("herd"),
+                fields.text("crew"),
+                shape,
+                Rank.of(fields.text("rank")),
+                tasks,
+                fields.positive("cpus"),
+                fields.amount("cards"),
+                fields.amount("mem_gb"),
+                fields.text("kit"),
+                fields.amount("image_gb"),
+                types,
+                fields.textOrNull("shore"),
+                fields.flag("same_place"),
+                fields.flag("spread"),
+                fields.flag("driftwood"),
                 shape == Shape.SERVICE && !fields.has("reckon_s") ? Duration.ZERO : fields.seconds("reckon_s"),
-                fields.seconds("waypoint_s"), fields.seconds("stow_s"),
+                fields.seconds("waypoint_s"),
+                fields.seconds("stow_s"),
                 fields.secondsOrNull("landfall_s"));
     }
 
     public ObjectNode toNode() {
         ObjectNode node = Cbor.map();
-        node.put("name_id", id).put("herd", jobClass).put("crew", team).put("shape", shape.wire())
-                .put("rank", rank.wire()).put("legs", tasks).put("cpus", cpus).put("cards", cards)
-                .put("mem_gb", memoryGb).put("kit", image).put("image_gb", imageGb);
+        node.put("name_id", id)
+                .put("herd", jobClass)
+                .put("crew", team)
+                .put("shape", shape.wire())
+                .put("rank", rank.wire())
+                .put("legs", tasks)
+                .put("cpus", cpus)
+                .put("cards", cards)
+                .put("mem_gb", memoryGb)
+                .put("kit", image)
+                .put("image_gb", imageGb);
         if (types != null) {
             ArrayNode list = node.putArray("breeds");
             types.forEach(list::add);
@@ -95,8 +116,11 @@
         if (zone != null) {
             node.put("shore", zone);
         }
-        node.put("same_place", oneZone).put("spread", spread).put("driftwood", spot)
-                .put("reckon_s", seconds(estimate)).put("waypoint_s", seconds(checkpoint))
+        node.put("same_place", oneZone)
+                .put("spread", spread)
+                .put("driftwood", spot)
+                .put("reckon_s", seconds(estimate))
+                .put("waypoint_s", seconds(checkpoint))
                 .put("stow_s", seconds(save));
         if (deadline != null) {
             node.put("landfall_s", seconds(deadline));
--- a/src/main/java/org/gullway/protocol/JobState.java
+++ b/src/main/java/org/gullway/protocol/JobState.java
@@ -2,7 +2,10 @@
 
 /** State of a job as its user sees it. */
 public enum JobState {
-    PENDING("pending"), RUNNING("running"), DONE("done"), CANCELLED("aborted");
+    PENDING("pending"),
+    RUNNING("running"),
+    DONE("done"),
+    CANCELLED("aborted");
 
     private final String wire;
 
--- a/src/main/java/org/gullway/protocol/MachineType.java
+++ b/src/main/java/org/gullway/protocol/MachineType.java
@@ -4,8 +4,17 @@
 import java.util.List;
 
 /** A kind of machine that the cloud rents out. */
-public record MachineType(String name, double cpus, double cards, double memoryGb, double cacheGb,
-                          double fetchGbPerSecond, double price, double spotPrice, Duration boot, List<String> zones) {
+public record MachineType(
+        String name,
+        double cpus,
+        double cards,
+        double memoryGb,
+        double cacheGb,
+        double fetchGbPerSecond,
+        double price,
+        double spotPrice,
+        Duration boot,
+        List<String> zones) {
     public boolean fits(JobRequest job) {
         return job.cpus() <= cpus && job.cards() <= cards && job.memoryGb() <= memoryGb;
     }
--- a/src/main/java/org/gullway/protocol/OperatorSettings.java
+++ b/src/main/java/org/gullway/protocol/OperatorSettings.java
@@ -19,10 +19,10 @@
  * @param bootPatience how many times its usual boot time a machine may take
  * @param logInterval pause between two lines of figures in the log
  */
-public record OperatorSettings(Duration membershipLease, double spareShare, Duration idleReturn, int bootPatience,
-                               Duration logInterval) {
-    public static final OperatorSettings DEFAULTS = new OperatorSettings(
-            Duration.ofSeconds(6), 0.5, Duration.ofSeconds(45), 4, Duration.ofSeconds(10));
+public record OperatorSettings(
+        Duration membershipLease, double spareShare, Duration idleReturn, int bootPatience, Duration logInterval) {
+    public static final OperatorSettings DEFAULTS =
+            new OperatorSettings(Duration.ofSeconds(6), 0.5, Duration.ofSeconds(45), 4, Duration.ofSeconds(10));
 
     public OperatorSettings {
         if (membershipLease.compareTo(Duration.ofSeconds(1)) < 0
@@ -54,23 +54,23 @@
 
     static OperatorSettings of(JsonNode tree) throws MalformedException {
         OperatorSettings s = DEFAULTS;
-        for (Iterator<Map.Entry<String, JsonNode>> it = tree.fields(); it.hasNext();) {
+        for (Iterator<Map.Entry<String, JsonNode>> it = tree.fields(); it.hasNext(); ) {
             Map.Entry<String, JsonNode> entry = it.next();
             String name = entry.getKey();
             try {
                 double value = Double.parseDouble(entry.getValue().asText().trim());
                 Duration span = Double.isFinite(value) ? Duration.ofMillis(Math.round(value * 1000)) : Duration.ZERO;
                 s = switch (name) {
-                    case "membership-lease-s" ->
-                            new OperatorSettings(span, s.spareShare, s.idleReturn, s.bootPatience, s.logInterval);
-                    case "spare-share" ->
-                            new OperatorSettings(s.membershipLease, value, s.idleReturn, s.bootPatience, s.logInterval);
-                    case "idle-return-s" ->
-                            new OperatorSettings(s.membershipLease, s.spareShare, span, s.bootPatience, s.logInterval);
-                    case "boot-patience" ->
-                            new OperatorSettings(s.membershipLease, s.spareShare, s.idleReturn, (int) value, s.logInterval);
-                    case "log-interval-s" ->
-                            new OperatorSettings(s.membershipLease, s.spareShare, s.idleReturn, s.bootPatience, span);
+                    case "membership-lease-s" -> new OperatorSettings(
+                            span, s.spareShare, s.idleReturn, s.bootPatience, s.logInterval);
+                    case "spare-share" -> new OperatorSettings(
+                            s.membershipLease, value, s.idleReturn, s.bootPatience, s.logInterval);
+                    case "idle-return-s" -> new OperatorSettings(
+                            s.membershipLease, s.spareShare, span, s.bootPatience, s.logInterval);
+                    case "boot-patience" -> new OperatorSettings(
+                            s.membershipLease, s.spareShare, s.idleReturn, (int) value, s.logInterval);
+                    case "log-interval-s" -> new OperatorSettings(
+                            s.membershipLease, s.spareShare, s.idleReturn, s.bootPatience, span);
                     default -> throw new MalformedException("operator setting " + name + " is unknown");
                 };
             } catch (NumberFormatException e) {
--- a/src/main/java/org/gullway/protocol/Rank.java
+++ b/src/main/java/org/gullway/protocol/Rank.java
@@ -2,7 +2,10 @@
 
 /** Priority of a job, highest first. */
 public enum Rank {
-    PROD, HIGH, NORMAL, IDLE;
+    PROD,
+    HIGH,
+    NORMAL,
+    IDLE;
 
     static Rank of(String wire) throws MalformedException {
         return switch (wire) {
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -36,8 +36,7 @@
 
     private static final Pattern ADDRESS = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}");
 
-    public record Peer(String name, String zone, String address) {
-    }
+    public record Peer(String name, String zone, String address) {}
 
     /** A team with its guarantee and its limit; 0 means none: a team may be without a guarantee, and without a limit. */
     public record Team(String name, double cpus, double cpusMax, double cards, double cardsMax) {
@@ -54,8 +53,7 @@
     }
 
     /** An aim for one class of jobs; {@code within} is null where the aim has none. */
-    public record Objective(String kind, String jobClass, Duration within) {
-    }
+    public record Objective(String kind, String jobClass, Duration within) {}
 
     public static Settings read(Path file) throws MalformedException {
         JsonNode tree;
@@ -79,8 +77,12 @@
         Fields facts = top.inner("facts");
         Map<String, Team> teams = new LinkedHashMap<>();
         for (Fields team : facts.list("teams")) {
-            Team read = new Team(team.text("name"), team.amount("cpus"), team.amount("cpus_max"),
-                    team.has("gpus") ? team.amount("gpus") : 0, team.has("gpus_max") ? team.amount("gpus_max") : 0);
+            Team read = new Team(
+                    team.text("name"),
+                    team.amount("cpus"),
+                    team.amount("cpus_max"),
+                    team.has("gpus") ? team.amount("gpus") : 0,
+                    team.has("gpus_max") ? team.amount("gpus_max") : 0);
             if (teams.put(read.name(), read) != null) {
                 throw new MalformedException("facts.teams names " + read.name() + " twice");
             }
@@ -89,21 +91,32 @@
         for (Fields objective : facts.list("objectives")) {
             // Aims of kinds that are not known yet, or of another form, must not keep a controller from starting.
             if (objective.has("kind") && objective.has("class")) {
-                objectives.add(new Objective(objective.text("kind"), objective.text("class"),
-                        objective.secondsOrNull("within_s")));
+                objectives.add(new Objective(
+                        objective.text("kind"), objective.text("class"), objective.secondsOrNull("within_s")));
             }
         }
         Fields workers = facts.inner("workers");
         Fields state = facts.inner("state");
         Fields cloud = facts.inner("cloud");
-        return new Settings(top.text("node_name"), top.text("site"),
-                address(top, "public_addr"), address(top, "mesh_addr"), List.copyOf(peers),
-                address(external, "cloud"), address(external, "state"),
-                Map.copyOf(teams), List.copyOf(objectives),
-                span(workers, "report_s"), span(workers, "lease_s"), span(workers, "cancel_s"),
-                state.positive("rps"), state.positive("write_rps"),
-                (int) (state.positive("value_kb") * 1024), atLeastOne(state, "txn_ops"),
-                cloud.positive("rps"), cloud.seconds("list_lag_s"),
+        return new Settings(
+                top.text("node_name"),
+                top.text("site"),
+                address(top, "public_addr"),
+                address(top, "mesh_addr"),
+                List.copyOf(peers),
+                address(external, "cloud"),
+                address(external, "state"),
+                Map.copyOf(teams),
+                List.copyOf(objectives),
+                span(workers, "report_s"),
+                span(workers, "lease_s"),
+                span(workers, "cancel_s"),
+                state.positive("rps"),
+                state.positive("write_rps"),
+                (int) (state.positive("value_kb") * 1024),
+                atLeastOne(state, "txn_ops"),
+                cloud.positive("rps"),
+                cloud.seconds("list_lag_s"),
                 atLeastOne(facts.inner("quota"), "sockets"));
     }
 
--- a/src/main/java/org/gullway/protocol/TaskReport.java
+++ b/src/main/java/org/gullway/protocol/TaskReport.java
@@ -3,21 +3,30 @@
 /** One task as its worker sees it; {@code cause} is null until the task has ended. */
 public record TaskReport(TaskId task, long attempt, Phase phase, Cause cause, boolean saved) {
     public enum Phase {
-        FETCHING, RUNNING, SAVING, ENDED;
+        FETCHING,
+        RUNNING,
+        SAVING,
+        ENDED;
 
         static Phase of(String wire) {
             return switch (wire) {
                 case "fetching", "gathering" -> FETCHING;
                 case "saving" -> SAVING;
                 case "ended" -> ENDED;
-                // A live state of a later protocol occupies room like a running task.
+                    // A live state of a later protocol occupies room like a running task.
                 default -> RUNNING;
             };
         }
     }
 
     public enum Cause {
-        DONE, STOPPED, ERROR, NO_ROOM, BUSY, UNKNOWN_JOB, OTHER;
+        DONE,
+        STOPPED,
+        ERROR,
+        NO_ROOM,
+        BUSY,
+        UNKNOWN_JOB,
+        OTHER;
 
         static Cause of(String wire) {
             return switch (wire) {
--- a/src/main/java/org/gullway/protocol/WorkerReport.java
+++ b/src/main/java/org/gullway/protocol/WorkerReport.java
@@ -23,14 +23,27 @@
         List<TaskReport> tasks = new ArrayList<>();
         for (Fields leg : fields.list("legs")) {
             TaskReport.Phase phase = TaskReport.Phase.of(leg.text("tide"));
-            TaskReport.Cause cause = phase != TaskReport.Phase.ENDED ? null
+            TaskReport.Cause cause = phase != TaskReport.Phase.ENDED
+                    ? null
                     : leg.has("cause") ? TaskReport.Cause.of(leg.text("cause")) : TaskReport.Cause.OTHER;
-            tasks.add(new TaskReport(TaskId.parse(leg.text("leg")), leg.count("launch"), phase, cause,
+            tasks.add(new TaskReport(
+                    TaskId.parse(leg.text("leg")),
+                    leg.count("launch"),
+                    phase,
+                    cause,
                     leg.has("stored") && leg.flag("stored")));
         }
-        return new WorkerReport(fields.text("perch"), fields.text("endpoint"), fields.text("breed"),
-                fields.text("shore"), fields.flag("driftwood"), fields.count("flight"), fields.count("tally"),
-                fields.count("baton"), fields.secondsOrNull("warning_s"), List.copyOf(tasks));
+        return new WorkerReport(
+                fields.text("perch"),
+                fields.text("endpoint"),
+                fields.text("breed"),
+                fields.text("shore"),
+                fields.flag("driftwood"),
+                fields.count("flight"),
+                fields.count("tally"),
+                fields.count("baton"),
+                fields.secondsOrNull("warning_s"),
+                List.copyOf(tasks));
     }
 
     /** Newer in the order of the worker's own messages. */
--- a/src/main/java/org/gullway/transport/ConnectionPool.java
+++ b/src/main/java/org/gullway/transport/ConnectionPool.java
@@ -26,9 +26,11 @@
     private final Consumer<C> close;
     /** All idle connections with their addresses, the one that was idle longest first. */
     private final Map<C, String> idle = new LinkedHashMap<>();
+
     private final Map<String, Deque<C>> byAddress = new HashMap<>();
     /** Connects that no call waits for any more. */
     private final Map<String, Integer> abandoned = new HashMap<>();
+
     private int open;
 
     ConnectionPool(Sockets sockets, Set<String> essential, Consumer<C> close) {
--- a/src/main/java/org/gullway/transport/HttpClient.java
+++ b/src/main/java/org/gullway/transport/HttpClient.java
@@ -75,25 +75,31 @@
                 return;
             }
             connecting = true;
-            UndertowClient.getInstance().connect(new ClientCallback<>() {
-                @Override
-                public void completed(ClientConnection made) {
-                    connectEnded();
-                    made.addCloseListener(connections::closedByPeer);
-                    if (finished) {
-                        connections.keep(address, made);
-                    } else {
-                        send(made);
-                    }
-                }
-
-                @Override
-                public void failed(IOException e) {
-                    connectEnded();
-                    connections.connectFailed();
-                    finish(Reply.notSent());
-                }
-            }, URI.create("http://" + address), loop.thread(), buffers, OptionMap.EMPTY);
+            UndertowClient.getInstance()
+                    .connect(
+                            new ClientCallback<>() {
+                                @Override
+                                public void completed(ClientConnection made) {
+                                    connectEnded();
+                                    made.addCloseListener(connections::closedByPeer);
+                                    if (finished) {
+                                        connections.keep(address, made);
+                                    } else {
+                                        send(made);
+                                    }
+                                }
+
+                                @Override
+                                public void failed(IOException e) {
+                                    connectEnded();
+                                    connections.connectFailed();
+                                    finish(Reply.notSent());
+                                }
+                            },
+                            URI.create("http://" + address),
+                            loop.thread(),
+                            buffers,
+                            OptionMap.EMPTY);
         }
 
         private void connectEnded() {
@@ -188,8 +194,10 @@
                     int n = channel.read(buffer);
                     if (n < 0) {
                         Reply reply = Reply.answered(exchange.getResponse().getResponseCode(), received.toByteArray());
-                        boolean close = "close".equalsIgnoreCase(
-                                exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
+                        boolean close = "close"
+                                .equalsIgnoreCase(exchange.getResponse()
+                                        .getResponseHeaders()
+                                        .getFirst(Headers.CONNECTION));
                         ClientConnection mine = connection;
                         if (!finished && !close) {
                             connection = null;
--- a/src/main/java/org/gullway/transport/HttpServer.java
+++ b/src/main/java/org/gullway/transport/HttpServer.java
@@ -85,12 +85,16 @@
 
     private static final AttachmentKey<Boolean> COUNTED = AttachmentKey.create(Boolean.class);
 
-    private HttpServer() {
-    }
+    private HttpServer() {}
 
     /** @param sockets what connections may take of the process's sockets */
-    public static void start(XnioWorker worker, ByteBufferPool buffers, Sockets sockets, String address, int bodyLimit,
-                             Handler handler) {
+    public static void start(
+            XnioWorker worker,
+            ByteBufferPool buffers,
+            Sockets sockets,
+            String address,
+            int bodyLimit,
+            Handler handler) {
         int colon = address.lastIndexOf(':');
         Undertow.builder()
                 .setWorker(worker)
@@ -127,9 +131,8 @@
             return;
         }
         exchange.setMaxEntitySize(limit);
-        exchange.getRequestReceiver().receiveFullBytes(
-                (ex, bytes) -> hand(ex, bytes, sockets, handler),
-                (ex, error) -> {
+        exchange.getRequestReceiver()
+                .receiveFullBytes((ex, bytes) -> hand(ex, bytes, sockets, handler), (ex, error) -> {
                     ex.setPersistent(false);
                     hand(ex, null, sockets, handler);
                 });
--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -24,9 +24,15 @@
     private static void work(SimulatedWorld world, int jobs, Duration between, int runSeconds) {
         for (int i = 1; i <= jobs; i++) {
             int number = i;
-            world.after(between.multipliedBy(i), () -> world.submit(number, number % 2 == 0 ? "red" : "blue",
-                    number % 3 == 0 ? Rank.NORMAL : Rank.HIGH, 50 + number * 5 % 350, number % 4 == 0 ? 16 : 4,
-                    Duration.ofSeconds(runSeconds + number % 20)));
+            world.after(
+                    between.multipliedBy(i),
+                    () -> world.submit(
+                            number,
+                            number % 2 == 0 ? "red" : "blue",
+                            number % 3 == 0 ? Rank.NORMAL : Rank.HIGH,
+                            50 + number * 5 % 350,
+                            number % 4 == 0 ? 16 : 4,
+                            Duration.ofSeconds(runSeconds + number % 20)));
         }
     }
 
@@ -38,12 +44,16 @@
         int tasks = world.users().stream().mapToInt(u -> u.request.tasks()).sum();
         assertThat(world.broken).isEmpty();
         assertThat(world.unfinished()).isEmpty();
-        assertThat(world.started()).as("starts, with those stopped for urgent work").isLessThan(tasks * 3 / 2);
+        assertThat(world.started())
+                .as("starts, with those stopped for urgent work")
+                .isLessThan(tasks * 3 / 2);
         assertThat(world.cloud.rentedEver()).isGreaterThan(1000);
         int machineChanges = world.store.changes("live/groups");
         assertThat(machineChanges).as("changes for machines").isLessThan(world.cloud.rentedEver());
         assertThat(world.store.changes("live/jobs")).as("changes for jobs").isLessThan(tasks / 5);
-        assertThat(world.store.changes("live/shares")).as("changes for shares, less than three a second").isLessThan(3 * 150);
+        assertThat(world.store.changes("live/shares"))
+                .as("changes for shares, less than three a second")
+                .isLessThan(3 * 150);
         assertThat(world.store.largestValue()).as("bytes of a record").isLessThanOrEqualTo(StandInStore.VALUE_BYTES);
     }
 
@@ -68,7 +78,8 @@
         world.run(Duration.ofSeconds(60));
         assertThat(world.cloud.rentedEver() - rented).as("at most replaced").isLessThanOrEqualTo(400);
         assertThat(world.store.changes("live/groups") - before)
-                .as("changes of groups, which all lose machines: silent, given up, gone, new").isLessThan(6 * 2000 / 16);
+                .as("changes of groups, which all lose machines: silent, given up, gone, new")
+                .isLessThan(6 * 2000 / 16);
         world.crash("perch-0", Duration.ofSeconds(20));
         world.crash("perch-1", Duration.ofSeconds(20));
         world.run(Duration.ofSeconds(30));
@@ -78,6 +89,8 @@
         world.run(Duration.ofSeconds(180));
         assertThat(world.broken).isEmpty();
         assertThat(world.unfinished()).isEmpty();
-        assertThat(world.cloud.rentedEver() - rented).as("no machine is replaced for restarts").isLessThanOrEqualTo(400);
+        assertThat(world.cloud.rentedEver() - rented)
+                .as("no machine is replaced for restarts")
+                .isLessThanOrEqualTo(400);
     }
 }
--- a/src/test/java/org/gullway/LayersTest.java
+++ b/src/test/java/org/gullway/LayersTest.java
@@ -34,7 +34,8 @@
             for (Path file : files(layer)) {
                 String text = Files.readString(file);
                 for (String other : MAY_USE.keySet()) {
-                    if (!other.equals(layer) && !MAY_USE.get(layer).contains(other)
+                    if (!other.equals(layer)
+                            && !MAY_USE.get(layer).contains(other)
                             && text.contains("org.gullway." + other + ".")) {
                         wrong.add(file + " uses " + other);
                     }
@@ -47,9 +48,19 @@
     @Test
     void coordinationDoesNoInputOrOutputAndReadsNoClock() throws IOException {
         for (Path file : files("coordination")) {
-            assertThat(Files.readString(file)).as(file.toString()).doesNotContain("java.io", "java.nio", "java.net",
-                    "org.xnio", "io.undertow", "System.nanoTime", "currentTimeMillis", "Instant.now", "new Random",
-                    "ThreadLocalRandom");
+            assertThat(Files.readString(file))
+                    .as(file.toString())
+                    .doesNotContain(
+                            "java.io",
+                            "java.nio",
+                            "java.net",
+                            "org.xnio",
+                            "io.undertow",
+                            "System.nanoTime",
+                            "currentTimeMillis",
+                            "Instant.now",
+                            "new Random",
+                            "ThreadLocalRandom");
         }
     }
 
@@ -57,8 +68,17 @@
     void wireNamesStayInTheProtocol() throws IOException {
         for (String layer : List.of("transport", "coordination")) {
             for (Path file : files(layer)) {
-                assertThat(Files.readString(file)).as(file.toString()).doesNotContain("\"herd\"", "\"baton\"",
-                        "\"roost\"", "\"launch\"", "\"flight\"", "\"perch\"", "\"leg\"", "\"tide\"");
+                assertThat(Files.readString(file))
+                        .as(file.toString())
+                        .doesNotContain(
+                                "\"herd\"",
+                                "\"baton\"",
+                                "\"roost\"",
+                                "\"launch\"",
+                                "\"flight\"",
+                                "\"perch\"",
+                                "\"leg\"",
+                                "\"tide\"");
             }
         }
     }
--- a/src/test/java/org/gullway/MeetingsTest.java
+++ b/src/test/java/org/gullway/MeetingsTest.java
@@ -31,7 +31,9 @@
             world.submit(i, i < 4 ? "red" : "blue", i % 2 == 0 ? Rank.HIGH : Rank.NORMAL, 2, 4, runTime);
         }
         world.run(Duration.ofSeconds(25));
-        assertThat(world.rules.running()).as("tasks that run when the troubles begin").isEqualTo(16);
+        assertThat(world.rules.running())
+                .as("tasks that run when the troubles begin")
+                .isEqualTo(16);
         return world;
     }
 
@@ -39,14 +41,21 @@
     private static void moreWork(SimulatedWorld world, int first, int jobs) {
         for (int i = 0; i < jobs; i++) {
             int number = first + i;
-            world.after(Duration.ofSeconds(2L * i), () -> world.submit(number, number % 3 == 0 ? "red" : "blue",
-                    number % 2 == 0 ? Rank.HIGH : Rank.IDLE, 3, 4, Duration.ofSeconds(9)));
+            world.after(
+                    Duration.ofSeconds(2L * i),
+                    () -> world.submit(
+                            number,
+                            number % 3 == 0 ? "red" : "blue",
+                            number % 2 == 0 ? Rank.HIGH : Rank.IDLE,
+                            3,
+                            4,
+                            Duration.ofSeconds(9)));
         }
     }
 
     private static void cancelThrough(SimulatedWorld world, String node, List<User> users) {
-        users.forEach(user -> user.cancelOnce(world.address(node), () ->
-                world.after(Duration.ofSeconds(1), user::cancel)));
+        users.forEach(
+                user -> user.cancelOnce(world.address(node), () -> world.after(Duration.ofSeconds(1), user::cancel)));
     }
 
     private static void cutFromState(SimulatedWorld world, String node, Duration span) {
@@ -93,13 +102,16 @@
     // jobs are cancelled through the new one.
 
     @Property(tries = 4, seed = "101")
-    void aLeaderLeftWithWorkersAndUsersAndCancellationsThroughTheNewOne(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aLeaderLeftWithWorkersAndUsersAndCancellationsThroughTheNewOne(
+            @ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedWorld world = working(seed, LONG);
         String leader = world.leader();
         cutFromState(world, leader, Duration.ofSeconds(70));
         world.cutMesh(leader, true);
-        world.after(seconds(1 + seed % 12), () ->
-                cancelThrough(world, world.otherThan(leader), world.users().subList(0, 6)));
+        world.after(
+                seconds(1 + seed % 12),
+                () -> cancelThrough(
+                        world, world.otherThan(leader), world.users().subList(0, 6)));
         moreWork(world, 9, 10);
         endsWell(world, Duration.ofSeconds(70));
     }
@@ -128,10 +140,13 @@
         moreWork(world, 9, 12);
         for (int i = 0; i < 5; i++) {
             int number = i;
-            world.after(Duration.ofSeconds(4L * i), () -> world.users().get(2 * number).cancel());
+            world.after(
+                    Duration.ofSeconds(4L * i),
+                    () -> world.users().get(2 * number).cancel());
         }
-        world.after(Duration.ofSeconds(15), () -> world.crash(world.leader() == null ? "perch-0" : world.leader(),
-                Duration.ofMillis(100)));
+        world.after(
+                Duration.ofSeconds(15),
+                () -> world.crash(world.leader() == null ? "perch-0" : world.leader(), Duration.ofMillis(100)));
         endsWell(world, Duration.ofSeconds(60));
     }
 
@@ -146,8 +161,10 @@
         world.after(seconds(3.5), () -> world.crash(leader, Duration.ofSeconds(30)));
         world.after(Duration.ofSeconds(5), () -> world.users().subList(0, 4).forEach(User::cancel));
         moreWork(world, 9, 6);
-        world.after(Duration.ofSeconds(13 + seed % 20), () -> held.forEach(worker ->
-                world.network.release(worker.name(), world.address(world.leader() == null ? "perch-0" : world.leader()))));
+        world.after(
+                Duration.ofSeconds(13 + seed % 20),
+                () -> held.forEach(worker -> world.network.release(
+                        worker.name(), world.address(world.leader() == null ? "perch-0" : world.leader()))));
         endsWell(world, Duration.ofSeconds(50));
     }
 
@@ -155,20 +172,31 @@
 
     private static void boundJobsLoseMachines(int seed, List<Rank> ranks) {
         SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
-        List<Bounds> bounds = List.of(Bounds.in("a"), Bounds.ONE_ZONE, Bounds.SPREAD,
+        List<Bounds> bounds = List.of(
+                Bounds.in("a"),
+                Bounds.ONE_ZONE,
+                Bounds.SPREAD,
                 new Bounds(List.of("large"), null, true, false, false),
                 new Bounds(List.of("small"), "b", false, false, true));
         for (int i = 1; i <= 10; i++) {
-            world.submit(i, i % 3 == 0 ? "red" : "blue", ranks.get(i % 2), 5, 4, Duration.ofSeconds(25), bounds.get(i % 5));
+            world.submit(
+                    i, i % 3 == 0 ? "red" : "blue", ranks.get(i % 2), 5, 4, Duration.ofSeconds(25), bounds.get(i % 5));
         }
         world.run(Duration.ofSeconds(25));
         assertThat(world.rules.running()).isPositive();
         String zone = seed % 2 == 0 ? "a" : "b";
-        world.cloud.workers().stream().filter(w -> w.kind().zone().equals(zone)).limit(2).forEach(StandInWorker::die);
+        world.cloud.workers().stream()
+                .filter(w -> w.kind().zone().equals(zone))
+                .limit(2)
+                .forEach(StandInWorker::die);
         world.after(Duration.ofSeconds(4), () -> world.cloud.workers().stream()
-                .filter(w -> w.kind().zone().equals(zone)).limit(2).forEach(w -> cutOff(world, w, Duration.ofSeconds(30))));
-        world.after(Duration.ofSeconds(6), () -> world.cloud.workers().stream().filter(w -> w.kind().spot())
-                .limit(2).forEach(world.cloud::take));
+                .filter(w -> w.kind().zone().equals(zone))
+                .limit(2)
+                .forEach(w -> cutOff(world, w, Duration.ofSeconds(30))));
+        world.after(Duration.ofSeconds(6), () -> world.cloud.workers().stream()
+                .filter(w -> w.kind().spot())
+                .limit(2)
+                .forEach(world.cloud::take));
         world.after(Duration.ofSeconds(9), () -> world.crash(world.leader(), Duration.ofSeconds(1)));
         endsWell(world, Duration.ofSeconds(45));
     }
@@ -183,7 +211,8 @@
         boundJobsLoseMachines(seed, List.of(Rank.NORMAL, Rank.IDLE));
     }
 
-    // A team is at its limit when the leader changes, some of its machines can't be asked, and a cancellation falls into
+    // A team is at its limit when the leader changes, some of its machines can't be asked, and a cancellation falls
+    // into
     // that spell.
 
     @Property(tries = 6, seed = "106")
@@ -206,7 +235,8 @@
         endsWell(world, Duration.ofSeconds(45));
     }
 
-    // The state service answers slowly, or refuses the leader alone and then everybody for longer than the cancel limit,
+    // The state service answers slowly, or refuses the leader alone and then everybody for longer than the cancel
+    // limit,
     // while users cancel and ask.
 
     @Property(tries = 6, seed = "107")
@@ -232,8 +262,9 @@
         world.network.copyLate(0.9, "/agent/beat", SimulatedWorld.LEASE.multipliedBy(2), world.userAddresses());
         world.cloud.workers().stream().limit(3).forEach(worker -> {
             world.after(Duration.ofSeconds(4), () -> world.network.mute(worker.name(), true));
-            world.after(Duration.ofSeconds(4).plus(SimulatedWorld.LEASE).plusMillis(500), () ->
-                    world.network.mute(worker.name(), false));
+            world.after(
+                    Duration.ofSeconds(4).plus(SimulatedWorld.LEASE).plusMillis(500),
+                    () -> world.network.mute(worker.name(), false));
         });
         // Urgent work that has others stopped, so that attempts follow each other on one machine.
         moreWork(world, 9, 12);
@@ -252,8 +283,9 @@
             world.run(seconds(0.5 + seed % 3));
         }
         String back = world.nodes().get(seed % 3);
-        world.nodes().forEach(node -> world.crash(node, node.equals(back) ? Duration.ofMillis(seed % 1000)
-                : Duration.ofSeconds(25)));
+        world.nodes()
+                .forEach(node ->
+                        world.crash(node, node.equals(back) ? Duration.ofMillis(seed % 1000) : Duration.ofSeconds(25)));
         world.after(Duration.ofSeconds(2), () -> world.users().subList(0, 3).forEach(User::cancel));
         endsWell(world, Duration.ofSeconds(40));
     }
@@ -286,9 +318,14 @@
             world.run(seconds(0.1 + seed % 10 / 20.0));
             int first = 2 * round;
             List<StandInWorker> workers = world.cloud.workers();
-            workers.stream().skip((seed + round) % 3).limit(5).forEach(worker ->
-                    worker.hang(seconds(3 + (seed + worker.name().hashCode()) % 9)));
-            world.after(Duration.ofMillis(200), () -> world.users().subList(first, first + 2).forEach(User::cancel));
+            workers.stream()
+                    .skip((seed + round) % 3)
+                    .limit(5)
+                    .forEach(worker ->
+                            worker.hang(seconds(3 + (seed + worker.name().hashCode()) % 9)));
+            world.after(
+                    Duration.ofMillis(200),
+                    () -> world.users().subList(first, first + 2).forEach(User::cancel));
             world.run(Duration.ofSeconds(14));
         }
         endsWell(world, Duration.ofSeconds(10));
@@ -327,13 +364,21 @@
         world.store.slow(400, world.random.split());
         for (int i = 1; i <= 40; i++) {
             int number = i;
-            world.after(Duration.ofSeconds(2L * i), () -> world.submit(number, number % 3 == 0 ? "red" : "blue",
-                    Rank.values()[number % 4], 1 + number % 6, number % 10 == 0 ? 16 : 4, Duration.ofSeconds(8)));
+            world.after(
+                    Duration.ofSeconds(2L * i),
+                    () -> world.submit(
+                            number,
+                            number % 3 == 0 ? "red" : "blue",
+                            Rank.values()[number % 4],
+                            1 + number % 6,
+                            number % 10 == 0 ? 16 : 4,
+                            Duration.ofSeconds(8)));
         }
         endsWell(world, Duration.ofSeconds(200));
     }
 
-    // Jobs are cancelled at the very moment at which the state service refuses the leader alone, and a second later it is
+    // Jobs are cancelled at the very moment at which the state service refuses the leader alone, and a second later it
+    // is
     // out for longer than the cancel limit.
 
     /** Workers report on to the leader, which alone has not heard of the cancellations. */
@@ -343,48 +388,62 @@
         String confirming = world.otherThan(leader);
         world.store.refuseFrom(leader, true);
         meanwhile.accept(world, leader);
-        world.after(Duration.ofMillis(100), () -> cancelThrough(world, confirming, world.users().subList(0, 7)));
+        world.after(
+                Duration.ofMillis(100),
+                () -> cancelThrough(world, confirming, world.users().subList(0, 7)));
         world.run(seconds(1.1 + seed % 10 / 10.0));
-        assertThat(world.unfinished().size()).as("some are cancelled").isLessThan(world.users().size());
+        assertThat(world.unfinished().size())
+                .as("some are cancelled")
+                .isLessThan(world.users().size());
         world.store.setDown(true);
         endsWell(world, SimulatedWorld.CANCEL.plusSeconds(15));
     }
 
     @Property(tries = 6, seed = "115")
     void aLeaderRefusedAloneCancellationsAndAnOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        gap(seed, (world, leader) -> { });
+        gap(seed, (world, leader) -> {});
     }
 
     @Property(tries = 6, seed = "116")
-    void aLeaderRefusedAloneAndCutFromTheOthersCancellationsAndAnOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aLeaderRefusedAloneAndCutFromTheOthersCancellationsAndAnOutage(
+            @ForAll @IntRange(min = 1, max = 1000) int seed) {
         gap(seed, (world, leader) -> world.cutMesh(leader, true));
     }
 
     @Property(tries = 6, seed = "117")
     void aLeaderRefusedAloneAndTheConfirmingControllerEnds(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        gap(seed, (world, leader) -> world.after(Duration.ofMillis(110 + seed % 400), () ->
-                world.crash(world.otherThan(leader), Duration.ofSeconds(seed % 60))));
+        gap(
+                seed,
+                (world, leader) -> world.after(
+                        Duration.ofMillis(110 + seed % 400),
+                        () -> world.crash(world.otherThan(leader), Duration.ofSeconds(seed % 60))));
     }
 
     /** Only the cloud can end what is on them, and whoever knows of the cancellations returns them in time. */
     @Property(tries = 6, seed = "126")
     void aLeaderRefusedAloneCancellationsAnOutageAndMachinesThatHangBeyondTheLimit(
             @ForAll @IntRange(min = 1, max = 1000) int seed) {
-        gap(seed, (world, leader) -> world.cloud.workers().stream().limit(4).forEach(worker ->
-                world.after(Duration.ofMillis(150 + seed % 300), () -> worker.hang(SimulatedWorld.CANCEL.plusSeconds(20)))));
+        gap(seed, (world, leader) -> world.cloud.workers().stream()
+                .limit(4)
+                .forEach(worker -> world.after(
+                        Duration.ofMillis(150 + seed % 300),
+                        () -> worker.hang(SimulatedWorld.CANCEL.plusSeconds(20)))));
     }
 
     /** They go on within the limit: what is on them ends with their leases, or is stopped. */
     @Property(tries = 6, seed = "118")
     void aLeaderRefusedAloneCancellationsAnOutageAndMachinesThatHang(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        gap(seed, (world, leader) -> world.cloud.workers().stream().limit(4).forEach(worker ->
-                world.after(Duration.ofMillis(50 + seed % 300), () -> worker.hang(Duration.ofSeconds(5 + seed % 30)))));
+        gap(seed, (world, leader) -> world.cloud.workers().stream()
+                .limit(4)
+                .forEach(worker -> world.after(
+                        Duration.ofMillis(50 + seed % 300), () -> worker.hang(Duration.ofSeconds(5 + seed % 30)))));
     }
 
     @Property(tries = 6, seed = "119")
     void aLeaderRefusedAloneCancellationsAnOutageAndDeafMachines(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        gap(seed, (world, leader) -> world.cloud.workers().stream().limit(4).forEach(worker ->
-                deafen(world, worker, Duration.ofSeconds(10 + seed % 50))));
+        gap(seed, (world, leader) -> world.cloud.workers().stream()
+                .limit(4)
+                .forEach(worker -> deafen(world, worker, Duration.ofSeconds(10 + seed % 50))));
     }
 
     @Property(tries = 6, seed = "120")
@@ -402,7 +461,9 @@
         world.store.refuseFrom(leader, true);
         cancelThrough(world, world.otherThan(leader), world.users().subList(3, 11));
         world.run(seconds(1 + seed % 10 / 10.0));
-        assertThat(world.unfinished().size()).as("some are cancelled").isLessThan(world.users().size());
+        assertThat(world.unfinished().size())
+                .as("some are cancelled")
+                .isLessThan(world.users().size());
         world.store.setDown(true);
         endsWell(world, SimulatedWorld.CANCEL.plusSeconds(15));
     }
@@ -420,7 +481,8 @@
         world.run(seconds(seed % 4));
         world.crash(leader, Duration.ofSeconds(1 + seed % 50));
         moreWork(world, 9, 6);
-        world.after(Duration.ofSeconds(seed % 25), () -> world.users().subList(0, 3).forEach(User::cancel));
+        world.after(
+                Duration.ofSeconds(seed % 25), () -> world.users().subList(0, 3).forEach(User::cancel));
         endsWell(world, Duration.ofSeconds(60));
     }
 
@@ -438,8 +500,9 @@
                 world.after(Duration.ZERO, user::cancel);
             }
             for (int i = 0; i < 3; i++) {
-                world.after(Duration.ofMillis(world.random.nextInt(12_000)), () -> user.cancelOnce(
-                        world.address(world.nodes().get(world.random.nextInt(3))), () -> { }));
+                world.after(
+                        Duration.ofMillis(world.random.nextInt(12_000)),
+                        () -> user.cancelOnce(world.address(world.nodes().get(world.random.nextInt(3))), () -> {}));
                 world.after(Duration.ofMillis(world.random.nextInt(12_000)), user::askEverywhere);
                 world.after(Duration.ofMillis(world.random.nextInt(12_000)), user::submitAgain);
             }
@@ -482,7 +545,9 @@
                 String leader = world.leader() == null ? world.nodes().get(number % 3) : world.leader();
                 world.crash(leader, Duration.ofMillis(100 + (seed * 37L + number * 1700L) % 9000));
             });
-            world.after(seconds(12.0 * i + 1 + seed % 5), () -> world.users().get(number).cancel());
+            world.after(
+                    seconds(12.0 * i + 1 + seed % 5),
+                    () -> world.users().get(number).cancel());
         }
         endsWell(world, Duration.ofSeconds(125));
     }
--- a/src/test/java/org/gullway/RealSocketsTest.java
+++ b/src/test/java/org/gullway/RealSocketsTest.java
@@ -8,7 +8,12 @@
 class RealSocketsTest {
     @Test
     void servesJobsOverLoopback() throws Exception {
-        Rehearsal.run(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx120m",
-                "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), "org.gullway.Main"));
+        Rehearsal.run(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xmx120m",
+                "-XX:+UseSerialGC",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "org.gullway.Main"));
     }
 }
--- a/src/test/java/org/gullway/Rehearsal.java
+++ b/src/test/java/org/gullway/Rehearsal.java
@@ -40,16 +40,15 @@
     private static final int TRIES = 3;
     private static final Duration PATIENCE = Duration.ofSeconds(40);
 
-    private Rehearsal() {
-    }
+    private Rehearsal() {}
 
     /** Arguments: the archive to write, the jar, then options of the virtual machine. */
     public static void main(String[] args) throws Exception {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of(args).subList(2, args.length));
-        command.addAll(List.of("-XX:ArchiveClassesAtExit=" + args[0], "-Xlog:cds=off", "-Xlog:cds+dynamic=off",
-                "-jar", args[1]));
+        command.addAll(List.of(
+                "-XX:ArchiveClassesAtExit=" + args[0], "-Xlog:cds=off", "-Xlog:cds+dynamic=off", "-jar", args[1]));
         for (int left = TRIES; left > 0; left--) {
             try {
                 run(command);
@@ -66,7 +65,8 @@
 
     /** Serves three jobs with the command, to which the settings are added. */
     static void run(List<String> command) throws Exception {
-        XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
+        XnioWorker worker = Xnio.getInstance()
+                .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
         DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192);
         XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
         Sockets sockets = new Sockets(1000);
@@ -74,21 +74,38 @@
         String node = freeAddress();
         String state = freeAddress();
         String cloudAddress = freeAddress();
-        Map<String, JobRequest> jobs = Map.of("run-000001", job("run-000001", Rank.HIGH),
-                "run-000002", job("run-000002", Rank.NORMAL), "run-000003", job("run-000003", Rank.IDLE));
+        Map<String, JobRequest> jobs = Map.of(
+                "run-000001",
+                job("run-000001", Rank.HIGH),
+                "run-000002",
+                job("run-000002", Rank.NORMAL),
+                "run-000003",
+                job("run-000003", Rank.IDLE));
         StandInWorker.World world = new Moments(jobs);
         Path settings = Files.createTempFile("gullway", ".toml");
         Files.writeString(settings, settings(node, state, cloudAddress));
         loop.execute(() -> {
             StandInStore store = new StandInStore(loop);
-            StandInCloud cloud = new StandInCloud(loop, List.of(new MachineType("small", 16, 0, 64, 50, 1, 1, 0.3,
-                    Duration.ofMillis(300), List.of("a"))), 2, (name, kind) -> {
-                String address = freeAddress();
-                StandInWorker machine = new StandInWorker(loop, client, world, new SplittableRandom(1), name, address,
-                        kind, Map.of("perch-0", node), Duration.ofMillis(500), Duration.ofSeconds(20));
-                HttpServer.start(worker, buffers, sockets, address, 65536, machine::handle);
-                return machine;
-            });
+            StandInCloud cloud = new StandInCloud(
+                    loop,
+                    List.of(new MachineType("small", 16, 0, 64, 50, 1, 1, 0.3, Duration.ofMillis(300), List.of("a"))),
+                    2,
+                    (name, kind) -> {
+                        String address = freeAddress();
+                        StandInWorker machine = new StandInWorker(
+                                loop,
+                                client,
+                                world,
+                                new SplittableRandom(1),
+                                name,
+                                address,
+                                kind,
+                                Map.of("perch-0", node),
+                                Duration.ofMillis(500),
+                                Duration.ofSeconds(20));
+                        HttpServer.start(worker, buffers, sockets, address, 65536, machine::handle);
+                        return machine;
+                    });
             HttpServer.start(worker, buffers, sockets, state, 65536, store::handle);
             HttpServer.start(worker, buffers, sockets, cloudAddress, 65536, cloud::handle);
         });
@@ -112,8 +129,8 @@
         }
     }
 
-    private static void submit(XnioEventLoop loop, HttpClient client, String node, JobRequest job,
-                               CompletableFuture<Void> done) {
+    private static void submit(
+            XnioEventLoop loop, HttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
         client.call(node, Reply.Request.post("/v2/runs", Cbor.encode(job.toNode()), Duration.ofSeconds(5)), reply -> {
             if (reply.status() == 201) {
                 poll(loop, client, node, job, done);
@@ -123,10 +140,12 @@
         });
     }
 
-    private static void poll(XnioEventLoop loop, HttpClient client, String node, JobRequest job,
-                             CompletableFuture<Void> done) {
+    private static void poll(
+            XnioEventLoop loop, HttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
         client.call(node, Reply.Request.get("/v2/runs/" + job.id(), Duration.ofSeconds(2)), reply -> {
-            if (reply.ok() && unchecked(() -> Cbor.decode(reply.body()).path("tide").asText()).equals("done")) {
+            if (reply.ok()
+                    && unchecked(() -> Cbor.decode(reply.body()).path("tide").asText())
+                            .equals("done")) {
                 done.complete(null);
             } else {
                 loop.after(Duration.ofMillis(200), () -> poll(loop, client, node, job, done));
@@ -135,8 +154,27 @@
     }
 
     private static JobRequest job(String id, Rank rank) {
-        return new JobRequest(id, "render", "red", JobRequest.Shape.ARRAY, rank, 3, 4, 0, 4, "img-1", 0.5, null, null,
-                false, false, true, Duration.ofSeconds(1), Duration.ZERO, Duration.ZERO, Duration.ofMinutes(1));
+        return new JobRequest(
+                id,
+                "render",
+                "red",
+                JobRequest.Shape.ARRAY,
+                rank,
+                3,
+                4,
+                0,
+                4,
+                "img-1",
+                0.5,
+                null,
+                null,
+                false,
+                false,
+                true,
+                Duration.ofSeconds(1),
+                Duration.ZERO,
+                Duration.ZERO,
+                Duration.ofMinutes(1));
     }
 
     /** An address of its own in the loopback range, which no outgoing connection can have taken as its port. */
@@ -197,7 +235,8 @@
                 cpu = 1.0
                 mem_mb = 320.0
                 sockets = 1000
-                """.formatted(node, freeAddress(), cloud, state);
+                """
+                .formatted(node, freeAddress(), cloud, state);
     }
 
     /** Tasks that take a moment and never fail. */
@@ -213,11 +252,9 @@
         }
 
         @Override
-        public void began(String machine, String task) {
-        }
+        public void began(String machine, String task) {}
 
         @Override
-        public void ended(String machine, String task, boolean done) {
-        }
+        public void ended(String machine, String task, boolean done) {}
     }
 }
