--- a/src/test/java/org/gullway/ReportIntakeTest.java
+++ b/src/test/java/org/gullway/ReportIntakeTest.java
@@ -18,8 +18,8 @@
     private int handled;
 
     private Call report() {
-        return new SimulatedNetwork.Message("vm-000001", "POST", "/agent/beat", "", new byte[0],
-                reply -> answers.add(reply.status()));
+        return new SimulatedNetwork.Message(
+                "vm-000001", "POST", "/agent/beat", "", new byte[0], reply -> answers.add(reply.status()));
     }
 
     private ReportIntake intake(Duration each) {
@@ -55,7 +55,9 @@
         time.runUntil(Instant.EPOCH.plusSeconds(10));
         assertThat(delays).hasSize(300).allSatisfy(d -> assertThat(d).isLessThan(Duration.ofMillis(30)));
         assertThat(answers).hasSize(1000);
-        assertThat(answers.stream().filter(status -> status == 503)).as("given up by their workers").isNotEmpty();
+        assertThat(answers.stream().filter(status -> status == 503))
+                .as("given up by their workers")
+                .isNotEmpty();
         assertThat(handled).as("of 3.5 s, two thirds").isGreaterThan(700);
     }
 }
--- a/src/test/java/org/gullway/RuleCheck.java
+++ b/src/test/java/org/gullway/RuleCheck.java
@@ -47,8 +47,7 @@
         }
     }
 
-    private record Asked(Instant at, String job, boolean answered) {
-    }
+    private record Asked(Instant at, String job, boolean answered) {}
 
     final List<String> broken = new ArrayList<>();
     private final Duration cancelLimit;
@@ -57,6 +56,7 @@
     private final Map<String, StandInWorker.Kind> machines = new HashMap<>();
     /** Machines on which a task is now, by job and task. */
     private final Map<String, Map<String, Set<String>>> places = new HashMap<>();
+
     private final Map<String, Double> usedOn = new HashMap<>();
     private final Map<String, Double> usedBy = new HashMap<>();
     private final Deque<Asked> questions = new ArrayDeque<>();
@@ -85,8 +85,8 @@
         JobRequest request = job.request;
         job.began = job.began == null ? now : job.began;
         job.waitingSince = null;
-        Set<String> on = places.computeIfAbsent(request.id(), j -> new HashMap<>())
-                .computeIfAbsent(task, t -> new HashSet<>());
+        Set<String> on =
+                places.computeIfAbsent(request.id(), j -> new HashMap<>()).computeIfAbsent(task, t -> new HashSet<>());
         if (!on.isEmpty()) {
             broken.add("ran_twice: " + task + " starts on " + machine + " while on " + on + " at " + now);
         }
@@ -110,7 +110,9 @@
 
     void ended(String machine, String task, boolean done) {
         Job job = jobs.get(job(task));
-        if (places.getOrDefault(job.request.id(), Map.of()).getOrDefault(task, Set.of()).remove(machine)) {
+        if (places.getOrDefault(job.request.id(), Map.of())
+                .getOrDefault(task, Set.of())
+                .remove(machine)) {
             usedOn.merge(machine, -job.request.cpus(), Double::sum);
             usedBy.merge(job.request.team(), -job.request.cpus(), Double::sum);
         }
@@ -255,7 +257,9 @@
             job.reported = true;
         } else if (!heard.isAfter(oldest)) {
             long others = questions.stream().filter(q -> !q.job().equals(id)).count();
-            long answered = questions.stream().filter(q -> !q.job().equals(id) && q.answered()).count();
+            long answered = questions.stream()
+                    .filter(q -> !q.job().equals(id) && q.answered())
+                    .count();
             if (2 * answered > others) {
                 broken.add("forgotten: " + id + " alone is not answered at " + now);
                 job.reported = true;
@@ -304,11 +308,15 @@
         }
         for (Job job : jobs.values()) {
             JobRequest request = job.request;
-            long on = places.getOrDefault(request.id(), Map.of()).values().stream().filter(s -> !s.isEmpty()).count();
-            boolean waits = job.accepted != null && !job.over() && !job.cancelAsked
+            long on = places.getOrDefault(request.id(), Map.of()).values().stream()
+                    .filter(s -> !s.isEmpty())
+                    .count();
+            boolean waits = job.accepted != null
+                    && !job.over()
+                    && !job.cancelAsked
                     && job.completed.size() + on < request.tasks()
                     && usedBy.getOrDefault(request.team(), 0.0) + request.cpus()
-                    <= teams.get(request.team()).cpusLimit() + 1e-6
+                            <= teams.get(request.team()).cpusLimit() + 1e-6
                     && machines.keySet().stream().anyMatch(name -> isUp.test(name) && fits(request, name));
             if (!waits) {
                 job.waitingSince = null;
@@ -337,6 +345,9 @@
 
     /** Tasks that are on a machine now. */
     long running() {
-        return places.values().stream().flatMap(tasks -> tasks.values().stream()).filter(on -> !on.isEmpty()).count();
+        return places.values().stream()
+                .flatMap(tasks -> tasks.values().stream())
+                .filter(on -> !on.isEmpty())
+                .count();
     }
 }
--- a/src/test/java/org/gullway/RuleCheckTest.java
+++ b/src/test/java/org/gullway/RuleCheckTest.java
@@ -31,9 +31,27 @@
 
     private String job(int number, int tasks, SimulatedWorld.Bounds bounds) {
         String id = String.format("run-%06d", number);
-        rules.submitted(new JobRequest(id, "render", "red", JobRequest.Shape.ARRAY, Rank.HIGH, tasks, 4, 0, 4, "img-1", 1,
-                bounds.types(), bounds.zone(), bounds.oneZone(), bounds.spread(), bounds.spot(), CANCEL, Duration.ZERO,
-                Duration.ZERO, null));
+        rules.submitted(new JobRequest(
+                id,
+                "render",
+                "red",
+                JobRequest.Shape.ARRAY,
+                Rank.HIGH,
+                tasks,
+                4,
+                0,
+                4,
+                "img-1",
+                1,
+                bounds.types(),
+                bounds.zone(),
+                bounds.oneZone(),
+                bounds.spread(),
+                bounds.spot(),
+                CANCEL,
+                Duration.ZERO,
+                Duration.ZERO,
+                null));
         rules.accepted(id, at(0));
         return id;
     }
@@ -57,7 +75,8 @@
         rules.began("b1", typed + "/2", at(1));
         breaks("wrong_place: run-000001/2 on b1: in zone b");
         rules.broken.clear();
-        rules.began("a2", job(2, 1, new SimulatedWorld.Bounds(List.of("small"), null, false, false, true)) + "/0", at(1));
+        rules.began(
+                "a2", job(2, 1, new SimulatedWorld.Bounds(List.of("small"), null, false, false, true)) + "/0", at(1));
         breaks("wrong_place: run-000002/0 on a2: of type large");
     }
 
--- a/src/test/java/org/gullway/SimulatedDaysTest.java
+++ b/src/test/java/org/gullway/SimulatedDaysTest.java
@@ -14,17 +14,28 @@
 
 /** Whole days in virtual time: whatever fails, the rules hold, and afterwards all work gets done. */
 class SimulatedDaysTest {
-    private static final List<Bounds> BOUNDS = List.of(Bounds.in("a"), Bounds.in("b"), Bounds.ONE_ZONE, Bounds.SPREAD,
-            new Bounds(List.of("large"), null, true, false, false), new Bounds(List.of("small"), null, false, true, true));
+    private static final List<Bounds> BOUNDS = List.of(
+            Bounds.in("a"),
+            Bounds.in("b"),
+            Bounds.ONE_ZONE,
+            Bounds.SPREAD,
+            new Bounds(List.of("large"), null, true, false, false),
+            new Bounds(List.of("small"), null, false, true, true));
 
     /** Jobs that may be in one zone only, or spread over both. */
     private static void boundWork(SimulatedWorld world, SplittableRandom random, int first, int jobs, Duration span) {
         for (int i = first; i < first + jobs; i++) {
             int number = i;
-            world.after(Duration.ofMillis(random.nextLong(span.toMillis())), () ->
-                    world.submit(number, random.nextBoolean() ? "red" : "blue", Rank.values()[random.nextInt(4)],
-                            1 + random.nextInt(7), random.nextBoolean() ? 4 : 8,
-                            Duration.ofMillis(1000 + random.nextInt(20_000)), BOUNDS.get(random.nextInt(BOUNDS.size()))));
+            world.after(
+                    Duration.ofMillis(random.nextLong(span.toMillis())),
+                    () -> world.submit(
+                            number,
+                            random.nextBoolean() ? "red" : "blue",
+                            Rank.values()[random.nextInt(4)],
+                            1 + random.nextInt(7),
+                            random.nextBoolean() ? 4 : 8,
+                            Duration.ofMillis(1000 + random.nextInt(20_000)),
+                            BOUNDS.get(random.nextInt(BOUNDS.size()))));
         }
     }
 
@@ -32,12 +43,17 @@
         for (int i = 1; i <= jobs; i++) {
             int number = i;
             world.after(Duration.ofMillis(random.nextLong(span.toMillis())), () -> {
-                world.submit(number, random.nextBoolean() ? "red" : "blue", Rank.values()[random.nextInt(4)],
-                        1 + random.nextInt(9), random.nextBoolean() ? 4 : 8, Duration.ofMillis(1000 + random.nextInt(20_000)));
+                world.submit(
+                        number,
+                        random.nextBoolean() ? "red" : "blue",
+                        Rank.values()[random.nextInt(4)],
+                        1 + random.nextInt(9),
+                        random.nextBoolean() ? 4 : 8,
+                        Duration.ofMillis(1000 + random.nextInt(20_000)));
                 if (random.nextInt(6) == 0) {
-                    world.after(Duration.ofMillis(random.nextInt(15_000)), () ->
-                            world.users().stream().filter(u -> u.request.id().endsWith(String.format("%06d", number)))
-                                    .forEach(SimulatedWorld.User::cancel));
+                    world.after(Duration.ofMillis(random.nextInt(15_000)), () -> world.users().stream()
+                            .filter(u -> u.request.id().endsWith(String.format("%06d", number)))
+                            .forEach(SimulatedWorld.User::cancel));
                 }
             });
         }
@@ -86,8 +102,8 @@
             world.after(Duration.ofMillis(10_000 + random.nextInt(120_000)), () -> trouble.strike(world, own, span));
         }
         for (int i = 0; i < 10; i++) {
-            world.after(Duration.ofSeconds(20 + random.nextInt(500)), () ->
-                    world.users().forEach(SimulatedWorld.User::submitAgain));
+            world.after(Duration.ofSeconds(20 + random.nextInt(500)), () -> world.users()
+                    .forEach(SimulatedWorld.User::submitAgain));
         }
         world.run(Duration.ofSeconds(200));
         world.calm();
--- a/src/test/java/org/gullway/SimulatedWorld.java
+++ b/src/test/java/org/gullway/SimulatedWorld.java
@@ -48,12 +48,12 @@
     private final Map<String, String> addresses = new LinkedHashMap<>();
     private final Map<String, User> users = new LinkedHashMap<>();
     private final Shape shape;
-    private Consumer<User> whenDone = user -> { };
+    private Consumer<User> whenDone = user -> {};
 
     /** Size of a world: machines of each type, zone and kind, teams, and how often workers report. */
     record Shape(int capacity, Map<String, Settings.Team> teams, Duration report, double trouble) {
-        static final Map<String, Settings.Team> SMALL_TEAMS = Map.of(
-                "red", new Settings.Team("red", 16, 24, 0, 0), "blue", new Settings.Team("blue", 16, 64, 0, 0));
+        static final Map<String, Settings.Team> SMALL_TEAMS =
+                Map.of("red", new Settings.Team("red", 16, 24, 0, 0), "blue", new Settings.Team("blue", 16, 64, 0, 0));
 
         static Shape small(double trouble, int capacity) {
             return new Shape(capacity, SMALL_TEAMS, Duration.ofSeconds(3), trouble);
@@ -83,7 +83,9 @@
 
         void submit() {
             Instant asked = time.now();
-            client.call(node(), Reply.Request.post("/v2/runs", Cbor.encode(request.toNode()), Duration.ofSeconds(5)),
+            client.call(
+                    node(),
+                    Reply.Request.post("/v2/runs", Cbor.encode(request.toNode()), Duration.ofSeconds(5)),
                     reply -> {
                         if (reply.status() == 201 || reply.status() == 200) {
                             accepted = true;
@@ -110,17 +112,20 @@
             rules.cancelAsked(request.id());
             boolean known = accepted;
             Instant asked = time.now();
-            client.call(address, Reply.Request.post("/v2/runs/" + request.id() + "/withdraw",
-                    Cbor.encode(Cbor.map()), Duration.ofSeconds(5)), reply -> {
-                if (reply.status() == 200) {
-                    hear(reply, asked);
-                    rules.cancelAnswered(request.id(), state(reply), time.now());
-                } else if (reply.status() == 404 && known) {
-                    broken.add("forgotten: cancellation of " + request.id());
-                } else {
-                    unanswered.run();
-                }
-            });
+            client.call(
+                    address,
+                    Reply.Request.post(
+                            "/v2/runs/" + request.id() + "/withdraw", Cbor.encode(Cbor.map()), Duration.ofSeconds(5)),
+                    reply -> {
+                        if (reply.status() == 200) {
+                            hear(reply, asked);
+                            rules.cancelAnswered(request.id(), state(reply), time.now());
+                        } else if (reply.status() == 404 && known) {
+                            broken.add("forgotten: cancellation of " + request.id());
+                        } else {
+                            unanswered.run();
+                        }
+                    });
         }
 
         private void poll() {
@@ -155,7 +160,9 @@
                 return;
             }
             Instant asked = time.now();
-            client.call(node(), Reply.Request.post("/v2/runs", Cbor.encode(request.toNode()), Duration.ofSeconds(5)),
+            client.call(
+                    node(),
+                    Reply.Request.post("/v2/runs", Cbor.encode(request.toNode()), Duration.ofSeconds(5)),
                     reply -> {
                         rules.submittedAgain(request.id(), reply.status(), time.now());
                         if (reply.status() == 200) {
@@ -207,8 +214,17 @@
         }
         cloud = new StandInCloud(world, types, shape.capacity(), (name, kind) -> {
             String address = "10.1.0." + Integer.parseInt(name.substring(3)) + ":9000";
-            StandInWorker worker = new StandInWorker(world, network.client(name, world), new Workers(), random.split(),
-                    name, address, kind, addresses, shape.report(), LEASE);
+            StandInWorker worker = new StandInWorker(
+                    world,
+                    network.client(name, world),
+                    new Workers(),
+                    random.split(),
+                    name,
+                    address,
+                    kind,
+                    addresses,
+                    shape.report(),
+                    LEASE);
             network.listen(address, world, worker::handle);
             rules.machine(name, kind);
             return worker;
@@ -268,16 +284,35 @@
         }
         SimulatedTime.Process process = time.process();
         running.put(name, process);
-        List<Settings.Peer> peers = addresses.entrySet().stream().filter(e -> !e.getKey().equals(name))
-                .map(e -> new Settings.Peer(e.getKey(), zone(e.getKey()), e.getValue().replace("8080", "8081"))).toList();
-        Settings settings = new Settings(name, zone(name), addresses.get(name), addresses.get(name).replace("8080", "8081"),
-                peers, CLOUD, STATE, shape.teams(), List.of(), shape.report(), LEASE, CANCEL, 150, StandInStore.CHANGES_PER_SECOND,
-                StandInStore.VALUE_BYTES, StandInStore.CHANGES_PER_COMMIT, 10,
-                Duration.ofSeconds(3), 1000);
+        List<Settings.Peer> peers = addresses.entrySet().stream()
+                .filter(e -> !e.getKey().equals(name))
+                .map(e -> new Settings.Peer(
+                        e.getKey(), zone(e.getKey()), e.getValue().replace("8080", "8081")))
+                .toList();
+        Settings settings = new Settings(
+                name,
+                zone(name),
+                addresses.get(name),
+                addresses.get(name).replace("8080", "8081"),
+                peers,
+                CLOUD,
+                STATE,
+                shape.teams(),
+                List.of(),
+                shape.report(),
+                LEASE,
+                CANCEL,
+                150,
+                StandInStore.CHANGES_PER_SECOND,
+                StandInStore.VALUE_BYTES,
+                StandInStore.CHANGES_PER_COMMIT,
+                10,
+                Duration.ofSeconds(3),
+                1000);
         long skew = random.nextInt(2000) - 1000;
         InstantSource clock = () -> MORNING.plusMillis(skew).plus(Duration.between(Instant.EPOCH, time.now()));
-        Controller controller = new Controller(settings, OperatorSettings.DEFAULTS, process,
-                network.client(name, process), clock, random.nextLong());
+        Controller controller = new Controller(
+                settings, OperatorSettings.DEFAULTS, process, network.client(name, process), clock, random.nextLong());
         network.listen(settings.meshAddress(), process, controller::answerPeer);
         controller.start(() -> network.listen(settings.publicAddress(), process, controller::answer));
     }
@@ -377,20 +412,41 @@
         return user;
     }
 
-    private static JobRequest request(int number, String team, Rank rank, int tasks, double cpus, Duration runTime,
-                                      Bounds bounds) {
-        return new JobRequest(String.format("run-%06d", number), cpus >= 16 ? "survey" : "render", team,
-                JobRequest.Shape.ARRAY, rank, tasks, cpus, 0, cpus, "img-" + number % 3, 0.5, bounds.types(),
-                bounds.zone(), bounds.oneZone(), bounds.spread(), bounds.spot(), runTime, Duration.ZERO, Duration.ZERO,
+    private static JobRequest request(
+            int number, String team, Rank rank, int tasks, double cpus, Duration runTime, Bounds bounds) {
+        return new JobRequest(
+                String.format("run-%06d", number),
+                cpus >= 16 ? "survey" : "render",
+                team,
+                JobRequest.Shape.ARRAY,
+                rank,
+                tasks,
+                cpus,
+                0,
+                cpus,
+                "img-" + number % 3,
+                0.5,
+                bounds.types(),
+                bounds.zone(),
+                bounds.oneZone(),
+                bounds.spread(),
+                bounds.spot(),
+                runTime,
+                Duration.ZERO,
+                Duration.ZERO,
                 null);
     }
 
     /** A submission that lacks a field, and one that fits no machine; both are refused, and nobody knows them later. */
     void submitOdd(int number) {
-        ObjectNode lacking = request(number, "blue", Rank.HIGH, 2, 4, Duration.ofSeconds(5), Bounds.SPREAD).toNode();
+        ObjectNode lacking = request(number, "blue", Rank.HIGH, 2, 4, Duration.ofSeconds(5), Bounds.SPREAD)
+                .toNode();
         lacking.remove("crew");
         submitOdd(lacking, 400);
-        submitOdd(request(number + 1, "blue", Rank.HIGH, 2, 64, Duration.ofSeconds(5), Bounds.SPREAD).toNode(), 422);
+        submitOdd(
+                request(number + 1, "blue", Rank.HIGH, 2, 64, Duration.ofSeconds(5), Bounds.SPREAD)
+                        .toNode(),
+                422);
     }
 
     private void submitOdd(ObjectNode node, int expected) {
@@ -402,9 +458,12 @@
                 world.after(Duration.ofSeconds(1), () -> submitOdd(node, expected));
             }
         });
-        world.after(Duration.ofSeconds(8), () -> client.call(address,
-                Reply.Request.get("/v2/runs/" + id, Duration.ofSeconds(2)),
-                reply -> rules.askedUnknown(id, reply.status())));
+        world.after(
+                Duration.ofSeconds(8),
+                () -> client.call(
+                        address,
+                        Reply.Request.get("/v2/runs/" + id, Duration.ofSeconds(2)),
+                        reply -> rules.askedUnknown(id, reply.status())));
     }
 
     /** Is told at the very moment at which the last task of a job has completed. */
@@ -448,7 +507,9 @@
     }
 
     List<String> unfinished() {
-        return users.values().stream().filter(u -> !u.over()).map(u -> u.request.id() + " " + rules.told(u.request.id()))
+        return users.values().stream()
+                .filter(u -> !u.over())
+                .map(u -> u.request.id() + " " + rules.told(u.request.id()))
                 .toList();
     }
 
--- a/src/test/java/org/gullway/Trouble.java
+++ b/src/test/java/org/gullway/Trouble.java
@@ -32,7 +32,8 @@
             String same = random.nextBoolean() ? node(world, random) : null;
             for (int i = 0; i < 4; i++) {
                 String name = same == null ? node(world, random) : same;
-                world.after(Duration.ofMillis(random.nextInt(4000)),
+                world.after(
+                        Duration.ofMillis(random.nextInt(4000)),
                         () -> world.crash(name, Duration.ofMillis(5 + random.nextInt(400))));
             }
         }
@@ -83,8 +84,10 @@
     SPOT_TAKEN {
         @Override
         void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
-            world.cloud.workers().stream().filter(w -> w.kind().spot())
-                    .limit(1 + random.nextInt(5)).forEach(world.cloud::take);
+            world.cloud.workers().stream()
+                    .filter(w -> w.kind().spot())
+                    .limit(1 + random.nextInt(5))
+                    .forEach(world.cloud::take);
         }
     },
     ZONE_CUT {
@@ -109,7 +112,9 @@
         @Override
         void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
             List<StandInWorker> workers = world.cloud.workers();
-            workers.stream().skip(random.nextInt(Math.max(1, workers.size()))).limit(1 + random.nextInt(2))
+            workers.stream()
+                    .skip(random.nextInt(Math.max(1, workers.size())))
+                    .limit(1 + random.nextInt(2))
                     .forEach(worker -> {
                         world.network.unanswered(worker.name(), true);
                         world.after(span, () -> world.network.unanswered(worker.name(), false));
@@ -185,8 +190,8 @@
         @Override
         void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
             cancel(world, random, 0.4);
-            some(world, random, 8).forEach(worker ->
-                    world.after(Duration.ofMillis(random.nextInt(200)), () -> worker.hang(span)));
+            some(world, random, 8)
+                    .forEach(worker -> world.after(Duration.ofMillis(random.nextInt(200)), () -> worker.hang(span)));
         }
     },
     /** Reports are held back and arrive at a leader that has acted meanwhile. */
@@ -198,8 +203,11 @@
             if (world.leader() != null) {
                 world.crash(world.leader(), Duration.ofMillis(200 + random.nextInt(20_000)));
             }
-            world.after(span, () -> held.forEach(worker -> world.network.release(worker.name(),
-                    world.address(world.leader() == null ? node(world, random) : world.leader()))));
+            world.after(
+                    span,
+                    () -> held.forEach(worker -> world.network.release(
+                            worker.name(),
+                            world.address(world.leader() == null ? node(world, random) : world.leader()))));
         }
     },
     /** Users repeat submissions, cancel jobs that are over, and send what can never run. */
@@ -209,8 +217,9 @@
             int number = 100_000 + 2 * random.nextInt(400_000);
             world.submitOdd(number);
             world.users().forEach(SimulatedWorld.User::submitAgain);
-            world.users().stream().filter(SimulatedWorld.User::over).forEach(user ->
-                    user.cancelOnce(world.address(node(world, random)), () -> { }));
+            world.users().stream()
+                    .filter(SimulatedWorld.User::over)
+                    .forEach(user -> user.cancelOnce(world.address(node(world, random)), () -> {}));
         }
     };
 
@@ -222,7 +231,10 @@
 
     private static List<StandInWorker> some(SimulatedWorld world, SplittableRandom random, int most) {
         List<StandInWorker> workers = world.cloud.workers();
-        return workers.stream().skip(random.nextInt(Math.max(1, workers.size()))).limit(1 + random.nextInt(most)).toList();
+        return workers.stream()
+                .skip(random.nextInt(Math.max(1, workers.size())))
+                .limit(1 + random.nextInt(most))
+                .toList();
     }
 
     private static void cancel(SimulatedWorld world, SplittableRandom random, double share) {
--- a/src/test/java/org/gullway/TroublesTest.java
+++ b/src/test/java/org/gullway/TroublesTest.java
@@ -19,8 +19,15 @@
         SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
         for (int i = 1; i <= 8; i++) {
             int number = i;
-            world.after(Duration.ofMillis(200L * i), () -> world.submit(number, number % 2 == 0 ? "red" : "blue",
-                    number % 3 == 0 ? Rank.HIGH : Rank.NORMAL, 5, 4, Duration.ofSeconds(12 + number)));
+            world.after(
+                    Duration.ofMillis(200L * i),
+                    () -> world.submit(
+                            number,
+                            number % 2 == 0 ? "red" : "blue",
+                            number % 3 == 0 ? Rank.HIGH : Rank.NORMAL,
+                            5,
+                            4,
+                            Duration.ofSeconds(12 + number)));
         }
         world.run(Duration.ofSeconds(18));
         assertThat(world.started()).isPositive();
@@ -60,7 +67,9 @@
             int number = i;
             world.after(Duration.ofSeconds(5L * (i - 8)), () -> {
                 world.submit(number, "blue", number % 2 == 0 ? Rank.HIGH : Rank.IDLE, 6, 8, Duration.ofSeconds(9));
-                world.after(Duration.ofSeconds(7), () -> world.users().get(number - 1).cancel());
+                world.after(
+                        Duration.ofSeconds(7),
+                        () -> world.users().get(number - 1).cancel());
             });
         }
         finishes(world, Duration.ofSeconds(240));
@@ -136,19 +145,32 @@
         for (int i = 1; i <= 180; i++) {
             int number = i;
             boolean large = number % 30 == 0;
-            world.after(Duration.ofMillis(2000L * i), () -> world.submit(number, large || number % 4 != 1 ? "blue" : "red",
-                    Rank.NORMAL, large ? 6 : 4, large ? 16 : 4, Duration.ofSeconds(large ? 20 : 18)));
+            world.after(
+                    Duration.ofMillis(2000L * i),
+                    () -> world.submit(
+                            number,
+                            large || number % 4 != 1 ? "blue" : "red",
+                            Rank.NORMAL,
+                            large ? 6 : 4,
+                            large ? 16 : 4,
+                            Duration.ofSeconds(large ? 20 : 18)));
         }
         world.run(Duration.ofMinutes(13));
         assertThat(world.broken).isEmpty();
-        List<SimulatedWorld.User> large = world.users().stream().filter(u -> u.request.cpus() == 16).toList();
-        assertThat(large).hasSize(6).allSatisfy(user ->
-                assertThat(user.waited()).isNotNull().isLessThan(Duration.ofMinutes(4)));
+        List<SimulatedWorld.User> large =
+                world.users().stream().filter(u -> u.request.cpus() == 16).toList();
+        assertThat(large)
+                .hasSize(6)
+                .allSatisfy(user -> assertThat(user.waited()).isNotNull().isLessThan(Duration.ofMinutes(4)));
         for (String group : List.of("red", "blue", "render", "survey")) {
-            List<SimulatedWorld.User> all = world.users().stream().filter(u ->
-                    u.request.team().equals(group) || u.request.jobClass().equals(group)).toList();
-            assertThat(2 * all.stream().filter(SimulatedWorld.User::over).count()).as("served of %s", group)
-                    .isGreaterThanOrEqualTo(all.size()).isPositive();
+            List<SimulatedWorld.User> all = world.users().stream()
+                    .filter(u -> u.request.team().equals(group)
+                            || u.request.jobClass().equals(group))
+                    .toList();
+            assertThat(2 * all.stream().filter(SimulatedWorld.User::over).count())
+                    .as("served of %s", group)
+                    .isGreaterThanOrEqualTo(all.size())
+                    .isPositive();
         }
         assertThat(large.stream().filter(SimulatedWorld.User::over).count()).isGreaterThanOrEqualTo(3);
     }
@@ -166,17 +188,29 @@
         world.submit(2, "guest", Rank.IDLE, 20, 8, Duration.ofSeconds(40));
         for (int i = 10; i < 100; i++) {
             int number = i;
-            world.after(Duration.ofMillis(300L * i), () -> world.submit(number, "guest", Rank.IDLE, 1, 1, Duration.ofSeconds(5)));
+            world.after(
+                    Duration.ofMillis(300L * i),
+                    () -> world.submit(number, "guest", Rank.IDLE, 1, 1, Duration.ofSeconds(5)));
         }
         for (int i = 200; i < 230; i++) {
             int number = i;
-            world.after(Duration.ofSeconds(2L * (i - 200)), () -> world.submit(number, number % 2 == 0 ? "red" : "blue", number % 3 == 0 ? Rank.NORMAL
-                    : Rank.HIGH, 2, 4, Duration.ofSeconds(8)));
+            world.after(
+                    Duration.ofSeconds(2L * (i - 200)),
+                    () -> world.submit(
+                            number,
+                            number % 2 == 0 ? "red" : "blue",
+                            number % 3 == 0 ? Rank.NORMAL : Rank.HIGH,
+                            2,
+                            4,
+                            Duration.ofSeconds(8)));
         }
         world.run(Duration.ofSeconds(75));
-        List<SimulatedWorld.User> residents = world.users().stream().filter(u -> !u.request.team().equals("guest")).toList();
+        List<SimulatedWorld.User> residents = world.users().stream()
+                .filter(u -> !u.request.team().equals("guest"))
+                .toList();
         assertThat(residents).hasSize(30);
-        assertThat(residents).allSatisfy(user -> assertThat(user.waited()).isNotNull().isLessThan(Duration.ofSeconds(40)));
+        assertThat(residents)
+                .allSatisfy(user -> assertThat(user.waited()).isNotNull().isLessThan(Duration.ofSeconds(40)));
         world.calm();
         finishes(world, Duration.ofSeconds(300));
     }
@@ -194,7 +228,12 @@
         for (int i = 9; i < 15; i++) {
             int number = i;
             world.after(Duration.ofSeconds(3L * (i - 9)), () -> {
-                world.submit(number, number % 2 == 0 ? "red" : "blue", number % 3 == 0 ? Rank.HIGH : Rank.NORMAL, 4, 4,
+                world.submit(
+                        number,
+                        number % 2 == 0 ? "red" : "blue",
+                        number % 3 == 0 ? Rank.HIGH : Rank.NORMAL,
+                        4,
+                        4,
                         Duration.ofSeconds(15));
                 world.users().get(number - 9).cancel();
             });
--- a/src/test/java/org/gullway/bookkeeping/LedgerTest.java
+++ b/src/test/java/org/gullway/bookkeeping/LedgerTest.java
@@ -7,6 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
 import org.gullway.coordination.ClusterView;
 import org.gullway.coordination.Draft;
 import org.gullway.coordination.Incarnation;
@@ -16,9 +19,6 @@
 import org.gullway.standin.SimulatedNetwork;
 import org.gullway.standin.SimulatedTime;
 import org.gullway.standin.StandInStore;
-import net.jqwik.api.ForAll;
-import net.jqwik.api.Property;
-import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
 class LedgerTest {
@@ -37,9 +37,14 @@
             calls.add(call.method() + " " + call.path());
             store.handle(call);
         });
-        ledger = new Ledger(own, new StateStore(network.client("perch-0", own), STATE), view,
-                new Membership(Samples.SELF, Duration.ofSeconds(6)), new Ledger.Pace(30, 150, 3), Duration.ofSeconds(1),
-                () -> { });
+        ledger = new Ledger(
+                own,
+                new StateStore(network.client("perch-0", own), STATE),
+                view,
+                new Membership(Samples.SELF, Duration.ofSeconds(6)),
+                new Ledger.Pace(30, 150, 3),
+                Duration.ofSeconds(1),
+                () -> {});
         ledger.start();
         run(1);
     }
@@ -71,7 +76,7 @@
         for (int i = 0; i < 1000; i++) {
             time.runUntil(time.now().plusMillis(10));
             if (ledger.ready()) {
-                ledger.commit(draft(), result -> { });
+                ledger.commit(draft(), result -> {});
                 committed++;
             }
         }
@@ -88,9 +93,14 @@
         test.network.slow("/store", Duration.ofMillis(700));
         test.own.kill();
         SimulatedTime.Process process = test.time.process();
-        Ledger restarted = new Ledger(process, new StateStore(test.network.client("perch-0", process), STATE),
-                another, new Membership(next, Duration.ofSeconds(6)), new Ledger.Pace(30, 150, 3), Duration.ofSeconds(1),
-                () -> { });
+        Ledger restarted = new Ledger(
+                process,
+                new StateStore(test.network.client("perch-0", process), STATE),
+                another,
+                new Membership(next, Duration.ofSeconds(6)),
+                new Ledger.Pace(30, 150, 3),
+                Duration.ofSeconds(1),
+                () -> {});
         test.calls.clear();
         restarted.start();
         for (int i = 0; i < 6000; i++) {
@@ -98,7 +108,7 @@
             if (restarted.ready()) {
                 Draft draft = new Draft(another, next, Samples.LIMITS, Samples.DAY);
                 draft.raiseEpoch();
-                restarted.commit(draft, result -> { });
+                restarted.commit(draft, result -> {});
             }
         }
         assertThat(another.epoch()).isPositive();
@@ -114,12 +124,12 @@
             if (ledger.ready()) {
                 Draft draft = draft();
                 draft.rely(Keys.LEADER);
-                ledger.commit(draft, result -> { });
+                ledger.commit(draft, result -> {});
             }
             time.runUntil(time.now().plusMillis(100));
         }
         assertThat(view.leader()).isNull();
-        ledger.commit(draft(), result -> { });
+        ledger.commit(draft(), result -> {});
         run(1);
         assertThat(view.epoch()).isEqualTo(1);
     }
@@ -154,7 +164,7 @@
     void joinsOnceAfterALongCutWithACommitOnItsWay(@ForAll @IntRange(min = 7_000, max = 30_000) int millis) {
         LedgerTest test = new LedgerTest();
         test.network.cut("perch-0", STATE);
-        test.ledger.commit(test.draft(), result -> { });
+        test.ledger.commit(test.draft(), result -> {});
         test.time.runUntil(test.time.now().plusMillis(millis));
         test.network.heal();
         test.calls.clear();
@@ -184,7 +194,7 @@
     void isNotEntitledBeforeItKnowsWhatWasCommittedUntilItJoined() {
         run(2);
         network.slow("/watch", Duration.ofMillis(900));
-        new StateStore(network.client("other", process), STATE).end(1, outcome -> { });
+        new StateStore(network.client("other", process), STATE).end(1, outcome -> {});
         int entitled = 0;
         int behind = 0;
         for (int i = 0; i < 6000; i++) {
@@ -207,7 +217,7 @@
         ledger.commit(draft(), results::add);
         time.runUntil(time.now().plusMillis(50));
         network.slow("", Duration.ZERO);
-        new StateStore(network.client("other", process), STATE).end(1, outcome -> { });
+        new StateStore(network.client("other", process), STATE).end(1, outcome -> {});
         for (int i = 0; i < 2500 && !(view.mark(Keys.member(Samples.SELF.node())) > 3 && ledger.ready()); i++) {
             time.runUntil(time.now().plusMillis(1));
         }
--- a/src/test/java/org/gullway/bookkeeping/RecordCodecTest.java
+++ b/src/test/java/org/gullway/bookkeeping/RecordCodecTest.java
@@ -43,13 +43,25 @@
         Instant submitted = Instant.ofEpochMilli(random.nextLong(1L << 41));
         for (int i = random.nextInt(400); i > 0; i--) {
             int task = random.nextInt(100_000);
-            live.put(task, new Placement(task, random.nextInt(1_000_000), "vm-" + random.nextInt(1_000_000),
-                    1 + random.nextInt(9), random.nextInt(9) == 0, submitted.plusMillis(random.nextInt(1_000_000))));
+            live.put(
+                    task,
+                    new Placement(
+                            task,
+                            random.nextInt(1_000_000),
+                            "vm-" + random.nextInt(1_000_000),
+                            1 + random.nextInt(9),
+                            random.nextInt(9) == 0,
+                            submitted.plusMillis(random.nextInt(1_000_000))));
         }
-        JobRecord job = new JobRecord(Samples.request("run-000001", "red", Rank.HIGH, 100_000, 4),
-                random.nextBoolean() ? "perch-1" : null, submitted,
+        JobRecord job = new JobRecord(
+                Samples.request("run-000001", "red", Rank.HIGH, 100_000, 4),
+                random.nextBoolean() ? "perch-1" : null,
+                submitted,
                 random.nextBoolean() ? submitted.plusMillis(random.nextInt(1_000_000)) : null,
-                done, random.nextLong(1L << 40), random.nextInt(10), List.copyOf(live.values()));
+                done,
+                random.nextLong(1L << 40),
+                random.nextInt(10),
+                List.copyOf(live.values()));
         JobRecord read = (JobRecord) through(Keys.job("run-000001"), job);
         assertThat(read.live()).containsExactlyInAnyOrderElementsOf(job.live());
         assertThat(read).usingRecursiveComparison().ignoringFields("live").isEqualTo(job);
@@ -67,15 +79,19 @@
     void otherRecordsSurviveTheStore() throws MalformedException {
         Incarnation incarnation = new Incarnation("perch-0", Long.MAX_VALUE);
         MachineRecord booting = MachineRecord.booting("vm-1", "small", "a", true, Samples.DAY, incarnation, 7);
-        GroupRecord group = new GroupRecord("g-1", incarnation, 7, List.of(booting,
-                booting.inSession(3, "10.1.0.1:9000"), booting.meant(MachineRecord.Fate.LOST)));
+        GroupRecord group = new GroupRecord(
+                "g-1",
+                incarnation,
+                7,
+                List.of(booting, booting.inSession(3, "10.1.0.1:9000"), booting.meant(MachineRecord.Fate.LOST)));
         assertThat(through(Keys.group("g-1"), group)).isEqualTo(group);
         ShareRecord share = ShareRecord.EMPTY.with("red", new ShareRecord.Amount(16.5, 2));
         assertThat(through(Keys.LEADERS_SHARE, share)).isEqualTo(share);
         assertThat(through(Keys.LEADER, incarnation)).isEqualTo(incarnation);
         assertThat(through(Keys.member("perch-0"), incarnation)).isEqualTo(incarnation);
         assertThat(through(Keys.EPOCH, 41L)).isEqualTo(41L);
-        assertThat(through(Keys.CLOSED, new ClosedMachines(Set.of("vm-1")))).isEqualTo(new ClosedMachines(Set.of("vm-1")));
+        assertThat(through(Keys.CLOSED, new ClosedMachines(Set.of("vm-1"))))
+                .isEqualTo(new ClosedMachines(Set.of("vm-1")));
         Draft.Ended ended = new Draft.Ended(JobState.DONE, 4, 4);
         assertThat(RecordCodec.ended(RecordCodec.encode(ended))).isEqualTo(ended);
     }
--- a/src/test/java/org/gullway/coordination/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/BestEffortQueueTest.java
@@ -15,11 +15,18 @@
 
 class BestEffortQueueTest {
     private final ClusterView view = Samples.view();
-    private final Urgency urgency = new Urgency(List.of(
-            new Settings.Objective("finished", "render", Duration.ofSeconds(80))));
+    private final Urgency urgency =
+            new Urgency(List.of(new Settings.Objective("finished", "render", Duration.ofSeconds(80))));
     private final IdleWork idle = new IdleWork(view, Samples.placing(), new JobPauses(), urgency, 0.5);
-    private final BestEffortQueue queue = new BestEffortQueue(view, Samples.placing(), new JobPauses(), urgency, idle,
-            "perch-0", Duration.ofSeconds(3), new SplittableRandom(1));
+    private final BestEffortQueue queue = new BestEffortQueue(
+            view,
+            Samples.placing(),
+            new JobPauses(),
+            urgency,
+            idle,
+            "perch-0",
+            Duration.ofSeconds(3),
+            new SplittableRandom(1));
     private final MachineRecord machine = Samples.machine("vm-1", "small", Samples.SELF);
 
     BestEffortQueueTest() {
@@ -27,8 +34,11 @@
     }
 
     private void accept(String id, String team, String owner, int tasks, long ageSeconds, long mark) {
-        view.put(Keys.job(id), JobRecord.accepted(Samples.request(id, team, Rank.NORMAL, tasks, 4), owner,
-                Samples.DAY.minusSeconds(ageSeconds)), mark);
+        view.put(
+                Keys.job(id),
+                JobRecord.accepted(
+                        Samples.request(id, team, Rank.NORMAL, tasks, 4), owner, Samples.DAY.minusSeconds(ageSeconds)),
+                mark);
     }
 
     private Draft draft() {
@@ -57,8 +67,13 @@
 
     @Test
     void whatCanBeInTimeGoesBeforeWhatCanNot() {
-        JobRecord begun = Samples.placed(JobRecord.accepted(Samples.request("run-000001", "red", Rank.NORMAL, 5, 4),
-                "perch-0", Samples.DAY.minusSeconds(90)), Samples.DAY, "vm-9");
+        JobRecord begun = Samples.placed(
+                JobRecord.accepted(
+                        Samples.request("run-000001", "red", Rank.NORMAL, 5, 4),
+                        "perch-0",
+                        Samples.DAY.minusSeconds(90)),
+                Samples.DAY,
+                "vm-9");
         view.put(Keys.job("run-000001"), begun.ended(Map.of(begun.live().get(0), JobRecord.End.DONE)), 11);
         accept("run-000002", "red", "perch-0", 4, 5, 12);
         Draft draft = draft();
@@ -83,29 +98,51 @@
     void aJobThatHasNotBegunUsesTheMachineKeptForIt() {
         Samples.put(view, Samples.machine("vm-2", "large", Samples.PEER), 11);
         view.put(Keys.CLOSED, new ClosedMachines(java.util.Set.of("vm-2")), 12);
-        view.put(Keys.job("run-000001"), JobRecord.accepted(Samples.request("run-000001", "red", Rank.NORMAL, 2, 32),
-                "perch-0", Samples.DAY.minusSeconds(160)), 13);
+        view.put(
+                Keys.job("run-000001"),
+                JobRecord.accepted(
+                        Samples.request("run-000001", "red", Rank.NORMAL, 2, 32),
+                        "perch-0",
+                        Samples.DAY.minusSeconds(160)),
+                13);
         accept("run-000002", "blue", "perch-0", 8, 5, 14);
         Draft draft = draft();
         queue.propose(draft, () -> List.of(machine), Instant.EPOCH);
-        assertThat(draft.job("run-000001").live()).extracting(Placement::machine).containsExactly("vm-2");
-        assertThat(draft.job("run-000002").live()).extracting(Placement::machine).containsOnly("vm-1");
+        assertThat(draft.job("run-000001").live())
+                .extracting(Placement::machine)
+                .containsExactly("vm-2");
+        assertThat(draft.job("run-000002").live())
+                .extracting(Placement::machine)
+                .containsOnly("vm-1");
     }
 
     @Test
     void usesTheRoomOfEndedAttemptsAndNoMore() {
         Samples.put(view, Samples.machine("vm-2", "large", Samples.SELF), 11);
-        JobRecord small = Samples.placed(JobRecord.accepted(Samples.request("run-000009", "red", Rank.NORMAL, 8, 4),
-                "perch-0", Samples.DAY), Samples.DAY, "vm-2", "vm-2", "vm-2", "vm-2", "vm-2", "vm-2", "vm-2", "vm-2");
+        JobRecord small = Samples.placed(
+                JobRecord.accepted(Samples.request("run-000009", "red", Rank.NORMAL, 8, 4), "perch-0", Samples.DAY),
+                Samples.DAY,
+                "vm-2",
+                "vm-2",
+                "vm-2",
+                "vm-2",
+                "vm-2",
+                "vm-2",
+                "vm-2",
+                "vm-2");
         view.put(Keys.job("run-000009"), small, 12);
-        view.put(Keys.job("run-000001"), JobRecord.accepted(Samples.request("run-000001", "red", Rank.NORMAL, 9, 2),
-                "perch-0", Samples.DAY), 13);
+        view.put(
+                Keys.job("run-000001"),
+                JobRecord.accepted(Samples.request("run-000001", "red", Rank.NORMAL, 9, 2), "perch-0", Samples.DAY),
+                13);
         EndedAttempts ended = new EndedAttempts(view);
         ended.add(AttemptId.of(small, small.live().get(0)), JobRecord.End.DONE, Instant.EPOCH);
         Draft draft = draft();
         ended.credit(draft);
         queue.propose(draft, () -> List.of(machine, view.machine("vm-2")), Instant.EPOCH);
-        assertThat(draft.job("run-000001").live()).as("4 of the limit of 32 are free").hasSize(2);
+        assertThat(draft.job("run-000001").live())
+                .as("4 of the limit of 32 are free")
+                .hasSize(2);
         assertThat(draft.cpusUsedOf(Keys.share("perch-0"), "red")).isEqualTo(32);
     }
 
@@ -113,15 +150,25 @@
     @Test
     void tasksOfOneCommitKeepToTheZonesThatTheJobAllows() {
         MachineRecord other = Samples.machine("vm-2", "small", Samples.SELF);
-        MachineRecord far = new MachineRecord("vm-2", other.address(), "small", "b", true, Samples.SELF, 1, 1,
-                MachineRecord.Fate.STAYS, other.rented());
+        MachineRecord far = new MachineRecord(
+                "vm-2",
+                other.address(),
+                "small",
+                "b",
+                true,
+                Samples.SELF,
+                1,
+                1,
+                MachineRecord.Fate.STAYS,
+                other.rented());
         Samples.put(view, far, 11);
         JobRequest r = Samples.request("run-000001", "red", Rank.NORMAL, 8, 4);
         view.put(Keys.job(r.id()), JobRecord.accepted(zones(r, true, false), "perch-0", Samples.DAY), 12);
         Draft draft = draft();
         queue.propose(draft, () -> List.of(machine, far), Instant.EPOCH);
         assertThat(draft.job(r.id()).live()).as("in one zone").hasSize(4);
-        assertThat(draft.job(r.id()).live().stream().map(Placement::machine).distinct()).hasSize(1);
+        assertThat(draft.job(r.id()).live().stream().map(Placement::machine).distinct())
+                .hasSize(1);
 
         JobRequest s = Samples.request("run-000002", "red", Rank.NORMAL, 5, 4);
         view.remove(Keys.job(r.id()), 13);
@@ -129,13 +176,34 @@
         draft = draft();
         queue.propose(draft, () -> List.of(machine, far), Instant.EPOCH);
         assertThat(draft.job(s.id()).live()).as("spread over two").hasSize(5);
-        assertThat(draft.job(s.id()).live().stream().filter(p -> p.machine().equals("vm-2")).count()).isBetween(2L, 3L);
+        assertThat(draft.job(s.id()).live().stream()
+                        .filter(p -> p.machine().equals("vm-2"))
+                        .count())
+                .isBetween(2L, 3L);
     }
 
     private static JobRequest zones(JobRequest r, boolean oneZone, boolean spread) {
-        return new JobRequest(r.id(), r.jobClass(), r.team(), r.shape(), r.rank(), r.tasks(), r.cpus(), r.cards(),
-                r.memoryGb(), r.image(), r.imageGb(), r.types(), r.zone(), oneZone, spread, r.spot(), r.estimate(),
-                r.checkpoint(), r.save(), r.deadline());
+        return new JobRequest(
+                r.id(),
+                r.jobClass(),
+                r.team(),
+                r.shape(),
+                r.rank(),
+                r.tasks(),
+                r.cpus(),
+                r.cards(),
+                r.memoryGb(),
+                r.image(),
+                r.imageGb(),
+                r.types(),
+                r.zone(),
+                oneZone,
+                spread,
+                r.spot(),
+                r.estimate(),
+                r.checkpoint(),
+                r.save(),
+                r.deadline());
     }
 
     @Test
@@ -153,11 +221,19 @@
         Draft draft = draft();
         List<BestEffortQueue.Outgoing> offers = queue.propose(draft, () -> List.of(machine), Instant.EPOCH);
         assertThat(draft.isEmpty()).isTrue();
-        assertThat(offers).containsExactly(new BestEffortQueue.Outgoing("perch-1",
-                List.of(new Offer("vm-1", 1, List.of("perch-0")))));
+        assertThat(offers)
+                .containsExactly(
+                        new BestEffortQueue.Outgoing("perch-1", List.of(new Offer("vm-1", 1, List.of("perch-0")))));
 
-        BestEffortQueue peer = new BestEffortQueue(view, Samples.placing(), new JobPauses(), urgency, idle, "perch-1",
-                Duration.ofSeconds(3), new SplittableRandom(2));
+        BestEffortQueue peer = new BestEffortQueue(
+                view,
+                Samples.placing(),
+                new JobPauses(),
+                urgency,
+                idle,
+                "perch-1",
+                Duration.ofSeconds(3),
+                new SplittableRandom(2));
         peer.offered(offers.get(0).offers(), Instant.EPOCH);
         Draft there = new Draft(view, Samples.PEER, Samples.LIMITS, Samples.DAY);
         peer.propose(there, List::of, Instant.EPOCH);
@@ -166,8 +242,11 @@
     }
 
     private void acceptIdle(String id, int tasks, long mark) {
-        view.put(Keys.job(id), JobRecord.accepted(Samples.request(id, "blue", Rank.IDLE, tasks, 4), "perch-0",
-                Samples.DAY.minusSeconds(50)), mark);
+        view.put(
+                Keys.job(id),
+                JobRecord.accepted(
+                        Samples.request(id, "blue", Rank.IDLE, tasks, 4), "perch-0", Samples.DAY.minusSeconds(50)),
+                mark);
     }
 
     @Test
@@ -181,7 +260,9 @@
         view.put(Keys.job("run-000009"), Samples.placed(urgent, Samples.DAY, "vm-9", "vm-9"), 12);
         draft = draft();
         queue.propose(draft, () -> List.of(machine), Instant.EPOCH);
-        assertThat(draft.job("run-000001").live()).as("8 of the 16 are kept for urgent work").hasSize(2);
+        assertThat(draft.job("run-000001").live())
+                .as("8 of the 16 are kept for urgent work")
+                .hasSize(2);
 
         // Somebody's best-effort job waits and may run: the room is not for idle work, whoever finds it.
         accept("run-000002", "red", "perch-1", 1, 5, 13);
@@ -196,7 +277,8 @@
         acceptIdle("run-000001", 9, 11);
         JobRecord held = view.job("run-000001");
         view.put(Keys.job("run-000001"), Samples.placed(held, Samples.DAY, "vm-1", "vm-1", "vm-1"), 12);
-        JobRecord normal = JobRecord.accepted(Samples.request("run-000002", "red", Rank.NORMAL, 1, 4), "perch-1", Samples.DAY);
+        JobRecord normal =
+                JobRecord.accepted(Samples.request("run-000002", "red", Rank.NORMAL, 1, 4), "perch-1", Samples.DAY);
         view.put(Keys.job("run-000002"), Samples.placed(normal, Samples.DAY, "vm-1"), 13);
         Draft draft = draft();
         idle.propose(draft, Instant.EPOCH);
@@ -204,7 +286,10 @@
         accept("run-000003", "red", "perch-1", 2, 5, 14);
         draft = draft();
         idle.propose(draft, Instant.EPOCH.plusSeconds(2));
-        assertThat(draft.job("run-000001").live().stream().filter(Placement::stopping).count()).isEqualTo(2);
+        assertThat(draft.job("run-000001").live().stream()
+                        .filter(Placement::stopping)
+                        .count())
+                .isEqualTo(2);
         assertThat(draft.job("run-000002").live()).noneMatch(Placement::stopping);
     }
 }
--- a/src/test/java/org/gullway/coordination/CancelledTasksTest.java
+++ b/src/test/java/org/gullway/coordination/CancelledTasksTest.java
@@ -113,18 +113,21 @@
     /** The peer's list counts like a record: for stops, for leases, for the limit, and for what is told on. */
     @Test
     void whatAPeerTellsCountsLikeARecordUntilTheRecordsShowIt() {
-        Cancellations.Job job = new Cancellations.Job(request.id(), Samples.DAY.toEpochMilli(),
-                List.of(new Cancellations.Attempt(0, 1, "vm-2", 1)));
+        Cancellations.Job job = new Cancellations.Job(
+                request.id(), Samples.DAY.toEpochMilli(), List.of(new Cancellations.Attempt(0, 1, "vm-2", 1)));
         assertThat(cancelled.known()).isEmpty();
         cancelled.learn(job, now);
         assertThat(cancelled.known()).containsExactly(job);
         assertThat(cancelled.stops(answer(1, task(Phase.RUNNING)))).hasSize(1);
         assertThat(cancelled.mayBegin(view.machine("vm-2"), answer(1))).isTrue();
-        assertThat(cancelled.mayBegin(view.machine("vm-2"), answer(1, task(Phase.ENDED)))).isFalse();
+        assertThat(cancelled.mayBegin(view.machine("vm-2"), answer(1, task(Phase.ENDED))))
+                .isFalse();
         assertThat(later(1)).hasSize(1);
         assertThat(cancelled.machinesToReturn(Samples.DAY.plusSeconds(31))).containsExactly("vm-2");
         cancelled.entitled(now.minusSeconds(1));
-        assertThat(cancelled.known()).as("the records are older than what was told").containsExactly(job);
+        assertThat(cancelled.known())
+                .as("the records are older than what was told")
+                .containsExactly(job);
         cancelled.entitled(now.plusSeconds(1));
         assertThat(cancelled.known()).isEmpty();
     }
@@ -136,7 +139,8 @@
         cancelled.learn(placed.cancel(Samples.DAY), now);
         assertThat(cancelled.known()).hasSize(1);
         cancel();
-        assertThat(cancelled.known()).containsExactly(new Cancellations.Job(request.id(), Samples.DAY.toEpochMilli(),
-                List.of(new Cancellations.Attempt(0, 1, "vm-2", 1))));
+        assertThat(cancelled.known())
+                .containsExactly(new Cancellations.Job(
+                        request.id(), Samples.DAY.toEpochMilli(), List.of(new Cancellations.Attempt(0, 1, "vm-2", 1))));
     }
 }
--- a/src/test/java/org/gullway/coordination/ClusterViewTest.java
+++ b/src/test/java/org/gullway/coordination/ClusterViewTest.java
@@ -34,29 +34,38 @@
         Map<String, JobRecord> truth = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             String id = "run-00000" + random.nextInt(4);
-            JobRecord job = truth.getOrDefault(id, JobRecord.accepted(Samples.request(id, "red", Rank.NORMAL, 9, 2),
-                    "perch-0", Samples.DAY));
+            JobRecord job = truth.getOrDefault(
+                    id, JobRecord.accepted(Samples.request(id, "red", Rank.NORMAL, 9, 2), "perch-0", Samples.DAY));
             JobRecord known = job;
-            JobRecord next = switch (random.nextInt(6)) {
-                case 0 -> job.waiting() > 0 ? Samples.placed(job, Samples.DAY, "vm-" + random.nextInt(3)) : job;
-                case 1 -> job.stopping(p -> random.nextBoolean());
-                case 2 -> job.ownedBy("perch-" + random.nextInt(2));
-                case 3 -> job.cancel(Samples.DAY);
-                case 4 -> job.live().isEmpty() ? job : job.ended(Map.of(known.live().get(0), JobRecord.End.STOPPED));
-                default -> job.waiting() > 1
-                        ? Samples.placed(job, Samples.DAY, "vm-" + random.nextInt(3), "vm-" + random.nextInt(3)) : job;
-            };
+            JobRecord next =
+                    switch (random.nextInt(6)) {
+                        case 0 -> job.waiting() > 0 ? Samples.placed(job, Samples.DAY, "vm-" + random.nextInt(3)) : job;
+                        case 1 -> job.stopping(p -> random.nextBoolean());
+                        case 2 -> job.ownedBy("perch-" + random.nextInt(2));
+                        case 3 -> job.cancel(Samples.DAY);
+                        case 4 -> job.live().isEmpty()
+                                ? job
+                                : job.ended(Map.of(known.live().get(0), JobRecord.End.STOPPED));
+                        default -> job.waiting() > 1
+                                ? Samples.placed(job, Samples.DAY, "vm-" + random.nextInt(3), "vm-" + random.nextInt(3))
+                                : job;
+                    };
             truth.put(id, next);
             view.put(Keys.job(id), next, 2000 + i);
         }
         for (String machine : List.of("vm-0", "vm-1", "vm-2")) {
             List<Placement> there = new ArrayList<>();
-            truth.values().forEach(job -> job.live().stream().filter(p -> p.machine().equals(machine)).forEach(there::add));
+            truth.values().forEach(job -> job.live().stream()
+                    .filter(p -> p.machine().equals(machine))
+                    .forEach(there::add));
             assertThat(view.placementsOn(machine).values()).containsExactlyInAnyOrderElementsOf(there);
             assertThat(view.usedOn(machine).cpus).isEqualTo(2.0 * there.size());
         }
         for (String owner : List.of("perch-0", "perch-1")) {
-            int tasks = truth.values().stream().filter(j -> j.owner().equals(owner)).mapToInt(j -> j.live().size()).sum();
+            int tasks = truth.values().stream()
+                    .filter(j -> j.owner().equals(owner))
+                    .mapToInt(j -> j.live().size())
+                    .sum();
             assertThat(view.usedOf(Keys.share(owner), "red").cpus).isEqualTo(2.0 * tasks);
         }
     }
--- a/src/test/java/org/gullway/coordination/LeaseKeeperTest.java
+++ b/src/test/java/org/gullway/coordination/LeaseKeeperTest.java
@@ -10,15 +10,19 @@
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Rank;
-import org.gullway.protocol.WorkerReport;
 import org.gullway.protocol.TaskId;
 import org.gullway.protocol.TaskReport;
+import org.gullway.protocol.WorkerReport;
 import org.junit.jupiter.api.Test;
 
 class LeaseKeeperTest {
     private final ClusterView view = Samples.view();
-    private final LeaseKeeper leases = new LeaseKeeper(view, Samples.SELF,
-            new CancelledTasks(view, Duration.ofSeconds(40)), Duration.ofSeconds(40), Duration.ofSeconds(20));
+    private final LeaseKeeper leases = new LeaseKeeper(
+            view,
+            Samples.SELF,
+            new CancelledTasks(view, Duration.ofSeconds(40)),
+            Duration.ofSeconds(40),
+            Duration.ofSeconds(20));
     private Instant now = Instant.EPOCH;
 
     LeaseKeeperTest() {
@@ -81,9 +85,13 @@
         view.put(Keys.job(request.id()), job.cancel(Samples.DAY), 21);
         assertThat(leases.keeps(report("vm-2", 1, 1), now)).isFalse();
         TaskReport other = new TaskReport(new TaskId(request.id(), 0), 9, TaskReport.Phase.RUNNING, null, false);
-        assertThat(leases.keeps(report("vm-2", 1, 1, other), now)).as("only another attempt is there").isFalse();
+        assertThat(leases.keeps(report("vm-2", 1, 1, other), now))
+                .as("only another attempt is there")
+                .isFalse();
         TaskReport there = new TaskReport(new TaskId(request.id(), 0), 1, TaskReport.Phase.RUNNING, null, false);
-        assertThat(leases.keeps(report("vm-2", 1, 1, there), now)).as("the answer stops it").isTrue();
+        assertThat(leases.keeps(report("vm-2", 1, 1, there), now))
+                .as("the answer stops it")
+                .isTrue();
     }
 
     /**
--- a/src/test/java/org/gullway/coordination/MachineControlTest.java
+++ b/src/test/java/org/gullway/coordination/MachineControlTest.java
@@ -21,7 +21,12 @@
 
     private final ClusterView view = Samples.view();
     private final EndedAttempts ended = new EndedAttempts(view);
-    private final MachineControl control = new MachineControl(view, Samples.SELF, Duration.ofSeconds(3), Samples.NEIGHBOURS, ended,
+    private final MachineControl control = new MachineControl(
+            view,
+            Samples.SELF,
+            Duration.ofSeconds(3),
+            Samples.NEIGHBOURS,
+            ended,
             new CancelledTasks(view, Samples.NEIGHBOURS.cancelLimit()));
     private Instant now = Instant.EPOCH;
     private long sequence;
@@ -32,8 +37,8 @@
     }
 
     private WorkerReport report(long session, long token, Duration notice, TaskReport... tasks) {
-        return new WorkerReport("vm-1", "10.1.0.1:9000", "large", "a", true, session, ++sequence, token, notice,
-                List.of(tasks));
+        return new WorkerReport(
+                "vm-1", "10.1.0.1:9000", "large", "a", true, session, ++sequence, token, notice, List.of(tasks));
     }
 
     private Draft propose() {
@@ -47,8 +52,10 @@
     }
 
     private void place(JobRequest request) {
-        view.put(Keys.job(request.id()), Samples.placed(JobRecord.accepted(request, "perch-0", Samples.DAY),
-                Samples.DAY, "vm-1"), ++revision);
+        view.put(
+                Keys.job(request.id()),
+                Samples.placed(JobRecord.accepted(request, "perch-0", Samples.DAY), Samples.DAY, "vm-1"),
+                ++revision);
         view.watchedTo(revision);
     }
 
@@ -61,7 +68,9 @@
         assertThat(view.machine("vm-1").session()).isEqualTo(1);
         place(Samples.request("run-000001", "red", Rank.NORMAL, 1, 4));
         assertThat(control.pushes(now)).singleElement().satisfies(push -> {
-            assertThat(push.commands()).as("asks for the epoch's confirmation first").isEmpty();
+            assertThat(push.commands())
+                    .as("asks for the epoch's confirmation first")
+                    .isEmpty();
             control.answered(report(1, 1, null), now);
             control.pushEnded(push, MachineControl.Outcome.ANSWERED, now);
         });
@@ -84,10 +93,12 @@
         Samples.put(view, Samples.machine("vm-1", "large", Samples.PEER), 10);
         assertThat(control.report(report(1, 1, null), now)).isEqualTo(new Answer.Elsewhere("perch-1"));
         now = now.plusSeconds(5);
-        assertThat(control.report(report(1, 1, null), now)).as("keeps its lease meanwhile")
+        assertThat(control.report(report(1, 1, null), now))
+                .as("keeps its lease meanwhile")
                 .isEqualTo(new Answer.Commands(1, List.of(), true));
         now = now.plusSeconds(3);
-        assertThat(control.report(report(1, 1, null), now)).as("but must not stay where nobody commands it")
+        assertThat(control.report(report(1, 1, null), now))
+                .as("but must not stay where nobody commands it")
                 .isEqualTo(new Answer.Elsewhere("perch-1"));
         propose();
         assertThat(view.epoch()).isEqualTo(2);
@@ -102,7 +113,8 @@
         propose();
         assertThat(view.machine("vm-1").controller()).isEqualTo(Samples.SELF);
         assertThat(view.epoch()).isEqualTo(2);
-        assertThat(control.pushes(now)).singleElement().satisfies(p -> assertThat(p.commands()).isEmpty());
+        assertThat(control.pushes(now)).singleElement().satisfies(p -> assertThat(p.commands())
+                .isEmpty());
     }
 
     /** One raise serves all groups of controllers lost before it; a loss after it needs another. */
@@ -152,17 +164,22 @@
         place(Samples.request("run-000001", "red", Rank.NORMAL, 1, 4));
         for (int i = 0; i < 5; i++) {
             control.report(report(1, 1, null), now);
-            control.report(new WorkerReport("vm-2", "10.1.0.2:9000", "large", "a", true, 1, ++sequence, 1, null, List.of()), now);
+            control.report(
+                    new WorkerReport("vm-2", "10.1.0.2:9000", "large", "a", true, 1, ++sequence, 1, null, List.of()),
+                    now);
             Instant sent = now;
             now = now.plusSeconds(3);
-            control.pushes(sent).stream().filter(push -> push.machine().equals("vm-1"))
+            control.pushes(sent).stream()
+                    .filter(push -> push.machine().equals("vm-1"))
                     .forEach(push -> control.pushEnded(push, MachineControl.Outcome.UNKNOWN, now));
             assertThat(control.ready(now)).extracting(MachineRecord::name).doesNotContain("vm-1");
             propose();
         }
         assertThat(view.machine("vm-1").fate()).isEqualTo(MachineRecord.Fate.LOST);
         assertThat(view.machine("vm-2").fate()).isEqualTo(MachineRecord.Fate.STAYS);
-        assertThat(view.job("run-000001").live()).as("its task moves only when the machine is gone").hasSize(1);
+        assertThat(view.job("run-000001").live())
+                .as("its task moves only when the machine is gone")
+                .hasSize(1);
     }
 
     /** A start of the former controller may still be under way until the worker has confirmed the new epoch. */
@@ -193,7 +210,8 @@
         propose();
         assertThat(view.epoch()).isEqualTo(2);
         now = now.plusSeconds(1);
-        assertThat(control.pushes(now)).singleElement().satisfies(p -> assertThat(p.commands()).isEmpty());
+        assertThat(control.pushes(now)).singleElement().satisfies(p -> assertThat(p.commands())
+                .isEmpty());
     }
 
     /** A start that arrives twice would begin a forgotten attempt again. */
@@ -225,8 +243,27 @@
     void savesTasksBeforeAMachineIsTakenAndReturnsItThen() {
         Samples.put(view, Samples.machine("vm-1", "large", Samples.SELF), 10);
         JobRequest r = Samples.request("run-000001", "red", Rank.NORMAL, 1, 4);
-        place(new JobRequest(r.id(), r.jobClass(), r.team(), r.shape(), r.rank(), 1, 4, 0, 4, r.image(), r.imageGb(),
-                null, null, false, false, true, r.estimate(), Duration.ofSeconds(20), Duration.ofSeconds(2), null));
+        place(new JobRequest(
+                r.id(),
+                r.jobClass(),
+                r.team(),
+                r.shape(),
+                r.rank(),
+                1,
+                4,
+                0,
+                4,
+                r.image(),
+                r.imageGb(),
+                null,
+                null,
+                false,
+                false,
+                true,
+                r.estimate(),
+                Duration.ofSeconds(20),
+                Duration.ofSeconds(2),
+                null));
         TaskReport running = new TaskReport(TASK, 1, Phase.RUNNING, null, false);
         control.report(report(1, 1, Duration.ofSeconds(15), running), now);
         propose();
@@ -251,14 +288,17 @@
         view.watchedTo(revision);
         Command stop = Command.stop(TASK, 1, Duration.ZERO);
         TaskReport running = new TaskReport(TASK, 1, Phase.RUNNING, null, false);
-        assertThat(((Answer.Commands) control.report(report(1, 1, null, running), now)).commands()).contains(stop);
+        assertThat(((Answer.Commands) control.report(report(1, 1, null, running), now)).commands())
+                .contains(stop);
         Samples.put(view, Samples.machine("vm-1", "large", Samples.PEER), ++revision);
         control.report(report(1, 1, null, running), now);
         assertThat(((Answer.Commands) control.report(report(1, 1, null, running), now)).commands())
-                .as("a worker that cannot reach its controller").contains(stop);
+                .as("a worker that cannot reach its controller")
+                .contains(stop);
         view.remove(Keys.group("g-vm-1"), ++revision);
         assertThat(((Answer.Commands) control.report(report(1, 1, null, running), now)).commands())
-                .as("a machine that is not on record").contains(stop);
+                .as("a machine that is not on record")
+                .contains(stop);
     }
 
     /** Ten changes of leader in two minutes: silence begins anew each time, the limit of a cancelled job does not. */
@@ -275,7 +315,9 @@
         assertThat(view.machine("vm-1").fate()).isEqualTo(MachineRecord.Fate.STAYS);
         view.put(Keys.job(request.id()), view.job(request.id()).cancel(Samples.DAY.minusSeconds(31)), ++revision);
         propose();
-        assertThat(view.machine("vm-1").fate()).as("the first cancellation counts").isEqualTo(MachineRecord.Fate.STAYS);
+        assertThat(view.machine("vm-1").fate())
+                .as("the first cancellation counts")
+                .isEqualTo(MachineRecord.Fate.STAYS);
         Draft later = new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY.plusSeconds(2));
         control.propose(later, now);
         assertThat(later.machine("vm-1").fate()).isEqualTo(MachineRecord.Fate.LOST);
@@ -303,8 +345,15 @@
         }
         for (int j = 1; j <= 2; j++) {
             String id = "run-00000" + j;
-            view.put(Keys.job(id), Samples.placed(JobRecord.accepted(Samples.request(id, "red", Rank.NORMAL, 6, 4), "perch-0",
-                    Samples.DAY), Samples.DAY, "vm-1", "vm-2", "vm-3"), ++revision);
+            view.put(
+                    Keys.job(id),
+                    Samples.placed(
+                            JobRecord.accepted(Samples.request(id, "red", Rank.NORMAL, 6, 4), "perch-0", Samples.DAY),
+                            Samples.DAY,
+                            "vm-1",
+                            "vm-2",
+                            "vm-3"),
+                    ++revision);
         }
         view.watchedTo(revision);
         for (int m = 1; m <= 3; m++) {
@@ -320,8 +369,13 @@
         assertThat(view.machines()).extracting(MachineRecord::fate).containsOnly(MachineRecord.Fate.STAYS);
         for (int j = 3; j <= 4; j++) {
             String id = "run-00000" + j;
-            view.put(Keys.job(id), Samples.placed(JobRecord.accepted(Samples.request(id, "red", Rank.NORMAL, 6, 4), "perch-0",
-                    Samples.DAY), Samples.DAY, "vm-2"), ++revision);
+            view.put(
+                    Keys.job(id),
+                    Samples.placed(
+                            JobRecord.accepted(Samples.request(id, "red", Rank.NORMAL, 6, 4), "perch-0", Samples.DAY),
+                            Samples.DAY,
+                            "vm-2"),
+                    ++revision);
         }
         view.watchedTo(revision);
         fail("vm-2", 0, "run-000003", "run-000004");
@@ -331,9 +385,11 @@
     }
 
     private void fail(String machine, int task, String... jobs) {
-        List<TaskReport> tasks = java.util.stream.Stream.of(jobs).map(job ->
-                new TaskReport(new TaskId(job, task), task + 1, Phase.ENDED, Cause.ERROR, false)).toList();
-        control.report(new WorkerReport(machine, "10.1.0.1:9000", "large", "a", true, 1, ++sequence, 1, null, tasks), now);
+        List<TaskReport> tasks = java.util.stream.Stream.of(jobs)
+                .map(job -> new TaskReport(new TaskId(job, task), task + 1, Phase.ENDED, Cause.ERROR, false))
+                .toList();
+        control.report(
+                new WorkerReport(machine, "10.1.0.1:9000", "large", "a", true, 1, ++sequence, 1, null, tasks), now);
         control.pushes(now);
     }
 }
--- a/src/test/java/org/gullway/coordination/PlacingTest.java
+++ b/src/test/java/org/gullway/coordination/PlacingTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 class PlacingTest {
-    private final Placing placing = new Placing(Map.of("red", new Settings.Team("red", 16, 32, 0, 0),
-            "guest", new Settings.Team("guest", 0, 0, 0, 0)));
+    private final Placing placing = new Placing(
+            Map.of("red", new Settings.Team("red", 16, 32, 0, 0), "guest", new Settings.Team("guest", 0, 0, 0, 0)));
 
     PlacingTest() {
         placing.learn(List.of(Samples.type("small", 16), Samples.type("large", 32)));
@@ -21,10 +21,14 @@
     /** On an on-call day all 814 jobs of a guest team were refused with 422 (incident inc-7065). */
     @Test
     void aTeamWithoutALimitMayRunWhatFitsAMachine() {
-        assertThat(placing.possible(Samples.request("run-000001", "guest", Rank.IDLE, 25_000, 32))).isTrue();
-        assertThat(placing.possible(Samples.request("run-000001", "guest", Rank.IDLE, 1, 33))).isFalse();
-        assertThat(placing.possible(Samples.request("run-000001", "nobody", Rank.IDLE, 1, 1))).isFalse();
-        assertThat(placing.possible(Samples.request("run-000001", "red", Rank.IDLE, 1, 32))).isTrue();
+        assertThat(placing.possible(Samples.request("run-000001", "guest", Rank.IDLE, 25_000, 32)))
+                .isTrue();
+        assertThat(placing.possible(Samples.request("run-000001", "guest", Rank.IDLE, 1, 33)))
+                .isFalse();
+        assertThat(placing.possible(Samples.request("run-000001", "nobody", Rank.IDLE, 1, 1)))
+                .isFalse();
+        assertThat(placing.possible(Samples.request("run-000001", "red", Rank.IDLE, 1, 32)))
+                .isTrue();
     }
 
     @Test
@@ -34,8 +38,13 @@
         view.put(Keys.member(Samples.PEER.node()), Samples.PEER, 2);
         JobRequest request = Samples.request("run-000001", "guest", Rank.IDLE, 25_000, 32);
         view.put(Keys.job(request.id()), JobRecord.accepted(request, Samples.SELF.node(), Samples.DAY), 3);
-        view.put(Keys.job("run-000002"), JobRecord.accepted(Samples.request("run-000002", "guest", Rank.IDLE, 25_000, 32),
-                Samples.PEER.node(), Samples.DAY), 4);
+        view.put(
+                Keys.job("run-000002"),
+                JobRecord.accepted(
+                        Samples.request("run-000002", "guest", Rank.IDLE, 25_000, 32),
+                        Samples.PEER.node(),
+                        Samples.DAY),
+                4);
         view.watchedTo(4);
         long revision = 4;
         for (Incarnation each : List.of(Samples.SELF, Samples.PEER)) {
--- a/src/test/java/org/gullway/coordination/RepairTest.java
+++ b/src/test/java/org/gullway/coordination/RepairTest.java
@@ -18,8 +18,13 @@
 
     private void job(String id, int placed) {
         JobRecord job = JobRecord.accepted(Samples.request(id, "red", Rank.NORMAL, 20, 4), "perch-9", Samples.DAY);
-        view.put(Keys.job(id), Samples.placed(job, Samples.DAY,
-                java.util.Collections.nCopies(placed, "vm-1").toArray(String[]::new)), ++revision);
+        view.put(
+                Keys.job(id),
+                Samples.placed(
+                        job,
+                        Samples.DAY,
+                        java.util.Collections.nCopies(placed, "vm-1").toArray(String[]::new)),
+                ++revision);
     }
 
     private void repair(int seed, int rounds) {
@@ -34,7 +39,10 @@
     }
 
     private double cap(String node) {
-        return view.shares().getOrDefault(Keys.share(node), ShareRecord.EMPTY).of("red").cpus();
+        return view.shares()
+                .getOrDefault(Keys.share(node), ShareRecord.EMPTY)
+                .of("red")
+                .cpus();
     }
 
     /**
@@ -42,8 +50,8 @@
      * of its jobs they belong to nobody else knows. Whichever they are, no new owner may end up with less than it runs.
      */
     @Property(tries = 40, seed = "41")
-    void aShareThatIsOverdrawnOnRecordIsNotDividedBetweenNewOwners(@ForAll @IntRange(min = 0, max = 8) int first,
-                                                                   @ForAll @IntRange(max = 1000) int seed) {
+    void aShareThatIsOverdrawnOnRecordIsNotDividedBetweenNewOwners(
+            @ForAll @IntRange(min = 0, max = 8) int first, @ForAll @IntRange(max = 1000) int seed) {
         view.put(Keys.member("perch-2"), THIRD, ++revision);
         Samples.put(view, Samples.machine("vm-1", "large", Samples.SELF), ++revision);
         view.put(Keys.share("perch-9"), ShareRecord.EMPTY.with("red", new ShareRecord.Amount(24, 0)), ++revision);
@@ -54,14 +62,19 @@
         job("run-000002", 8 - first);
         repair(seed, 3);
         for (String id : java.util.List.of("run-000001", "run-000002")) {
-            assertThat(view.job(id).owner()).as("handed on before the ends are on record").isEqualTo("perch-9");
+            assertThat(view.job(id).owner())
+                    .as("handed on before the ends are on record")
+                    .isEqualTo("perch-9");
         }
         assertThat(cap("perch-9")).isEqualTo(24);
         // The ends come on record: what is left fits into the share, and goes along with the jobs.
         String with = first >= 2 ? "run-000001" : "run-000002";
         JobRecord job = view.job(with);
-        view.put(Keys.job(with), job.ended(Map.of(job.live().get(0), JobRecord.End.DONE,
-                job.live().get(1), JobRecord.End.DONE)), ++revision);
+        view.put(
+                Keys.job(with),
+                job.ended(
+                        Map.of(job.live().get(0), JobRecord.End.DONE, job.live().get(1), JobRecord.End.DONE)),
+                ++revision);
         view.watchedTo(revision);
         repair(seed, 3);
         double sum = 0;
--- a/src/test/java/org/gullway/coordination/ReservedBookingTest.java
+++ b/src/test/java/org/gullway/coordination/ReservedBookingTest.java
@@ -8,15 +8,18 @@
 
 class ReservedBookingTest {
     private final ClusterView view = Samples.view();
-    private final ReservedBooking booking = new ReservedBooking(view, Samples.placing(), new JobPauses(),
-            new Urgency(java.util.List.of()));
+    private final ReservedBooking booking =
+            new ReservedBooking(view, Samples.placing(), new JobPauses(), new Urgency(java.util.List.of()));
 
     private Draft draft() {
         return new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
     }
 
     private void accept(String id, String team, Rank rank, int tasks, double cpus, long mark) {
-        view.put(Keys.job(id), JobRecord.accepted(Samples.request(id, team, rank, tasks, cpus), null, Samples.DAY), mark);
+        view.put(
+                Keys.job(id),
+                JobRecord.accepted(Samples.request(id, team, rank, tasks, cpus), null, Samples.DAY),
+                mark);
     }
 
     @Test
@@ -26,7 +29,9 @@
         accept("run-000001", "red", Rank.HIGH, 1, 4, 12);
         Draft draft = draft();
         booking.propose(draft, Instant.EPOCH);
-        assertThat(draft.job("run-000001").live()).extracting(Placement::machine).containsExactly("vm-2");
+        assertThat(draft.job("run-000001").live())
+                .extracting(Placement::machine)
+                .containsExactly("vm-2");
         assertThat(draft.guards()).contains(Keys.job("run-000001"), Keys.member("perch-0"));
     }
 
@@ -39,7 +44,9 @@
         accept("run-000001", "red", Rank.HIGH, 1, 4, 13);
         Draft draft = draft();
         booking.propose(draft, Instant.EPOCH);
-        assertThat(draft.job("run-000001").live()).extracting(Placement::machine).containsExactly("vm-1");
+        assertThat(draft.job("run-000001").live())
+                .extracting(Placement::machine)
+                .containsExactly("vm-1");
     }
 
     @Test
@@ -68,8 +75,13 @@
     void keepsAMachineForALargeBestEffortTaskThatHasNotBegun() {
         Samples.put(view, Samples.machine("vm-1", "small", Samples.SELF), 10);
         Samples.put(view, Samples.machine("vm-2", "large", Samples.PEER), 11);
-        view.put(Keys.job("run-000001"), JobRecord.accepted(Samples.request("run-000001", "red", Rank.NORMAL, 2, 32),
-                "perch-1", Samples.DAY.minusSeconds(160)), 12);
+        view.put(
+                Keys.job("run-000001"),
+                JobRecord.accepted(
+                        Samples.request("run-000001", "red", Rank.NORMAL, 2, 32),
+                        "perch-1",
+                        Samples.DAY.minusSeconds(160)),
+                12);
         Draft draft = draft();
         booking.propose(draft, Instant.EPOCH);
         assertThat(draft.changes()).containsEntry(Keys.CLOSED, new ClosedMachines(java.util.Set.of("vm-2")));
@@ -90,22 +102,32 @@
     @Test
     void stopsTheBestEffortTaskThatLosesLeast() {
         Samples.put(view, Samples.machine("vm-1", "small", Samples.SELF), 10);
-        JobRecord old = JobRecord.accepted(Samples.request("run-000008", "blue", Rank.NORMAL, 2, 4), "perch-0", Samples.DAY);
-        old = Samples.placed(Samples.placed(old, Samples.DAY.minusSeconds(60), "vm-1"), Samples.DAY.minusSeconds(5), "vm-1");
-        JobRecord wide = Samples.placed(JobRecord.accepted(Samples.request("run-000009", "blue", Rank.NORMAL, 1, 8),
-                "perch-0", Samples.DAY), Samples.DAY.minusSeconds(30), "vm-1");
+        JobRecord old =
+                JobRecord.accepted(Samples.request("run-000008", "blue", Rank.NORMAL, 2, 4), "perch-0", Samples.DAY);
+        old = Samples.placed(
+                Samples.placed(old, Samples.DAY.minusSeconds(60), "vm-1"), Samples.DAY.minusSeconds(5), "vm-1");
+        JobRecord wide = Samples.placed(
+                JobRecord.accepted(Samples.request("run-000009", "blue", Rank.NORMAL, 1, 8), "perch-0", Samples.DAY),
+                Samples.DAY.minusSeconds(30),
+                "vm-1");
         view.put(Keys.job("run-000008"), old, 12);
         view.put(Keys.job("run-000009"), wide, 13);
         accept("run-000001", "red", Rank.HIGH, 1, 4, 14);
         Draft draft = draft();
         booking.propose(draft, Instant.EPOCH);
-        assertThat(draft.job("run-000008").live()).extracting(Placement::stopping).containsExactly(false, true);
-        assertThat(draft.job("run-000009").live()).extracting(Placement::stopping).containsExactly(false);
+        assertThat(draft.job("run-000008").live())
+                .extracting(Placement::stopping)
+                .containsExactly(false, true);
+        assertThat(draft.job("run-000009").live())
+                .extracting(Placement::stopping)
+                .containsExactly(false);
         assertThat(draft.changes()).containsEntry(Keys.CLOSED, new ClosedMachines(java.util.Set.of("vm-1")));
 
         Samples.commit(view, draft, 20);
         Draft next = draft();
         booking.propose(next, Instant.EPOCH.plusSeconds(1));
-        assertThat(next.isEmpty()).as("one waiting task has only one stopped for it").isTrue();
+        assertThat(next.isEmpty())
+                .as("one waiting task has only one stopped for it")
+                .isTrue();
     }
 }
--- a/src/test/java/org/gullway/coordination/Samples.java
+++ b/src/test/java/org/gullway/coordination/Samples.java
@@ -16,15 +16,34 @@
     /** perch-1 is beside this one, perch-2 in another zone. */
     public static final Neighbours NEIGHBOURS =
             new Neighbours(Map.of("perch-1", "a", "perch-2", "b"), Duration.ofSeconds(40));
+
     public static final Instant DAY = Instant.parse("2026-11-20T06:00:00Z");
     public static final Draft.Limits LIMITS = new Draft.Limits(24, 16 * 1024);
 
-    private Samples() {
-    }
+    private Samples() {}
 
     public static JobRequest request(String id, String team, Rank rank, int tasks, double cpus) {
-        return new JobRequest(id, "render", team, JobRequest.Shape.ARRAY, rank, tasks, cpus, 0, cpus, "img-1", 0.5,
-                null, null, false, false, true, Duration.ofSeconds(20), Duration.ZERO, Duration.ZERO, null);
+        return new JobRequest(
+                id,
+                "render",
+                team,
+                JobRequest.Shape.ARRAY,
+                rank,
+                tasks,
+                cpus,
+                0,
+                cpus,
+                "img-1",
+                0.5,
+                null,
+                null,
+                false,
+                false,
+                true,
+                Duration.ofSeconds(20),
+                Duration.ZERO,
+                Duration.ZERO,
+                null);
     }
 
     public static Placing placing() {
@@ -36,7 +55,8 @@
     }
 
     public static MachineType type(String name, double cpus) {
-        return new MachineType(name, cpus, 0, cpus * 4, 50, 1, cpus / 10, cpus / 30, Duration.ofSeconds(30), List.of("a"));
+        return new MachineType(
+                name, cpus, 0, cpus * 4, 50, 1, cpus / 10, cpus / 30, Duration.ofSeconds(30), List.of("a"));
     }
 
     public static MachineRecord machine(String name, String type, Incarnation controller) {
@@ -45,14 +65,20 @@
 
     /** Puts a machine into a group of its own. */
     public static void put(ClusterView view, MachineRecord machine, long mark) {
-        view.put(Keys.group("g-" + machine.name()),
-                new GroupRecord("g-" + machine.name(), machine.controller(), machine.epoch(), List.of(machine)), mark);
+        view.put(
+                Keys.group("g-" + machine.name()),
+                new GroupRecord("g-" + machine.name(), machine.controller(), machine.epoch(), List.of(machine)),
+                mark);
         view.watchedTo(mark);
     }
 
     /** A job with one task on each of these machines, in session 1. */
     public static JobRecord placed(JobRecord job, Instant since, String... machines) {
-        return job.placed(java.util.stream.Stream.of(machines).map(m -> machine(m, "large", SELF)).toList(), since);
+        return job.placed(
+                java.util.stream.Stream.of(machines)
+                        .map(m -> machine(m, "large", SELF))
+                        .toList(),
+                since);
     }
 
     /** A view with both controllers as members, the first leading, at epoch 1. */
@@ -62,7 +88,8 @@
         view.put(Keys.member(PEER.node()), PEER, 2);
         view.put(Keys.LEADER, SELF, 3);
         view.put(Keys.EPOCH, 1L, 4);
-        ShareRecord all = ShareRecord.EMPTY.with("red", new ShareRecord.Amount(32, 0))
+        ShareRecord all = ShareRecord.EMPTY
+                .with("red", new ShareRecord.Amount(32, 0))
                 .with("blue", new ShareRecord.Amount(64, 0));
         view.put(Keys.LEADERS_SHARE, all, 5);
         view.put(Keys.share(SELF.node()), all, 6);
--- a/src/test/java/org/gullway/coordination/SilentMachinesTest.java
+++ b/src/test/java/org/gullway/coordination/SilentMachinesTest.java
@@ -29,15 +29,30 @@
 
     private void machine(String name, String zone) {
         MachineRecord machine = Samples.machine(name, "large", Samples.SELF);
-        Samples.put(view, new MachineRecord(name, machine.address(), machine.type(), zone, false, Samples.SELF, 1, 1,
-                Fate.STAYS, machine.rented()), ++revision);
+        Samples.put(
+                view,
+                new MachineRecord(
+                        name,
+                        machine.address(),
+                        machine.type(),
+                        zone,
+                        false,
+                        Samples.SELF,
+                        1,
+                        1,
+                        Fate.STAYS,
+                        machine.rented()),
+                ++revision);
         workers.put(name, new Worker(now));
     }
 
     private void hear(String... names) {
         for (String name : names) {
-            workers.get(name).take(new WorkerReport(name, "10.1.0.1:9000", "large", "a", false, 1, ++sequence, 1, null,
-                    List.of()), now);
+            workers.get(name)
+                    .take(
+                            new WorkerReport(
+                                    name, "10.1.0.1:9000", "large", "a", false, 1, ++sequence, 1, null, List.of()),
+                            now);
         }
     }
 
@@ -129,8 +144,11 @@
         machine("vm-2", "b");
         machine("vm-3", "b");
         JobRequest request = Samples.request("run-000001", "red", Rank.NORMAL, 1, 4);
-        view.put(Keys.job(request.id()), Samples.placed(JobRecord.accepted(request, "perch-0", Samples.DAY),
-                Samples.DAY, "vm-3").cancel(Samples.DAY), ++revision);
+        view.put(
+                Keys.job(request.id()),
+                Samples.placed(JobRecord.accepted(request, "perch-0", Samples.DAY), Samples.DAY, "vm-3")
+                        .cancel(Samples.DAY),
+                ++revision);
         pass(14, "vm-1");
         assertThat(fate("vm-2")).isEqualTo(Fate.SILENT);
         assertThat(fate("vm-3")).isEqualTo(Fate.LOST);
@@ -164,8 +182,11 @@
         assertThat(fate("vm-2")).isEqualTo(Fate.SILENT);
         workers.get("vm-2").takeAnswer(report("vm-2", 2), now);
         pass(1, "vm-1");
-        assertThat(fate("vm-2")).as("answers do not show that it reaches anybody").isEqualTo(Fate.SILENT);
-        workers.get("vm-2").take(new WorkerReport("vm-2", "10.1.0.1:9000", "large", "a", false, 1, 1, 1, null, List.of()), now);
+        assertThat(fate("vm-2"))
+                .as("answers do not show that it reaches anybody")
+                .isEqualTo(Fate.SILENT);
+        workers.get("vm-2")
+                .take(new WorkerReport("vm-2", "10.1.0.1:9000", "large", "a", false, 1, 1, 1, null, List.of()), now);
         pass(1, "vm-1");
         assertThat(fate("vm-2")).as("nor does an old copy").isEqualTo(Fate.SILENT);
         workers.get("vm-2").take(report("vm-2", 2), now);
--- a/src/test/java/org/gullway/protocol/FormatsTest.java
+++ b/src/test/java/org/gullway/protocol/FormatsTest.java
@@ -27,13 +27,42 @@
     Arbitrary<JobRequest> requests() {
         Arbitrary<Double> amounts = Arbitraries.doubles().between(0.5, 64).ofScale(2);
         Arbitrary<Duration> spans = Arbitraries.longs().between(0, 3_600_000).map(Duration::ofMillis);
-        return Combinators.combine(Arbitraries.integers().between(1, 999_999), Arbitraries.of(Rank.values()),
-                Arbitraries.integers().between(1, JobRequest.MOST_TASKS), amounts, spans,
-                Arbitraries.of(JobRequest.Shape.values()), Arbitraries.of(true, false),
-                Arbitraries.strings().alpha().ofMinLength(1).ofMaxLength(12).list().ofMaxSize(3).injectNull(0.3))
+        return Combinators.combine(
+                        Arbitraries.integers().between(1, 999_999),
+                        Arbitraries.of(Rank.values()),
+                        Arbitraries.integers().between(1, JobRequest.MOST_TASKS),
+                        amounts,
+                        spans,
+                        Arbitraries.of(JobRequest.Shape.values()),
+                        Arbitraries.of(true, false),
+                        Arbitraries.strings()
+                                .alpha()
+                                .ofMinLength(1)
+                                .ofMaxLength(12)
+                                .list()
+                                .ofMaxSize(3)
+                                .injectNull(0.3))
                 .as((id, rank, tasks, amount, span, shape, flag, types) -> new JobRequest(
-                        String.format("run-%06d", id), "render", "red", shape, rank, tasks, amount, 0, amount, "img-1",
-                        amount, types, flag ? "a" : null, flag, !flag, flag, span, span, span, flag ? span : null));
+                        String.format("run-%06d", id),
+                        "render",
+                        "red",
+                        shape,
+                        rank,
+                        tasks,
+                        amount,
+                        0,
+                        amount,
+                        "img-1",
+                        amount,
+                        types,
+                        flag ? "a" : null,
+                        flag,
+                        !flag,
+                        flag,
+                        span,
+                        span,
+                        span,
+                        flag ? span : null));
     }
 
     @Property(tries = 300, seed = "1")
@@ -75,13 +104,34 @@
             node.put(field, value);
         }
         assertThatThrownBy(() -> JobRequest.parse(node)).hasMessageContaining(field);
-        assertThatThrownBy(() -> JobRequest.parse(valid().put(field, Double.NaN))).hasMessageContaining(field);
+        assertThatThrownBy(() -> JobRequest.parse(valid().put(field, Double.NaN)))
+                .hasMessageContaining(field);
         assertThatThrownBy(() -> JobRequest.parse(valid().put(field, "4"))).hasMessageContaining(field);
     }
 
     private static ObjectNode valid() {
-        return new JobRequest("run-000001", "render", "red", JobRequest.Shape.ARRAY, Rank.HIGH, 2, 4, 0, 8, "img-1", 1,
-                null, null, false, false, true, Duration.ofSeconds(9), Duration.ZERO, Duration.ZERO, null).toNode();
+        return new JobRequest(
+                        "run-000001",
+                        "render",
+                        "red",
+                        JobRequest.Shape.ARRAY,
+                        Rank.HIGH,
+                        2,
+                        4,
+                        0,
+                        8,
+                        "img-1",
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        Duration.ofSeconds(9),
+                        Duration.ZERO,
+                        Duration.ZERO,
+                        null)
+                .toNode();
     }
 
     @Test
@@ -96,8 +146,9 @@
     }
 
     @Property(tries = 300, seed = "3")
-    void offersSurviveTheMesh(@ForAll @IntRange(min = 0) int machine, @ForAll long session,
-                              @ForAll @Size(max = 5) List<String> asked) throws MalformedException {
+    void offersSurviveTheMesh(
+            @ForAll @IntRange(min = 0) int machine, @ForAll long session, @ForAll @Size(max = 5) List<String> asked)
+            throws MalformedException {
         List<String> names = new ArrayList<>();
         asked.forEach(name -> names.add("perch-" + Math.abs(name.hashCode() % 100)));
         List<Offer> offers = List.of(new Offer("vm-" + machine, session, names), new Offer("vm-1", 1, List.of()));
@@ -110,9 +161,11 @@
     }
 
     @Property(tries = 50, seed = "8")
-    void endsSurviveTheMeshAndCutOnesAreRefused(@ForAll @IntRange(min = 0, max = 99_999) int task, @ForAll long attempt,
-                                                @ForAll byte end) throws MalformedException {
-        List<EndNotice> ends = List.of(new EndNotice(new TaskId("run-000001", task), attempt, end),
+    void endsSurviveTheMeshAndCutOnesAreRefused(
+            @ForAll @IntRange(min = 0, max = 99_999) int task, @ForAll long attempt, @ForAll byte end)
+            throws MalformedException {
+        List<EndNotice> ends = List.of(
+                new EndNotice(new TaskId("run-000001", task), attempt, end),
                 new EndNotice(new TaskId("run-000002", 0), 1, (byte) 0));
         byte[] bytes = EndNotice.encode(ends);
         assertThat(EndNotice.decode(bytes)).isEqualTo(ends);
@@ -123,11 +176,16 @@
     }
 
     @Property(tries = 50, seed = "9")
-    void cancellationsSurviveTheMeshAndCutOnesAreRefused(@ForAll @IntRange(min = 0, max = 99_999) int task,
-            @ForAll long attempt, @ForAll @IntRange(max = 60) int jobs) throws MalformedException {
+    void cancellationsSurviveTheMeshAndCutOnesAreRefused(
+            @ForAll @IntRange(min = 0, max = 99_999) int task,
+            @ForAll long attempt,
+            @ForAll @IntRange(max = 60) int jobs)
+            throws MalformedException {
         List<Cancellations.Job> list = new ArrayList<>();
         for (int i = 0; i < jobs; i++) {
-            list.add(new Cancellations.Job("run-" + i, 1_700_000_000_000L + i,
+            list.add(new Cancellations.Job(
+                    "run-" + i,
+                    1_700_000_000_000L + i,
                     java.util.Collections.nCopies(i, new Cancellations.Attempt(task, attempt, "vm-" + i, 3))));
         }
         byte[] bytes = Cancellations.encode("perch-1", attempt, list);
@@ -147,13 +205,22 @@
 
     @org.junit.jupiter.api.Test
     void cancellationsBeyondOneMessageAreSaidToBeIncomplete() throws MalformedException {
-        List<Cancellations.Job> list = java.util.Collections.nCopies(20, new Cancellations.Job("run-1", 1,
-                java.util.Collections.nCopies(200, new Cancellations.Attempt(1, 2, "vm-000001", 3))));
-        assertThat(Cancellations.decode(Cancellations.encode("perch-1", 1, list)).complete()).isFalse();
-        assertThat(Cancellations.decode(Cancellations.encode("perch-1", 1, list.subList(0, 3))).complete()).isTrue();
+        List<Cancellations.Job> list = java.util.Collections.nCopies(
+                20,
+                new Cancellations.Job(
+                        "run-1",
+                        1,
+                        java.util.Collections.nCopies(200, new Cancellations.Attempt(1, 2, "vm-000001", 3))));
+        assertThat(Cancellations.decode(Cancellations.encode("perch-1", 1, list))
+                        .complete())
+                .isFalse();
+        assertThat(Cancellations.decode(Cancellations.encode("perch-1", 1, list.subList(0, 3)))
+                        .complete())
+                .isTrue();
     }
 
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             node_name = "perch-0"
             site = "a"
             public_addr = "10.0.0.1:8080"
@@ -199,12 +266,20 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"lease_s = 32.0,lease_s = -1,lease_s", "lease_s = 32.0,lease_s = 0,lease_s",
-            "10.0.0.1:8080,perch:8080,public_addr", "txn_ops = 24,txn_ops = 0,txn_ops", "rps = 10.0,rps = \"x\",rps",
-            "state = \"10.2.0.1:2379\",,state", "sockets = 3000,,sockets"})
+    @CsvSource({
+        "lease_s = 32.0,lease_s = -1,lease_s",
+        "lease_s = 32.0,lease_s = 0,lease_s",
+        "10.0.0.1:8080,perch:8080,public_addr",
+        "txn_ops = 24,txn_ops = 0,txn_ops",
+        "rps = 10.0,rps = \"x\",rps",
+        "state = \"10.2.0.1:2379\",,state",
+        "sockets = 3000,,sockets"
+    })
     void faultySettingsNameTheField(String what, String instead, String field) {
         String text = SETTINGS.replace(what, instead == null ? "" : instead);
-        assertThatThrownBy(() -> settings(text)).isInstanceOf(MalformedException.class).hasMessageContaining(field);
+        assertThatThrownBy(() -> settings(text))
+                .isInstanceOf(MalformedException.class)
+                .hasMessageContaining(field);
     }
 
     @Test
@@ -213,8 +288,12 @@
         OperatorSettings read = OperatorSettings.of(xml.readTree("<gullway><spare-share>2</spare-share></gullway>"));
         assertThat(read.spareShare()).isEqualTo(2);
         assertThat(read.idleReturn()).isEqualTo(OperatorSettings.DEFAULTS.idleReturn());
-        for (String wrong : List.of("<spare-share>-1</spare-share>", "<spare-share>much</spare-share>",
-                "<spare-share>NaN</spare-share>", "<boot-patience>0</boot-patience>", "<colour>red</colour>")) {
+        for (String wrong : List.of(
+                "<spare-share>-1</spare-share>",
+                "<spare-share>much</spare-share>",
+                "<spare-share>NaN</spare-share>",
+                "<boot-patience>0</boot-patience>",
+                "<colour>red</colour>")) {
             assertThatThrownBy(() -> OperatorSettings.of(xml.readTree("<gullway>" + wrong + "</gullway>")))
                     .isInstanceOf(MalformedException.class)
                     .hasMessageContaining(wrong.substring(1, wrong.indexOf('>')));
--- a/src/test/java/org/gullway/standin/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/standin/SimulatedNetwork.java
@@ -18,11 +18,9 @@
  * then delivers a request a second time.
  */
 public final class SimulatedNetwork {
-    private record Host(SimulatedTime.Process process, Consumer<Call> handler) {
-    }
+    private record Host(SimulatedTime.Process process, Consumer<Call> handler) {}
 
-    private record Held(String from, SimulatedTime.Process process, Reply.Request request) {
-    }
+    private record Held(String from, SimulatedTime.Process process, Reply.Request request) {}
 
     private final SimulatedTime time;
     private final SimulatedTime.Process wires;
@@ -31,6 +29,7 @@
     private final Map<String, Host> hosts = new HashMap<>();
     /** Pairs "from>to" of groups that cannot reach each other; a group is an address or a client's name. */
     private final Set<String> cuts = new HashSet<>();
+
     private final Set<String> unanswered = new HashSet<>();
     private final Set<String> mute = new HashSet<>();
     private final Set<String> heldBack = new HashSet<>();
@@ -111,7 +110,7 @@
         for (Held message : List.copyOf(held)) {
             if (message.from().equals(client)) {
                 held.remove(message);
-                deliver(client, message.process(), address, message.request(), reply -> { }, latency());
+                deliver(client, message.process(), address, message.request(), reply -> {}, latency());
             }
         }
     }
@@ -132,8 +131,12 @@
         return (address, request, callback) -> send(from, process, address, request, callback);
     }
 
-    private void send(String from, SimulatedTime.Process process, String address, Reply.Request request,
-                      Consumer<Reply> callback) {
+    private void send(
+            String from,
+            SimulatedTime.Process process,
+            String address,
+            Reply.Request request,
+            Consumer<Reply> callback) {
         boolean[] finished = new boolean[1];
         Consumer<Reply> finish = reply -> {
             if (!finished[0]) {
@@ -165,11 +168,16 @@
         }
         deliver(from, process, address, request, finish, delay);
         if (copied > 0 && request.path().equals(copiedPath) && random.nextDouble() < copied) {
-            deliver(from, process, copiedTo.get(random.nextInt(copiedTo.size())), request, reply -> { },
+            deliver(
+                    from,
+                    process,
+                    copiedTo.get(random.nextInt(copiedTo.size())),
+                    request,
+                    reply -> {},
                     Duration.ofMillis(500 + random.nextLong(copiedLater.toMillis())));
         }
         if (random.nextDouble() < trouble) {
-            deliver(from, process, address, request, reply -> { }, Duration.ofMillis(20 + random.nextInt(20_000)));
+            deliver(from, process, address, request, reply -> {}, Duration.ofMillis(20 + random.nextInt(20_000)));
         }
     }
 
@@ -177,8 +185,13 @@
         return Duration.ofNanos(300_000 + random.nextInt(3_000_000));
     }
 
-    private void deliver(String from, SimulatedTime.Process sender, String address, Reply.Request request,
-                         Consumer<Reply> finish, Duration delay) {
+    private void deliver(
+            String from,
+            SimulatedTime.Process sender,
+            String address,
+            Reply.Request request,
+            Consumer<Reply> finish,
+            Duration delay) {
         wires.after(delay, () -> {
             if (isCut(from, address)) {
                 deliver(from, sender, address, request, finish, Duration.ofMillis(500));
@@ -190,10 +203,14 @@
                 return;
             }
             int question = request.path().indexOf('?');
-            Message message = new Message(from, request.method(),
+            Message message = new Message(
+                    from,
+                    request.method(),
                     question < 0 ? request.path() : request.path().substring(0, question),
-                    question < 0 ? "" : request.path().substring(question + 1), request.body(),
-                    reply -> wires.after(request.path().split("\\?")[0].equals(slowPath) ? slowBy : Duration.ZERO,
+                    question < 0 ? "" : request.path().substring(question + 1),
+                    request.body(),
+                    reply -> wires.after(
+                            request.path().split("\\?")[0].equals(slowPath) ? slowBy : Duration.ZERO,
                             () -> answer(from, sender, address, finish, reply)));
             if (host.process().standsStill()) {
                 host.process().execute(() -> host.handler().accept(message));
@@ -203,7 +220,8 @@
         });
     }
 
-    private void answer(String from, SimulatedTime.Process sender, String address, Consumer<Reply> finish, Reply reply) {
+    private void answer(
+            String from, SimulatedTime.Process sender, String address, Consumer<Reply> finish, Reply reply) {
         wires.after(latency(), () -> {
             // An answer held back by a cut comes after the sender has given up, which is the same as never.
             if (isCut(from, address) || unanswered.contains(from) || sender.killed()) {
--- a/src/test/java/org/gullway/standin/SimulatedTime.java
+++ b/src/test/java/org/gullway/standin/SimulatedTime.java
@@ -37,7 +37,8 @@
         @Override
         public Runnable after(Duration delay, Runnable task) {
             boolean[] cancelled = new boolean[1];
-            queue.add(new Due(now.plus(delay.isNegative() ? Duration.ZERO : delay), order++, () -> runOrWait(task, cancelled)));
+            queue.add(new Due(
+                    now.plus(delay.isNegative() ? Duration.ZERO : delay), order++, () -> runOrWait(task, cancelled)));
             return () -> cancelled[0] = true;
         }
 
--- a/src/test/java/org/gullway/standin/StandInCloud.java
+++ b/src/test/java/org/gullway/standin/StandInCloud.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.gullway.protocol.Cbor;
-import org.gullway.protocol.MalformedException;
 import org.gullway.protocol.MachineType;
+import org.gullway.protocol.MalformedException;
 import org.gullway.transport.Call;
 import org.gullway.transport.EventLoop;
 
@@ -52,7 +52,10 @@
     }
 
     public List<StandInWorker> workers() {
-        return machines.values().stream().map(m -> m.worker).filter(w -> w != null && w.alive()).toList();
+        return machines.values().stream()
+                .map(m -> m.worker)
+                .filter(w -> w != null && w.alive())
+                .toList();
     }
 
     /** The worker of this machine, or null. */
@@ -98,10 +101,16 @@
         ObjectNode node = Cbor.map();
         ArrayNode list = node.putArray("breeds");
         for (MachineType type : types) {
-            ObjectNode item = list.addObject().put("name", type.name()).put("cpus", type.cpus())
-                    .put("cards", type.cards()).put("mem_gb", type.memoryGb()).put("local_gb", type.cacheGb())
-                    .put("pull_gb_per_s", type.fetchGbPerSecond()).put("price", type.price())
-                    .put("low_price", type.spotPrice()).put("startup_s", type.boot().toMillis() / 1000.0);
+            ObjectNode item = list.addObject()
+                    .put("name", type.name())
+                    .put("cpus", type.cpus())
+                    .put("cards", type.cards())
+                    .put("mem_gb", type.memoryGb())
+                    .put("local_gb", type.cacheGb())
+                    .put("pull_gb_per_s", type.fetchGbPerSecond())
+                    .put("price", type.price())
+                    .put("low_price", type.spotPrice())
+                    .put("startup_s", type.boot().toMillis() / 1000.0);
             ArrayNode zones = item.putArray("shores");
             type.zones().forEach(zones::add);
         }
@@ -112,11 +121,17 @@
         String charter = body.path("charter").asText();
         List<String> names = charters.get(charter);
         if (names == null) {
-            MachineType type = types.stream().filter(t -> t.name().equals(body.path("breed").asText())).findFirst()
+            MachineType type = types.stream()
+                    .filter(t -> t.name().equals(body.path("breed").asText()))
+                    .findFirst()
                     .orElseThrow();
-            StandInWorker.Kind kind = new StandInWorker.Kind(type.name(), body.path("shore").asText(),
-                    body.path("driftwood").asBoolean(), type.cpus());
-            long there = machines.values().stream().filter(m -> m.kind.equals(kind)).count();
+            StandInWorker.Kind kind = new StandInWorker.Kind(
+                    type.name(),
+                    body.path("shore").asText(),
+                    body.path("driftwood").asBoolean(),
+                    type.cpus());
+            long there =
+                    machines.values().stream().filter(m -> m.kind.equals(kind)).count();
             names = new ArrayList<>();
             for (int i = 0; i < body.path("count").asInt() && there + i < capacity; i++) {
                 String name = String.format("vm-%06d", names());
@@ -166,8 +181,11 @@
     }
 
     private void add(ArrayNode list, String name, Machine machine) {
-        list.addObject().put("name_id", name).put("endpoint", "10.1.0.1:9000")
-                .put("breed", machine.kind.type()).put("shore", machine.kind.zone())
+        list.addObject()
+                .put("name_id", name)
+                .put("endpoint", "10.1.0.1:9000")
+                .put("breed", machine.kind.type())
+                .put("shore", machine.kind.zone())
                 .put("driftwood", machine.kind.spot())
                 .put("tide", machine.worker == null ? "booting" : machine.worker.alive() ? "running" : "failed")
                 .put("held_s", Duration.between(machine.rented, loop.now()).toMillis() / 1000.0);
--- a/src/test/java/org/gullway/standin/StandInStore.java
+++ b/src/test/java/org/gullway/standin/StandInStore.java
@@ -20,18 +20,16 @@
 
 /** The state service as its protocol describes it, in memory. */
 public final class StandInStore {
-    private record Entry(JsonNode value, long mark, long lease) {
-    }
+    private record Entry(JsonNode value, long mark, long lease) {}
 
-    private record Event(String key, JsonNode value, long mark) {
-    }
+    private record Event(String key, JsonNode value, long mark) {}
 
     private static final class Watch {
         private final String client;
         private final String prefix;
         private final long from;
         private final Call call;
-        private Runnable cancelTimer = () -> { };
+        private Runnable cancelTimer = () -> {};
         private boolean timedOut;
 
         Watch(String client, String prefix, long from, Call call) {
@@ -95,12 +93,14 @@
     private RandomGenerator slowRandom;
     /** Changes by the first two parts of their keys, such as live/jobs. */
     private final Map<String, Integer> changes = new TreeMap<>();
+
     private int largestValue;
     private double tokens;
     private Instant tokensAt;
 
     /** Limits of the settings; what goes over them is refused. */
     public static final int CHANGES_PER_SECOND = 30;
+
     public static final int CHANGES_PER_COMMIT = 24;
     public static final int VALUE_BYTES = 16 * 1024;
 
@@ -161,7 +161,10 @@
 
     /** How often keys of this prefix were put or removed. */
     public int changes(String prefix) {
-        return changes.entrySet().stream().filter(e -> e.getKey().startsWith(prefix)).mapToInt(Map.Entry::getValue).sum();
+        return changes.entrySet().stream()
+                .filter(e -> e.getKey().startsWith(prefix))
+                .mapToInt(Map.Entry::getValue)
+                .sum();
     }
 
     public int largestValue() {
@@ -171,7 +174,8 @@
     /** Whether the commit keeps the limits of the protocol; if not it is answered here. */
     private boolean keepsLimits(Call call, ObjectNode body) {
         boolean valid = body.path("then").size() <= CHANGES_PER_COMMIT
-                && body.path("guards").size() <= 4 * CHANGES_PER_COMMIT && body.toString().length() <= 64 * 1024;
+                && body.path("guards").size() <= 4 * CHANGES_PER_COMMIT
+                && body.toString().length() <= 64 * 1024;
         for (JsonNode change : body.path("then")) {
             int bytes = change.path("v").toString().length();
             largestValue = Math.max(largestValue, bytes);
@@ -181,8 +185,9 @@
             call.answer(400, Cbor.encode(Cbor.map().put("error", "over a limit")));
             return false;
         }
-        tokens = Math.min(CHANGES_PER_SECOND, tokens
-                + Duration.between(tokensAt, loop.now()).toMillis() / 1000.0 * CHANGES_PER_SECOND);
+        tokens = Math.min(
+                CHANGES_PER_SECOND,
+                tokens + Duration.between(tokensAt, loop.now()).toMillis() / 1000.0 * CHANGES_PER_SECOND);
         tokensAt = loop.now();
         if (tokens < body.path("then").size()) {
             call.answer(429, new byte[0]);
@@ -197,14 +202,18 @@
             return;
         }
         List<Long> over = leases.entrySet().stream()
-                .filter(e -> !loop.now().isBefore(e.getValue().end)).map(Map.Entry::getKey).toList();
+                .filter(e -> !loop.now().isBefore(e.getValue().end))
+                .map(Map.Entry::getKey)
+                .toList();
         over.forEach(this::endLease);
     }
 
     private void endLease(long id) {
         leases.remove(id);
-        List<String> keys = entries.entrySet().stream().filter(e -> e.getValue().lease() == id)
-                .map(Map.Entry::getKey).toList();
+        List<String> keys = entries.entrySet().stream()
+                .filter(e -> e.getValue().lease() == id)
+                .map(Map.Entry::getKey)
+                .toList();
         if (!keys.isEmpty()) {
             revision++;
             for (String key : keys) {
@@ -217,7 +226,8 @@
 
     public void handle(Call received) {
         String client = received instanceof SimulatedNetwork.Message message ? message.from() : "";
-        Call call = slowMillis == 0 ? received
+        Call call = slowMillis == 0
+                ? received
                 : new LateCall(loop, received, Duration.ofMillis(slowRandom.nextInt(slowMillis)));
         if (!serves(client)) {
             call.answer(503, new byte[0]);
@@ -279,7 +289,8 @@
         ObjectNode node = Cbor.map().put("logline", revision);
         ArrayNode items = node.putArray("items");
         boolean more = false;
-        for (Map.Entry<String, Entry> e : entries.tailMap(query.getOrDefault("from", prefix), !query.containsKey("from"))
+        for (Map.Entry<String, Entry> e : entries.tailMap(
+                        query.getOrDefault("from", prefix), !query.containsKey("from"))
                 .entrySet()) {
             if (!e.getKey().startsWith(prefix)) {
                 break;
@@ -298,7 +309,9 @@
         if (down) {
             loop.after(Duration.ofMillis(500), () -> commitLate(call, body));
         } else {
-            commit(new SimulatedNetwork.Message("", call.method(), call.path(), call.query(), call.body(), reply -> { }),
+            commit(
+                    new SimulatedNetwork.Message(
+                            "", call.method(), call.path(), call.query(), call.body(), reply -> {}),
                     body);
         }
     }
@@ -316,7 +329,8 @@
             }
         }
         for (JsonNode change : body.path("then")) {
-            if (change.has("tether") && !leases.containsKey(change.path("tether").asLong())) {
+            if (change.has("tether")
+                    && !leases.containsKey(change.path("tether").asLong())) {
                 call.answer(400, Cbor.encode(Cbor.map().put("error", "no such lease")));
                 return;
             }
@@ -328,7 +342,9 @@
         if (!body.path("then").isEmpty()) {
             revision++;
             for (JsonNode change : body.path("then")) {
-                String[] parts = (change.has("remove") ? change.path("remove") : change.path("put")).asText().split("/");
+                String[] parts = (change.has("remove") ? change.path("remove") : change.path("put"))
+                        .asText()
+                        .split("/");
                 changes.merge(parts.length > 1 ? parts[0] + "/" + parts[1] : parts[0], 1, Integer::sum);
                 if (change.has("remove")) {
                     if (entries.remove(change.path("remove").asText()) != null) {
@@ -336,7 +352,12 @@
                     }
                 } else {
                     String key = change.path("put").asText();
-                    entries.put(key, new Entry(change.path("v"), revision, change.path("tether").asLong()));
+                    entries.put(
+                            key,
+                            new Entry(
+                                    change.path("v"),
+                                    revision,
+                                    change.path("tether").asLong()));
                     history.add(new Event(key, change.path("v"), revision));
                 }
             }
@@ -400,7 +421,8 @@
     private void lease(Call call, String[] parts) throws MalformedException {
         if (parts.length == 2) {
             Lease lease = new Lease();
-            lease.life = Duration.ofMillis(Cbor.decode(call.body()).path("life_ms").asLong());
+            lease.life =
+                    Duration.ofMillis(Cbor.decode(call.body()).path("life_ms").asLong());
             lease.end = loop.now().plus(lease.life);
             leases.put(++nextLease, lease);
             call.answer(200, Cbor.encode(Cbor.map().put("tether", nextLease)));
--- a/src/test/java/org/gullway/standin/StandInWorker.java
+++ b/src/test/java/org/gullway/standin/StandInWorker.java
@@ -43,15 +43,14 @@
     }
 
     /** What a machine is, apart from its name. */
-    public record Kind(String type, String zone, boolean spot, double cpus) {
-    }
+    public record Kind(String type, String zone, boolean spot, double cpus) {}
 
     private static final class Task {
         private final String id;
         private final long attempt;
         private String state = "running";
         private String cause;
-        private Runnable timer = () -> { };
+        private Runnable timer = () -> {};
         private Duration left = Duration.ZERO;
         private Instant since;
 
@@ -89,11 +88,19 @@
     private boolean alive = true;
     private boolean hung;
     private final List<Runnable> whenItGoesOn = new ArrayList<>();
-    private Runnable nextReport = () -> { };
-
-    public StandInWorker(EventLoop loop, Client client, World world, RandomGenerator random, String name,
-                         String address, Kind kind, Map<String, String> controllerAddresses, Duration interval,
-                         Duration lease) {
+    private Runnable nextReport = () -> {};
+
+    public StandInWorker(
+            EventLoop loop,
+            Client client,
+            World world,
+            RandomGenerator random,
+            String name,
+            String address,
+            Kind kind,
+            Map<String, String> controllerAddresses,
+            Duration interval,
+            Duration lease) {
         this.loop = loop;
         this.client = client;
         this.world = world;
@@ -234,28 +241,30 @@
         Instant sent = loop.now();
         long inSession = session;
         String to = controllers.get(controller);
-        client.call(controllerAddresses.get(to), Reply.Request.post("/agent/beat", Cbor.encode(account()),
-                PATIENCE), answer -> unlessHung(() -> {
-            // A machine that hung reads answers only now; it drops those that are older than its patience.
-            Reply reply = loop.now().isAfter(sent.plus(PATIENCE)) ? Reply.unknown() : answer;
-            reporting = false;
-            if (!alive) {
-                return;
-            }
-            if (reply.kind() == Reply.Kind.ANSWERED && reply.status() == 200) {
-                accept(reply.body(), sent, inSession);
-                reportIn(Duration.ofMillis((long) (interval.toMillis() * (0.75 + random.nextDouble() / 2))));
-            } else {
-                String next = reply.status() == 421 ? redirect(reply.body()) : null;
-                if (next != null && !next.equals(to) && controllers.contains(next)) {
-                    controller = controllers.indexOf(next);
-                    reportIn(Duration.ofMillis(random.nextInt(500)));
-                } else {
-                    controller = (controller + 1) % controllers.size();
-                    reportIn(Duration.ofSeconds(1));
-                }
-            }
-        }));
+        client.call(
+                controllerAddresses.get(to),
+                Reply.Request.post("/agent/beat", Cbor.encode(account()), PATIENCE),
+                answer -> unlessHung(() -> {
+                    // A machine that hung reads answers only now; it drops those that are older than its patience.
+                    Reply reply = loop.now().isAfter(sent.plus(PATIENCE)) ? Reply.unknown() : answer;
+                    reporting = false;
+                    if (!alive) {
+                        return;
+                    }
+                    if (reply.kind() == Reply.Kind.ANSWERED && reply.status() == 200) {
+                        accept(reply.body(), sent, inSession);
+                        reportIn(Duration.ofMillis((long) (interval.toMillis() * (0.75 + random.nextDouble() / 2))));
+                    } else {
+                        String next = reply.status() == 421 ? redirect(reply.body()) : null;
+                        if (next != null && !next.equals(to) && controllers.contains(next)) {
+                            controller = controllers.indexOf(next);
+                            reportIn(Duration.ofMillis(random.nextInt(500)));
+                        } else {
+                            controller = (controller + 1) % controllers.size();
+                            reportIn(Duration.ofSeconds(1));
+                        }
+                    }
+                }));
     }
 
     private static String redirect(byte[] body) {
@@ -297,7 +306,8 @@
             ObjectNode node = Cbor.decode(call.body());
             if (!node.has("baton") || !node.has("flight")) {
                 call.answer(400, new byte[0]);
-            } else if (node.path("baton").asLong() < token || node.path("flight").asLong() != session) {
+            } else if (node.path("baton").asLong() < token
+                    || node.path("flight").asLong() != session) {
                 call.answer(409, Cbor.encode(account()));
             } else {
                 token = node.path("baton").asLong();
@@ -310,12 +320,22 @@
     }
 
     private ObjectNode account() {
-        ObjectNode node = Cbor.map().put("perch", name).put("endpoint", address).put("breed", kind.type())
-                .put("shore", kind.zone()).put("driftwood", kind.spot()).put("flight", session)
-                .put("tally", ++sequence).put("baton", token).putNull("warning_s");
+        ObjectNode node = Cbor.map()
+                .put("perch", name)
+                .put("endpoint", address)
+                .put("breed", kind.type())
+                .put("shore", kind.zone())
+                .put("driftwood", kind.spot())
+                .put("flight", session)
+                .put("tally", ++sequence)
+                .put("baton", token)
+                .putNull("warning_s");
         ArrayNode legs = node.putArray("legs");
         for (Task task : tasks.values()) {
-            ObjectNode leg = legs.addObject().put("leg", task.id).put("launch", task.attempt).put("tide", task.state);
+            ObjectNode leg = legs.addObject()
+                    .put("leg", task.id)
+                    .put("launch", task.attempt)
+                    .put("tide", task.state);
             if (task.cause != null) {
                 leg.put("cause", task.cause);
             }
--- a/src/test/java/org/gullway/standin/StandInsTest.java
+++ b/src/test/java/org/gullway/standin/StandInsTest.java
@@ -53,7 +53,8 @@
     }
 
     private List<Integer> watch(Client client, long from, int wait) {
-        return call(client, Reply.Request.get("/watch?under=a/&from=" + from + "&block_ms=" + wait, Duration.ofMinutes(2)));
+        return call(
+                client, Reply.Request.get("/watch?under=a/&from=" + from + "&block_ms=" + wait, Duration.ofMinutes(2)));
     }
 
     @Test
@@ -62,7 +63,8 @@
         List<Integer> others = watch(two, 0, 5000);
         run(0.1);
         store.refuseFrom("perch-0", true);
-        assertThat(call(one, Reply.Request.get("/store/a/b", Duration.ofSeconds(2)))).isEmpty();
+        assertThat(call(one, Reply.Request.get("/store/a/b", Duration.ofSeconds(2))))
+                .isEmpty();
         List<Integer> put = put(two, 1);
         List<Integer> refused = put(one, 2);
         run(30);
@@ -82,8 +84,8 @@
         store.refuseFrom("perch-0", true);
         run(4);
         store.refuseFrom("perch-0", false);
-        List<Integer> renewed = call(one, Reply.Request.post("/grants/1/renew", Cbor.encode(Cbor.map()),
-                Duration.ofSeconds(2)));
+        List<Integer> renewed =
+                call(one, Reply.Request.post("/grants/1/renew", Cbor.encode(Cbor.map()), Duration.ofSeconds(2)));
         run(0.1);
         assertThat(renewed).containsExactly(404);
     }
@@ -120,7 +122,10 @@
         store.slow(800, new SplittableRandom(5));
         List<Integer> statuses = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            two.call(STATE, Reply.Request.get("/store/a/b", Duration.ofSeconds(2)), reply -> statuses.add(reply.status()));
+            two.call(
+                    STATE,
+                    Reply.Request.get("/store/a/b", Duration.ofSeconds(2)),
+                    reply -> statuses.add(reply.status()));
         }
         run(0.1);
         assertThat(statuses).hasSizeLessThan(10);
@@ -133,8 +138,27 @@
         StandInWorker.World world = new StandInWorker.World() {
             @Override
             public JobRequest describe(String job) {
-                return new JobRequest(job, "render", "red", JobRequest.Shape.ARRAY, Rank.HIGH, 2, 4, 0, 4, "img", 1, null,
-                        null, false, false, true, LEASE, Duration.ZERO, Duration.ZERO, null);
+                return new JobRequest(
+                        job,
+                        "render",
+                        "red",
+                        JobRequest.Shape.ARRAY,
+                        Rank.HIGH,
+                        2,
+                        4,
+                        0,
+                        4,
+                        "img",
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        LEASE,
+                        Duration.ZERO,
+                        Duration.ZERO,
+                        null);
             }
 
             @Override
@@ -149,16 +173,25 @@
 
             @Override
             public void ended(String machine, String task, boolean done) {
-                events.add(task + (done ? " done" : " stopped") + " at " + time.now().getEpochSecond());
+                events.add(task + (done ? " done" : " stopped") + " at "
+                        + time.now().getEpochSecond());
             }
         };
         network.listen(CONTROLLER, loop, call -> {
             reports++;
             call.answer(200, Cbor.encode(Cbor.map().put("baton", token)));
         });
-        StandInWorker worker = new StandInWorker(loop, network.client("vm-000007", loop), world, new SplittableRandom(1),
-                "vm-000007", MACHINE, new StandInWorker.Kind("small", "a", true, 16), Map.of("perch-0", CONTROLLER),
-                Duration.ofSeconds(3), LEASE);
+        StandInWorker worker = new StandInWorker(
+                loop,
+                network.client("vm-000007", loop),
+                world,
+                new SplittableRandom(1),
+                "vm-000007",
+                MACHINE,
+                new StandInWorker.Kind("small", "a", true, 16),
+                Map.of("perch-0", CONTROLLER),
+                Duration.ofSeconds(3),
+                LEASE);
         network.listen(MACHINE, loop, worker::handle);
         command(1, "start", "run-000001/0");
         run(1);
@@ -170,7 +203,9 @@
         ObjectNode node = Cbor.map().put("baton", token).put("flight", session);
         node.putArray("calls").addObject().put("call", verb).put("leg", task).put("launch", 1);
         List<Integer> statuses = new ArrayList<>();
-        one.call(MACHINE, Reply.Request.post("/do", Cbor.encode(node), Duration.ofSeconds(30)),
+        one.call(
+                MACHINE,
+                Reply.Request.post("/do", Cbor.encode(node), Duration.ofSeconds(30)),
                 reply -> statuses.add(reply.status()));
         return statuses;
     }
@@ -189,8 +224,12 @@
         assertThat(start).containsExactly(200);
         assertThat(reports).isGreaterThan(before);
         run(70);
-        assertThat(events).containsExactly("run-000001/0 began", "run-000001/1 began", "run-000001/0 done at 72",
-                "run-000001/1 done at 73");
+        assertThat(events)
+                .containsExactly(
+                        "run-000001/0 began",
+                        "run-000001/1 began",
+                        "run-000001/0 done at 72",
+                        "run-000001/1 done at 73");
     }
 
     @Test
--- a/src/test/java/org/gullway/transport/ConnectionPoolTest.java
+++ b/src/test/java/org/gullway/transport/ConnectionPoolTest.java
@@ -69,7 +69,9 @@
         assertThat(pool.reuse("10.1.0.1:9000", c -> true)).isNull();
         assertThat(pool.open()).isZero();
         use("10.1.0.1:9000", "b");
-        assertThat(pool.reuse("10.1.0.1:9000", c -> false)).as("found closed when it was to be used").isNull();
+        assertThat(pool.reuse("10.1.0.1:9000", c -> false))
+                .as("found closed when it was to be used")
+                .isNull();
         assertThat(pool.open()).isZero();
     }
 
@@ -80,7 +82,9 @@
         sockets.accepted(9);
         assertThat(sockets.crowded()).isTrue();
         sockets.accepted(sockets.mostAccepted() - 69);
-        assertThat(sockets.mostAccepted() + sockets.forWorkers()).as("leaves a reserve").isLessThanOrEqualTo(86);
+        assertThat(sockets.mostAccepted() + sockets.forWorkers())
+                .as("leaves a reserve")
+                .isLessThanOrEqualTo(86);
     }
 
     /** Whatever happens in whatever order, what is open is what was opened and not closed, within the budget. */
