--- a/src/main/java/org/gullway/Controller.java
+++ b/src/main/java/org/gullway/Controller.java
@@ -127,10 +127,7 @@
                 new StateStore(http, settings.stateAddress()),
                 view,
                 membership,
-                new Ledger.Pace(
-                        settings.stateChangesPerSecond(),
-                        settings.stateRequestsPerSecond(),
-                        settings.peers().size() + 1),
+                pace(settings),
                 watchWait(settings),
                 this::schedule);
         this.placing = new Placing(settings.teams());
@@ -148,14 +145,8 @@
         this.booking = new ReservedBooking(view, placing, pauses, urgency);
         this.queue = new BestEffortQueue(view, placing, pauses, urgency, idle, self.node(), report, random.split());
         this.repair = new Repair(view, placing, self.node(), random.split());
-        List<String> nodes = new ArrayList<>(
-                settings.peers().stream().map(Settings.Peer::name).toList());
-        nodes.add(self.node());
-        this.shares = new Shares(view, placing, self.node(), nodes);
-        this.fleet = new FleetPlan(
-                view,
-                placing,
-                new FleetPlan.Policy(operator.spareShare(), operator.idleReturn(), operator.bootPatience()));
+        this.shares = new Shares(view, placing, self.node(), allNodes(settings));
+        this.fleet = new FleetPlan(view, placing, fleetPolicy(operator));
         this.cloud = new CloudLoop(
                 loop,
                 http,
@@ -184,6 +175,24 @@
         addSteps();
     }
 
+    private static Ledger.Pace pace(Settings settings) {
+        return new Ledger.Pace(
+                settings.stateChangesPerSecond(),
+                settings.stateRequestsPerSecond(),
+                settings.peers().size() + 1);
+    }
+
+    private static List<String> allNodes(Settings settings) {
+        List<String> nodes = new ArrayList<>(
+                settings.peers().stream().map(Settings.Peer::name).toList());
+        nodes.add(settings.nodeName());
+        return nodes;
+    }
+
+    private static FleetPlan.Policy fleetPolicy(OperatorSettings operator) {
+        return new FleetPlan.Policy(operator.spareShare(), operator.idleReturn(), operator.bootPatience());
+    }
+
     /** Short beside the time for which leases are renewed by what a watch has brought. */
     private static Duration watchWait(Settings settings) {
         Duration part = settings.cancelLimit().minus(settings.workerLease()).dividedBy(8);
--- a/src/main/java/org/gullway/Main.java
+++ b/src/main/java/org/gullway/Main.java
@@ -40,6 +40,7 @@
         }
     }
 
+    /** Reads the command line and the settings, then starts the daemon; exits with a code above 0 if that fails. */
     public static void main(String[] args) {
         configureLogging(System.getenv());
         Main main = new Main();
--- a/src/main/java/org/gullway/bookkeeping/Ledger.java
+++ b/src/main/java/org/gullway/bookkeeping/Ledger.java
@@ -387,6 +387,10 @@
         return true;
     }
 
+    /**
+     * Sends the draft. To be called only while {@link #ready()}, and on the event loop; the callback runs there too, once
+     * the outcome is certain: after an unknown outcome that is when a later execution has been ruled out.
+     */
     public void commit(Draft draft, Consumer<Result> callback) {
         committing = true;
         changes.spend(draft.changes().size());
--- a/src/main/java/org/gullway/bookkeeping/RecordCodec.java
+++ b/src/main/java/org/gullway/bookkeeping/RecordCodec.java
@@ -32,6 +32,12 @@
 public final class RecordCodec {
     private RecordCodec() {}
 
+    /**
+     * The form in which a record is kept in the state store.
+     *
+     * @param value a record of one of the types that {@link #decode} returns, or an ended job
+     * @throws IllegalArgumentException if the value is of another type
+     */
     public static ObjectNode encode(Object value) {
         if (value instanceof JobRecord job) {
             return encode(job);
@@ -155,6 +161,7 @@
         return null;
     }
 
+    /** Reads the record of a job that is over, which is kept outside the watched keys. */
     public static Draft.Ended ended(JsonNode value) throws MalformedException {
         Fields fields = Fields.of(value);
         return new Draft.Ended(
@@ -210,8 +217,8 @@
 
     private static ShareRecord share(JsonNode value) {
         Map<String, ShareRecord.Amount> teams = new TreeMap<>();
-        value.fields()
-                .forEachRemaining(e -> teams.put(
+        value.properties()
+                .forEach(e -> teams.put(
                         e.getKey(),
                         new ShareRecord.Amount(
                                 e.getValue().path(0).asDouble(),
--- a/src/main/java/org/gullway/bookkeeping/StateStore.java
+++ b/src/main/java/org/gullway/bookkeeping/StateStore.java
@@ -74,6 +74,9 @@
         call(Reply.Request.get("/store?under=" + prefix + after + "&page=" + PAGE, LIMIT), callback);
     }
 
+    /**
+     * Asks for the changes under the prefix after revision {@code from}; without any, the answer comes after {@code wait}.
+     */
     public void watch(String prefix, long from, Duration wait, Consumer<Outcome> callback) {
         call(
                 Reply.Request.get(
--- /dev/null
+++ b/src/main/java/org/gullway/bookkeeping/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * The state service: reading, watching and committing records, and this controller's membership. Nothing here decides
+ * about jobs or machines.
+ */
+package org.gullway.bookkeeping;
--- a/src/main/java/org/gullway/coordination/Draft.java
+++ b/src/main/java/org/gullway/coordination/Draft.java
@@ -151,6 +151,7 @@
         return changes.containsKey(key) ? (GroupRecord) changes.get(key) : view.group(id);
     }
 
+    /** Records the group; one without machines is removed. */
     public void putGroup(GroupRecord group) {
         if (group.machines().isEmpty()) {
             remove(Keys.group(group.id()));
--- a/src/main/java/org/gullway/coordination/EndedAttempts.java
+++ b/src/main/java/org/gullway/coordination/EndedAttempts.java
@@ -33,6 +33,9 @@
         this.view = view;
     }
 
+    /**
+     * Takes an attempt that has certainly ended; nothing happens if it is not on record as live, or is known already.
+     */
     public void add(AttemptId attempt, End end, Instant now) {
         JobRecord job = view.job(attempt.task().job());
         Placement placement = job == null || contains(attempt)
--- a/src/main/java/org/gullway/coordination/GroupRecord.java
+++ b/src/main/java/org/gullway/coordination/GroupRecord.java
@@ -15,6 +15,7 @@
     /** Small enough that a change of one machine costs little, large enough that a third of a fleet is few groups. */
     public static final int MOST_MACHINES = 16;
 
+    /** This group with the machine added, or replaced if it has one of that name. */
     public GroupRecord with(MachineRecord machine) {
         List<MachineRecord> next = new ArrayList<>(machines.size() + 1);
         boolean replaced = false;
@@ -29,6 +30,7 @@
         return new GroupRecord(id, controller, epoch, List.copyOf(next));
     }
 
+    /** This group without the machine of that name. */
     public GroupRecord without(String name) {
         return new GroupRecord(
                 id,
@@ -37,6 +39,7 @@
                 machines.stream().filter(m -> !m.name().equals(name)).toList());
     }
 
+    /** This group and its machines under another controller, which rules out commands of earlier epochs. */
     public GroupRecord claimed(Incarnation by, long newEpoch) {
         return new GroupRecord(
                 id,
--- a/src/main/java/org/gullway/coordination/Guarantees.java
+++ b/src/main/java/org/gullway/coordination/Guarantees.java
@@ -17,6 +17,9 @@
         this.within = within;
     }
 
+    /**
+     * Determines which jobs are within the guarantees of their teams, counting jobs in the order of their submission.
+     */
     public static Guarantees of(ClusterView view, Placing placing) {
         List<JobRecord> jobs = new ArrayList<>(view.jobs());
         jobs.sort(Comparator.comparing(JobRecord::submitted)
--- a/src/main/java/org/gullway/coordination/JobPauses.java
+++ b/src/main/java/org/gullway/coordination/JobPauses.java
@@ -17,6 +17,7 @@
 
     private final Map<String, Pause> pauses = new HashMap<>();
 
+    /** Whether the job must wait before its next start, because several of its attempts ended in errors. */
     public boolean paused(JobRecord job, Instant now) {
         String id = job.request().id();
         if (job.errors() <= FREE_ERRORS) {
--- a/src/main/java/org/gullway/coordination/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/JobRecord.java
@@ -83,6 +83,7 @@
         return cancelled() ? live.isEmpty() : done.size() == request.tasks();
     }
 
+    /** The state that users are told. */
     public JobState state() {
         if (cancelled()) {
             return JobState.CANCELLED;
@@ -113,6 +114,7 @@
         return cancelled() ? live.size() : request.tasks() - done.size();
     }
 
+    /** The placement of a live attempt, or null if it is not on record. */
     public Placement placementOf(int task, long attempt) {
         for (Placement placement : live) {
             if (placement.task() == task && placement.attempt() == attempt) {
@@ -174,6 +176,7 @@
         return new JobRecord(request, owner, submitted, cancelledAt, nextDone, attempts, nextErrors, List.copyOf(left));
     }
 
+    /** This record with the matching live attempts marked as being stopped. */
     public JobRecord stopping(Predicate<Placement> which) {
         UnaryOperator<Placement> stop = p -> which.test(p) ? p.stopped() : p;
         return new JobRecord(
--- a/src/main/java/org/gullway/coordination/MachineControl.java
+++ b/src/main/java/org/gullway/coordination/MachineControl.java
@@ -105,6 +105,11 @@
         }
     }
 
+    /**
+     * Takes a report, whose sender may be a worker of another controller or one that is not on record.
+     *
+     * @return the commands that the answer carries, or where the worker should report instead
+     */
     public Answer report(WorkerReport report, Instant now) {
         if (report.token() > view.epoch()) {
             return new Answer.NotYet();
@@ -186,6 +191,7 @@
         UNKNOWN
     }
 
+    /** Takes the outcome of a command that {@link #pushes} asked to send; every one of them must have exactly one. */
     public void pushEnded(Push push, Outcome outcome, Instant now) {
         pushing--;
         Worker worker = workers.get(push.machine());
--- a/src/main/java/org/gullway/coordination/Placing.java
+++ b/src/main/java/org/gullway/coordination/Placing.java
@@ -70,6 +70,7 @@
         return type == null ? 0 : type.cpus() - draft.cpusUsedOn(machine.name());
     }
 
+    /** Whether one task fits on the machine beside all that is on record or in the draft. */
     public boolean hasRoom(JobRequest job, MachineRecord machine, Draft draft) {
         MachineType type = types.get(machine.type());
         return type != null
--- a/src/main/java/org/gullway/coordination/Ranges.java
+++ b/src/main/java/org/gullway/coordination/Ranges.java
@@ -61,6 +61,7 @@
         return 2 * low;
     }
 
+    /** This set and the number. */
     public Ranges with(int number) {
         int at = rangeAtOrAfter(number);
         if (at < bounds.length && bounds[at] <= number) {
--- a/src/main/java/org/gullway/coordination/Repair.java
+++ b/src/main/java/org/gullway/coordination/Repair.java
@@ -33,6 +33,10 @@
         this.random = random;
     }
 
+    /**
+     * Adds what puts records right whose machine or owner is gone. Each record is left to one controller: its owner, or
+     * the leader if it has none among the members.
+     */
     public void propose(Draft draft, boolean leading, Instant now) {
         if (proposedAt.plus(EVERY).isAfter(now)) {
             return;
--- a/src/main/java/org/gullway/coordination/ReservedBooking.java
+++ b/src/main/java/org/gullway/coordination/ReservedBooking.java
@@ -42,6 +42,10 @@
         this.urgency = urgency;
     }
 
+    /**
+     * Adds placements of waiting reserved jobs to the draft, the most urgent first, and closes machines to best-effort
+     * starts while some of them find no room. Only the leader calls it.
+     */
     public void propose(Draft draft, Instant now) {
         List<JobRecord> waiting = new ArrayList<>();
         for (JobRecord job : view.jobs()) {
--- a/src/main/java/org/gullway/coordination/ShareRecord.java
+++ b/src/main/java/org/gullway/coordination/ShareRecord.java
@@ -23,6 +23,7 @@
         return teams.getOrDefault(team, Amount.NONE);
     }
 
+    /** This record with another amount for one team. */
     public ShareRecord with(String team, Amount amount) {
         Map<String, Amount> next = new TreeMap<>(teams);
         if (amount.equals(Amount.NONE)) {
--- a/src/main/java/org/gullway/protocol/Cancellations.java
+++ b/src/main/java/org/gullway/protocol/Cancellations.java
@@ -32,6 +32,7 @@
     /** One attempt of a task in a session of a machine. */
     public record Attempt(int task, long attempt, String machine, long session) {}
 
+    /** The body of a request: the names of the cancelled jobs that the asker knows, 4000 at most. */
     public static byte[] encodeKnown(Collection<String> jobs) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(16 * jobs.size());
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -49,6 +50,7 @@
         return bytes.toByteArray();
     }
 
+    /** Reads the names that {@link #encodeKnown} wrote. */
     public static Set<String> decodeKnown(byte[] body) throws MalformedException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
             checkVersion(in);
@@ -103,6 +105,11 @@
         }
     }
 
+    /**
+     * Reads an answer as the peer encoded it.
+     *
+     * @throws MalformedException if it is cut off, has bytes left over, or is of another version
+     */
     public static Cancellations decode(byte[] body) throws MalformedException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
             checkVersion(in);
--- a/src/main/java/org/gullway/protocol/Cbor.java
+++ b/src/main/java/org/gullway/protocol/Cbor.java
@@ -19,6 +19,7 @@
         return JsonNodeFactory.instance.objectNode();
     }
 
+    /** The CBOR form of the node. */
     public static byte[] encode(JsonNode node) {
         try {
             return MAPPER.writeValueAsBytes(node);
--- a/src/main/java/org/gullway/protocol/CloudMessages.java
+++ b/src/main/java/org/gullway/protocol/CloudMessages.java
@@ -29,6 +29,9 @@
     /** One page of the machine list. */
     public record Page(List<Listed> machines, boolean more) {}
 
+    /**
+     * Reads the types of machines that the cloud rents out; one that names no zones is rented out in none.
+     */
     public static List<MachineType> types(byte[] body) throws MalformedException {
         List<MachineType> types = new ArrayList<>();
         for (Fields type : Fields.of(Cbor.decode(body)).list("breeds")) {
@@ -48,6 +51,11 @@
         return types;
     }
 
+    /**
+     * The body of a request for machines.
+     *
+     * @param request its name: the cloud carries out requests of one name only once
+     */
     public static byte[] rental(String request, String type, String zone, boolean spot, int count) {
         return Cbor.encode(Cbor.map()
                 .put("charter", request)
@@ -62,6 +70,7 @@
         return names == null ? List.of() : names;
     }
 
+    /** The body of a request that ends the rental of these machines. */
     public static byte[] giveBack(List<String> machines) {
         ObjectNode node = Cbor.map();
         ArrayNode list = node.putArray("perches");
@@ -69,6 +78,7 @@
         return Cbor.encode(node);
     }
 
+    /** Reads one page of the list of rented machines. */
     public static Page page(byte[] body) throws MalformedException {
         JsonNode map = Cbor.decode(body);
         List<Listed> machines = new ArrayList<>();
--- a/src/main/java/org/gullway/protocol/Command.java
+++ b/src/main/java/org/gullway/protocol/Command.java
@@ -7,6 +7,7 @@
 
 /** A command to a worker about one attempt of a task. */
 public record Command(Kind kind, TaskId task, long attempt, Duration grace) {
+    /** What the worker is to do: begin the attempt, end it, or drop its memory of an ended attempt. */
     public enum Kind {
         START,
         STOP,
--- a/src/main/java/org/gullway/protocol/EndNotice.java
+++ b/src/main/java/org/gullway/protocol/EndNotice.java
@@ -17,6 +17,7 @@
     public static final int MOST_TOGETHER = 500;
     private static final int VERSION = 1;
 
+    /** The body of a message to a peer; it holds at most {@link #MOST_TOGETHER}, which the caller sees to. */
     public static byte[] encode(List<EndNotice> notices) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32 * notices.size());
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -34,6 +35,11 @@
         return bytes.toByteArray();
     }
 
+    /**
+     * Reads what {@link #encode} wrote.
+     *
+     * @throws MalformedException if it is cut off, too long, or of another version
+     */
     public static List<EndNotice> decode(byte[] body) throws MalformedException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
             if (in.readUnsignedByte() != VERSION) {
--- a/src/main/java/org/gullway/protocol/Fields.java
+++ b/src/main/java/org/gullway/protocol/Fields.java
@@ -39,6 +39,7 @@
         return new MalformedException(where + name + " is not " + expected);
     }
 
+    /** A text that is not empty and not longer than the protocol allows. */
     public String text(String name) throws MalformedException {
         JsonNode node = required(name);
         if (!node.isTextual() || node.textValue().isEmpty() || node.textValue().length() > LONGEST_TEXT) {
@@ -61,6 +62,7 @@
         return value;
     }
 
+    /** A finite amount above zero. */
     public double positive(String name) throws MalformedException {
         double value = amount(name);
         if (value <= 0) {
@@ -93,6 +95,7 @@
         throw wrong(name, "a count");
     }
 
+    /** An integer from 0 to {@code most}. */
     public int countUpTo(String name, int most) throws MalformedException {
         long value = count(name);
         if (value > most) {
@@ -101,6 +104,7 @@
         return (int) value;
     }
 
+    /** True or false; a field that is missing is an error. */
     public boolean flag(String name) throws MalformedException {
         JsonNode node = required(name);
         if (!node.isBoolean()) {
@@ -109,6 +113,7 @@
         return node.booleanValue();
     }
 
+    /** A list of texts, which may be empty, or null if there is no such field. */
     public List<String> textsOrNull(String name) throws MalformedException {
         if (!has(name)) {
             return null;
@@ -127,6 +132,7 @@
         return List.copyOf(texts);
     }
 
+    /** The fields of a map within this one; errors name the path to them. */
     public Fields inner(String name) throws MalformedException {
         JsonNode node = required(name);
         if (!node.isObject()) {
@@ -135,6 +141,7 @@
         return new Fields(node, where + name + ".");
     }
 
+    /** A list of maps; it is empty if there is no such field. */
     public List<Fields> list(String name) throws MalformedException {
         if (!has(name)) {
             return List.of();
--- a/src/main/java/org/gullway/protocol/JobRequest.java
+++ b/src/main/java/org/gullway/protocol/JobRequest.java
@@ -61,6 +61,11 @@
         return ID.matcher(text).matches();
     }
 
+    /**
+     * Reads a submission.
+     *
+     * @throws MalformedException naming the first field that is missing or not allowed
+     */
     public static JobRequest parse(JsonNode map) throws MalformedException {
         Fields fields = Fields.of(map);
         String id = fields.text("name_id");
@@ -96,6 +101,7 @@
                 fields.secondsOrNull("landfall_s"));
     }
 
+    /** The form that {@link #parse} reads. */
     public ObjectNode toNode() {
         ObjectNode node = Cbor.map();
         node.put("name_id", id)
--- a/src/main/java/org/gullway/protocol/JobState.java
+++ b/src/main/java/org/gullway/protocol/JobState.java
@@ -21,6 +21,7 @@
         return this == DONE || this == CANCELLED;
     }
 
+    /** The state with this name in the protocol. */
     public static JobState of(String wire) throws MalformedException {
         for (JobState state : values()) {
             if (state.wire.equals(wire)) {
--- a/src/main/java/org/gullway/protocol/Offer.java
+++ b/src/main/java/org/gullway/protocol/Offer.java
@@ -15,6 +15,7 @@
     private static final int VERSION = 2;
     private static final int MOST_ASKED = 64;
 
+    /** The body of a message to a peer; it holds at most {@link #MOST_TOGETHER}, which the caller sees to. */
     public static byte[] encode(List<Offer> offers) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 * offers.size());
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -34,6 +35,11 @@
         return bytes.toByteArray();
     }
 
+    /**
+     * Reads what {@link #encode} wrote.
+     *
+     * @throws MalformedException if it is cut off, too long, or of another version
+     */
     public static List<Offer> decode(byte[] body) throws MalformedException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
             if (in.readUnsignedByte() != VERSION) {
--- a/src/main/java/org/gullway/protocol/OperatorSettings.java
+++ b/src/main/java/org/gullway/protocol/OperatorSettings.java
@@ -7,7 +7,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
-import java.util.Iterator;
 import java.util.Map;
 
 /**
@@ -40,6 +39,11 @@
         }
     }
 
+    /**
+     * Reads the XML file; settings that it does not name have their defaults.
+     *
+     * @throws MalformedException with one line for the operator, if the file cannot be read or a value is not allowed
+     */
     public static OperatorSettings read(Path file) throws MalformedException {
         JsonNode tree;
         try (var in = Files.newInputStream(file)) {
@@ -54,8 +58,7 @@
 
     static OperatorSettings of(JsonNode tree) throws MalformedException {
         OperatorSettings s = DEFAULTS;
-        for (Iterator<Map.Entry<String, JsonNode>> it = tree.fields(); it.hasNext(); ) {
-            Map.Entry<String, JsonNode> entry = it.next();
+        for (Map.Entry<String, JsonNode> entry : tree.properties()) {
             String name = entry.getKey();
             try {
                 double value = Double.parseDouble(entry.getValue().asText().trim());
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -36,6 +36,7 @@
 
     private static final Pattern ADDRESS = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}");
 
+    /** Another controller: its name, its zone, and the address at which it takes requests of its peers. */
     public record Peer(String name, String zone, String address) {}
 
     /** A team with its guarantee and its limit; 0 means none: a team may be without a guarantee, and without a limit. */
@@ -55,6 +56,11 @@
     /** An aim for one class of jobs; {@code within} is null where the aim has none. */
     public record Objective(String kind, String jobClass, Duration within) {}
 
+    /**
+     * Reads the TOML file of the platform.
+     *
+     * @throws MalformedException with one line for the operator, if the file cannot be read or a field is wrong
+     */
     public static Settings read(Path file) throws MalformedException {
         JsonNode tree;
         try (var in = Files.newInputStream(file)) {
--- a/src/main/java/org/gullway/protocol/TaskId.java
+++ b/src/main/java/org/gullway/protocol/TaskId.java
@@ -2,6 +2,7 @@
 
 /** One task of a job. */
 public record TaskId(String job, int index) {
+    /** Reads the form of the protocol, {@code job/index} with an index from 0. */
     public static TaskId parse(String wire) throws MalformedException {
         int slash = wire.lastIndexOf('/');
         try {
--- a/src/main/java/org/gullway/protocol/TaskReport.java
+++ b/src/main/java/org/gullway/protocol/TaskReport.java
@@ -2,6 +2,7 @@
 
 /** One task as its worker sees it; {@code cause} is null until the task has ended. */
 public record TaskReport(TaskId task, long attempt, Phase phase, Cause cause, boolean saved) {
+    /** How far the attempt has come; in all phases but {@code ENDED} it occupies its room. */
     public enum Phase {
         FETCHING,
         RUNNING,
@@ -19,6 +20,7 @@
         }
     }
 
+    /** Why the attempt ended; causes of later protocols are {@code OTHER}. */
     public enum Cause {
         DONE,
         STOPPED,
--- a/src/main/java/org/gullway/protocol/WorkerReport.java
+++ b/src/main/java/org/gullway/protocol/WorkerReport.java
@@ -18,6 +18,7 @@
         Duration notice,
         List<TaskReport> tasks) {
 
+    /** Reads a report, or the answer to a command, which has the same form. */
     public static WorkerReport parse(JsonNode map) throws MalformedException {
         Fields fields = Fields.of(map);
         List<TaskReport> tasks = new ArrayList<>();
--- a/src/main/java/org/gullway/transport/Reply.java
+++ b/src/main/java/org/gullway/transport/Reply.java
@@ -6,6 +6,7 @@
 public record Reply(Kind kind, int status, byte[] body) {
     private static final byte[] EMPTY = new byte[0];
 
+    /** What is known of a request: whether it was answered, and if not, whether it may have been carried out. */
     public enum Kind {
         ANSWERED,
         /** The connection was never made, so the request was certainly not carried out. */
--- a/src/test/java/org/gullway/Rehearsal.java
+++ b/src/test/java/org/gullway/Rehearsal.java
@@ -84,31 +84,8 @@
         StandInWorker.World world = new Moments(jobs);
         Path settings = Files.createTempFile("gullway", ".toml");
         Files.writeString(settings, settings(node, state, cloudAddress));
-        loop.execute(() -> {
-            StandInStore store = new StandInStore(loop);
-            StandInCloud cloud = new StandInCloud(
-                    loop,
-                    List.of(new MachineType("small", 16, 0, 64, 50, 1, 1, 0.3, Duration.ofMillis(300), List.of("a"))),
-                    2,
-                    (name, kind) -> {
-                        String address = freeAddress();
-                        StandInWorker machine = new StandInWorker(
-                                loop,
-                                client,
-                                world,
-                                new SplittableRandom(1),
-                                name,
-                                address,
-                                kind,
-                                Map.of("perch-0", node),
-                                Duration.ofMillis(500),
-                                Duration.ofSeconds(20));
-                        HttpServer.start(worker, buffers, sockets, address, 65536, machine::handle);
-                        return machine;
-                    });
-            HttpServer.start(worker, buffers, sockets, state, 65536, store::handle);
-            HttpServer.start(worker, buffers, sockets, cloudAddress, 65536, cloud::handle);
-        });
+        loop.execute(
+                () -> listen(worker, buffers, sockets, loop, client, world, new Addresses(node, state, cloudAddress)));
         List<String> whole = new ArrayList<>(command);
         whole.addAll(List.of("--config", settings.toString()));
         Process process = new ProcessBuilder(whole).inheritIO().start();
@@ -129,6 +106,43 @@
         }
     }
 
+    /** Where the daemon and the stand-ins of the services listen. */
+    private record Addresses(String node, String state, String cloud) {}
+
+    /** Starts the stand-ins of the state service and of the cloud, whose machines listen as soon as they are rented. */
+    private static void listen(
+            XnioWorker worker,
+            DefaultByteBufferPool buffers,
+            Sockets sockets,
+            XnioEventLoop loop,
+            HttpClient client,
+            StandInWorker.World world,
+            Addresses addresses) {
+        StandInStore store = new StandInStore(loop);
+        StandInCloud cloud = new StandInCloud(
+                loop,
+                List.of(new MachineType("small", 16, 0, 64, 50, 1, 1, 0.3, Duration.ofMillis(300), List.of("a"))),
+                2,
+                (name, kind) -> {
+                    String address = freeAddress();
+                    StandInWorker machine = new StandInWorker(
+                            loop,
+                            client,
+                            world,
+                            new SplittableRandom(1),
+                            name,
+                            address,
+                            kind,
+                            Map.of("perch-0", addresses.node()),
+                            Duration.ofMillis(500),
+                            Duration.ofSeconds(20));
+                    HttpServer.start(worker, buffers, sockets, address, 65536, machine::handle);
+                    return machine;
+                });
+        HttpServer.start(worker, buffers, sockets, addresses.state(), 65536, store::handle);
+        HttpServer.start(worker, buffers, sockets, addresses.cloud(), 65536, cloud::handle);
+    }
+
     private static void submit(
             XnioEventLoop loop, HttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
         client.call(node, Reply.Request.post("/v2/runs", Cbor.encode(job.toNode()), Duration.ofSeconds(5)), reply -> {
--- a/src/test/java/org/gullway/standin/StandInsTest.java
+++ b/src/test/java/org/gullway/standin/StandInsTest.java
@@ -133,50 +133,52 @@
         assertThat(statuses).hasSize(20).containsOnly(404);
     }
 
-    /** A worker with one task of a minute, whose reports are answered under the present token. */
-    private StandInWorker working() {
-        StandInWorker.World world = new StandInWorker.World() {
-            @Override
-            public JobRequest describe(String job) {
-                return new JobRequest(
-                        job,
-                        "render",
-                        "red",
-                        JobRequest.Shape.ARRAY,
-                        Rank.HIGH,
-                        2,
-                        4,
-                        0,
-                        4,
-                        "img",
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        LEASE,
-                        Duration.ZERO,
-                        Duration.ZERO,
-                        null);
-            }
+    /** Every job has tasks of a minute, whose begin and end are noted. */
+    private final class MinuteTasks implements StandInWorker.World {
+        @Override
+        public JobRequest describe(String job) {
+            return new JobRequest(
+                    job,
+                    "render",
+                    "red",
+                    JobRequest.Shape.ARRAY,
+                    Rank.HIGH,
+                    2,
+                    4,
+                    0,
+                    4,
+                    "img",
+                    1,
+                    null,
+                    null,
+                    false,
+                    false,
+                    true,
+                    LEASE,
+                    Duration.ZERO,
+                    Duration.ZERO,
+                    null);
+        }
+
+        @Override
+        public Duration runTime(String job) {
+            return Duration.ofSeconds(60);
+        }
 
-            @Override
-            public Duration runTime(String job) {
-                return Duration.ofSeconds(60);
-            }
+        @Override
+        public void began(String machine, String task) {
+            events.add(task + " began");
+        }
 
-            @Override
-            public void began(String machine, String task) {
-                events.add(task + " began");
-            }
+        @Override
+        public void ended(String machine, String task, boolean done) {
+            events.add(
+                    task + (done ? " done" : " stopped") + " at " + time.now().getEpochSecond());
+        }
+    }
 
-            @Override
-            public void ended(String machine, String task, boolean done) {
-                events.add(task + (done ? " done" : " stopped") + " at "
-                        + time.now().getEpochSecond());
-            }
-        };
+    /** A worker with one task of a minute, whose reports are answered under the present token. */
+    private StandInWorker working() {
         network.listen(CONTROLLER, loop, call -> {
             reports++;
             call.answer(200, Cbor.encode(Cbor.map().put("baton", token)));
@@ -184,7 +186,7 @@
         StandInWorker worker = new StandInWorker(
                 loop,
                 network.client("vm-000007", loop),
-                world,
+                new MinuteTasks(),
                 new SplittableRandom(1),
                 "vm-000007",
                 MACHINE,
