--- /dev/null
+++ b/src/main/java/org/gullway/CancellationRequests.java
@@ -0,0 +1,104 @@
+package org.gullway;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.gullway.bookkeeping.Ledger;
+import org.gullway.coordination.ClusterView;
+import org.gullway.coordination.Draft;
+import org.gullway.coordination.JobRecord;
+import org.gullway.protocol.JobRequest;
+import org.gullway.protocol.JobStatus;
+import org.gullway.transport.Call;
+import org.gullway.transport.EventLoop;
+
+/** Users' cancellations from their arrival until they are on record and their users have been told so. */
+final class CancellationRequests {
+    private static final Duration PATIENCE = Duration.ofSeconds(2);
+    private static final int MOST_PENDING = 500;
+
+    private final EventLoop loop;
+    private final ClusterView view;
+    private final Ledger ledger;
+    private final FinalStates finals;
+    private final JobLookUps lookUps;
+    private final Runnable changed;
+    private final Map<String, Cancellation> pending = new LinkedHashMap<>();
+
+    private record Cancellation(String id, Instant came, List<Call> calls) {}
+
+    /** @param changed asks for a round of decisions */
+    CancellationRequests(
+            EventLoop loop, ClusterView view, Ledger ledger, FinalStates finals, JobLookUps lookUps, Runnable changed) {
+        this.loop = loop;
+        this.view = view;
+        this.ledger = ledger;
+        this.finals = finals;
+        this.lookUps = lookUps;
+        this.changed = changed;
+    }
+
+    /** Cancels the job and answers when that is on record, or at once if it is over or nobody knows it. */
+    void cancel(String id, Call call) {
+        if (!JobRequest.isId(id)) {
+            UserAnswers.unknown(call);
+        } else if (!ledger.entitled()) {
+            UserAnswers.refuse(call);
+        } else if (pending.size() >= MOST_PENDING) {
+            call.refuse(429, UserAnswers.RETRY_AFTER);
+        } else if (view.job(id) == null) {
+            lookUps.lookUp(id, found -> cancelFound(id, found, call), () -> UserAnswers.refuse(call));
+        } else {
+            enqueue(id, call);
+        }
+    }
+
+    private void cancelFound(String id, JobStatus found, Call call) {
+        if (found == null) {
+            UserAnswers.unknown(call);
+        } else if (found.state().isFinal()) {
+            UserAnswers.state(call, found);
+        } else {
+            enqueue(id, call);
+        }
+    }
+
+    private void enqueue(String id, Call call) {
+        pending.computeIfAbsent(id, i -> new Cancellation(i, loop.now(), new ArrayList<>()))
+                .calls()
+                .add(call);
+        changed.run();
+    }
+
+    /** Adds the cancellations that wait to the draft, as far as it has room. */
+    void propose(Draft draft, Instant timeOfDay) {
+        for (Cancellation cancellation : pending.values()) {
+            JobRecord job = draft.job(cancellation.id());
+            if (job != null && !job.cancelled() && draft.hasRoomFor(2)) {
+                draft.putJob(job.cancel(timeOfDay));
+            }
+        }
+    }
+
+    /** Answers what the view answers by now, and gives up what took too long. */
+    void settle() {
+        Instant now = loop.now();
+        boolean entitled = ledger.entitled();
+        for (String id : List.copyOf(pending.keySet())) {
+            Cancellation cancellation = pending.get(id);
+            JobRecord job = view.job(id);
+            if (job != null && job.cancelled()) {
+                pending.remove(id).calls().forEach(call -> UserAnswers.state(call, job.status()));
+            } else if (finals.contains(id)) {
+                pending.remove(id).calls().forEach(call -> UserAnswers.state(call, finals.of(id)));
+            } else if (job == null) {
+                pending.remove(id).calls().forEach(call -> cancel(id, call));
+            } else if (!entitled || cancellation.came().plus(PATIENCE).isBefore(now)) {
+                pending.remove(id).calls().forEach(UserAnswers::refuse);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/Submissions.java
@@ -0,0 +1,205 @@
+package org.gullway;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.random.RandomGenerator;
+import org.gullway.bookkeeping.Ledger;
+import org.gullway.coordination.ClusterView;
+import org.gullway.coordination.Draft;
+import org.gullway.coordination.JobRecord;
+import org.gullway.coordination.Keys;
+import org.gullway.coordination.Placing;
+import org.gullway.protocol.Cbor;
+import org.gullway.protocol.JobRequest;
+import org.gullway.protocol.JobStatus;
+import org.gullway.protocol.MachineType;
+import org.gullway.protocol.MalformedException;
+import org.gullway.transport.Call;
+import org.gullway.transport.EventLoop;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Submissions from their arrival until the job is on record and its user has been told so. */
+final class Submissions {
+    private static final Logger LOG = LoggerFactory.getLogger(Submissions.class);
+    private static final Duration PATIENCE = Duration.ofSeconds(2);
+    private static final int MOST_PENDING = 500;
+
+    private final EventLoop loop;
+    private final ClusterView view;
+    private final Ledger ledger;
+    private final Placing placing;
+    private final RandomGenerator random;
+    private final Metrics metrics;
+    private final FinalStates finals;
+    private final JobLookUps lookUps;
+    private final StatusQueries queries;
+    private final Runnable changed;
+    private final Map<String, Submission> pending = new LinkedHashMap<>();
+
+    private record Submission(JobRequest request, Instant came, List<Call> calls) {}
+
+    /** @param changed asks for a round of decisions */
+    Submissions(
+            EventLoop loop,
+            ClusterView view,
+            Ledger ledger,
+            Placing placing,
+            RandomGenerator random,
+            Metrics metrics,
+            FinalStates finals,
+            JobLookUps lookUps,
+            StatusQueries queries,
+            Runnable changed) {
+        this.loop = loop;
+        this.view = view;
+        this.ledger = ledger;
+        this.placing = placing;
+        this.random = random;
+        this.metrics = metrics;
+        this.finals = finals;
+        this.lookUps = lookUps;
+        this.queries = queries;
+        this.changed = changed;
+    }
+
+    /** Reads a submission and answers it, at once or when the job is on record. */
+    void submit(Call call) {
+        JobRequest request;
+        try {
+            request = read(call);
+        } catch (MalformedException e) {
+            UserAnswers.complain(call, 400, e.getMessage());
+            return;
+        }
+        String id = request.id();
+        if (!ledger.entitled() || placing.types().isEmpty()) {
+            UserAnswers.refuse(call);
+        } else if (view.job(id) != null || finals.contains(id)) {
+            queries.tell(id, call);
+        } else if (!placing.possible(request)) {
+            refuseUnlessAccepted(id, call);
+        } else if (pending.size() >= MOST_PENDING) {
+            call.refuse(429, UserAnswers.RETRY_AFTER.multipliedBy(2));
+        } else {
+            enqueue(request, call);
+        }
+    }
+
+    private static JobRequest read(Call call) throws MalformedException {
+        if (call.body() == null) {
+            throw new MalformedException("the body is larger than allowed");
+        }
+        return JobRequest.parse(Cbor.decode(call.body()));
+    }
+
+    /** A job accepted earlier is never refused; only the store can say that it was not. */
+    private void refuseUnlessAccepted(String id, Call call) {
+        lookUps.lookUp(id, found -> refuseUnless(found, call), () -> UserAnswers.refuse(call));
+    }
+
+    private static void refuseUnless(JobStatus found, Call call) {
+        if (found == null) {
+            UserAnswers.complain(call, 422, "no machine type, zone or team limit allows this job");
+        } else {
+            UserAnswers.status(call, found);
+        }
+    }
+
+    private void enqueue(JobRequest request, Call call) {
+        pending.computeIfAbsent(
+                        request.id(), i -> new Submission(withKnownTypes(request), loop.now(), new ArrayList<>()))
+                .calls()
+                .add(call);
+        changed.run();
+    }
+
+    /** The request with only those allowed types that exist, so that its record stays small. */
+    private JobRequest withKnownTypes(JobRequest r) {
+        if (r.types() == null) {
+            return r;
+        }
+        List<String> types = placing.types().values().stream()
+                .map(MachineType::name)
+                .filter(r.types()::contains)
+                .toList();
+        return new JobRequest(
+                r.id(),
+                r.jobClass(),
+                r.team(),
+                r.shape(),
+                r.rank(),
+                r.tasks(),
+                r.cpus(),
+                r.cards(),
+                r.memoryGb(),
+                r.image(),
+                r.imageGb(),
+                types,
+                r.zone(),
+                r.oneZone(),
+                r.spread(),
+                r.spot(),
+                r.estimate(),
+                r.checkpoint(),
+                r.save(),
+                r.deadline());
+    }
+
+    /** Adds the records of jobs that wait for acceptance to the draft, as far as it has room. */
+    void propose(Draft draft, Instant timeOfDay) {
+        List<String> members = new ArrayList<>(view.members().keySet());
+        for (Submission submission : pending.values()) {
+            JobRequest request = submission.request();
+            if (draft.job(request.id()) == null && draft.hasRoomFor(2)) {
+                String owner = JobRecord.isReserved(request) ? null : members.get(random.nextInt(members.size()));
+                draft.rely(Keys.ended(request.id()));
+                draft.put(Keys.job(request.id()), JobRecord.accepted(request, owner, timeOfDay));
+            }
+        }
+    }
+
+    /** The record of this job has been committed: its user is told if it is a new one. */
+    void committed(JobRecord job) {
+        Submission submission = pending.remove(job.request().id());
+        if (submission == null) {
+            return;
+        }
+        Duration took = Duration.between(submission.came(), loop.now());
+        LOG.debug(
+                "{} of {} accepted after {}", job.request().id(), job.request().jobClass(), took);
+        metrics.accepted(took);
+        byte[] body = Cbor.encode(Cbor.map()
+                .put("name_id", job.request().id())
+                .put("tide", job.state().wire()));
+        submission.calls().forEach(call -> call.answer(201, body));
+    }
+
+    /** Answers submissions of jobs that turned out to have ended before. */
+    void refused(Set<String> failedGuards) {
+        for (String id : List.copyOf(pending.keySet())) {
+            if (failedGuards.contains(Keys.ended(id))) {
+                pending.remove(id).calls().forEach(call -> queries.tell(id, call));
+            }
+        }
+    }
+
+    /** Answers what the view answers by now, and gives up what took too long. */
+    void settle() {
+        Instant now = loop.now();
+        boolean entitled = ledger.entitled();
+        for (String id : List.copyOf(pending.keySet())) {
+            Submission submission = pending.get(id);
+            if (view.job(id) != null) {
+                pending.remove(id).calls().forEach(call -> queries.tell(id, call));
+            } else if (!entitled || submission.came().plus(PATIENCE).isBefore(now)) {
+                pending.remove(id).calls().forEach(UserAnswers::refuse);
+            }
+        }
+    }
+}
