--- a/src/main/java/org/gullway/coordination/Ranges.java
+++ b/src/main/java/org/gullway/coordination/Ranges.java
@@ -3,6 +3,7 @@
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.Arrays;
+import java.util.BitSet;
 
 /** An immutable set of task numbers, kept as sorted ranges. */
 public final class Ranges {
@@ -37,6 +38,18 @@
         return new Ranges(bounds.clone());
     }
 
+    /** The numbers of a bit set. */
+    public static Ranges of(BitSet numbers) {
+        IntList bounds = new IntArrayList();
+        for (int first = numbers.nextSetBit(0); first >= 0; ) {
+            int after = numbers.nextClearBit(first);
+            bounds.add(first);
+            bounds.add(after - 1);
+            first = numbers.nextSetBit(after);
+        }
+        return new Ranges(bounds.toIntArray());
+    }
+
     public int size() {
         return size;
     }
