--- a/src/main/java/org/gullway/Controller.java
+++ b/src/main/java/org/gullway/Controller.java
@@ -34,12 +34,12 @@
 import org.gullway.coordination.Shares;
 import org.gullway.coordination.Urgency;
 import org.gullway.protocol.Cancellations;
-import org.gullway.protocol.Cbor;
 import org.gullway.protocol.Command;
 import org.gullway.protocol.EndNotice;
 import org.gullway.protocol.MalformedException;
 import org.gullway.protocol.Offer;
 import org.gullway.protocol.OperatorSettings;
+import org.gullway.protocol.ReportResponses;
 import org.gullway.protocol.Settings;
 import org.gullway.protocol.WorkerReport;
 import org.gullway.transport.Call;
@@ -89,6 +89,7 @@
     private final CloudLoop cloud;
     private final UserApi users;
     private final ReportIntake reports;
+    private final ReportResponses responses = new ReportResponses();
     private final Metrics metrics = new Metrics();
     private final Map<String, String> meshAddresses = new HashMap<>();
     private final Draft.Limits limits;
@@ -284,7 +285,7 @@
             if (call.body() == null) {
                 throw new MalformedException("the body is larger than allowed");
             }
-            report = WorkerReport.parse(Cbor.decode(call.body()));
+            report = WorkerReport.parse(call.body(), machines::lastMessage);
         } catch (MalformedException e) {
             LOG.info("a report cannot be read: {}", e.getMessage());
             call.answer(400, new byte[0]);
@@ -292,7 +293,7 @@
         }
         if (!entitled) {
             if (leases.keeps(report, loop.now())) {
-                call.answer(200, Command.response(view.epoch(), cancelled.stops(report)));
+                call.answer(200, responses.encode(view.epoch(), cancelled.stops(report)));
             } else {
                 call.refuse(503, Duration.ofSeconds(1));
             }
@@ -300,7 +301,7 @@
         }
         MachineControl.Answer answer = machines.report(report, loop.now());
         if (answer instanceof MachineControl.Answer.Commands commands) {
-            call.answer(200, Command.response(commands.token(), commands.commands()));
+            call.answer(200, responses.encode(commands.token(), commands.commands()));
             if (commands.changed()) {
                 schedule();
             }
@@ -505,7 +506,7 @@
             ended.accept(outcome);
             if (answered) {
                 try {
-                    answers.accept(WorkerReport.parse(Cbor.decode(reply.body())));
+                    answers.accept(WorkerReport.parse(reply.body(), machines::lastMessage));
                 } catch (MalformedException e) {
                     LOG.info("the answer of {} cannot be read: {}", push.machine(), e.getMessage());
                 }
--- a/src/main/java/org/gullway/coordination/MachineControl.java
+++ b/src/main/java/org/gullway/coordination/MachineControl.java
@@ -105,6 +105,12 @@
         }
     }
 
+    /** The newest message of the worker on this machine, or null if none is known. */
+    public WorkerReport lastMessage(String machine) {
+        Worker worker = workers.get(machine);
+        return worker == null ? null : worker.newest();
+    }
+
     /**
      * Takes a report, whose sender may be a worker of another controller or one that is not on record.
      *
--- a/src/main/java/org/gullway/protocol/Cbor.java
+++ b/src/main/java/org/gullway/protocol/Cbor.java
@@ -1,5 +1,6 @@
 package org.gullway.protocol;
 
+import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -28,6 +29,11 @@
         }
     }
 
+    /** Reads a body piece by piece. */
+    static JsonParser parser(byte[] body) throws IOException {
+        return MAPPER.getFactory().createParser(body);
+    }
+
     /** Reads a body that has to be exactly one map. */
     public static ObjectNode decode(byte[] body) throws MalformedException {
         JsonNode node;
--- a/src/main/java/org/gullway/protocol/Fields.java
+++ b/src/main/java/org/gullway/protocol/Fields.java
@@ -9,7 +9,8 @@
 /** Checked access to the fields of a map; every complaint names the field. */
 public final class Fields {
     private static final double LARGEST_AMOUNT = 1e9;
-    private static final int LONGEST_TEXT = 200;
+    /** Characters of a text at most. */
+    static final int LONGEST_TEXT = 200;
 
     private final JsonNode map;
     private final String where;
@@ -56,12 +57,21 @@
     public double amount(String name) throws MalformedException {
         JsonNode node = required(name);
         double value = node.isNumber() ? node.doubleValue() : Double.NaN;
-        if (!(value >= 0 && value <= LARGEST_AMOUNT)) {
+        if (!isAmount(value)) {
             throw wrong(name, "an amount from 0 to 1e9");
         }
         return value;
     }
 
+    /** Whether the number is finite, zero or more, and not absurdly large. */
+    static boolean isAmount(double value) {
+        return value >= 0 && value <= LARGEST_AMOUNT;
+    }
+
+    static Duration toDuration(double seconds) {
+        return Duration.ofNanos(Math.round(seconds * 1e9));
+    }
+
     /** A finite amount above zero. */
     public double positive(String name) throws MalformedException {
         double value = amount(name);
@@ -72,7 +82,7 @@
     }
 
     public Duration seconds(String name) throws MalformedException {
-        return Duration.ofNanos(Math.round(amount(name) * 1e9));
+        return toDuration(amount(name));
     }
 
     public Duration secondsOrNull(String name) throws MalformedException {
--- a/src/main/java/org/gullway/protocol/TaskId.java
+++ b/src/main/java/org/gullway/protocol/TaskId.java
@@ -16,6 +16,28 @@
         throw new MalformedException("leg is not of the form run-000412/3");
     }
 
+    /** Whether these characters are this id as it is written on the wire. */
+    boolean isWrittenAs(char[] characters, int offset, int length) {
+        int slash = job.length();
+        if (length <= slash + 1 || characters[offset + slash] != '/') {
+            return false;
+        }
+        for (int i = 0; i < slash; i++) {
+            if (characters[offset + i] != job.charAt(i)) {
+                return false;
+            }
+        }
+        long number = 0;
+        for (int i = slash + 1; i < length; i++) {
+            int digit = characters[offset + i] - '0';
+            if (digit < 0 || digit > 9 || number > Integer.MAX_VALUE) {
+                return false;
+            }
+            number = 10 * number + digit;
+        }
+        return number == index;
+    }
+
     @Override
     public String toString() {
         return job + "/" + index;
--- /dev/null
+++ b/src/test/java/org/gullway/protocol/WorkerReportTest.java
@@ -0,0 +1,249 @@
+package org.gullway.protocol;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import com.sun.management.ThreadMXBean;
+import java.lang.management.ManagementFactory;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+
+class WorkerReportTest {
+    private static final int TASKS = 8;
+
+    private static ObjectNode report(long sequence, int tasks, String phase) {
+        ObjectNode node = Cbor.map()
+                .put("perch", "vm-000231")
+                .put("endpoint", "10.1.0.232:9000")
+                .put("breed", "g8")
+                .put("shore", "a")
+                .put("driftwood", true)
+                .put("flight", 1)
+                .put("tally", sequence)
+                .put("baton", 41)
+                .putNull("warning_s");
+        ArrayNode legs = node.putArray("legs");
+        for (int i = 0; i < tasks; i++) {
+            ObjectNode leg = legs.addObject()
+                    .put("leg", "run-000412/" + i)
+                    .put("launch", 2)
+                    .put("tide", phase);
+            if (phase.equals("ended")) {
+                leg.put("cause", i % 2 == 0 ? "done" : "halted").put("stored", i % 2 != 0);
+            }
+        }
+        return node;
+    }
+
+    private static WorkerReport read(byte[] body) throws MalformedException {
+        return WorkerReport.parse(body, machine -> null);
+    }
+
+    private static WorkerReport read(byte[] body, WorkerReport last) throws MalformedException {
+        return WorkerReport.parse(body, machine -> last.machine().equals(machine) ? last : null);
+    }
+
+    /** The rules of the fields, applied to a tree: slower, and what the reader has to agree with. */
+    private static WorkerReport expected(byte[] body) throws MalformedException {
+        Fields fields = Fields.of(Cbor.decode(body));
+        List<TaskReport> tasks = new ArrayList<>();
+        for (Fields leg : fields.list("legs")) {
+            TaskReport.Phase phase = TaskReport.Phase.of(leg.text("tide"));
+            TaskReport.Cause cause = phase != TaskReport.Phase.ENDED
+                    ? null
+                    : leg.has("cause") ? TaskReport.Cause.of(leg.text("cause")) : TaskReport.Cause.OTHER;
+            tasks.add(new TaskReport(
+                    TaskId.parse(leg.text("leg")),
+                    leg.count("launch"),
+                    phase,
+                    cause,
+                    leg.has("stored") && leg.flag("stored")));
+        }
+        return new WorkerReport(
+                fields.text("perch"),
+                fields.text("endpoint"),
+                fields.text("breed"),
+                fields.text("shore"),
+                fields.flag("driftwood"),
+                fields.count("flight"),
+                fields.count("tally"),
+                fields.count("baton"),
+                fields.secondsOrNull("warning_s"),
+                tasks);
+    }
+
+    @Test
+    void readsAllFieldsAndIgnoresOthers() throws MalformedException {
+        ObjectNode node = report(88, 3, "ended").put("warning_s", 12.5).put("later", 1);
+        node.putObject("more").putArray("items").add("x").addObject();
+        byte[] body = Cbor.encode(node);
+        WorkerReport read = read(body);
+        assertThat(read).isEqualTo(expected(body));
+        assertThat(read.notice()).isEqualTo(Duration.ofMillis(12_500));
+        assertThat(read.tasks().get(1).cause()).isEqualTo(TaskReport.Cause.STOPPED);
+        assertThat(read.tasks().get(1).saved()).isTrue();
+    }
+
+    @Test
+    void agreesWithTheRulesForEveryWrongOrMissingValue() {
+        List<JsonNode> values = List.of(
+                Cbor.map(),
+                Cbor.map().putArray("x"),
+                Cbor.map().put("x", -1).path("x"),
+                Cbor.map().put("x", 1.5).path("x"),
+                Cbor.map().put("x", 2e9).path("x"),
+                Cbor.map()
+                        .put("x", new java.math.BigInteger("9223372036854775808"))
+                        .path("x"),
+                Cbor.map().put("x", Long.MAX_VALUE).path("x"),
+                Cbor.map().put("x", "").path("x"),
+                Cbor.map().put("x", "y".repeat(200)).path("x"),
+                Cbor.map().put("x", "y".repeat(201)).path("x"),
+                Cbor.map().put("x", "run-1/07").path("x"),
+                Cbor.map().put("x", "run-1/-1").path("x"),
+                Cbor.map().put("x", "running").path("x"),
+                Cbor.map().put("x", true).path("x"),
+                Cbor.map().putNull("x").path("x"));
+        for (String phase : List.of("running", "ended")) {
+            ObjectNode sample = report(88, 2, phase);
+            sample.fieldNames().forEachRemaining(name -> {
+                for (JsonNode value : values) {
+                    assertAgrees(Cbor.encode(sample.deepCopy().set(name, value)));
+                }
+                assertAgrees(Cbor.encode(sample.deepCopy().without(name)));
+            });
+            for (String name : List.of("leg", "launch", "tide", "cause", "stored", "other")) {
+                for (JsonNode value : values) {
+                    ObjectNode changed = sample.deepCopy();
+                    ((ObjectNode) changed.path("legs").get(1)).set(name, value);
+                    assertAgrees(Cbor.encode(changed));
+                }
+                ObjectNode changed = sample.deepCopy();
+                ((ObjectNode) changed.path("legs").get(0)).remove(name);
+                assertAgrees(Cbor.encode(changed));
+            }
+        }
+    }
+
+    @Test
+    void refusesEveryReportThatIsCutOffAndWhatFollowsOne() {
+        byte[] whole = Cbor.encode(report(88, 2, "ended"));
+        for (int length = 0; length < whole.length; length++) {
+            byte[] part = Arrays.copyOf(whole, length);
+            assertThatThrownBy(() -> read(part)).isInstanceOf(MalformedException.class);
+        }
+        assertThatThrownBy(() -> read(Arrays.copyOf(whole, whole.length + 1))).isInstanceOf(MalformedException.class);
+    }
+
+    @Test
+    void neverFailsOtherwiseForBytesThatWereAltered() {
+        SplittableRandom random = new SplittableRandom(7);
+        byte[] whole = Cbor.encode(report(88, 4, "ended"));
+        for (int i = 0; i < 20_000; i++) {
+            byte[] altered = whole.clone();
+            altered[random.nextInt(altered.length)] = (byte) random.nextInt(256);
+            try {
+                read(altered);
+            } catch (MalformedException e) {
+                assertThat(e.getMessage()).isNotEmpty();
+            }
+        }
+    }
+
+    @Test
+    void sharesWithTheLastMessageWhatHasNotChanged() throws MalformedException {
+        WorkerReport last = read(Cbor.encode(report(88, TASKS, "running")));
+        WorkerReport same = read(Cbor.encode(report(89, TASKS, "running")), last);
+        assertThat(same).isEqualTo(read(Cbor.encode(report(89, TASKS, "running"))));
+        assertThat(same.tasks()).isSameAs(last.tasks());
+
+        ObjectNode node = report(90, TASKS, "running");
+        ((ObjectNode) node.path("legs").get(3)).put("tide", "saving");
+        WorkerReport one = read(Cbor.encode(node), last);
+        assertThat(one).isEqualTo(expected(Cbor.encode(node)));
+        assertThat(one.tasks().get(4)).isSameAs(last.tasks().get(4));
+    }
+
+    @Test
+    void isRightWhateverTheLastMessageWas() throws MalformedException {
+        List<ObjectNode> messages = new ArrayList<>();
+        for (int tasks : List.of(0, 1, 3, TASKS)) {
+            for (String phase : List.of("fetching", "running", "ended")) {
+                messages.add(report(1, tasks, phase));
+                ObjectNode shifted = report(2, tasks, phase);
+                if (tasks > 0) {
+                    ((ArrayNode) shifted.path("legs")).remove(0);
+                }
+                messages.add(shifted);
+            }
+        }
+        for (ObjectNode first : messages) {
+            WorkerReport last = read(Cbor.encode(first));
+            for (ObjectNode second : messages) {
+                byte[] body = Cbor.encode(second);
+                assertThat(read(body, last)).isEqualTo(expected(body));
+            }
+        }
+    }
+
+    /** The library makes a text of each task's id and state; nothing else is allocated for a task. */
+    @Test
+    void anUnchangedReportAllocatesLittle() throws MalformedException {
+        long few = allocatedPerReport(0);
+        long many = allocatedPerReport(40);
+        assertThat(few).as("bytes for a report without tasks").isLessThan(1800);
+        assertThat((many - few) / 40).as("bytes for each task").isLessThan(280);
+    }
+
+    private static long allocatedPerReport(int tasks) throws MalformedException {
+        ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
+        long thread = Thread.currentThread().getId();
+        int rounds = 2000;
+        byte[][] bodies = new byte[rounds][];
+        for (int i = 0; i < rounds; i++) {
+            bodies[i] = Cbor.encode(report(100 + i, tasks, "running"));
+        }
+        WorkerReport last = read(bodies[0]);
+        long before = 0;
+        for (int pass = 0; pass < 2; pass++) {
+            before = threads.getThreadAllocatedBytes(thread);
+            for (byte[] body : bodies) {
+                last = read(body, last);
+            }
+        }
+        return (threads.getThreadAllocatedBytes(thread) - before) / rounds;
+    }
+
+    private static void assertAgrees(byte[] body) {
+        WorkerReport tree;
+        try {
+            tree = expected(body);
+        } catch (MalformedException e) {
+            assertThatThrownBy(() -> read(body)).isInstanceOf(MalformedException.class);
+            return;
+        }
+        try {
+            assertThat(read(body)).isEqualTo(tree);
+        } catch (MalformedException e) {
+            throw new AssertionError("refused although it is well-formed: " + tree, e);
+        }
+    }
+
+    @Test
+    void theAnswerWithoutCommandsIsEncodedOnceForEachToken() throws MalformedException {
+        ReportResponses responses = new ReportResponses();
+        byte[] first = responses.encode(41, List.of());
+        assertThat(responses.encode(41, List.of())).isSameAs(first).isEqualTo(Command.response(41, List.of()));
+        List<Command> commands = List.of(Command.start(TaskId.parse("run-000412/4"), 2));
+        assertThat(responses.encode(41, commands)).isEqualTo(Command.response(41, commands));
+        assertThat(responses.encode(42, List.of())).isEqualTo(Command.response(42, List.of()));
+        assertThat(responses.encode(41, List.of())).isEqualTo(first);
+    }
+}
