--- a/src/main/java/org/gullway/coordination/ClusterView.java
+++ b/src/main/java/org/gullway/coordination/ClusterView.java
@@ -71,6 +71,7 @@
         }
     });
 
+    private long groupsAndMembersVersion;
     private long watched;
     /** Revision of the last loss of a member, as far as known. */
     private long lossSeen;
@@ -87,6 +88,7 @@
         touched.addAll(machines.keySet());
         machines.clear();
         machineMarks.clear();
+        groupsAndMembersVersion++;
         groupOf.clear();
         shares.clear();
         members.clear();
@@ -118,6 +120,7 @@
         } else if (value instanceof ShareRecord share) {
             shares.put(key, share);
         } else if (key.startsWith(Keys.MEMBERS)) {
+            groupsAndMembersVersion++;
             Incarnation before = members.put(key.substring(Keys.MEMBERS.length()), (Incarnation) value);
             if (before != null && !before.equals(value)) {
                 lossSeen = Math.max(lossSeen, mark);
@@ -148,6 +151,7 @@
         } else if (key.startsWith(Keys.SHARES)) {
             shares.remove(key);
         } else if (key.startsWith(Keys.MEMBERS)) {
+            groupsAndMembersVersion++;
             members.remove(key.substring(Keys.MEMBERS.length()));
             lossSeen = Math.max(lossSeen, mark);
         } else if (key.equals(Keys.LEADER)) {
@@ -159,6 +163,7 @@
     }
 
     private void replaceGroup(String id, GroupRecord next, long mark) {
+        groupsAndMembersVersion++;
         GroupRecord before = next == null ? groups.remove(id) : groups.put(id, next);
         if (before != null) {
             for (MachineRecord machine : before.machines()) {
@@ -305,6 +310,11 @@
         return members;
     }
 
+    /** Rises with every change of a group or a member. */
+    public long groupsAndMembersVersion() {
+        return groupsAndMembersVersion;
+    }
+
     public boolean isLive(Incarnation incarnation) {
         return incarnation != null && incarnation.equals(members.get(incarnation.node()));
     }
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/LookTimes.java
@@ -0,0 +1,44 @@
+package org.gullway.coordination;
+
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.PriorityQueue;
+
+/**
+ * When machines have to be looked at. Finding those that are due takes time in proportion to their number, not to the
+ * number of all machines.
+ */
+final class LookTimes {
+    private record Entry(Instant at, long order, String machine) implements Comparable<Entry> {
+        @Override
+        public int compareTo(Entry other) {
+            int byTime = at.compareTo(other.at);
+            return byTime != 0 ? byTime : Long.compare(order, other.order);
+        }
+    }
+
+    private final PriorityQueue<Entry> queue = new PriorityQueue<>();
+    private long order;
+
+    void add(String machine, Instant at) {
+        queue.add(new Entry(at, order++, machine));
+    }
+
+    /**
+     * Takes out all entries that are due by now, the earliest first. A machine may be among them several times, and
+     * may have been looked at since.
+     */
+    List<String> takeDue(Instant now) {
+        List<String> due = new ArrayList<>();
+        while (!queue.isEmpty() && !queue.peek().at().isAfter(now)) {
+            due.add(queue.poll().machine());
+        }
+        return due;
+    }
+
+    /** Entries that are not due yet. */
+    int size() {
+        return queue.size();
+    }
+}
--- a/src/main/java/org/gullway/coordination/MachineControl.java
+++ b/src/main/java/org/gullway/coordination/MachineControl.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -35,6 +36,9 @@
     /** After that the end is recorded here: the keeper may be out of reach, or change again and again. */
     private static final Duration TOLD_IN_VAIN = Duration.ofSeconds(4);
 
+    /** What is kept for machines that are gone or commanded elsewhere does no harm meanwhile. */
+    private static final Duration TIDY_EVERY = Duration.ofSeconds(2);
+
     private static final Duration NOTICE_MARGIN = Duration.ofSeconds(1);
     private static final Duration ERROR_WINDOW = Duration.ofMinutes(2);
     private static final int ERRORS_OF_JOBS = 2;
@@ -53,6 +57,10 @@
     private final EndedAttempts ended;
     private final CancelledTasks cancelled;
     private final Map<String, Worker> workers = new LinkedHashMap<>();
+    private final LookTimes lookTimes = new LookTimes();
+    /** Machines whose workers have, or had, trouble that may call for a change of the records. */
+    private final Set<String> troubled = new LinkedHashSet<>();
+
     private final SilentMachines silent;
     /** Machines here whose session on record may be behind. */
     private final Set<String> newSessions = new HashSet<>();
@@ -64,6 +72,12 @@
     private final Map<String, Boolean> failingJobs = new HashMap<>();
 
     private int pushing;
+    /** Workers looked at so far. */
+    private long looks;
+    /** Version of groups and members at which no group was without a live controller; -1 if there was one. */
+    private long settledVersion = -1;
+
+    private Instant tidiedAt = Instant.MIN;
     private Instant raisedAt = Instant.MIN;
 
     public MachineControl(
@@ -105,6 +119,16 @@
         }
     }
 
+    private Worker worker(String machine, Instant now) {
+        return workers.computeIfAbsent(machine, m -> new Worker(now, at -> lookTimes.add(m, at)));
+    }
+
+    private void noteTrouble(String machine, Worker worker) {
+        if (worker.hasTrouble()) {
+            troubled.add(machine);
+        }
+    }
+
     /** The newest message of the worker on this machine, or null if none is known. */
     public WorkerReport lastMessage(String machine) {
         Worker worker = workers.get(machine);
@@ -136,8 +160,9 @@
                         : new Answer.Elsewhere(better);
             }
         }
-        Worker known = workers.computeIfAbsent(report.machine(), m -> new Worker(now));
+        Worker known = worker(report.machine(), now);
         boolean changed = known.take(report, now) && known.dueForLook(now);
+        noteTrouble(report.machine(), known);
         if (report.session() > record.session()) {
             newSessions.add(report.machine());
             changed = true;
@@ -150,7 +175,7 @@
 
     /** Whether a worker that was sent on is back because it cannot reach its controller, and may stay for one report. */
     private boolean stray(MachineRecord record, Instant now) {
-        Worker worker = workers.computeIfAbsent(record.name(), m -> new Worker(now));
+        Worker worker = worker(record.name(), now);
         if (worker.strayedAt() == null
                 || worker.strayedAt().plus(reportInterval.multipliedBy(10)).isBefore(now)) {
             worker.strayed(now);
@@ -181,6 +206,7 @@
         MachineRecord record = view.machine(report.machine());
         if (worker != null && record != null) {
             worker.takeAnswer(report, now);
+            noteTrouble(report.machine(), worker);
             if (report.session() > record.session()) {
                 newSessions.add(report.machine());
             }
@@ -204,6 +230,7 @@
         if (worker != null) {
             if (outcome == Outcome.UNKNOWN && push.starts()) {
                 worker.startUnknown(push.token());
+                noteTrouble(push.machine(), worker);
             }
             switch (outcome) {
                 case ANSWERED -> worker.commandAnswered(now);
@@ -249,7 +276,7 @@
         for (String name : view.drainTouched()) {
             MachineRecord record = view.machine(name);
             if (record != null && record.up() && self.equals(record.controller())) {
-                Worker worker = workers.computeIfAbsent(name, n -> new Worker(now));
+                Worker worker = worker(name, now);
                 worker.commandedUnder(record.epoch(), now);
                 worker.look(now);
             }
@@ -261,12 +288,13 @@
         touched(now);
         Instant recent = now.minus(reportInterval.multipliedBy(2));
         List<Push> pushes = new ArrayList<>();
-        for (Map.Entry<String, Worker> entry : workers.entrySet()) {
-            Worker worker = entry.getValue();
-            if (!worker.dueForLook(now)) {
+        for (String name : lookTimes.takeDue(now)) {
+            looks++;
+            Worker worker = workers.get(name);
+            if (worker == null || !worker.dueForLook(now)) {
                 continue;
             }
-            MachineRecord record = view.machine(entry.getKey());
+            MachineRecord record = view.machine(name);
             worker.lookedAt();
             if (!mine(record)) {
                 if (record != null && record.up() && self.equals(record.controller())) {
@@ -309,6 +337,11 @@
         return pushes;
     }
 
+    /** How often any worker was looked at. */
+    long looks() {
+        return looks;
+    }
+
     private void difference(MachineRecord record, Worker worker, List<Command> commands) {
         Map<AttemptId, Placement> wanted = view.placementsOn(record.name());
         wanted.forEach((id, placement) -> {
@@ -364,6 +397,7 @@
                         };
                 if (failed) {
                     worker.failed(job.request().id(), now);
+                    noteTrouble(record.name(), worker);
                 }
                 tell(job, id, failed ? End.FAILED : End.STOPPED, worker, now);
             }
@@ -405,18 +439,17 @@
         recordSessions(draft);
         noteFailingJobs(now);
         boolean raise = false;
-        for (Map.Entry<String, Worker> entry : workers.entrySet()) {
-            Worker worker = entry.getValue();
-            if (worker.openBelow() == 0 && worker.noticeEnd() == null && worker.failedJobsNone()) {
-                continue;
-            }
-            MachineRecord record = draft.machine(entry.getKey());
+        troubled.removeIf(
+                name -> !workers.containsKey(name) || !workers.get(name).hasTrouble());
+        for (String name : troubled) {
+            Worker worker = workers.get(name);
+            MachineRecord record = draft.machine(name);
             if (!commands(record, worker)) {
                 continue;
             }
             raise |= worker.openBelow() >= draft.epoch();
             beforeTaken(draft, record, worker, now);
-            if (draft.machine(entry.getKey()).fate() == Fate.STAYS
+            if (draft.machine(name).fate() == Fate.STAYS
                     && draft.canPutMachine(record.name())
                     && (worker.noticeEnd() != null || isFaulty(worker, now))) {
                 draft.putMachine(record.meant(Fate.LEAVING));
@@ -469,8 +502,9 @@
     /** Jobs that were submitted with a mistake fail on every machine until they are cancelled; that says nothing of those. */
     private void noteFailingJobs(Instant now) {
         Map<String, Integer> machinesOf = new HashMap<>();
-        for (Worker worker : workers.values()) {
-            if (!worker.failedJobsNone()) {
+        for (String name : troubled) {
+            Worker worker = workers.get(name);
+            if (worker != null && !worker.failedJobsNone()) {
                 worker.failedLately(now, ERROR_WINDOW).forEach(job -> machinesOf.merge(job, 1, Integer::sum));
             }
         }
@@ -523,13 +557,20 @@
     private void claim(Draft draft) {
         strayGroups.removeIf(
                 id -> view.group(id) == null || self.equals(view.group(id).controller()));
+        if (strayGroups.isEmpty() && settledVersion == view.groupsAndMembersVersion()) {
+            return;
+        }
+        boolean allLive = true;
         for (GroupRecord group : view.groups()) {
-            boolean lost = !view.isLive(group.controller()) && self.node().equals(successor(group));
+            boolean live = view.isLive(group.controller());
+            allLive &= live;
+            boolean lost = !live && self.node().equals(successor(group));
             if ((lost || strayGroups.contains(group.id()) && manyStrayed(group)) && draft.hasRoomFor(2)) {
                 draft.putGroup(draft.group(group.id())
                         .claimed(self, lost ? epochAfterLoss(draft, group) : draft.raiseEpoch()));
             }
         }
+        settledVersion = allLive ? view.groupsAndMembersVersion() : -1;
     }
 
     /**
@@ -594,6 +635,10 @@
 
     /** Drops what is kept of machines that are gone or that another controller commands. */
     public void tidy(Instant now) {
+        if (tidiedAt.plus(TIDY_EVERY).isAfter(now)) {
+            return;
+        }
+        tidiedAt = now;
         workers.entrySet().removeIf(entry -> {
             MachineRecord record = view.machine(entry.getKey());
             Worker worker = entry.getValue();
--- a/src/main/java/org/gullway/coordination/Worker.java
+++ b/src/main/java/org/gullway/coordination/Worker.java
@@ -6,6 +6,7 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Consumer;
 import org.gullway.protocol.TaskReport;
 import org.gullway.protocol.WorkerReport;
 import org.slf4j.Logger;
@@ -45,9 +46,16 @@
 
     private record Told(Instant first, Instant last) {}
 
-    /** @param heard when this controller began to count the worker's silence */
-    Worker(Instant heard) {
+    private final Consumer<Instant> lookRequests;
+
+    /**
+     * @param heard when this controller began to count the worker's silence
+     * @param lookRequests is told of every moment at which the worker has to be looked at, the first time at once
+     */
+    Worker(Instant heard, Consumer<Instant> lookRequests) {
         this.heard = heard;
+        this.lookRequests = lookRequests;
+        lookRequests.accept(lookAt);
     }
 
     /** Takes a report; false if a newer message is known, and then nothing has changed. */
@@ -203,6 +211,7 @@
     void look(Instant at) {
         if (at.isBefore(lookAt)) {
             lookAt = at;
+            lookRequests.accept(at);
         }
     }
 
@@ -280,6 +289,11 @@
         return failedJobs.isEmpty();
     }
 
+    /** Whether a start without an outcome, a notice or failed tasks may call for a change of the records. */
+    boolean hasTrouble() {
+        return openBelow != 0 || noticeEnd != null || !failedJobs.isEmpty();
+    }
+
     /** Jobs of which tasks failed here lately, with no success since. */
     Set<String> failedLately(Instant now, Duration window) {
         failedJobs.values().removeIf(at -> at.plus(window).isBefore(now));
--- a/src/test/java/org/gullway/coordination/MachineControlTest.java
+++ b/src/test/java/org/gullway/coordination/MachineControlTest.java
@@ -384,6 +384,49 @@
         assertThat(view.machine("vm-1").fate()).isEqualTo(MachineRecord.Fate.STAYS);
     }
 
+    private void reportUnchanged(String machine) {
+        control.report(
+                new WorkerReport(machine, "10.1.0.1:9000", "large", "a", true, 1, ++sequence, 1, null, List.of()), now);
+    }
+
+    /** A round costs as much as has changed: unchanged reports of a thousand workers make it look at none. */
+    @Test
+    void looksOnlyAtWorkersOfWhichSomethingHasChanged() {
+        int machines = 1000;
+        for (int i = 1; i <= machines; i++) {
+            Samples.put(view, Samples.machine("vm-" + i, "large", Samples.SELF), ++revision);
+            reportUnchanged("vm-" + i);
+        }
+        propose();
+        long before = control.looks();
+        for (int round = 0; round < 50; round++) {
+            now = now.plusMillis(60);
+            for (int i = 1 + round * 20; i <= (round + 1) * 20; i++) {
+                reportUnchanged("vm-" + i);
+            }
+            assertThat(control.pushes(now)).isEmpty();
+        }
+        assertThat(control.looks() - before).as("looks at unchanged workers").isZero();
+        place(Samples.request("run-000001", "red", Rank.NORMAL, 1, 4));
+        assertThat(control.pushes(now)).singleElement().satisfies(push -> assertThat(push.starts())
+                .isTrue());
+        assertThat(control.looks() - before).isLessThanOrEqualTo(2);
+    }
+
+    /** Groups are gone through again only when groups or members have changed, and then they are. */
+    @Test
+    void claimsTheGroupsOfAControllerThatIsLostAfterManyQuietRounds() {
+        Samples.put(view, Samples.machine("vm-1", "large", Samples.PEER), 60);
+        for (int round = 0; round < 3; round++) {
+            propose();
+        }
+        assertThat(view.machine("vm-1").controller()).isEqualTo(Samples.PEER);
+        view.remove(Keys.member("perch-1"), ++revision);
+        view.watchedTo(revision);
+        propose();
+        assertThat(view.machine("vm-1").controller()).isEqualTo(Samples.SELF);
+    }
+
     private void fail(String machine, int task, String... jobs) {
         List<TaskReport> tasks = java.util.stream.Stream.of(jobs)
                 .map(job -> new TaskReport(new TaskId(job, task), task + 1, Phase.ENDED, Cause.ERROR, false))
--- a/src/test/java/org/gullway/coordination/SilentMachinesTest.java
+++ b/src/test/java/org/gullway/coordination/SilentMachinesTest.java
@@ -43,7 +43,7 @@
                         Fate.STAYS,
                         machine.rented()),
                 ++revision);
-        workers.put(name, new Worker(now));
+        workers.put(name, new Worker(now, at -> {}));
     }
 
     private void hear(String... names) {
