--- /dev/null
+++ b/src/main/java/org/gullway/bookkeeping/RefusalHistory.java
@@ -0,0 +1,40 @@
+package org.gullway.bookkeeping;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Set;
+import org.gullway.coordination.Keys;
+
+/** Remembers failed guards since the last commit that succeeded, to notice keys about which the view is wrong. */
+final class RefusalHistory {
+    private record Refusal(long mark, long revision) {}
+
+    private final Map<String, Refusal> refusals = new HashMap<>();
+
+    void clear() {
+        refusals.clear();
+    }
+
+    /**
+     * Notes a refused commit. A refusal for the same mark of a key, though the watch has passed the first one, means
+     * that the view is wrong about that key; it would be refused for ever.
+     *
+     * @param failed the keys whose guards failed
+     * @param marks the marks with which the commit was guarded
+     * @param revision of the refusal
+     * @param knownTo the revision that the watch had reached when the commit was sent
+     * @return whether the view is wrong about any of the keys
+     */
+    boolean repeated(Set<String> failed, Map<String, Long> marks, long revision, long knownTo) {
+        boolean wrong = false;
+        for (String key : failed) {
+            Refusal before = refusals.put(key, new Refusal(marks.get(key), revision));
+            wrong |= key.startsWith(Keys.LIVE)
+                    && before != null
+                    && before.mark() > 0
+                    && before.mark() == marks.get(key)
+                    && knownTo >= before.revision();
+        }
+        return wrong;
+    }
+}
--- a/src/main/java/org/gullway/bookkeeping/StateStore.java
+++ b/src/main/java/org/gullway/bookkeeping/StateStore.java
@@ -5,9 +5,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
 import java.util.Collection;
+import java.util.HashSet;
 import java.util.Map;
+import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
+import org.gullway.coordination.Keys;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.MalformedException;
 import org.gullway.transport.Client;
@@ -16,6 +19,9 @@
 /** The state service's calls. Every answer that is not of the stated form counts as unknown. */
 public final class StateStore {
     private static final Duration LIMIT = Duration.ofSeconds(3);
+    /** The pause before a call that failed is tried again. */
+    static final Duration RETRY = Duration.ofMillis(250);
+
     private static final int PAGE = 500;
 
     private final Client http;
@@ -49,6 +55,13 @@
         long revision() {
             return body == null ? 0 : body.path("logline").asLong();
         }
+
+        /** The keys whose guards a refused commit names; to be asked only of an outcome with a body. */
+        Set<String> failedGuards() {
+            Set<String> failed = new HashSet<>();
+            body.path("failed").forEach(key -> failed.add(key.asText()));
+            return failed;
+        }
     }
 
     private void call(Reply.Request request, Consumer<Outcome> callback) {
@@ -116,7 +129,7 @@
             } else {
                 change.put("put", key);
                 change.set("v", RecordCodec.encode(value));
-                if (Ledger.isTethered(key)) {
+                if (isTethered(key)) {
                     change.put("tether", lease);
                 }
             }
@@ -124,6 +137,11 @@
         call(Reply.Request.post("/commit", Cbor.encode(node), LIMIT), callback);
     }
 
+    /** Whether a key is written on the writer's lease, and so goes with its membership. */
+    private static boolean isTethered(String key) {
+        return key.startsWith(Keys.MEMBERS) || key.equals(Keys.LEADER);
+    }
+
     static long mark(JsonNode item) {
         return item.path("mark").asLong();
     }
--- /dev/null
+++ b/src/main/java/org/gullway/bookkeeping/StoreWatch.java
@@ -0,0 +1,208 @@
+package org.gullway.bookkeeping;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.Map;
+import org.gullway.coordination.ClusterView;
+import org.gullway.coordination.Keys;
+import org.gullway.protocol.MalformedException;
+import org.gullway.transport.Budget;
+import org.gullway.transport.EventLoop;
+import org.gullway.transport.Reply;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Keeps the view up to date with the state store: one full reading, then the watch from its revision on. */
+final class StoreWatch {
+    private static final Logger LOG = LoggerFactory.getLogger(StoreWatch.class);
+    /** How old the view may be for this controller to act on it. */
+    private static final Duration FRESH = Duration.ofSeconds(10);
+
+    private static final Duration LONGEST_AWAITED = Duration.ofSeconds(5);
+    /** A watch that is answered sooner than this tells of changes that go on. */
+    private static final Duration BUSY = Duration.ofMillis(120);
+
+    private final EventLoop loop;
+    private final StateStore store;
+    private final ClusterView view;
+    private final Budget requests;
+    private final Duration wait;
+    private final Runnable changed;
+    private boolean synced;
+    private Instant lastWatched = Instant.MIN;
+    /** When the last reading or watch that was answered had been sent. */
+    private Instant knownUntil = Instant.MIN;
+    /** Counts full readings: answers that belong to an earlier one are dropped. */
+    private long run;
+    /** Revision that the watch has to reach before the view is good enough for another commit. */
+    private long awaited;
+
+    private Instant awaitedSince;
+
+    /** One full reading of the live keys, page by page. */
+    private record Reading(long run, Instant asked, Map<String, JsonNode> items) {}
+
+    /**
+     * @param requests what watches may use of the requests that the state service allows
+     * @param wait how long the state service holds back the answer to a watch while nothing changes
+     * @param changed runs whenever the view has changed, or has come nearer to an awaited revision
+     */
+    StoreWatch(EventLoop loop, StateStore store, ClusterView view, Budget requests, Duration wait, Runnable changed) {
+        this.loop = loop;
+        this.store = store;
+        this.view = view;
+        this.requests = requests;
+        this.wait = wait;
+        this.changed = changed;
+    }
+
+    /** Whether the view follows the store without a gap. */
+    boolean fresh() {
+        return synced && loop.now().isBefore(lastWatched.plus(FRESH));
+    }
+
+    /** See {@link Ledger#knownUntil()}. */
+    Instant knownUntil() {
+        return knownUntil;
+    }
+
+    /** Makes {@link #reachedAwaited()} hold back until the watch has passed the revision; false if it has already. */
+    boolean await(long revision) {
+        if (view.watched() >= revision) {
+            return false;
+        }
+        awaited = revision;
+        awaitedSince = loop.now();
+        return true;
+    }
+
+    /** Whether the watch has passed the awaited revision; if it does not for too long, everything is read anew. */
+    boolean reachedAwaited() {
+        if (view.watched() >= awaited) {
+            awaited = 0;
+            return true;
+        }
+        if (awaitedSince.plus(LONGEST_AWAITED).isBefore(loop.now())) {
+            LOG.info("the watch does not bring revision {}; reading anew", awaited);
+            awaited = 0;
+            readAll();
+        }
+        return false;
+    }
+
+    /** Reads all live keys; until that is done the view is not fresh. */
+    void readAll() {
+        synced = false;
+        run++;
+        readPage(new Reading(run, loop.now(), new HashMap<>()), null, 0);
+    }
+
+    private void readPage(Reading reading, String from, long firstRevision) {
+        store.list(Keys.LIVE, from, outcome -> {
+            if (reading.run() != run) {
+                return;
+            }
+            if (outcome.is(200)) {
+                pageRead(reading, outcome, firstRevision);
+            } else {
+                retry(reading.run(), this::readAll);
+            }
+        });
+    }
+
+    private void pageRead(Reading reading, StateStore.Outcome outcome, long firstRevision) {
+        String last = null;
+        for (JsonNode item : outcome.body().path("items")) {
+            last = item.path("k").asText();
+            reading.items().put(last, item);
+        }
+        // The watch begins at the first page's revision, so that it brings what changed during the reading.
+        long revision = firstRevision == 0 ? outcome.revision() : firstRevision;
+        if (outcome.body().path("more").asBoolean() && last != null) {
+            readPage(reading, last, revision);
+        } else {
+            allRead(reading, revision);
+        }
+    }
+
+    private void allRead(Reading reading, long revision) {
+        view.clear();
+        reading.items().forEach(this::take);
+        view.readAt(revision);
+        synced = true;
+        lastWatched = loop.now();
+        knownUntil = reading.asked();
+        LOG.info("read {} keys at revision {}", reading.items().size(), revision);
+        changed.run();
+        watch(reading.run(), revision);
+    }
+
+    private void retry(long ofRun, Runnable action) {
+        loop.after(StateStore.RETRY, () -> ifCurrent(ofRun, action));
+    }
+
+    private void ifCurrent(long ofRun, Runnable action) {
+        if (ofRun == run) {
+            action.run();
+        }
+    }
+
+    private void take(String key, JsonNode item) {
+        try {
+            Object value = RecordCodec.decode(key, item.path("v"));
+            if (value != null) {
+                view.put(key, value, StateStore.mark(item));
+            }
+        } catch (MalformedException e) {
+            LOG.error("{} holds a value that is not of our form: {}", key, e.getMessage());
+        }
+    }
+
+    private void watch(long ofRun, long from) {
+        Instant asked = loop.now();
+        store.watch(Keys.LIVE, from, wait, outcome -> {
+            if (ofRun != run) {
+                return;
+            }
+            if (outcome.kind() == Reply.Kind.ANSWERED && outcome.status() == 410) {
+                readAll();
+            } else if (outcome.is(200)) {
+                watched(ofRun, asked, from, outcome);
+            } else {
+                retry(ofRun, () -> watch(ofRun, from));
+            }
+        });
+    }
+
+    private void watched(long ofRun, Instant asked, long from, StateStore.Outcome outcome) {
+        boolean any = false;
+        for (JsonNode event : outcome.body().path("events")) {
+            any |= apply(event);
+        }
+        long to = Math.max(from, outcome.revision());
+        view.watchedTo(to);
+        lastWatched = loop.now();
+        knownUntil = asked;
+        if (any || awaited > 0) {
+            changed.run();
+        }
+        // The store answers at once while changes go on; a short pause gathers them and spares requests.
+        if (asked.plus(BUSY).isAfter(loop.now())) {
+            requests.spend(1);
+            loop.after(requests.pause(), () -> ifCurrent(ofRun, () -> watch(ofRun, to)));
+        } else {
+            watch(ofRun, to);
+        }
+    }
+
+    private boolean apply(JsonNode event) {
+        String removed = event.path("remove").asText(null);
+        if (removed != null) {
+            return view.remove(removed, StateStore.mark(event));
+        }
+        take(event.path("put").asText(), event);
+        return true;
+    }
+}
