--- a/src/main/java/org/gullway/JobLookUps.java
+++ b/src/main/java/org/gullway/JobLookUps.java
@@ -1,6 +1,12 @@
 package org.gullway;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
 import java.util.function.Consumer;
 import org.gullway.bookkeeping.RecordCodec;
 import org.gullway.bookkeeping.StateStore;
@@ -11,61 +17,177 @@
 import org.gullway.protocol.JobState;
 import org.gullway.protocol.JobStatus;
 import org.gullway.protocol.MalformedException;
+import org.gullway.transport.Budget;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.Reply;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the states of jobs from the state service, where the view cannot tell them. */
+/**
+ * Reads the states of jobs from the state service, where the view cannot tell them. Readings of one job are joined, and
+ * all of them keep to one budget: what would have to wait too long for it is refused at once.
+ */
 final class JobLookUps {
     private static final Logger LOG = LoggerFactory.getLogger(JobLookUps.class);
+    /** Longer than this nobody should wait for the budget. */
+    private static final Duration LONGEST_WAIT = Duration.ofSeconds(1);
 
     private final EventLoop loop;
     private final StateStore store;
+    private final Budget budget;
     private final FinalStates finals;
     private final CancelledTasks cancelled;
+    /** Readings that have not been sent yet, in order, and those that have been. */
+    private final Map<String, Reading> waiting = new LinkedHashMap<>();
 
-    JobLookUps(EventLoop loop, StateStore store, FinalStates finals, CancelledTasks cancelled) {
+    private final Map<String, Reading> sent = new HashMap<>();
+    private boolean scheduled;
+
+    /** Somebody who wants to know the state of a job. */
+    private record Asker(Consumer<JobStatus> found, Runnable failed) {}
+
+    /** One reading of a job's state, with all who wait for it. */
+    private static final class Reading {
+        private final String id;
+        /** The job is known to be over, so that there is no live record to read. */
+        private boolean surelyEnded;
+
+        private final List<Asker> askers = new ArrayList<>();
+        /** Asked after the reading was sent: it may be too old for them unless it shows a final state. */
+        private final List<Asker> late = new ArrayList<>();
+
+        Reading(String id, boolean surelyEnded) {
+            this.id = id;
+            this.surelyEnded = surelyEnded;
+        }
+    }
+
+    /** @param budget what the readings may use of the state service's requests */
+    JobLookUps(EventLoop loop, StateStore store, Budget budget, FinalStates finals, CancelledTasks cancelled) {
         this.loop = loop;
         this.store = store;
+        this.budget = budget;
         this.finals = finals;
         this.cancelled = cancelled;
     }
 
-    /** Reads a job's state from the store; null if there is no such job. A job only ever moves from live to ended. */
+    /**
+     * Reads a job's state from the store. A job only ever moves from live to ended.
+     *
+     * @param found is told the state, or null if there is no such job
+     * @param failed is run if the state cannot be told now, perhaps at once
+     */
     void lookUp(String id, Consumer<JobStatus> found, Runnable failed) {
-        store.get(Keys.job(id), live -> {
+        ask(id, false, new Asker(found, failed));
+    }
+
+    /** The same for a job of which it is known that it is over. */
+    void lookUpEnded(String id, Consumer<JobStatus> found, Runnable failed) {
+        ask(id, true, new Asker(found, failed));
+    }
+
+    private void ask(String id, boolean surelyEnded, Asker asker) {
+        JobStatus end = finals.of(id);
+        if (end != null) {
+            asker.found().accept(end);
+        } else if (waiting.containsKey(id)) {
+            Reading reading = waiting.get(id);
+            reading.askers.add(asker);
+            reading.surelyEnded |= surelyEnded;
+        } else if (sent.containsKey(id)) {
+            sent.get(id).late.add(asker);
+        } else if (budget.waitFor(requestsWaiting() + 1).compareTo(LONGEST_WAIT) > 0) {
+            asker.failed().run();
+        } else {
+            Reading reading = new Reading(id, surelyEnded);
+            reading.askers.add(asker);
+            waiting.put(id, reading);
+            sendSoon();
+        }
+    }
+
+    /** At most, since a live record spares the reading of the ended one. */
+    private int requestsWaiting() {
+        return waiting.values().stream()
+                .mapToInt(reading -> reading.surelyEnded ? 1 : 2)
+                .sum();
+    }
+
+    private void sendWhatMayBeSent() {
+        while (!waiting.isEmpty() && budget.available()) {
+            Reading next = waiting.remove(waiting.keySet().iterator().next());
+            sent.put(next.id, next);
+            if (next.surelyEnded) {
+                readEnded(next);
+            } else {
+                readLive(next);
+            }
+        }
+        sendSoon();
+    }
+
+    /** A little later, so that those who ask for the same job at the same time share a reading. */
+    private void sendSoon() {
+        if (!waiting.isEmpty() && !scheduled) {
+            scheduled = true;
+            loop.after(budget.pause(), () -> {
+                scheduled = false;
+                sendWhatMayBeSent();
+            });
+        }
+    }
+
+    private void readLive(Reading reading) {
+        budget.spend(1);
+        store.get(Keys.job(reading.id), live -> {
             if (live.kind() != Reply.Kind.ANSWERED || live.status() != 200 && live.status() != 404) {
-                failed.run();
+                fail(reading);
             } else if (live.status() == 200) {
-                found.accept(recorded(id, live.body().path("v")));
+                tell(reading, recorded(reading.id, live.body().path("v")));
             } else {
-                readEnded(id, found, failed);
+                readEnded(reading);
             }
         });
     }
 
-    private void readEnded(String id, Consumer<JobStatus> found, Runnable failed) {
-        store.get(Keys.ended(id), end -> {
+    private void readEnded(Reading reading) {
+        budget.spend(1);
+        store.get(Keys.ended(reading.id), end -> {
             if (end.kind() == Reply.Kind.ANSWERED && end.status() == 404) {
-                found.accept(null);
+                tell(reading, null);
                 return;
             }
             if (end.kind() != Reply.Kind.ANSWERED || end.status() != 200) {
-                failed.run();
+                fail(reading);
                 return;
             }
             try {
                 Draft.Ended state = RecordCodec.ended(end.body().path("v"));
-                JobStatus status = new JobStatus(id, state.state(), state.done(), 0);
+                JobStatus status = new JobStatus(reading.id, state.state(), state.done(), 0);
                 finals.remember(status);
-                found.accept(status);
+                tell(reading, status);
             } catch (MalformedException e) {
-                failed.run();
+                fail(reading);
             }
         });
     }
 
+    private void tell(Reading reading, JobStatus status) {
+        sent.remove(reading.id);
+        reading.askers.forEach(asker -> asker.found().accept(status));
+        if (status != null && status.state().isFinal()) {
+            reading.late.forEach(asker -> asker.found().accept(status));
+        } else {
+            reading.late.forEach(asker -> ask(reading.id, false, asker));
+        }
+    }
+
+    private void fail(Reading reading) {
+        sent.remove(reading.id);
+        reading.askers.forEach(asker -> asker.failed().run());
+        reading.late.forEach(asker -> asker.failed().run());
+    }
+
     /** A record that cannot be read still says that the job was accepted; its users must not be left without answer. */
     private JobStatus recorded(String id, JsonNode value) {
         try {
--- a/src/main/java/org/gullway/Metrics.java
+++ b/src/main/java/org/gullway/Metrics.java
@@ -24,6 +24,8 @@
     private final Counter jobChanges = registry.counter("changes.jobs");
     private final Counter groupChanges = registry.counter("changes.groups");
     private final Counter otherChanges = registry.counter("changes.other");
+    private final Counter questionsAnswered = registry.counter("questions.answered");
+    private final Counter questionsRefused = registry.counter("questions.refused");
     private final Histogram acceptance = new Histogram(LONGEST_MS, 2);
     private final Histogram commit = new Histogram(LONGEST_MS, 2);
     private final Histogram round = new Histogram(LONGEST_MS, 2);
@@ -57,9 +59,14 @@
         offers.increment();
     }
 
+    /** So many questions of users were answered, or refused for now. */
+    void questions(boolean answered, int count) {
+        (answered ? questionsAnswered : questionsRefused).increment(count);
+    }
+
     void log(String situation) {
         LOG.info(
-                "{} accepted={} p99={}ms commits={} refused={} changes={}/{}/{} p50={}ms p99={}ms rounds={} max={}ms pushes={} offers={}",
+                "{} accepted={} p99={}ms commits={} refused={} changes={}/{}/{} p50={}ms p99={}ms rounds={} max={}ms pushes={} offers={} questions={}/{}",
                 situation,
                 acceptance.getTotalCount(),
                 acceptance.getValueAtPercentile(99),
@@ -73,7 +80,9 @@
                 round.getTotalCount(),
                 round.getMaxValue(),
                 (long) pushes.count(),
-                (long) offers.count());
+                (long) offers.count(),
+                (long) questionsAnswered.count(),
+                (long) questionsRefused.count());
         acceptance.reset();
         commit.reset();
         round.reset();
--- a/src/main/java/org/gullway/StatusQueries.java
+++ b/src/main/java/org/gullway/StatusQueries.java
@@ -2,9 +2,13 @@
 
 import java.time.Duration;
 import java.time.Instant;
+import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Deque;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -18,25 +22,47 @@
 import org.gullway.transport.EventLoop;
 
 /**
- * Users' questions about their jobs. Final states are told from memory; any other state only after the store has
- * confirmed that it is still the newest, with one request for all questions that wait.
+ * Users' questions about their jobs. Final states are told from memory; any other state, and that there is no such job,
+ * only after the store has confirmed that it is still the newest. All questions about one job share an answer and one
+ * request serves many jobs, so the number of questions does not matter to the store. A question that cannot be answered
+ * in time is refused as soon as that is clear.
  */
 final class StatusQueries {
-    private static final int MOST_PENDING = 500;
-    private static final int MOST_VERIFIED = 60;
-    private static final Duration VERIFY_AGAIN = Duration.ofMillis(200);
+    /** A user waits 2 s for an answer. */
     private static final Duration PATIENCE = Duration.ofMillis(1200);
 
+    private static final Duration BUSY_PAUSE = Duration.ofMillis(200);
+    private static final int MOST_IN_FLIGHT = 4;
+    private static final int MOST_SUBMITTERS = 500;
+    /** A job that is not in the view must be neither live nor ended. */
+    private static final int KEYS_OF_UNKNOWN_JOB = 2;
+    /** The watch brings what was stale once; a view that is wrong more often than that is not waited for. */
+    private static final int MOST_STALE = 2;
+
     private final EventLoop loop;
     private final ClusterView view;
     private final Ledger ledger;
     private final FinalStates finals;
     private final JobLookUps lookUps;
-    private final int mostVerified;
-    private final List<Poll> polls = new ArrayList<>();
-    private boolean verifying;
+    private final Metrics metrics;
+    private final int keysPerRequest;
+    /** Users who repeat a submission come before those who only ask. */
+    private final Deque<StatusQuery> submitters = new ArrayDeque<>();
+
+    private final Deque<StatusQuery> waiting = new ArrayDeque<>();
+    /** The queries in {@link #waiting} that further calls may join. */
+    private final Map<String, StatusQuery> open = new HashMap<>();
+    /** Keys that the queries in both queues will compare. */
+    private int queuedKeys;
+
+    /** When each verification that has no answer yet was sent, the oldest first. */
+    private final Deque<Instant> inFlight = new ArrayDeque<>();
+
+    private Instant notBefore = Instant.MIN;
+    private boolean scheduled;
 
-    private record Poll(String id, Instant came, Call call) {}
+    /** Jobs whose states are verified together, with what is known of each; null where the view knows no such job. */
+    private record Batch(Map<StatusQuery, JobStatus> known, Set<String> keys) {}
 
     StatusQueries(
             EventLoop loop,
@@ -44,106 +70,179 @@
             Ledger ledger,
             FinalStates finals,
             JobLookUps lookUps,
+            Metrics metrics,
             int guardsPerCommit) {
         this.loop = loop;
         this.view = view;
         this.ledger = ledger;
         this.finals = finals;
         this.lookUps = lookUps;
-        this.mostVerified = Math.min(MOST_VERIFIED, guardsPerCommit);
+        this.metrics = metrics;
+        this.keysPerRequest = Math.max(KEYS_OF_UNKNOWN_JOB, guardsPerCommit);
     }
 
     /** Answers a user's question. */
     void poll(String id, Call call) {
-        if (JobRequest.isId(id)) {
-            tell(id, call);
-        } else {
+        if (!JobRequest.isId(id)) {
             UserAnswers.unknown(call);
+            return;
+        }
+        JobStatus end = finalState(id);
+        if (end != null) {
+            metrics.questions(true, 1);
+            UserAnswers.status(call, end);
+        } else if (!ledger.fresh() || !open.containsKey(id) && overloaded()) {
+            metrics.questions(false, 1);
+            UserAnswers.refuse(call);
+        } else {
+            open.computeIfAbsent(id, i -> begin(i, false)).add(call);
+            verifySoon();
         }
     }
 
-    /** Tells the state of a job, which is not older than what any controller has told before. */
-    void tell(String id, Call call) {
-        JobStatus end = finals.of(id);
-        JobRecord job = view.job(id);
+    /** Tells a user who submits a job again what became of it; this never waits behind questions. */
+    void tellSubmitter(String id, Call call) {
+        JobStatus end = finalState(id);
         if (end != null) {
             UserAnswers.status(call, end);
-        } else if (job != null && job.cancelled()) {
-            UserAnswers.status(call, job.status());
-        } else if (!ledger.fresh() || polls.size() >= MOST_PENDING) {
+        } else if (!ledger.fresh() || submitters.size() >= MOST_SUBMITTERS) {
             UserAnswers.refuse(call);
-        } else if (job != null) {
-            polls.add(new Poll(id, loop.now(), call));
-            verifySoon();
         } else {
-            lookUp(id, call);
+            begin(id, true).add(call);
+            verifySoon();
+        }
+    }
+
+    /** The state of a job that is over, as far as it is known here; it never changes again. */
+    private JobStatus finalState(String id) {
+        JobStatus end = finals.of(id);
+        if (end != null) {
+            return end;
+        }
+        JobRecord job = view.job(id);
+        return job != null && job.cancelled() ? job.status() : null;
+    }
+
+    private StatusQuery begin(String id, boolean ofSubmitter) {
+        int keys = view.job(id) == null ? KEYS_OF_UNKNOWN_JOB : 1;
+        StatusQuery query = new StatusQuery(id, ofSubmitter, keys, metrics);
+        queueOf(query).addLast(query);
+        queuedKeys += keys;
+        query.onEnd(loop.after(PATIENCE, () -> {
+            open.remove(id, query);
+            query.refuse();
+        }));
+        return query;
+    }
+
+    private Deque<StatusQuery> queueOf(StatusQuery query) {
+        return query.isOfSubmitter() ? submitters : waiting;
+    }
+
+    private StatusQuery next() {
+        StatusQuery query = submitters.isEmpty() ? waiting.poll() : submitters.poll();
+        if (query != null) {
+            queuedKeys -= query.keys();
+            open.remove(query.id(), query);
         }
+        return query;
     }
 
-    private void lookUp(String id, Call call) {
-        lookUps.lookUp(id, found -> UserAnswers.found(call, found), () -> UserAnswers.refuse(call));
+    /** Whether a further question would not be verified in time. */
+    private boolean overloaded() {
+        if (inFlight.size() >= MOST_IN_FLIGHT
+                && inFlight.peekFirst().plus(PATIENCE).isBefore(loop.now())) {
+            return true;
+        }
+        int requests = 1 + queuedKeys / keysPerRequest;
+        return ledger.verificationWait(requests).compareTo(PATIENCE) >= 0;
     }
 
     private void verifySoon() {
-        if (!verifying) {
-            verifying = true;
-            loop.after(ledger.questionPause(), () -> {
-                verifying = false;
-                verify();
-            });
+        if (scheduled || inFlight.size() >= MOST_IN_FLIGHT || submitters.isEmpty() && waiting.isEmpty()) {
+            return;
         }
+        scheduled = true;
+        Duration pause = ledger.verificationPause();
+        Duration busy = notBefore.isAfter(loop.now()) ? Duration.between(loop.now(), notBefore) : Duration.ZERO;
+        loop.after(pause.compareTo(busy) > 0 ? pause : busy, () -> {
+            scheduled = false;
+            verify();
+            verifySoon();
+        });
     }
 
-    /** Asks the store once for all questions that wait whether what is known here is still the newest. */
+    /** Asks the store with one request whether what is known here of the jobs that come next is still the newest. */
     private void verify() {
-        if (verifying || polls.isEmpty()) {
+        Batch batch = nextBatch();
+        if (batch.keys().isEmpty()) {
             return;
         }
-        List<Poll> batch = new ArrayList<>(polls.subList(0, Math.min(polls.size(), mostVerified)));
-        polls.subList(0, batch.size()).clear();
-        Map<String, JobStatus> known = new HashMap<>();
-        Set<String> keys = new HashSet<>();
-        for (Poll poll : batch) {
-            JobRecord job = view.job(poll.id());
-            if (job != null) {
-                known.put(poll.id(), job.status());
-                keys.add(Keys.job(poll.id()));
-            }
-        }
-        verifying = true;
-        ledger.verify(keys, stale -> {
-            if (stale == null) {
-                askAgain(batch);
-            } else {
-                verifying = false;
-                answer(batch, known, stale);
+        Instant sent = loop.now();
+        inFlight.add(sent);
+        ledger.verify(batch.keys(), verification -> {
+            inFlight.remove(sent);
+            switch (verification.kind()) {
+                case COMPARED -> batch.known().forEach((query, status) -> settle(query, status, verification.stale()));
+                case BUSY -> askAgain(batch);
+                case FAILED -> batch.known().keySet().forEach(StatusQuery::refuse);
             }
+            verifySoon();
         });
     }
 
-    /** The store was busy: asks again while the users still wait; those who cannot wait come back later. */
-    private void askAgain(List<Poll> batch) {
-        Instant oldest = loop.now().minus(PATIENCE);
-        batch.stream().filter(poll -> poll.came().isBefore(oldest)).forEach(poll -> UserAnswers.refuse(poll.call()));
-        batch.removeIf(poll -> poll.came().isBefore(oldest));
-        polls.addAll(0, batch);
-        loop.after(VERIFY_AGAIN, () -> {
-            verifying = false;
-            verify();
-        });
+    private Batch nextBatch() {
+        Batch batch = new Batch(new LinkedHashMap<>(), new HashSet<>());
+        while (batch.keys().size() + KEYS_OF_UNKNOWN_JOB <= keysPerRequest) {
+            StatusQuery query = next();
+            if (query == null) {
+                break;
+            }
+            if (!query.isOver()) {
+                addTo(batch, query);
+            }
+        }
+        return batch;
     }
 
-    private void answer(List<Poll> batch, Map<String, JobStatus> known, Set<String> stale) {
-        for (Poll poll : batch) {
-            JobStatus status = known.get(poll.id());
-            if (status != null && !stale.contains(Keys.job(poll.id()))) {
-                UserAnswers.status(poll.call(), status);
-            } else {
-                lookUp(poll.id(), poll.call());
-            }
+    private void addTo(Batch batch, StatusQuery query) {
+        String id = query.id();
+        JobStatus end = finalState(id);
+        if (end != null) {
+            query.answer(end);
+            return;
         }
-        if (!polls.isEmpty()) {
-            verifySoon();
+        JobRecord job = view.job(id);
+        batch.known().put(query, job == null ? null : job.status());
+        batch.keys().add(Keys.job(id));
+        if (job == null) {
+            batch.keys().add(Keys.ended(id));
+        }
+    }
+
+    private void settle(StatusQuery query, JobStatus known, Set<String> stale) {
+        String id = query.id();
+        boolean ended = stale.contains(Keys.ended(id));
+        if (!ended && !stale.contains(Keys.job(id))) {
+            query.answer(known);
+        } else if (ended) {
+            lookUps.lookUpEnded(id, query::answer, query::refuse);
+        } else if (query.stale() >= MOST_STALE) {
+            lookUps.lookUp(id, query::answer, query::refuse);
+        } else {
+            queueOf(query).addLast(query);
+            queuedKeys += query.keys();
+        }
+    }
+
+    /** The store had too many requests: asks again while the users still wait. */
+    private void askAgain(Batch batch) {
+        notBefore = loop.now().plus(BUSY_PAUSE);
+        List<StatusQuery> again = new ArrayList<>(batch.known().keySet());
+        Collections.reverse(again);
+        for (StatusQuery query : again) {
+            queueOf(query).addFirst(query);
+            queuedKeys += query.keys();
         }
     }
 }
--- a/src/main/java/org/gullway/Submissions.java
+++ b/src/main/java/org/gullway/Submissions.java
@@ -81,7 +81,7 @@
         if (!ledger.entitled() || placing.types().isEmpty()) {
             UserAnswers.refuse(call);
         } else if (view.job(id) != null || finals.contains(id)) {
-            queries.tell(id, call);
+            queries.tellSubmitter(id, call);
         } else if (!placing.possible(request)) {
             refuseUnlessAccepted(id, call);
         } else if (pending.size() >= MOST_PENDING) {
@@ -184,7 +184,7 @@
     void refused(Set<String> failedGuards) {
         for (String id : List.copyOf(pending.keySet())) {
             if (failedGuards.contains(Keys.ended(id))) {
-                pending.remove(id).calls().forEach(call -> queries.tell(id, call));
+                pending.remove(id).calls().forEach(call -> queries.tellSubmitter(id, call));
             }
         }
     }
@@ -196,7 +196,7 @@
         for (String id : List.copyOf(pending.keySet())) {
             Submission submission = pending.get(id);
             if (view.job(id) != null) {
-                pending.remove(id).calls().forEach(call -> queries.tell(id, call));
+                pending.remove(id).calls().forEach(call -> queries.tellSubmitter(id, call));
             } else if (!entitled || submission.came().plus(PATIENCE).isBefore(now)) {
                 pending.remove(id).calls().forEach(UserAnswers::refuse);
             }
--- a/src/main/java/org/gullway/UserApi.java
+++ b/src/main/java/org/gullway/UserApi.java
@@ -38,8 +38,9 @@
             int guardsPerCommit,
             CancelledTasks cancelled,
             Runnable changed) {
-        JobLookUps lookUps = new JobLookUps(loop, ledger.store(), finals, cancelled);
-        this.queries = new StatusQueries(loop, view, ledger, finals, lookUps, guardsPerCommit);
+        JobLookUps forQuestions = new JobLookUps(loop, ledger.store(), ledger.questionReads(), finals, cancelled);
+        JobLookUps lookUps = new JobLookUps(loop, ledger.store(), ledger.requestReads(), finals, cancelled);
+        this.queries = new StatusQueries(loop, view, ledger, finals, forQuestions, metrics, guardsPerCommit);
         this.submissions =
                 new Submissions(loop, view, ledger, placing, random, metrics, finals, lookUps, queries, changed);
         this.cancellations = new CancellationRequests(loop, view, ledger, finals, lookUps, changed);
--- a/src/main/java/org/gullway/bookkeeping/Ledger.java
+++ b/src/main/java/org/gullway/bookkeeping/Ledger.java
@@ -31,9 +31,15 @@
         private static final double LEADERS_PART = 0.55;
 
         private static final double OTHERS_PART = 0.4;
-        static final double WATCHES_PART = 0.45;
+        // Parts of a controller's requests; what is left goes to the renewal of its membership.
+        static final double WATCHES_PART = 0.38;
         static final double COMMITS_PART = 0.35;
-        static final double QUESTIONS_PART = 0.15;
+        /** Verifications of what users who ask are told. */
+        static final double VERIFICATIONS_PART = 0.075;
+        /** Readings of single jobs for users who ask. */
+        static final double QUESTION_READS_PART = 0.12;
+        /** Readings of single jobs for submissions and cancellations, which never wait for those of questions. */
+        static final double REQUEST_READS_PART = 0.06;
 
         double fairPart(boolean leading) {
             return leading ? LEADERS_PART : OTHERS_PART / Math.max(1, controllers - 1);
@@ -46,6 +52,8 @@
     private final StoreWatch watch;
     private final CommitQueue commits;
     private final ReadVerification verification;
+    private final Budget questionReads;
+    private final Budget requestReads;
 
     /**
      * @param pace what the state service allows
@@ -65,11 +73,13 @@
         double requests = pace.requestsPerSecond() / pace.controllers();
         Budget watchRequests = new Budget(loop, requests, Pace.WATCHES_PART);
         Budget commitRequests = new Budget(loop, requests, Pace.COMMITS_PART);
-        Budget questionRequests = new Budget(loop, requests, Pace.QUESTIONS_PART);
+        Budget verificationRequests = new Budget(loop, requests, Pace.VERIFICATIONS_PART);
+        this.questionReads = new Budget(loop, requests, Pace.QUESTION_READS_PART);
+        this.requestReads = new Budget(loop, requests, Pace.REQUEST_READS_PART);
         this.watch = new StoreWatch(loop, store, view, watchRequests, watchWait, changed);
         this.member = new MemberRegistration(loop, store, view, membership, this::membershipBegan, changed);
         this.commits = new CommitQueue(loop, store, view, member, watch, pace, commitRequests, changed);
-        this.verification = new ReadVerification(store, view, questionRequests);
+        this.verification = new ReadVerification(store, view, verificationRequests);
     }
 
     private void membershipBegan() {
@@ -129,16 +139,31 @@
         commits.commit(draft, callback);
     }
 
-    /** Asks whether the view's marks of these keys are the newest; the answer is the keys that are not, or null. */
-    public void verify(Set<String> keys, Consumer<Set<String>> callback) {
+    /** Asks whether the view's marks of these keys are the newest; a key that is not in the view must not exist. */
+    public void verify(Set<String> keys, Consumer<Verification> callback) {
         verification.verify(keys, callback);
     }
 
     /** How long questions should be gathered before the next verification. */
-    public Duration questionPause() {
+    public Duration verificationPause() {
         return verification.pause();
     }
 
+    /** How long it takes until so many verifications may have been sent. */
+    public Duration verificationWait(int count) {
+        return verification.waitFor(count);
+    }
+
+    /** What readings of single jobs for users who ask may use. */
+    public Budget questionReads() {
+        return questionReads;
+    }
+
+    /** What readings of single jobs for submissions and cancellations may use. */
+    public Budget requestReads() {
+        return requestReads;
+    }
+
     public StateStore store() {
         return store;
     }
--- a/src/main/java/org/gullway/bookkeeping/ReadVerification.java
+++ b/src/main/java/org/gullway/bookkeeping/ReadVerification.java
@@ -20,20 +20,17 @@
     }
 
     /** See {@link Ledger#verify}. */
-    void verify(Set<String> keys, Consumer<Set<String>> callback) {
+    void verify(Set<String> keys, Consumer<Verification> callback) {
         requests.spend(1);
-        store.commit(keys, view::mark, Map.of(), 0, outcome -> {
-            if (outcome.is(200)) {
-                callback.accept(Set.of());
-            } else if (outcome.is(409)) {
-                callback.accept(outcome.failedGuards());
-            } else {
-                callback.accept(null);
-            }
-        });
+        store.commit(keys, view::mark, Map.of(), 0, outcome -> callback.accept(Verification.of(outcome)));
     }
 
     Duration pause() {
         return requests.pause();
     }
+
+    /** How long it takes until so many verifications may have been sent. */
+    Duration waitFor(int count) {
+        return requests.waitFor(count);
+    }
 }
--- a/src/main/java/org/gullway/transport/Budget.java
+++ b/src/main/java/org/gullway/transport/Budget.java
@@ -66,6 +66,12 @@
         return Duration.ofMillis(missing <= 0 ? 10 : 10 + (long) (1000 * missing / perSecond));
     }
 
+    /** How long it takes until so much has been earned; zero if it is there. */
+    public Duration waitFor(int count) {
+        double missing = count - earn();
+        return missing <= 0 ? Duration.ZERO : Duration.ofMillis((long) Math.ceil(1000 * missing / perSecond));
+    }
+
     public void spend(int count) {
         left -= count;
     }
--- /dev/null
+++ b/src/test/java/org/gullway/JobLookUpsTest.java
@@ -0,0 +1,89 @@
+package org.gullway;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.gullway.bookkeeping.StateStore;
+import org.gullway.coordination.CancelledTasks;
+import org.gullway.coordination.ClusterView;
+import org.gullway.protocol.Cbor;
+import org.gullway.protocol.JobStatus;
+import org.gullway.standin.SimulatedNetwork;
+import org.gullway.standin.SimulatedTime;
+import org.gullway.transport.Budget;
+import org.gullway.transport.Call;
+import org.junit.jupiter.api.Test;
+
+class JobLookUpsTest {
+    private static final String STATE = "10.2.0.1:2379";
+    private static final Duration SLOWNESS = Duration.ofMillis(500);
+
+    private final SimulatedTime time = new SimulatedTime();
+    private final SimulatedTime.Process loop = time.process();
+    private final SimulatedNetwork network = new SimulatedNetwork(time, new SplittableRandom(1), 0);
+    private final JobLookUps lookUps = new JobLookUps(
+            loop,
+            new StateStore(network.client("perch-0", loop), STATE),
+            new Budget(loop, 4, 1),
+            new FinalStates(),
+            new CancelledTasks(new ClusterView(), Duration.ofSeconds(30)));
+    private final List<String> found = new ArrayList<>();
+    private boolean accepted;
+    private int requests;
+
+    JobLookUpsTest() {
+        network.listen(STATE, loop, this::store);
+    }
+
+    /** It answers late with what holds when the request arrives. */
+    private void store(Call call) {
+        requests++;
+        boolean there = accepted && call.path().startsWith("/store/live/jobs/");
+        byte[] body = there ? Cbor.encode(Cbor.map().set("v", Cbor.map())) : new byte[0];
+        loop.after(SLOWNESS, () -> call.answer(there ? 200 : 404, body));
+    }
+
+    private void lookUp(String id) {
+        lookUps.lookUp(id, status -> found.add(text(status)), () -> found.add("refused"));
+    }
+
+    private static String text(JobStatus status) {
+        return status == null ? "none" : status.state().wire();
+    }
+
+    private void run(Duration span) {
+        time.runUntil(time.now().plus(span));
+    }
+
+    /** Seen to answer "none" twice when late askers joined the reading under way. */
+    @Test
+    void whoAsksWhileAReadingIsUnderWayIsNotToldAnOlderState() {
+        lookUp("run-000001");
+        run(Duration.ofMillis(100));
+        accepted = true;
+        lookUp("run-000001");
+        run(Duration.ofSeconds(4));
+        assertThat(found).containsExactly("none", "pending");
+    }
+
+    /** Seen to send a reading for each asker without the joining, and all at once without the budget. */
+    @Test
+    void readingsOfOneJobAreJoinedAndAllKeepToTheBudget() {
+        for (int i = 0; i < 20; i++) {
+            for (int asker = 0; asker < 3; asker++) {
+                lookUp("run-" + i);
+            }
+        }
+        assertThat(found).as("refused at once").hasSizeGreaterThan(30).containsOnly("refused");
+        int refused = found.size();
+        run(Duration.ofMillis(100));
+        assertThat(requests).isLessThanOrEqualTo(4);
+        run(Duration.ofSeconds(10));
+        assertThat(found).hasSize(60);
+        assertThat(found.subList(refused, 60)).containsOnly("none");
+        assertThat(requests).isLessThanOrEqualTo(2 * (60 - refused) / 3);
+    }
+}
--- a/src/test/java/org/gullway/SimulatedWorld.java
+++ b/src/test/java/org/gullway/SimulatedWorld.java
@@ -42,6 +42,8 @@
     final StandInStore store;
     final StandInCloud cloud;
     final RuleCheck rules;
+    final StateRequests stateRequests = new StateRequests(time);
+    final AnswerLog answers = new AnswerLog(time);
     final List<String> broken;
     private final SimulatedTime.Process world = time.process();
     private final Map<String, SimulatedTime.Process> running = new HashMap<>();
@@ -49,6 +51,7 @@
     private final Map<String, User> users = new LinkedHashMap<>();
     private final Shape shape;
     private Consumer<User> whenDone = user -> {};
+    private int timesAsOften = 1;
 
     /** Size of a world: machines of each type, zone and kind, teams, and how often workers report. */
     record Shape(int capacity, Map<String, Settings.Team> teams, Duration report, double trouble) {
@@ -89,6 +92,7 @@
                     reply -> {
                         if (reply.status() == 201 || reply.status() == 200) {
                             accepted = true;
+                            acceptedAt = time.now();
                             rules.accepted(request.id(), time.now());
                             hear(reply, asked);
                             poll();
@@ -134,7 +138,7 @@
             } else {
                 ask(node());
             }
-            world.after(Duration.ofSeconds(over() ? 25 : 5), this::poll);
+            world.after(Duration.ofSeconds(over() ? 25 : 5).dividedBy(timesAsOften), this::poll);
         }
 
         private void ask(String address) {
@@ -177,7 +181,13 @@
             return first == null ? null : Duration.between(submitted, first);
         }
 
+        /** Time from the submission until it was accepted; null if it was not. */
+        Duration acceptedAfter() {
+            return acceptedAt == null ? null : Duration.between(submitted, acceptedAt);
+        }
+
         private final Instant submitted = time.now();
+        private Instant acceptedAt;
 
         private String state(Reply reply) {
             try {
@@ -229,7 +239,7 @@
             rules.machine(name, kind);
             return worker;
         });
-        network.listen(STATE, world, store::handle);
+        network.listen(STATE, world, call -> stateRequests.handle(call, store::handle));
         network.listen(CLOUD, world, cloud::handle);
         addresses.keySet().forEach(this::startController);
         world.every(Duration.ofSeconds(1), () -> rules.waiting(this::isUp, time.now()));
@@ -314,7 +324,8 @@
         Controller controller = new Controller(
                 settings, OperatorSettings.DEFAULTS, process, network.client(name, process), clock, random.nextLong());
         network.listen(settings.meshAddress(), process, controller::answerPeer);
-        controller.start(() -> network.listen(settings.publicAddress(), process, controller::answer));
+        controller.start(() -> network.listen(
+                settings.publicAddress(), process, call -> controller.answer(answers.logged(name, call))));
     }
 
     /** Two controllers are in zone a, the third in zone b. */
@@ -466,6 +477,11 @@
                         reply -> rules.askedUnknown(id, reply.status())));
     }
 
+    /** From now on users ask so many times as often. */
+    void askTimesAsOften(int times) {
+        timesAsOften = times;
+    }
+
     /** Is told at the very moment at which the last task of a job has completed. */
     void whenDone(Consumer<User> told) {
         whenDone = told;
--- /dev/null
+++ b/src/test/java/org/gullway/StateRequests.java
@@ -0,0 +1,95 @@
+package org.gullway;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.gullway.protocol.Cbor;
+import org.gullway.protocol.MalformedException;
+import org.gullway.standin.SimulatedNetwork;
+import org.gullway.standin.SimulatedTime;
+import org.gullway.transport.Call;
+
+/** Counts what each controller asks of the state service, and refuses what goes over the limit of requests. */
+final class StateRequests {
+    /** The limit of the settings, with bursts of one second's worth. */
+    static final int PER_SECOND = 150;
+
+    private final SimulatedTime time;
+    private final Map<String, Integer> verifications = new HashMap<>();
+    private final Map<String, Integer> reads = new HashMap<>();
+    private boolean limited;
+    private double tokens = PER_SECOND;
+    private Instant tokensAt = Instant.EPOCH;
+    private int refused;
+
+    StateRequests(SimulatedTime time) {
+        this.time = time;
+    }
+
+    /** From now on requests above the limit get 429. */
+    void limit() {
+        limited = true;
+    }
+
+    void clear() {
+        verifications.clear();
+        reads.clear();
+        refused = 0;
+    }
+
+    void handle(Call call, Consumer<Call> store) {
+        count(call);
+        if (limited && !mayPass()) {
+            refused++;
+            call.answer(429, new byte[0]);
+        } else {
+            store.accept(call);
+        }
+    }
+
+    private void count(Call call) {
+        String node = call instanceof SimulatedNetwork.Message message ? message.from() : "";
+        if (call.path().startsWith("/store/live/jobs/") || call.path().startsWith("/store/ended/")) {
+            reads.merge(node, 1, Integer::sum);
+        } else if (call.path().equals("/commit") && changesNothing(call)) {
+            verifications.merge(node, 1, Integer::sum);
+        }
+    }
+
+    private static boolean changesNothing(Call call) {
+        try {
+            JsonNode then = Cbor.decode(call.body()).path("then");
+            return then.isEmpty();
+        } catch (MalformedException e) {
+            return false;
+        }
+    }
+
+    private boolean mayPass() {
+        Instant now = time.now();
+        tokens = Math.min(PER_SECOND, tokens + Duration.between(tokensAt, now).toMillis() / 1000.0 * PER_SECOND);
+        tokensAt = now;
+        if (tokens < 1) {
+            return false;
+        }
+        tokens--;
+        return true;
+    }
+
+    /** Requests that only compare what is known, as the answers to questions need them. */
+    int verifications(String node) {
+        return verifications.getOrDefault(node, 0);
+    }
+
+    /** Readings of single jobs. */
+    int reads(String node) {
+        return reads.getOrDefault(node, 0);
+    }
+
+    int refused() {
+        return refused;
+    }
+}
