--- a/src/main/java/org/gullway/protocol/MalformedException.java
+++ b/src/main/java/org/gullway/protocol/MalformedException.java
@@ -5,4 +5,9 @@
     public MalformedException(String message) {
         super(message);
     }
+
+    /** A parser's message without line breaks, since every complaint is one line. */
+    static String inOneLine(String message) {
+        return message.replaceAll("\\s*\\R\\s*", " ");
+    }
 }
--- a/src/main/java/org/gullway/protocol/OperatorSettings.java
+++ b/src/main/java/org/gullway/protocol/OperatorSettings.java
@@ -49,7 +49,7 @@
         try (var in = Files.newInputStream(file)) {
             tree = new XmlMapper().readTree(in);
         } catch (JacksonException e) {
-            throw new MalformedException(file + " is not XML: " + e.getOriginalMessage());
+            throw new MalformedException(file + " is not XML: " + MalformedException.inOneLine(e.getOriginalMessage()));
         } catch (IOException e) {
             throw new MalformedException("cannot read " + file + ": " + e.getMessage());
         }
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -66,7 +66,8 @@
         try (var in = Files.newInputStream(file)) {
             tree = new TomlMapper().readTree(in);
         } catch (com.fasterxml.jackson.core.JacksonException e) {
-            throw new MalformedException(file + " is not TOML: " + e.getOriginalMessage());
+            throw new MalformedException(
+                    file + " is not TOML: " + MalformedException.inOneLine(e.getOriginalMessage()));
         } catch (IOException e) {
             throw new MalformedException("cannot read " + file + ": " + e.getMessage());
         }
--- /dev/null
+++ b/src/test/java/org/gullway/BadInputTest.java
@@ -0,0 +1,309 @@
+package org.gullway;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.math.BigInteger;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Set;
+import java.util.SplittableRandom;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.lifecycle.BeforeContainer;
+import org.gullway.AnswerLog.Kind;
+import org.gullway.SimulatedWorld.User;
+import org.gullway.coordination.Keys;
+import org.gullway.protocol.Cbor;
+import org.gullway.protocol.JobRequest;
+import org.gullway.protocol.MalformedException;
+import org.gullway.protocol.Rank;
+import org.gullway.transport.Client;
+import org.gullway.transport.Reply;
+import org.junit.jupiter.api.Test;
+
+/** Whatever is sent to a controller: unfit jobs are never accepted, known ones stay known, and the rest goes on. */
+class BadInputTest {
+    private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
+    private static final Set<String> MAY_BE_MISSING = Set.of("breeds", "shore", "landfall_s");
+    private static final Set<String> NUMBERS =
+            Set.of("legs", "cpus", "cards", "mem_gb", "image_gb", "reckon_s", "waypoint_s", "stow_s", "landfall_s");
+
+    private static SimulatedWorld shared;
+    private static int nextNumber = 500_000;
+
+    private final SimulatedWorld world = new SimulatedWorld(5, 0, 3);
+
+    @BeforeContainer
+    static void begin() {
+        shared = new SimulatedWorld(6, 0, 3);
+        shared.run(Duration.ofSeconds(15));
+    }
+
+    private static ObjectNode valid(int number) {
+        ObjectNode node = new JobRequest(
+                        String.format("run-%06d", number),
+                        "render",
+                        "blue",
+                        JobRequest.Shape.ARRAY,
+                        Rank.HIGH,
+                        2,
+                        4,
+                        0,
+                        8,
+                        "img-1",
+                        1,
+                        List.of("small"),
+                        "a",
+                        false,
+                        false,
+                        true,
+                        Duration.ofSeconds(9),
+                        Duration.ZERO,
+                        Duration.ZERO,
+                        Duration.ofSeconds(90))
+                .toNode();
+        return node;
+    }
+
+    private static int send(SimulatedWorld world, Reply.Request request) {
+        Client client = world.network.client("users", world.time.process());
+        int[] status = new int[1];
+        client.call(world.address("perch-0"), request, reply -> status[0] = reply.status());
+        world.run(Duration.ofSeconds(2));
+        return status[0];
+    }
+
+    private static int submit(SimulatedWorld world, byte[] body) {
+        return send(world, Reply.Request.post("/v2/runs", body, Duration.ofSeconds(5)));
+    }
+
+    private static int ask(SimulatedWorld world, String id) {
+        return send(world, Reply.Request.get("/v2/runs/" + id, Duration.ofSeconds(2)));
+    }
+
+    private static int cancel(SimulatedWorld world, String id) {
+        return send(
+                world,
+                Reply.Request.post("/v2/runs/" + id + "/withdraw", Cbor.encode(Cbor.map()), Duration.ofSeconds(5)));
+    }
+
+    private static void assertRefused(SimulatedWorld world, ObjectNode node, int expected, String what) {
+        assertThat(submit(world, Cbor.encode(node))).as(what).isEqualTo(expected);
+        String id = node.path("name_id").asText();
+        if (JobRequest.isId(id)) {
+            assertThat(ask(world, id)).as(what + ", asked about").isEqualTo(404);
+            assertThat(world.store.value(Keys.job(id))).as(what).isNull();
+        }
+    }
+
+    private static List<JsonNode> wrongValues(String field, JsonNode right) {
+        List<JsonNode> wrong = new ArrayList<>(List.of(NODES.arrayNode().add(1), NODES.objectNode()));
+        if (!MAY_BE_MISSING.contains(field)) {
+            wrong.add(NODES.nullNode());
+        }
+        if (NUMBERS.contains(field)) {
+            wrong.addAll(List.of(
+                    NODES.textNode("4"),
+                    NODES.booleanNode(true),
+                    NODES.numberNode(-1),
+                    NODES.numberNode(-0.5),
+                    NODES.numberNode(1e300),
+                    NODES.numberNode(Double.NaN),
+                    NODES.numberNode(Double.POSITIVE_INFINITY),
+                    NODES.numberNode(BigInteger.TWO.pow(64))));
+        } else {
+            wrong.add(NODES.numberNode(7));
+            wrong.add(right.isTextual() ? NODES.textNode("") : NODES.textNode("yes"));
+        }
+        if (right.isTextual()) {
+            wrong.add(NODES.booleanNode(false));
+            wrong.add(NODES.textNode("x".repeat(201)));
+        }
+        return wrong;
+    }
+
+    @Test
+    void everyFieldThatIsMissingOrWrongGets400() {
+        world.run(Duration.ofSeconds(15));
+        int number = 1000;
+        for (String field : List.copyOf(
+                valid(1).properties().stream().map(entry -> entry.getKey()).toList())) {
+            if (!MAY_BE_MISSING.contains(field)) {
+                ObjectNode lacking = valid(number++);
+                lacking.remove(field);
+                assertRefused(world, lacking, 400, field + " is missing");
+            }
+            for (JsonNode value : wrongValues(field, valid(1).get(field))) {
+                ObjectNode node = valid(number++);
+                node.set(field, value);
+                assertRefused(world, node, 400, field + " is " + value);
+            }
+        }
+        for (String field : List.of("legs", "cpus")) {
+            assertRefused(world, valid(number++).put(field, 0), 400, field + " is 0");
+        }
+        assertRefused(world, valid(number++).put("legs", 100_001), 400, "too many tasks");
+        assertRefused(world, valid(number++).put("rank", "urgent"), 400, "unknown rank");
+        assertRefused(world, valid(number++).put("shape", "swarm"), 400, "unknown shape");
+        assertThat(submit(world, Cbor.encode(valid(number)))).as("a valid one").isEqualTo(201);
+    }
+
+    @Test
+    void jobsThatCanNeverRunGet422() {
+        world.run(Duration.ofSeconds(15));
+        int number = 1000;
+        assertRefused(world, valid(number++).put("crew", "nobody"), 422, "unknown team");
+        assertRefused(world, valid(number++).put("cpus", 17), 422, "too many processors for its type");
+        assertRefused(world, valid(number++).put("mem_gb", 65), 422, "too much memory for its type");
+        assertRefused(world, valid(number++).put("cards", 1), 422, "cards of which there are none");
+        assertRefused(world, valid(number++).put("shore", "z"), 422, "unknown zone");
+        ObjectNode noType = valid(number++);
+        noType.putArray("breeds").add("unheard-of");
+        assertRefused(world, noType, 422, "unknown machine type");
+        ObjectNode emptyTypes = valid(number++);
+        emptyTypes.putArray("breeds");
+        assertRefused(world, emptyTypes, 422, "no machine type");
+        ObjectNode overLimit = valid(number++).put("crew", "red").put("cpus", 25);
+        overLimit.remove("breeds");
+        assertRefused(world, overLimit, 422, "one task above the team's limit");
+    }
+
+    /** Any mix of spoilt fields: accepted if and only if the request can be read, refused with 400 if it cannot. */
+    @Property(tries = 300, seed = "31")
+    void mutatedSubmissionsAreAcceptedOnlyIfTheyCanBeRead(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        int number = nextNumber++;
+        ObjectNode node = valid(number);
+        List<String> fields =
+                node.properties().stream().map(entry -> entry.getKey()).toList();
+        for (int i = 1 + random.nextInt(2); i > 0; i--) {
+            String field = fields.get(random.nextInt(fields.size()));
+            List<JsonNode> values = wrongValues(field, valid(1).get(field));
+            node.set(field, values.get(random.nextInt(values.size())));
+        }
+        boolean readable = true;
+        try {
+            JobRequest.parse(Cbor.decode(Cbor.encode(node)));
+        } catch (MalformedException e) {
+            readable = false;
+        }
+        int status = submit(shared, Cbor.encode(node));
+        assertThat(status).isIn(readable ? List.of(201, 422) : List.of(400));
+        String id = String.format("run-%06d", number);
+        assertThat(ask(shared, id)).isEqualTo(status == 201 ? 200 : 404);
+    }
+
+    @Test
+    void bodiesThatAreNoMapOrTooLargeGet400AndTheConnectionGoesOn() {
+        world.run(Duration.ofSeconds(15));
+        byte[] whole = Cbor.encode(valid(1));
+        for (byte[] body : List.of(
+                new byte[0],
+                new byte[] {1},
+                new byte[] {(byte) 0xff},
+                "not CBOR at all".getBytes(java.nio.charset.StandardCharsets.UTF_8),
+                Arrays.copyOf(whole, whole.length - 1),
+                Arrays.copyOf(whole, whole.length + 1),
+                Cbor.encode(NODES.arrayNode()))) {
+            assertThat(submit(world, body)).isEqualTo(400);
+        }
+        assertThat(ask(world, "run-000001")).isEqualTo(404);
+        assertThat(submit(world, whole)).isEqualTo(201);
+    }
+
+    @Test
+    void unknownIdsGet404() {
+        world.run(Duration.ofSeconds(15));
+        for (String id : List.of(
+                "run-999999", "run-", "run--1", "job-000001", "run-0000011111111111111", "", "a/b", "%2e%2e/run-1")) {
+            assertThat(ask(world, id)).as("asked: " + id).isEqualTo(404);
+            assertThat(cancel(world, id)).as("cancelled: " + id).isEqualTo(404);
+        }
+        assertThat(world.answers.of(Kind.QUESTION)).noneMatch(entry -> entry.status() == 200);
+    }
+
+    /** The same id with other contents, also such as could not run, is answered with the state of the job. */
+    @Test
+    void oddRepeatsGetTheStateOfTheJobWhetherItRunsIsDoneOrCancelled() throws MalformedException {
+        world.run(Duration.ofSeconds(15));
+        User runs = world.submit(1, "blue", Rank.HIGH, 1, 4, Duration.ofSeconds(300));
+        User done = world.submit(2, "blue", Rank.HIGH, 1, 4, Duration.ofSeconds(2));
+        User cancelled = world.submit(3, "blue", Rank.HIGH, 1, 4, Duration.ofSeconds(300));
+        world.run(Duration.ofSeconds(30));
+        cancelled.cancel();
+        world.run(Duration.ofSeconds(10));
+        assertThat(world.rules.told(done.request.id())).isEqualTo("done");
+        for (User user : List.of(runs, done, cancelled)) {
+            String state = user == runs ? "running" : user == done ? "done" : "aborted";
+            ObjectNode node = user.request.toNode();
+            for (ObjectNode odd : List.of(
+                    node.deepCopy().put("legs", 7),
+                    node.deepCopy().put("cpus", 1000),
+                    node.deepCopy().put("crew", "nobody"),
+                    node.deepCopy().put("shore", "z"),
+                    node.deepCopy().put("rank", "idle"))) {
+                for (String controller : world.nodes()) {
+                    List<Reply> replies = new ArrayList<>();
+                    world.network
+                            .client("users", world.time.process())
+                            .call(
+                                    world.address(controller),
+                                    Reply.Request.post("/v2/runs", Cbor.encode(odd), Duration.ofSeconds(5)),
+                                    replies::add);
+                    world.run(Duration.ofSeconds(2));
+                    assertThat(replies.get(0).status()).isEqualTo(200);
+                    assertThat(Cbor.decode(replies.get(0).body()).path("tide").asText())
+                            .isEqualTo(state);
+                }
+            }
+        }
+        assertThat(world.broken).isEmpty();
+    }
+
+    /** Reports with spoilt bytes or odd fields are answered, and the machine's work and all other requests go on. */
+    @Property(tries = 200, seed = "32")
+    void oddReportsAreAnsweredAndEndNothing(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        ObjectNode report = Cbor.map()
+                .put("perch", "vm-900000")
+                .put("endpoint", "10.1.9.9:9000")
+                .put("breed", "small")
+                .put("shore", "a")
+                .put("driftwood", false)
+                .put("flight", 1)
+                .put("tally", random.nextInt(100))
+                .put("baton", 0)
+                .put("later_field", "ignored");
+        report.putArray("legs")
+                .addObject()
+                .put("leg", "run-000001/0")
+                .put("launch", 1)
+                .put("tide", "levitating")
+                .put("cause", "boredom");
+        List<String> fields =
+                report.properties().stream().map(entry -> entry.getKey()).toList();
+        JsonNode odd = List.of(
+                        NODES.nullNode(),
+                        NODES.textNode(""),
+                        NODES.numberNode(-1),
+                        NODES.numberNode(1e300),
+                        NODES.numberNode(BigInteger.TWO.pow(70)),
+                        NODES.arrayNode().add(NODES.objectNode()),
+                        NODES.objectNode())
+                .get(random.nextInt(7));
+        report.set(fields.get(random.nextInt(fields.size())), odd);
+        byte[] body = Cbor.encode(report);
+        if (random.nextBoolean()) {
+            body[random.nextInt(body.length)] = (byte) random.nextInt(256);
+        }
+        int status = send(shared, Reply.Request.post("/agent/beat", body, Duration.ofSeconds(4)));
+        assertThat(status).isIn(200, 400, 421, 503);
+        assertThat(send(shared, Reply.Request.get("/up", Duration.ofSeconds(1))))
+                .isEqualTo(200);
+    }
+}
--- a/src/test/java/org/gullway/Rehearsal.java
+++ b/src/test/java/org/gullway/Rehearsal.java
@@ -209,7 +209,7 @@
         }
     }
 
-    private static String settings(String node, String state, String cloud) {
+    static String settings(String node, String state, String cloud) {
         return """
                 node_name = "perch-0"
                 site = "a"
--- /dev/null
+++ b/src/test/java/org/gullway/transport/HttpServerTest.java
@@ -0,0 +1,82 @@
+package org.gullway.transport;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.undertow.server.DefaultByteBufferPool;
+import java.io.ByteArrayInputStream;
+import java.io.IOException;
+import java.net.URI;
+import java.net.http.HttpClient.Version;
+import java.net.http.HttpRequest;
+import java.net.http.HttpRequest.BodyPublishers;
+import java.net.http.HttpResponse;
+import java.net.http.HttpResponse.BodyHandlers;
+import java.time.Duration;
+import java.util.concurrent.ThreadLocalRandom;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.Xnio;
+import org.xnio.XnioWorker;
+
+/** On real sockets: what is wrong with one request ends neither the server nor the work of other connections. */
+class HttpServerTest {
+    private static final int LIMIT = 64 * 1024;
+
+    private final XnioWorker worker;
+    private final String address = "127.7." + ThreadLocalRandom.current().nextInt(1, 255) + "."
+            + ThreadLocalRandom.current().nextInt(1, 255) + ":18090";
+    private final java.net.http.HttpClient client = java.net.http.HttpClient.newBuilder()
+            .version(Version.HTTP_1_1)
+            .connectTimeout(Duration.ofSeconds(5))
+            .build();
+
+    HttpServerTest() throws IOException {
+        worker = Xnio.getInstance()
+                .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
+        HttpServer.start(worker, new DefaultByteBufferPool(false, 8192), new Sockets(1000), address, LIMIT, call -> {
+            if (call.path().equals("/fails")) {
+                throw new IllegalStateException("on purpose");
+            }
+            call.answer(call.body() == null ? 400 : 200, new byte[0]);
+        });
+    }
+
+    @AfterEach
+    void stop() {
+        worker.shutdownNow();
+    }
+
+    private int post(String path, HttpRequest.BodyPublisher body) throws Exception {
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + path))
+                .timeout(Duration.ofSeconds(10))
+                .POST(body)
+                .build();
+        HttpResponse<Void> response = client.send(request, BodyHandlers.discarding());
+        return response.statusCode();
+    }
+
+    @Test
+    void bodiesOverTheLimitAreRefusedAndLaterRequestsServed() throws Exception {
+        assertThat(post("/", BodyPublishers.ofByteArray(new byte[LIMIT]))).isEqualTo(200);
+        assertThat(post("/", BodyPublishers.ofByteArray(new byte[LIMIT + 1]))).isEqualTo(400);
+        assertThat(post("/", BodyPublishers.ofByteArray(new byte[10]))).isEqualTo(200);
+    }
+
+    /** Without a stated length the limit is only met while the body is read. */
+    @Test
+    void bodiesOfUnknownLengthOverTheLimitAreRefusedAndLaterRequestsServed() throws Exception {
+        for (int size : new int[] {LIMIT + 1, 3 * LIMIT}) {
+            assertThat(post("/", BodyPublishers.ofInputStream(() -> new ByteArrayInputStream(new byte[size]))))
+                    .isEqualTo(400);
+        }
+        assertThat(post("/", BodyPublishers.ofByteArray(new byte[10]))).isEqualTo(200);
+    }
+
+    @Test
+    void aHandlerThatFailsIsAnsweredWith503AndLaterRequestsAreServed() throws Exception {
+        assertThat(post("/fails", BodyPublishers.ofByteArray(new byte[10]))).isEqualTo(503);
+        assertThat(post("/", BodyPublishers.ofByteArray(new byte[10]))).isEqualTo(200);
+    }
+}
