--- /dev/null
+++ b/src/test/java/org/gullway/ProfileRun.java
@@ -0,0 +1,217 @@
+package org.gullway;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import jdk.jfr.Recording;
+import jdk.jfr.consumer.RecordedEvent;
+import jdk.jfr.consumer.RecordedFrame;
+import jdk.jfr.consumer.RecordingFile;
+import org.gullway.protocol.Rank;
+import org.gullway.protocol.Settings;
+
+/**
+ * Profiles three controllers with stand-ins in virtual time at the size of the grown deployments, with Java Flight
+ * Recorder, and prints which activity of a controller takes which share of processor time and allocated memory. The
+ * sockets are simulated, so what the HTTP library costs is not part of it.
+ *
+ * <p>Not part of the tests; docs/operations.md shows how to run it.
+ */
+public final class ProfileRun {
+    private static final Map<String, Settings.Team> TEAMS = Map.of(
+            "red", new Settings.Team("red", 9000, 30_000, 0, 0), "blue", new Settings.Team("blue", 9000, 30_000, 0, 0));
+    private static final int MACHINES_OF_A_KIND = 180;
+    private static final Duration REPORT_INTERVAL = Duration.ofSeconds(6);
+    private static final Duration BETWEEN_JOBS = Duration.ofMillis(820);
+    private static final int RUN_SECONDS = 60;
+    private static final Duration WARM_UP = Duration.ofSeconds(100);
+    private static final Duration MEASURED = Duration.ofSeconds(200);
+    private static final String CPU_EVENT = "jdk.ExecutionSample";
+    private static final String ALLOCATION_EVENT = "jdk.ObjectAllocationSample";
+    private static final String PAUSE_EVENT = "jdk.GarbageCollection";
+    private static final String STAND_INS = "stand-ins and simulation";
+    private static final String OTHER = "other";
+
+    /** Samples with a frame of this class and method, and no earlier activity, belong to the activity. */
+    private record Activity(String name, String type, String method) {}
+
+    /** The first that matches counts; an empty method stands for all methods of the class. */
+    private static final List<Activity> ACTIVITIES = List.of(
+            new Activity("logging", "org.slf4j", ""),
+            new Activity("commits: encoding", "StateStore", "commit"),
+            new Activity("commits: rest", "Ledger", "commit"),
+            new Activity("step: requests", "UserApi", "propose"),
+            new Activity("step: machines", "MachineControl", "propose"),
+            new Activity("step: finished jobs", "EndedAttempts", "finish"),
+            new Activity("step: shares", "Shares", "propose"),
+            new Activity("step: repair", "Repair", "propose"),
+            new Activity("step: arrivals", "CloudLoop", "propose"),
+            new Activity("step: booking", "ReservedBooking", "propose"),
+            new Activity("step: idle work", "IdleWork", "propose"),
+            new Activity("step: queue", "BestEffortQueue", "propose"),
+            new Activity("step: ends", "EndedAttempts", "propose"),
+            new Activity("step: fleet", "FleetPlan", "propose"),
+            new Activity("commands: finding them", "MachineControl", "pushes"),
+            new Activity("commands: encoding and sending", "Controller", "command"),
+            new Activity("ticks", "Controller", "tick"),
+            new Activity("room offered to peers", "Controller", "tellPeer"),
+            new Activity("rounds: rest", "Controller", "round"),
+            new Activity("reports: decoding", "WorkerReport", "parse"),
+            new Activity("reports: decoding", "Cbor", "decode under Controller.report"),
+            new Activity("reports: answering", "Command", "response"),
+            new Activity("reports: taking", "MachineControl", "report"),
+            new Activity("reports: rest", "Controller", "report"),
+            new Activity("commands: answers", "Controller", "lambda$command"),
+            new Activity("peers", "Controller", "answerPeer"),
+            new Activity("users", "UserApi", ""),
+            new Activity("watch: decoding records", "RecordCodec", "decode"),
+            new Activity("watch: view", "ClusterView", ""),
+            new Activity("state service: decoding answers", "StateStore", ""),
+            new Activity("state service: rest", "Ledger", ""),
+            new Activity("cloud", "CloudLoop", ""),
+            new Activity(OTHER, "Controller", ""));
+
+    private ProfileRun() {}
+
+    /** Argument: the file for the recording; without it a temporary one is used and removed. */
+    public static void main(String[] args) throws IOException {
+        Path file = args.length > 0 ? Path.of(args[0]) : Files.createTempFile("gullway", ".jfr");
+        SimulatedWorld world =
+                new SimulatedWorld(1, new SimulatedWorld.Shape(MACHINES_OF_A_KIND, TEAMS, REPORT_INTERVAL, 0.0005));
+        submitJobs(world);
+        world.run(WARM_UP);
+        int startedBefore = world.started();
+        long began = System.nanoTime();
+        try (Recording recording = new Recording()) {
+            recording.enable(CPU_EVENT).withPeriod(Duration.ofMillis(10));
+            recording.enable(ALLOCATION_EVENT).with("throttle", "1000/s");
+            recording.enable(PAUSE_EVENT);
+            recording.start();
+            world.run(MEASURED);
+            recording.stop();
+            recording.dump(file);
+        }
+        Duration took = Duration.ofNanos(System.nanoTime() - began);
+        System.out.printf(
+                "%d machines up, %d tasks started in %d s of virtual time, played in %.1f s; rules broken: %d%n%n",
+                world.cloud.workers().size(),
+                world.started() - startedBefore,
+                MEASURED.toSeconds(),
+                took.toMillis() / 1000.0,
+                world.broken.size());
+        print(file);
+        if (args.length == 0) {
+            Files.delete(file);
+        }
+        System.exit(0);
+    }
+
+    private static void submitJobs(SimulatedWorld world) {
+        long jobs = WARM_UP.plus(MEASURED).dividedBy(BETWEEN_JOBS);
+        for (int i = 1; i <= jobs; i++) {
+            int number = i;
+            world.after(
+                    BETWEEN_JOBS.multipliedBy(i),
+                    () -> world.submit(
+                            number,
+                            number % 2 == 0 ? "red" : "blue",
+                            number % 3 == 0 ? Rank.NORMAL : Rank.HIGH,
+                            10 + number * 5 % 95,
+                            4,
+                            Duration.ofSeconds(RUN_SECONDS + number % 20)));
+        }
+    }
+
+    private static void print(Path file) throws IOException {
+        Map<String, Double> samples = new TreeMap<>();
+        Map<String, Double> bytes = new TreeMap<>();
+        Duration pauses = Duration.ZERO;
+        try (RecordingFile recording = new RecordingFile(file)) {
+            while (recording.hasMoreEvents()) {
+                RecordedEvent event = recording.readEvent();
+                switch (event.getEventType().getName()) {
+                    case CPU_EVENT -> samples.merge(activityOf(event), 1.0, Double::sum);
+                    case ALLOCATION_EVENT -> bytes.merge(
+                            activityOf(event), (double) event.getLong("weight"), Double::sum);
+                    case PAUSE_EVENT -> pauses = pauses.plus(event.getDuration("sumOfPauses"));
+                    default -> {}
+                }
+            }
+        }
+        double standInSamples = remove(samples, STAND_INS);
+        double standInBytes = remove(bytes, STAND_INS);
+        double allSamples = sum(samples);
+        double allBytes = sum(bytes);
+        System.out.println("| activity | processor time | allocated |\n| --- | --- | --- |");
+        sortedByValue(samples)
+                .forEach((name, count) -> System.out.printf(
+                        "| %s | %.1f%% | %.1f%% |%n",
+                        name, 100 * count / allSamples, 100 * bytes.getOrDefault(name, 0.0) / allBytes));
+        System.out.printf(
+                "%ncontrollers: %.0f samples, %.0f MB; stand-ins: %.0f samples, %.0f MB; garbage collection: %d ms%n",
+                allSamples, allBytes / 1e6, standInSamples, standInBytes / 1e6, pauses.toMillis());
+    }
+
+    private static double remove(Map<String, Double> amounts, String name) {
+        Double removed = amounts.remove(name);
+        return removed == null ? 0 : removed;
+    }
+
+    private static double sum(Map<String, Double> amounts) {
+        return amounts.values().stream().mapToDouble(Double::doubleValue).sum();
+    }
+
+    private static Map<String, Double> sortedByValue(Map<String, Double> amounts) {
+        Map<String, Double> sorted = new LinkedHashMap<>();
+        amounts.entrySet().stream()
+                .sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder()))
+                .forEach(e -> sorted.put(e.getKey(), e.getValue()));
+        return sorted;
+    }
+
+    private static String activityOf(RecordedEvent event) {
+        if (event.getStackTrace() == null) {
+            return OTHER;
+        }
+        List<RecordedFrame> frames = event.getStackTrace().getFrames();
+        for (Activity activity : ACTIVITIES) {
+            if (frames.stream().anyMatch(frame -> matches(frame, activity, frames))) {
+                return activity.name();
+            }
+        }
+        return STAND_INS;
+    }
+
+    private static boolean matches(RecordedFrame frame, Activity activity, List<RecordedFrame> frames) {
+        String type = frame.getMethod().getType().getName();
+        if (activity.type().contains(".")) {
+            return type.startsWith(activity.type());
+        }
+        String simple = type.substring(type.lastIndexOf('.') + 1);
+        String outer = simple.contains("$") ? simple.substring(0, simple.indexOf('$')) : simple;
+        if (!type.startsWith("org.gullway.") || !outer.equals(activity.type())) {
+            return false;
+        }
+        String method = frame.getMethod().getName();
+        String wanted = activity.method();
+        int under = wanted.indexOf(" under ");
+        if (under >= 0) {
+            String caller = wanted.substring(under + " under ".length());
+            return method.equals(wanted.substring(0, under)) && frames.stream().anyMatch(f -> isMethod(f, caller));
+        }
+        return wanted.isEmpty() || method.equals(wanted) || method.startsWith(wanted + "$");
+    }
+
+    private static boolean isMethod(RecordedFrame frame, String classAndMethod) {
+        String type = frame.getMethod().getType().getName();
+        return (type.substring(type.lastIndexOf('.') + 1) + "."
+                        + frame.getMethod().getName())
+                .equals(classAndMethod);
+    }
+}
