--- a/src/main/java/org/gullway/coordination/ClusterView.java
+++ b/src/main/java/org/gullway/coordination/ClusterView.java
@@ -59,6 +59,9 @@
     /** Machines whose records or placements have changed since that was last asked. */
     private final Set<String> touched = new HashSet<>();
 
+    /** Jobs of which a record or the machine of a placement has changed since their placements were last checked. */
+    private final Set<String> uncheckedJobs = new HashSet<>();
+
     private final Map<String, Map<AttemptId, Placement>> onMachine = new HashMap<>();
     private final Map<String, Set<String>> images = new HashMap<>();
     /** Removals that the watch has not reached yet, so that an earlier put it still brings does not undo them. */
@@ -84,6 +87,7 @@
     public void clear() {
         marks.clear();
         jobs.clear();
+        uncheckedJobs.clear();
         groups.clear();
         touched.addAll(machines.keySet());
         machines.clear();
@@ -188,12 +192,28 @@
                     .map(MachineRecord::name)
                     .filter(name -> !machines.containsKey(name))
                     .forEach(images::remove);
+            before.machines().forEach(this::uncheckIfLost);
+        }
+    }
+
+    /** Placements on a machine that is gone, or in a later session than before, have to be checked. */
+    private void uncheckIfLost(MachineRecord before) {
+        MachineRecord now = machines.get(before.name());
+        if (now == null || now.session() > before.session()) {
+            placementsOn(before.name())
+                    .keySet()
+                    .forEach(id -> uncheckedJobs.add(id.task().job()));
         }
     }
 
     /** Only what differs is counted anew: most changes of a record leave most of its placements as they are. */
     private void replaceJob(String id, JobRecord next) {
         JobRecord before = next == null ? jobs.remove(id) : jobs.put(id, next);
+        if (next == null) {
+            uncheckedJobs.remove(id);
+        } else {
+            uncheckedJobs.add(id);
+        }
         boolean sameShare = before != null
                 && next != null
                 && Objects.equals(before.owner(), next.owner())
@@ -270,6 +290,16 @@
         return jobs.get(id);
     }
 
+    /** Whether a placement of the job may be on a machine that is gone, or in an earlier session of one. */
+    boolean placementsUnchecked(String job) {
+        return uncheckedJobs.contains(job);
+    }
+
+    /** All placements of the job's present record are on machines in their present sessions. */
+    void placementsChecked(String job) {
+        uncheckedJobs.remove(job);
+    }
+
     /** Whether the job is known to be cancelled, even if its record has ended since. */
     public boolean isCancelled(String job) {
         return cancelled.contains(job);
--- a/src/main/java/org/gullway/coordination/Repair.java
+++ b/src/main/java/org/gullway/coordination/Repair.java
@@ -14,7 +14,7 @@
  * whose owner is lost get another one, and machines are dealt out evenly again.
  */
 public final class Repair {
-    /** It looks at all placements of all jobs; what is lost has been missing for seconds by then. */
+    /** What is lost has been missing for seconds by then. */
     private static final Duration EVERY = Duration.ofMillis(250);
 
     private static final Duration BALANCE_EVERY = Duration.ofSeconds(5);
@@ -25,6 +25,7 @@
     private final RandomGenerator random;
     private Instant proposedAt = Instant.MIN;
     private Instant balancedAt = Instant.MIN;
+    private long checkedPlacements;
 
     public Repair(ClusterView view, Placing placing, String self, RandomGenerator random) {
         this.view = view;
@@ -59,6 +60,24 @@
         if (job == null) {
             return;
         }
+        JobRecord next = job;
+        if (job != known || view.placementsUnchecked(known.request().id())) {
+            next = withoutLost(job);
+            if (next != job) {
+                draft.putJob(next);
+            } else if (job == known) {
+                view.placementsChecked(known.request().id());
+            }
+        }
+        if (orphaned && !next.over() && !view.members().isEmpty()) {
+            List<String> members = new ArrayList<>(view.members().keySet());
+            Shares.hand(draft, view, next, members.get(random.nextInt(members.size())));
+        }
+    }
+
+    /** The record with lost attempts ended; the same if there are none. */
+    private JobRecord withoutLost(JobRecord job) {
+        checkedPlacements += job.live().size();
         Map<Placement, JobRecord.End> lost = new HashMap<>();
         for (Placement placement : job.live()) {
             MachineRecord machine = view.machine(placement.machine());
@@ -72,13 +91,12 @@
             // A gang of which a task is lost starts again as a whole.
             next = next.stopping(p -> true);
         }
-        if (next != job) {
-            draft.putJob(next);
-        }
-        if (orphaned && !next.over() && !view.members().isEmpty()) {
-            List<String> members = new ArrayList<>(view.members().keySet());
-            Shares.hand(draft, view, next, members.get(random.nextInt(members.size())));
-        }
+        return next;
+    }
+
+    /** How many placements were checked so far. */
+    long checkedPlacements() {
+        return checkedPlacements;
     }
 
     /** Moves groups from the controller with most machines to the one with fewest, after one has come back. */
--- a/src/test/java/org/gullway/coordination/RepairTest.java
+++ b/src/test/java/org/gullway/coordination/RepairTest.java
@@ -5,6 +5,7 @@
 import java.time.Instant;
 import java.util.Map;
 import java.util.SplittableRandom;
+import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -88,4 +89,42 @@
         }
         assertThat(sum).isLessThanOrEqualTo(24);
     }
+
+    private void repairAt(Repair repair, int second) {
+        Draft draft = new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
+        repair.propose(draft, false, Instant.EPOCH.plusSeconds(second));
+        Samples.commit(view, draft, ++revision);
+    }
+
+    /** Placements are checked when their job's record or their machine has changed, and only then. */
+    @Example
+    void checksOnlyWhatHasChangedAndStillFindsWhatIsLostLater() {
+        for (String machine : java.util.List.of("vm-1", "vm-2")) {
+            Samples.put(view, Samples.machine(machine, "large", Samples.SELF), ++revision);
+        }
+        for (int i = 1; i <= 40; i++) {
+            JobRecord job = JobRecord.accepted(
+                    Samples.request("run-%06d".formatted(i), "red", Rank.NORMAL, 2, 1), "perch-0", Samples.DAY);
+            String machine = i % 4 == 0 ? "vm-2" : "vm-1";
+            view.put(Keys.job(job.request().id()), Samples.placed(job, Samples.DAY, machine, machine), ++revision);
+        }
+        Repair repair = new Repair(view, Samples.placing(), "perch-0", new SplittableRandom(1));
+        repairAt(repair, 1);
+        assertThat(repair.checkedPlacements()).isEqualTo(80);
+        for (int second = 2; second < 50; second++) {
+            Samples.put(view, Samples.machine("vm-1", "large", Samples.SELF), ++revision);
+            repairAt(repair, second);
+        }
+        assertThat(repair.checkedPlacements()).as("nothing new").isEqualTo(80);
+        Samples.put(view, Samples.machine("vm-2", "large", Samples.SELF).inSession(2, "10.1.0.1:9000"), ++revision);
+        repairAt(repair, 50);
+        assertThat(repair.checkedPlacements()).as("the jobs on vm-2").isEqualTo(80 + 20);
+        assertThat(view.placementsOn("vm-2")).isEmpty();
+        assertThat(view.placementsOn("vm-1")).hasSize(60);
+        view.remove(Keys.group("g-vm-1"), ++revision);
+        for (int second = 51; second < 60; second++) {
+            repairAt(repair, second);
+        }
+        assertThat(view.placementsOn("vm-1")).as("more than one commit can hold").isEmpty();
+    }
 }
