--- /dev/null
+++ b/src/test/java/org/gullway/HandoverFaultsTest.java
@@ -0,0 +1,224 @@
+package org.gullway;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.gullway.MeetingsTest.cutFromState;
+import static org.gullway.MeetingsTest.cutOff;
+import static org.gullway.MeetingsTest.endsWell;
+import static org.gullway.MeetingsTest.moreWork;
+import static org.gullway.MeetingsTest.seconds;
+import static org.gullway.MeetingsTest.working;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import org.gullway.SimulatedWorld.Bounds;
+import org.gullway.SimulatedWorld.User;
+import org.gullway.coordination.Keys;
+import org.gullway.protocol.Rank;
+import org.gullway.standin.StandInWorker;
+import org.gullway.transport.Reply;
+
+/** The work of a controller changes hands while old messages are on their way, jobs are cancelled or machines are silent. */
+class HandoverFaultsTest {
+    private static Bounds only(String type) {
+        return new Bounds(List.of(type), null, false, false, true);
+    }
+
+    private static StandInWorker workerOf(SimulatedWorld world, String type) {
+        return world.cloud.workers().stream()
+                .filter(worker -> worker.kind().type().equals(type))
+                .findFirst()
+                .orElseThrow();
+    }
+
+    /** One idle machine of each type. */
+    private static SimulatedWorld twoIdleMachines(int seed) {
+        SimulatedWorld world = new SimulatedWorld(seed, 0, 1);
+        world.submit(1, "blue", Rank.HIGH, 1, 20, Duration.ofSeconds(5), only("large"));
+        world.submit(2, "blue", Rank.HIGH, 1, 14, Duration.ofSeconds(5), only("small"));
+        world.run(Duration.ofSeconds(25));
+        return world;
+    }
+
+    /**
+     * A task runs on a machine that falls silent, its job is cancelled, and other work of the team waits for its room.
+     * Then a leader begins, and every controller gets reports from before the start of the task, in which it is missing.
+     * Where all were started anew, this guards that a task is believed to be absent only once the worker has confirmed
+     * the epoch of the takeover; where only the leader ended, that a report older than the newest one is dropped.
+     */
+    @Property(tries = 6, seed = "211")
+    void oldReportsReachEveryControllerAsALeaderBegins(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedWorld world = twoIdleMachines(seed);
+        StandInWorker worker = workerOf(world, "large");
+        for (int i = 0; i < 5 && worker.reportsTo().equals(world.leader()); i++) {
+            // Its process is back at once and keeps its machines, while another takes the leadership.
+            world.crash(world.leader(), Duration.ofMillis(30));
+            world.run(Duration.ofSeconds(3));
+        }
+        world.network.keepCopies(1, "/agent/beat");
+        world.run(Duration.ofSeconds(4));
+        world.network.keepCopies(0, "/agent/beat");
+        User silent = world.submit(3, "red", Rank.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
+        world.run(seconds(1.5));
+        assertThat(world.rules.running()).isEqualTo(1);
+        world.network.mute(worker.name(), true);
+        world.network.cut("*", worker.address());
+        silent.cancel();
+        world.submit(4, "red", Rank.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
+        world.whenLeaderBegins(leader -> world.network.releaseCopies(world.userAddresses()));
+        world.run(seconds(0.5));
+        if (seed % 2 == 0) {
+            world.nodes().forEach(node -> world.crash(node, Duration.ofMillis(300)));
+        } else {
+            world.crash(world.leader(), Duration.ofSeconds(20));
+        }
+        endsWell(world, Duration.ofSeconds(40));
+    }
+
+    /**
+     * Cancellations come from before one controller's membership ends until its jobs have other owners, and the watch is
+     * late. Guards the mark of a job's record in the commit that hands it over: it would undo a cancellation.
+     */
+    @Property(tries = 6, seed = "212")
+    void jobsAreCancelledWhileTheyGetAnotherOwner(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
+        for (int i = 1; i <= 36; i++) {
+            world.submit(i, i % 4 == 0 ? "red" : "blue", Rank.NORMAL, 1, 2, Duration.ofSeconds(150));
+        }
+        world.run(Duration.ofSeconds(25));
+        String ending = world.nodes().get(seed % 3);
+        world.crash(ending, Duration.ofSeconds(30));
+        world.network.slow("/watch", seconds(0.6));
+        List<User> users = world.users();
+        for (int i = 0; i < 36; i++) {
+            world.after(seconds(4.7 + 0.08 * i + seed % 80 / 1000.0), users.get(i)::cancel);
+        }
+        endsWell(world, Duration.ofSeconds(40));
+    }
+
+    /**
+     * Both teams use all of their limits, more of their work waits, and jobs are cancelled whose machines are cut off or
+     * hang, while the leader changes. Guards that a cancelled job counts against the limit until each of its tasks has
+     * certainly ended.
+     */
+    @Property(tries = 6, seed = "213")
+    void everyTeamAtItsLimitCancellationsOnSilentMachinesAndAnotherLeader(
+            @ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
+        for (int i = 1; i <= 11; i++) {
+            world.submit(i, i <= 3 ? "red" : "blue", i % 2 == 0 ? Rank.HIGH : Rank.NORMAL, 2, 4, seconds(120));
+        }
+        world.run(Duration.ofSeconds(25));
+        assertThat(world.rules.running()).as("both limits are used up").isEqualTo(22);
+        for (int i = 12; i <= 23; i++) {
+            world.submit(i, i % 3 == 0 ? "red" : "blue", i % 2 == 0 ? Rank.HIGH : Rank.NORMAL, 2, 4, seconds(20));
+        }
+        world.run(Duration.ofSeconds(2));
+        Duration span = seconds(6 + seed % 26);
+        List<StandInWorker> workers = world.cloud.workers();
+        for (int i = 0; i < workers.size(); i += 2) {
+            StandInWorker worker = workers.get(i);
+            if (i % 4 == 0) {
+                cutOff(world, worker, span);
+            } else {
+                worker.hang(span);
+            }
+        }
+        world.users().subList(0, 8).forEach(User::cancel);
+        world.after(seconds(seed % 4), () -> world.crash(world.leader(), seconds(0.2 + seed % 9)));
+        endsWell(world, span.plusSeconds(20));
+    }
+
+    /**
+     * The start of a task is held up, its commander ends or is deposed, the job is cancelled, and other work takes its
+     * room; then the start arrives. Guards the raised epoch of a takeover, and that a task is believed to be absent only
+     * once the worker has confirmed that epoch.
+     */
+    @Property(tries = 9, seed = "214")
+    void aStartOfAnEarlierCommanderArrivesAfterTheNewOnesCommands(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedWorld world = twoIdleMachines(seed);
+        world.network.holdUp(1, "/do");
+        User late = world.submit(3, "red", Rank.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
+        world.run(seconds(1));
+        world.network.holdUp(0, "/do");
+        String commander = workerOf(world, "large").reportsTo();
+        if (seed % 3 == 0) {
+            cutFromState(world, commander, Duration.ofSeconds(30));
+        } else {
+            world.crash(commander, seed % 3 == 1 ? Duration.ofMillis(200) : Duration.ofSeconds(20));
+        }
+        late.cancel();
+        world.submit(4, "red", Rank.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
+        endsWell(world, Duration.ofSeconds(40));
+    }
+
+    /**
+     * The same without a change of the commander: it gives up waiting for the answer, and the start arrives later. Guards
+     * the raise of the epoch after a start without an answer.
+     */
+    @Property(tries = 6, seed = "218")
+    void aStartArrivesAfterItsSenderHasGivenUp(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedWorld world = twoIdleMachines(seed);
+        world.network.holdUp(1, "/do");
+        User late = world.submit(3, "red", Rank.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
+        world.run(seconds(1));
+        world.network.holdUp(0, "/do");
+        late.cancel();
+        world.submit(4, "red", Rank.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
+        endsWell(world, Duration.ofSeconds(40));
+    }
+
+    /**
+     * A controller loses the state service, which takes its membership away. Guards the trust in the membership by the own
+     * clock: by then it must have stopped to count itself entitled, although nobody can tell it.
+     */
+    @Property(tries = 4, seed = "216")
+    void aControllerIsNotReadyOnceItsMembershipHasEnded(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedWorld world = working(seed, Duration.ofSeconds(60));
+        String node = world.nodes().get(seed % 3);
+        var prober = world.network.client("prober", world.time.process());
+        List<Instant> readyWithoutMembership = new ArrayList<>();
+        cutFromState(world, node, Duration.ofSeconds(30));
+        for (int i = 0; i < 1500; i++) {
+            world.after(Duration.ofMillis(10L * i), () -> {
+                boolean member = world.store.value(Keys.member(node)) != null;
+                prober.call(world.address(node), Reply.Request.get("/up", Duration.ofSeconds(1)), reply -> {
+                    if (!member && reply.status() == 200) {
+                        readyWithoutMembership.add(world.time.now());
+                    }
+                });
+            });
+        }
+        world.run(Duration.ofSeconds(15));
+        assertThat(world.store.value(Keys.member(node))).as("its membership").isNull();
+        assertThat(readyWithoutMembership).isEmpty();
+        endsWell(world, Duration.ofSeconds(20));
+    }
+
+    /**
+     * Processes and machines are back within a fraction of a second, again and again, from before the end of a leader
+     * until after the election of the next one. Guards that a controller is known by its process, not by its name: the
+     * machines of its former process would never be commanded again.
+     */
+    @Property(tries = 6, seed = "217")
+    void processesAndMachinesAreBackWithinAFractionOfASecond(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedWorld world = working(seed, Duration.ofSeconds(50));
+        moreWork(world, 9, 8);
+        world.after(seconds(1), () -> world.crash(world.leader(), seconds(5 + seed % 6)));
+        for (int i = 0; i < 12; i++) {
+            int number = i;
+            world.after(seconds(0.7 * i + seed % 60 / 100.0), () -> {
+                world.crash(world.nodes().get((seed + number) % 3), Duration.ofMillis(20 + 61L * number));
+                List<StandInWorker> workers = world.cloud.workers();
+                workers.get((seed + number) % workers.size()).hang(Duration.ofMillis(100 + 70L * number));
+                cutOff(world, workers.get((seed + 3 * number) % workers.size()), Duration.ofMillis(900 - 60L * number));
+            });
+        }
+        world.after(seconds(4), () -> world.users().subList(0, 3).forEach(User::cancel));
+        endsWell(world, Duration.ofSeconds(15));
+    }
+}
--- a/src/test/java/org/gullway/MeetingsTest.java
+++ b/src/test/java/org/gullway/MeetingsTest.java
@@ -20,12 +20,12 @@
 class MeetingsTest {
     private static final Duration LONG = Duration.ofSeconds(200);
 
-    private static Duration seconds(double seconds) {
+    static Duration seconds(double seconds) {
         return Duration.ofMillis(Math.round(seconds * 1000));
     }
 
     /** Eight jobs of two tasks that run, urgent ones and others, of both teams; red is at its limit. */
-    private static SimulatedWorld working(int seed, Duration runTime) {
+    static SimulatedWorld working(int seed, Duration runTime) {
         SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
         for (int i = 1; i <= 8; i++) {
             world.submit(i, i < 4 ? "red" : "blue", i % 2 == 0 ? Rank.HIGH : Rank.NORMAL, 2, 4, runTime);
@@ -38,7 +38,7 @@
     }
 
     /** New work of both teams, a job every other second. */
-    private static void moreWork(SimulatedWorld world, int first, int jobs) {
+    static void moreWork(SimulatedWorld world, int first, int jobs) {
         for (int i = 0; i < jobs; i++) {
             int number = first + i;
             world.after(
@@ -53,17 +53,17 @@
         }
     }
 
-    private static void cancelThrough(SimulatedWorld world, String node, List<User> users) {
+    static void cancelThrough(SimulatedWorld world, String node, List<User> users) {
         users.forEach(
                 user -> user.cancelOnce(world.address(node), () -> world.after(Duration.ofSeconds(1), user::cancel)));
     }
 
-    private static void cutFromState(SimulatedWorld world, String node, Duration span) {
+    static void cutFromState(SimulatedWorld world, String node, Duration span) {
         world.network.cut(node, SimulatedWorld.stateAddress());
         world.after(span, () -> world.network.heal(node, SimulatedWorld.stateAddress()));
     }
 
-    private static void cutOff(SimulatedWorld world, StandInWorker worker, Duration span) {
+    static void cutOff(SimulatedWorld world, StandInWorker worker, Duration span) {
         world.network.cut(worker.name(), "*");
         world.network.cut("*", worker.address());
         world.after(span, () -> {
@@ -72,7 +72,7 @@
         });
     }
 
-    private static void deafen(SimulatedWorld world, StandInWorker worker, Duration span) {
+    static void deafen(SimulatedWorld world, StandInWorker worker, Duration span) {
         world.network.unanswered(worker.name(), true);
         world.network.cut("*", worker.address());
         world.after(span, () -> {
@@ -81,13 +81,13 @@
         });
     }
 
-    private static void outage(SimulatedWorld world, Duration from, Duration span) {
+    static void outage(SimulatedWorld world, Duration from, Duration span) {
         world.after(from, () -> world.store.setDown(true));
         world.after(from.plus(span), () -> world.store.setDown(false));
     }
 
     /** The troubles end after this span; then all work gets done and every controller says the same of it. */
-    private static void endsWell(SimulatedWorld world, Duration troubles) {
+    static void endsWell(SimulatedWorld world, Duration troubles) {
         world.run(troubles);
         world.calm();
         world.run(Duration.ofSeconds(330));
--- a/src/test/java/org/gullway/RuleCheckTest.java
+++ b/src/test/java/org/gullway/RuleCheckTest.java
@@ -191,6 +191,21 @@
         breaks("forgotten: run-000001 alone");
     }
 
+    @Test
+    void afterTheTroublesAnswersAboutOtherJobsDoNotExcuse() {
+        String one = anywhere(1, 1);
+        String other = anywhere(2, 1);
+        rules.calm(at(10));
+        for (int second = 12; second < 85; second += 5) {
+            rules.asked(one, 200, at(second), at(second));
+            rules.asked(other, second < 15 ? 200 : 503, at(second), at(second));
+        }
+        assertThat(rules.broken).isEmpty();
+        rules.asked(one, 200, at(88), at(88));
+        rules.asked(other, 503, at(88), at(88));
+        breaks("forgotten: nothing is answered about run-000002");
+    }
+
     @Test
     void submissions() {
         String id = anywhere(1, 1);
--- a/src/test/java/org/gullway/SimulatedWorld.java
+++ b/src/test/java/org/gullway/SimulatedWorld.java
@@ -12,6 +12,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import java.util.random.RandomGenerator;
 import org.gullway.coordination.Keys;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
@@ -52,6 +53,7 @@
     private final Shape shape;
     private Consumer<User> whenDone = user -> {};
     private int timesAsOften = 1;
+    private Consumer<User> whenNews = user -> {};
 
     /** Size of a world: machines of each type, zone and kind, teams, and how often workers report. */
     record Shape(int capacity, Map<String, Settings.Team> teams, Duration report, double trouble) {
@@ -91,10 +93,14 @@
                     Reply.Request.post("/v2/runs", Cbor.encode(request.toNode()), Duration.ofSeconds(5)),
                     reply -> {
                         if (reply.status() == 201 || reply.status() == 200) {
+                            boolean news = !accepted;
                             accepted = true;
                             acceptedAt = time.now();
                             rules.accepted(request.id(), time.now());
                             hear(reply, asked);
+                            if (news) {
+                                whenNews.accept(this);
+                            }
                             poll();
                         } else if (reply.status() == 400 || reply.status() == 422) {
                             broken.add("forgotten: " + request.id() + " was refused with " + reply.status());
@@ -199,9 +205,13 @@
         }
 
         private void hear(Reply reply, Instant asked) {
+            boolean wasOver = over();
             if (rules.heard(request.id(), state(reply), asked, time.now())) {
                 world.after(CANCEL, () -> rules.atCancelLimit(request.id(), time.now()));
             }
+            if (over() && !wasOver) {
+                whenNews.accept(this);
+            }
         }
     }
 
@@ -487,6 +497,24 @@
         whenDone = told;
     }
 
+    /** Is told at the very moment at which a user hears that its job is accepted, and that it is done or cancelled. */
+    void whenNews(Consumer<User> told) {
+        whenNews = told;
+    }
+
+    /** The user asks at all nodes, again and again within milliseconds, and repeats the submission. */
+    void lookClosely(User user, RandomGenerator random) {
+        for (int look = 0; look < 4; look++) {
+            after(Duration.ofNanos(random.nextInt(6_000_000)), user::askEverywhere);
+        }
+        after(Duration.ofNanos(random.nextInt(6_000_000)), user::submitAgain);
+    }
+
+    /** Is told the name of a new leader at the very moment at which the state service has it. */
+    void whenLeaderBegins(Consumer<String> told) {
+        store.whenPut(Keys.LEADER, value -> told.accept(value.path("node").asText()));
+    }
+
     /** The name of the controller that is the leader by the state service; null if there is none. */
     String leader() {
         JsonNode leader = store.value(Keys.LEADER);
--- a/src/test/java/org/gullway/Trouble.java
+++ b/src/test/java/org/gullway/Trouble.java
@@ -137,6 +137,14 @@
             world.after(span, () -> world.store.lateWrites(0, random));
         }
     },
+    /** Transactions are carried out at once, and only their answers are lost. */
+    LOST_ANSWERS {
+        @Override
+        void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
+            world.store.loseAnswers(0.3, random.split());
+            world.after(span, () -> world.store.loseAnswers(0, random));
+        }
+    },
     STORE_SLOW {
         @Override
         void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
@@ -210,6 +218,42 @@
                             world.address(world.leader() == null ? node(world, random) : world.leader()))));
         }
     },
+    /** Direct commands are held up on their way, unanswered, and arrive once, 2 to 16 s late. */
+    LATE_COMMANDS {
+        @Override
+        void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
+            world.network.holdUp(0.4, "/do");
+            world.after(span, () -> world.network.holdUp(0, "/do"));
+        }
+    },
+    /** Copies of reports are kept, and reach every controller as the next leader begins. */
+    REPORTS_FOR_THE_NEXT_LEADER {
+        @Override
+        void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
+            world.network.keepCopies(0.3, "/agent/beat");
+            world.whenLeaderBegins(leader -> world.network.releaseCopies(world.userAddresses()));
+            world.after(span, () -> {
+                if (world.leader() != null) {
+                    world.crash(world.leader(), Duration.ofMillis(200 + random.nextInt(6000)));
+                }
+            });
+        }
+    },
+    /** New machines are up within two seconds. */
+    QUICK_MACHINES {
+        @Override
+        void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
+            world.cloud.bootWithin(Duration.ofMillis(200 + random.nextInt(1800)));
+        }
+    },
+    /** Users ask at all nodes within milliseconds after each news of their jobs, and repeat the submission. */
+    CLOSE_LOOKS {
+        @Override
+        void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
+            world.whenNews(user -> world.lookClosely(user, random));
+            world.after(span, () -> world.whenNews(user -> {}));
+        }
+    },
     /** Users repeat submissions, cancel jobs that are over, and send what can never run. */
     ODD_REQUESTS {
         @Override
--- a/src/test/java/org/gullway/standin/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/standin/SimulatedNetwork.java
@@ -40,6 +40,11 @@
     private String copiedPath;
     private Duration copiedLater;
     private List<String> copiedTo;
+    private double keptShare;
+    private String keptPath = "";
+    private final List<Held> keptCopies = new ArrayList<>();
+    private double heldUpShare;
+    private String heldUpPath = "";
 
     /** @param trouble share of messages that are late, or repeated */
     public SimulatedNetwork(SimulatedTime time, RandomGenerator random, double trouble) {
@@ -68,6 +73,9 @@
         heldBack.clear();
         held.clear();
         copied = 0;
+        keptShare = 0;
+        keptCopies.clear();
+        heldUpShare = 0;
         slowBy = Duration.ZERO;
     }
 
@@ -123,6 +131,30 @@
         copiedTo = addresses;
     }
 
+    /** From now on a copy of this share of the requests for a path is kept until {@link #releaseCopies}. */
+    public void keepCopies(double share, String path) {
+        keptShare = share;
+        keptPath = path;
+    }
+
+    /** All copies that were kept arrive at each of these addresses; nobody hears the answers. */
+    public void releaseCopies(List<String> addresses) {
+        for (Held copy : keptCopies) {
+            addresses.forEach(
+                    address -> deliver(copy.from(), copy.process(), address, copy.request(), reply -> {}, latency()));
+        }
+        keptCopies.clear();
+    }
+
+    /**
+     * From now on this share of the requests for a path is held up on its way for 2 to 16 s: the sender hears nothing,
+     * and the request arrives once.
+     */
+    public void holdUp(double share, String path) {
+        heldUpShare = share;
+        heldUpPath = path;
+    }
+
     private boolean isCut(String from, String to) {
         return cuts.contains(from + ">" + to) || cuts.contains(from + ">*") || cuts.contains("*>" + to);
     }
@@ -162,6 +194,13 @@
             held.add(new Held(from, process, request));
             return;
         }
+        if (heldUpShare > 0 && request.path().equals(heldUpPath) && random.nextDouble() < heldUpShare) {
+            deliver(from, process, address, request, reply -> {}, Duration.ofMillis(2000 + random.nextInt(14_000)));
+            return;
+        }
+        if (keptShare > 0 && request.path().equals(keptPath) && random.nextDouble() < keptShare) {
+            keptCopies.add(new Held(from, process, request));
+        }
         Duration delay = latency();
         if (random.nextDouble() < trouble) {
             delay = Duration.ofMillis(random.nextInt(9000));
--- a/src/test/java/org/gullway/standin/StandInCloud.java
+++ b/src/test/java/org/gullway/standin/StandInCloud.java
@@ -42,6 +42,7 @@
     private final TreeMap<String, Machine> machines = new TreeMap<>();
     private final Map<String, List<String>> charters = new HashMap<>();
     private int names;
+    private Duration longestBoot = Duration.ofDays(1);
 
     /** @param capacity machines of each type, zone and kind */
     public StandInCloud(EventLoop loop, List<MachineType> types, int capacity, Boot boot) {
@@ -64,6 +65,11 @@
         return machine == null ? null : machine.worker;
     }
 
+    /** From now on machines are up within this time, however long their type usually takes. */
+    public void bootWithin(Duration longest) {
+        longestBoot = longest;
+    }
+
     public int rented() {
         return machines.size();
     }
@@ -138,7 +144,8 @@
                 names.add(name);
                 Machine machine = new Machine(kind, loop.now());
                 machines.put(name, machine);
-                loop.after(type.boot(), () -> {
+                Duration boots = type.boot().compareTo(longestBoot) < 0 ? type.boot() : longestBoot;
+                loop.after(boots, () -> {
                     if (machines.get(name) == machine) {
                         machine.worker = boot.start(name, kind);
                     }
--- a/src/test/java/org/gullway/standin/StandInStore.java
+++ b/src/test/java/org/gullway/standin/StandInStore.java
@@ -12,6 +12,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.MalformedException;
@@ -89,6 +91,11 @@
     private final Set<String> refused = new HashSet<>();
     private double lateShare;
     private RandomGenerator lateRandom;
+    private double lostShare;
+    private RandomGenerator lostRandom;
+    private Predicate<JsonNode> heldUp;
+    private Duration heldUpBy;
+    private final Map<String, Consumer<JsonNode>> listeners = new HashMap<>();
     private int slowMillis;
     private RandomGenerator slowRandom;
     /** Changes by the first two parts of their keys, such as live/jobs. */
@@ -136,6 +143,23 @@
         lateRandom = random;
     }
 
+    /** This share of transactions is carried out at once, and only its answer is lost. */
+    public void loseAnswers(double share, RandomGenerator random) {
+        lostShare = share;
+        lostRandom = random;
+    }
+
+    /** The next transaction with a change of which this holds gets no answer and is carried out so much later. */
+    public void holdUpNext(Predicate<JsonNode> change, Duration by) {
+        heldUp = change;
+        heldUpBy = by;
+    }
+
+    /** Is told of every value that is put under this key, at that very moment. */
+    public void whenPut(String key, Consumer<JsonNode> listener) {
+        listeners.put(key, listener);
+    }
+
     /** Answers come up to so many milliseconds late, each by another time. */
     public void slow(int mostMillis, RandomGenerator random) {
         slowMillis = mostMillis;
@@ -146,6 +170,8 @@
     public void calm() {
         refused.clear();
         lateShare = 0;
+        lostShare = 0;
+        heldUp = null;
         slowMillis = 0;
         setDown(false);
     }
@@ -247,12 +273,7 @@
             } else if (path.startsWith("/store/")) {
                 get(call, path.substring("/store/".length()));
             } else if (path.equals("/commit")) {
-                ObjectNode body = Cbor.decode(call.body());
-                if (lateShare > 0 && lateRandom.nextDouble() < lateShare) {
-                    loop.after(Duration.ofMillis(2000 + lateRandom.nextInt(10_000)), () -> commitLate(call, body));
-                } else {
-                    commit(call, body);
-                }
+                receiveCommit(call, Cbor.decode(call.body()));
             } else if (path.equals("/watch")) {
                 watch(client, call, query);
             } else if (path.startsWith("/grants")) {
@@ -265,6 +286,33 @@
         }
     }
 
+    private void receiveCommit(Call call, ObjectNode body) {
+        if (heldUp != null && anyChange(body, heldUp)) {
+            heldUp = null;
+            loop.after(heldUpBy, () -> commitLate(call, body));
+        } else if (lateShare > 0 && lateRandom.nextDouble() < lateShare) {
+            loop.after(Duration.ofMillis(2000 + lateRandom.nextInt(10_000)), () -> commitLate(call, body));
+        } else if (lostShare > 0 && lostRandom.nextDouble() < lostShare) {
+            commit(unanswered(call), body);
+        } else {
+            commit(call, body);
+        }
+    }
+
+    private static boolean anyChange(ObjectNode body, Predicate<JsonNode> which) {
+        for (JsonNode change : body.path("then")) {
+            if (which.test(change)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** The same call, of which no answer reaches its sender. */
+    private static Call unanswered(Call call) {
+        return new SimulatedNetwork.Message("", call.method(), call.path(), call.query(), call.body(), reply -> {});
+    }
+
     private ObjectNode item(String key, Entry entry) {
         ObjectNode node = Cbor.map().put("k", key).put("mark", entry.mark());
         node.set("v", entry.value());
@@ -309,10 +357,7 @@
         if (down) {
             loop.after(Duration.ofMillis(500), () -> commitLate(call, body));
         } else {
-            commit(
-                    new SimulatedNetwork.Message(
-                            "", call.method(), call.path(), call.query(), call.body(), reply -> {}),
-                    body);
+            commit(unanswered(call), body);
         }
     }
 
@@ -364,6 +409,16 @@
         }
         call.answer(200, Cbor.encode(Cbor.map().put("logline", revision)));
         wake();
+        tellListeners(body);
+    }
+
+    private void tellListeners(ObjectNode body) {
+        for (JsonNode change : body.path("then")) {
+            Consumer<JsonNode> listener = listeners.get(change.path("put").asText());
+            if (listener != null) {
+                listener.accept(change.path("v"));
+            }
+        }
     }
 
     private void watch(String client, Call call, Map<String, String> query) {
