--- a/src/main/java/org/gullway/coordination/MachineControl.java
+++ b/src/main/java/org/gullway/coordination/MachineControl.java
@@ -32,6 +32,9 @@
 public final class MachineControl {
     private static final Logger LOG = LoggerFactory.getLogger(MachineControl.class);
     private static final Duration RETRY = Duration.ofMillis(500);
+    /** Beyond the longest pause between two reports; a worker that hears nobody takes far longer to come by again. */
+    private static final Duration RETURN_MARGIN = Duration.ofSeconds(1);
+
     private static final Duration TELL_AGAIN = Duration.ofMillis(1500);
     /** After that the end is recorded here: the keeper may be out of reach, or change again and again. */
     private static final Duration TOLD_IN_VAIN = Duration.ofSeconds(4);
@@ -184,8 +187,12 @@
         if (!view.isLive(record.controller())) {
             return false;
         }
-        strayGroups.add(view.groupOf(record.name()));
-        return worker.mayStay();
+        // One that hears nobody comes by all the same: its group would change hands again and again, and each time the
+        // count of its silence would begin anew.
+        if (worker.keptWithin(reportInterval.multipliedBy(5).dividedBy(4).plus(RETURN_MARGIN), now)) {
+            strayGroups.add(view.groupOf(record.name()));
+        }
+        return worker.mayStay(now);
     }
 
     /**
--- a/src/main/java/org/gullway/coordination/Worker.java
+++ b/src/main/java/org/gullway/coordination/Worker.java
@@ -42,6 +42,9 @@
     private Instant strayedAt;
 
     private boolean stays;
+    /** When it was last answered with 200 although another controller commands its machine; null if sent on since. */
+    private Instant keptAt;
+
     private final Map<String, Instant> failedJobs = new HashMap<>();
 
     private record Told(Instant first, Instant last) {}
@@ -269,14 +272,21 @@
     void strayed(Instant at) {
         strayedAt = at;
         stays = false;
+        keptAt = null;
     }
 
     /** Every other time: a worker that alone cannot reach its controller must not stay where nobody commands it. */
-    boolean mayStay() {
+    boolean mayStay(Instant now) {
         stays = !stays;
+        keptAt = stays ? now : null;
         return stays;
     }
 
+    /** Whether its last report here was answered with 200 no longer ago than this: it came back, so it hears. */
+    boolean keptWithin(Duration span, Instant now) {
+        return keptAt != null && !keptAt.plus(span).isBefore(now);
+    }
+
     void failed(String job, Instant now) {
         failedJobs.put(job, now);
     }
--- a/src/test/java/org/gullway/HandoverFaultsTest.java
+++ b/src/test/java/org/gullway/HandoverFaultsTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.gullway.MeetingsTest.cutFromState;
 import static org.gullway.MeetingsTest.cutOff;
+import static org.gullway.MeetingsTest.deafen;
 import static org.gullway.MeetingsTest.endsWell;
 import static org.gullway.MeetingsTest.moreWork;
 import static org.gullway.MeetingsTest.seconds;
@@ -172,6 +173,24 @@
         endsWell(world, Duration.ofSeconds(40));
     }
 
+    /**
+     * The one machine of its type, zone and kind reports but does not hear, and no other can be rented beside it. Guards
+     * that commands without an answer count as silence: it would never be returned, and the job would wait for ever.
+     */
+    @Property(tries = 4, seed = "215")
+    void theOnlyMachineOfItsKindReportsAndDoesNotHear(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedWorld world = new SimulatedWorld(seed, 0, 1);
+        Bounds one = new Bounds(List.of("large"), "a", false, false, false);
+        world.submit(1, "blue", Rank.HIGH, 1, 20, Duration.ofSeconds(400), one);
+        world.run(Duration.ofSeconds(25));
+        deafen(world, workerOf(world, "large"), Duration.ofDays(1));
+        world.after(seconds(seed % 30), () -> world.users().forEach(User::cancel));
+        world.after(Duration.ofSeconds(31), () -> world.submit(2, "blue", Rank.HIGH, 1, 20, seconds(10), one));
+        world.run(Duration.ofSeconds(110));
+        assertThat(world.broken).isEmpty();
+        assertThat(world.unfinished()).isEmpty();
+    }
+
     /**
      * A controller loses the state service, which takes its membership away. Guards the trust in the membership by the own
      * clock: by then it must have stopped to count itself entitled, although nobody can tell it.
