--- /dev/null
+++ b/src/main/java/org/gullway/coordination/FailingJobs.java
@@ -0,0 +1,53 @@
+package org.gullway.coordination;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * Tells machines that fail the tasks of any job from jobs that fail on any machine. Jobs that were submitted with a
+ * mistake do so until they are cancelled, which says nothing of the machines.
+ */
+final class FailingJobs {
+    private static final Duration ERROR_WINDOW = Duration.ofMinutes(2);
+    /** A machine that failed tasks of so many other jobs, with no success in between, is faulty. */
+    private static final int JOBS_OF_A_FAULTY_MACHINE = 2;
+    /** A job that failed on so many machines here and has completed nothing fails by itself, not by the machines. */
+    private static final int MACHINES_OF_A_FAILING_JOB = 3;
+
+    private final ClusterView view;
+    /** Jobs that have failed lately here, and whether they do so on every machine. */
+    private final Map<String, Boolean> failsEverywhere = new HashMap<>();
+
+    FailingJobs(ClusterView view) {
+        this.view = view;
+    }
+
+    /** Looks at the failures of the last minutes on these workers, which must be all that have any. */
+    void update(Collection<Worker> workers, Instant now) {
+        Map<String, Integer> machinesOf = new HashMap<>();
+        for (Worker worker : workers) {
+            worker.failedLately(now, ERROR_WINDOW).forEach(job -> machinesOf.merge(job, 1, Integer::sum));
+        }
+        // What was found stays, while any machine remembers the job: its record may end before.
+        failsEverywhere.keySet().retainAll(machinesOf.keySet());
+        machinesOf.forEach((id, machines) -> {
+            JobRecord job = view.job(id);
+            if (job != null) {
+                boolean everywhere =
+                        machines >= MACHINES_OF_A_FAILING_JOB && job.done().size() == 0;
+                failsEverywhere.put(id, everywhere);
+            }
+        });
+    }
+
+    /** Whether the failures on this worker's machine are its own. */
+    boolean isFaulty(Worker worker, Instant now) {
+        long jobs = worker.failedLately(now, ERROR_WINDOW).stream()
+                .filter(job -> !failsEverywhere.getOrDefault(job, false))
+                .count();
+        return jobs >= JOBS_OF_A_FAULTY_MACHINE;
+    }
+}
--- a/src/main/java/org/gullway/coordination/MachineControl.java
+++ b/src/main/java/org/gullway/coordination/MachineControl.java
@@ -4,7 +4,6 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -43,10 +42,6 @@
     private static final Duration TIDY_EVERY = Duration.ofSeconds(2);
 
     private static final Duration NOTICE_MARGIN = Duration.ofSeconds(1);
-    private static final Duration ERROR_WINDOW = Duration.ofMinutes(2);
-    private static final int ERRORS_OF_JOBS = 2;
-    /** A job that failed on so many machines here and has completed nothing fails by itself, not by the machines. */
-    private static final int MACHINES_OF_A_FAILING_JOB = 3;
     /** Every worker reports once more when the epoch has risen, so starts without an answer are settled together. */
     private static final Duration RAISE_PAUSE = Duration.ofSeconds(1);
     /** Commands on their way at a time; the rest has its turn when answers come in. */
@@ -67,18 +62,15 @@
     private final SilentMachines silent;
     /** Machines here whose session on record may be behind. */
     private final Set<String> newSessions = new HashSet<>();
-    /** Groups of a controller that some of their workers cannot reach. */
-    private final Set<String> strayGroups = new HashSet<>();
+
+    private final GroupTakeover takeover;
 
     private final Map<String, List<EndNotice>> notices = new TreeMap<>();
-    /** Jobs that have failed lately here, and whether they do so on every machine. */
-    private final Map<String, Boolean> failingJobs = new HashMap<>();
+    private final FailingJobs failingJobs;
 
     private int pushing;
     /** Workers looked at so far. */
     private long looks;
-    /** Version of groups and members at which no group was without a live controller; -1 if there was one. */
-    private long settledVersion = -1;
 
     private Instant tidiedAt = Instant.MIN;
     private Instant raisedAt = Instant.MIN;
@@ -95,6 +87,8 @@
         this.reportInterval = reportInterval;
         this.ended = ended;
         this.cancelled = cancelled;
+        this.failingJobs = new FailingJobs(view);
+        this.takeover = new GroupTakeover(view, self, workers);
         this.silent = new SilentMachines(view, self, reportInterval, neighbours, workers);
     }
 
@@ -155,7 +149,7 @@
         if (!self.equals(record.controller())) {
             String better = view.isLive(record.controller())
                     ? record.controller().node()
-                    : successor(view.group(view.groupOf(record.name())));
+                    : takeover.successor(view.group(view.groupOf(record.name())));
             if (!self.node().equals(better)) {
                 // While its group is being taken over, an answer keeps its lease; the way back there would only fail.
                 return stray(record, now)
@@ -190,23 +184,11 @@
         // One that hears nobody comes by all the same: its group would change hands again and again, and each time the
         // count of its silence would begin anew.
         if (worker.keptWithin(reportInterval.multipliedBy(5).dividedBy(4).plus(RETURN_MARGIN), now)) {
-            strayGroups.add(view.groupOf(record.name()));
+            takeover.strayed(view.groupOf(record.name()));
         }
         return worker.mayStay(now);
     }
 
-    /**
-     * Who takes over the group of a lost controller: the same node if it is back, or else a member that all
-     * controllers agree on as far as they agree on the members.
-     */
-    private String successor(GroupRecord group) {
-        if (view.members().containsKey(group.controller().node())) {
-            return group.controller().node();
-        }
-        List<String> members = List.copyOf(view.members().keySet());
-        return members.isEmpty() ? null : members.get(Math.floorMod(group.id().hashCode(), members.size()));
-    }
-
     /** The answer to a direct command. */
     public void answered(WorkerReport report, Instant now) {
         Worker worker = workers.get(report.machine());
@@ -442,9 +424,14 @@
 
     /** Takes over groups, records sessions, and marks machines that are faulty, silent, deaf or about to be taken. */
     public void propose(Draft draft, Instant now) {
-        claim(draft);
+        takeover.propose(draft);
         recordSessions(draft);
-        noteFailingJobs(now);
+        failingJobs.update(
+                troubled.stream()
+                        .map(workers::get)
+                        .filter(worker -> worker != null && !worker.failedJobsNone())
+                        .toList(),
+                now);
         boolean raise = false;
         troubled.removeIf(
                 name -> !workers.containsKey(name) || !workers.get(name).hasTrouble());
@@ -458,7 +445,7 @@
             beforeTaken(draft, record, worker, now);
             if (draft.machine(name).fate() == Fate.STAYS
                     && draft.canPutMachine(record.name())
-                    && (worker.noticeEnd() != null || isFaulty(worker, now))) {
+                    && (worker.noticeEnd() != null || failingJobs.isFaulty(worker, now))) {
                 draft.putMachine(record.meant(Fate.LEAVING));
             }
         }
@@ -506,33 +493,6 @@
         return task == null || task.ended();
     }
 
-    /** Jobs that were submitted with a mistake fail on every machine until they are cancelled; that says nothing of those. */
-    private void noteFailingJobs(Instant now) {
-        Map<String, Integer> machinesOf = new HashMap<>();
-        for (String name : troubled) {
-            Worker worker = workers.get(name);
-            if (worker != null && !worker.failedJobsNone()) {
-                worker.failedLately(now, ERROR_WINDOW).forEach(job -> machinesOf.merge(job, 1, Integer::sum));
-            }
-        }
-        // What was found stays, while any machine remembers the job: its record may end before.
-        failingJobs.keySet().retainAll(machinesOf.keySet());
-        machinesOf.forEach((id, machines) -> {
-            JobRecord job = view.job(id);
-            if (job != null) {
-                failingJobs.put(
-                        id, machines >= MACHINES_OF_A_FAILING_JOB && job.done().size() == 0);
-            }
-        });
-    }
-
-    private boolean isFaulty(Worker worker, Instant now) {
-        return worker.failedLately(now, ERROR_WINDOW).stream()
-                        .filter(job -> !failingJobs.getOrDefault(job, false))
-                        .count()
-                >= ERRORS_OF_JOBS;
-    }
-
     /**
      * Before the cloud takes a machine away, tasks that can save are stopped in time to do so; at the end the machine
      * is returned without waiting for its silence to be noticed.
@@ -560,48 +520,6 @@
         });
     }
 
-    /** Groups whose controller is lost, and those of a live one that many of their workers cannot reach. */
-    private void claim(Draft draft) {
-        strayGroups.removeIf(
-                id -> view.group(id) == null || self.equals(view.group(id).controller()));
-        if (strayGroups.isEmpty() && settledVersion == view.groupsAndMembersVersion()) {
-            return;
-        }
-        boolean allLive = true;
-        for (GroupRecord group : view.groups()) {
-            boolean live = view.isLive(group.controller());
-            allLive &= live;
-            boolean lost = !live && self.node().equals(successor(group));
-            if ((lost || strayGroups.contains(group.id()) && manyStrayed(group)) && draft.hasRoomFor(2)) {
-                draft.putGroup(draft.group(group.id())
-                        .claimed(self, lost ? epochAfterLoss(draft, group) : draft.raiseEpoch()));
-            }
-        }
-        settledVersion = allLive ? view.groupsAndMembersVersion() : -1;
-    }
-
-    /**
-     * An epoch that the lost controller never commanded under: the present one, if it was raised after the last loss
-     * of a member; the lost one must not have come back unseen. After a crash of all, one raise serves all groups.
-     */
-    private long epochAfterLoss(Draft draft, GroupRecord group) {
-        draft.rely(Keys.member(group.controller().node()));
-        if (!view.epochRaisedSinceLoss()) {
-            return draft.raiseEpoch();
-        }
-        draft.rely(Keys.EPOCH);
-        return draft.epoch();
-    }
-
-    private boolean manyStrayed(GroupRecord group) {
-        long up = group.machines().stream().filter(MachineRecord::up).count();
-        long here = group.machines().stream()
-                .map(m -> workers.get(m.name()))
-                .filter(w -> w != null && w.strayedAt() != null)
-                .count();
-        return 2 * here >= up;
-    }
-
     private void recordSessions(Draft draft) {
         newSessions.removeIf(name -> {
             Worker worker = workers.get(name);
--- a/src/test/java/org/gullway/coordination/RepairTest.java
+++ b/src/test/java/org/gullway/coordination/RepairTest.java
@@ -125,6 +125,8 @@
         for (int second = 51; second < 60; second++) {
             repairAt(repair, second);
         }
-        assertThat(view.placementsOn("vm-1")).as("more than one commit can hold").isEmpty();
+        assertThat(view.placementsOn("vm-1"))
+                .as("more than one commit can hold")
+                .isEmpty();
     }
 }
