--- a/src/test/java/org/gullway/HandoverFaultsTest.java
+++ b/src/test/java/org/gullway/HandoverFaultsTest.java
@@ -1,6 +1,7 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.gullway.MeetingsTest.cancelThrough;
 import static org.gullway.MeetingsTest.cutFromState;
 import static org.gullway.MeetingsTest.cutOff;
 import static org.gullway.MeetingsTest.deafen;
@@ -218,6 +219,51 @@
         endsWell(world, Duration.ofSeconds(20));
     }
 
+    /**
+     * The leader keeps its workers and loses the state service and the others, which reach neither those workers nor the
+     * cloud; jobs are cancelled through them. Guards the bound of the renewal of leases by what is known of cancellations:
+     * nothing else ends their tasks in time.
+     */
+    @Property(tries = 4, seed = "219")
+    void aLeaderIsLeftWithWorkersThatNobodyElseReaches(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedWorld world = working(seed, Duration.ofSeconds(200));
+        String leader = world.leader();
+        Duration span = SimulatedWorld.CANCEL.plusSeconds(20);
+        cutFromState(world, leader, span);
+        world.cutMesh(leader, true);
+        for (String other : world.nodes()) {
+            if (!other.equals(leader)) {
+                world.network.cut(other, SimulatedWorld.cloudAddress());
+                world.cloud.workers().forEach(worker -> world.network.cut(other, worker.address()));
+                world.cloud.workers().forEach(worker -> world.network.cut(worker.name(), world.address(other)));
+            }
+        }
+        world.after(
+                seconds(1 + seed % 8),
+                () -> cancelThrough(
+                        world, world.otherThan(leader), world.users().subList(0, 6)));
+        endsWell(world, span);
+    }
+
+    /**
+     * No worker reaches its commander any more, which is well otherwise. Guards the claim of a group by the controller to
+     * which its workers turn: they would be given up with all that runs on them.
+     */
+    @Property(tries = 4, seed = "220")
+    void noWorkerReachesACommanderThatIsWellOtherwise(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedWorld world = working(seed, Duration.ofSeconds(60));
+        int started = world.started();
+        String commander = world.cloud.workers().get(0).reportsTo();
+        world.cloud.workers().forEach(worker -> {
+            world.network.cut(worker.name(), world.address(commander));
+            world.network.cut(commander, worker.address());
+        });
+        world.run(Duration.ofSeconds(80));
+        assertThat(world.broken).isEmpty();
+        assertThat(world.unfinished()).isEmpty();
+        assertThat(world.started()).as("none began anew").isEqualTo(started);
+    }
+
     /**
      * Processes and machines are back within a fraction of a second, again and again, from before the end of a leader
      * until after the election of the next one. Guards that a controller is known by its process, not by its name: the
--- a/src/test/java/org/gullway/SimulatedWorld.java
+++ b/src/test/java/org/gullway/SimulatedWorld.java
@@ -411,6 +411,10 @@
         return STATE;
     }
 
+    static String cloudAddress() {
+        return CLOUD;
+    }
+
     /** Where a job's tasks may be. */
     record Bounds(List<String> types, String zone, boolean oneZone, boolean spread, boolean spot) {
         static final Bounds ONE_ZONE = new Bounds(null, null, true, false, true);
