--- a/src/main/java/org/gullway/Controller.java
+++ b/src/main/java/org/gullway/Controller.java
@@ -134,7 +134,7 @@
                 this::schedule);
         this.commands = new CommandSender(loop, http, machines, cancelled, metrics, this::schedule);
         this.peers = new PeerExchange(
-                loop, http, self, settings.peers(), queue, machines, cancelled, horizon, leases, this::schedule);
+                loop, http, self, settings.peers(), queue, machines, cancelled, horizon, leases, ledger::knownUntil, this::schedule);
         this.reports = new ReportHandler(loop, view, ledger, machines, cancelled, horizon, leases, this::schedule);
         this.requests = new RequestRouter(loop, leases, this::healthy, new ReportIntake(loop, reports::answer), users);
         Draft.Limits limits = new Draft.Limits(settings.stateChangesPerCommit(), settings.stateValueBytes());
@@ -217,8 +217,10 @@
         peers.answer(call);
     }
 
+    /** In an outage that all controllers share it stays healthy: users get 503 and repeat their requests here. */
     private boolean healthy() {
-        return ledger.entitled() && !placing.types().isEmpty();
+        boolean serves = ledger.entitled() || wasEntitled && peers.allWithoutState();
+        return serves && !placing.types().isEmpty();
     }
 
     private void schedule() {
@@ -242,7 +244,7 @@
         machines.entitled(ledger.entitled(), began);
         if (!ledger.entitled()) {
             if (wasEntitled) {
-                peers.askForCancelled(began);
+                peers.askWithoutState(began);
                 pressCancelled(began);
             }
             return;
--- a/src/main/java/org/gullway/PeerExchange.java
+++ b/src/main/java/org/gullway/PeerExchange.java
@@ -6,12 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Supplier;
 import org.gullway.coordination.BestEffortQueue;
 import org.gullway.coordination.CancellationHorizon;
 import org.gullway.coordination.CancelledTasks;
 import org.gullway.coordination.Incarnation;
 import org.gullway.coordination.LeaseKeeper;
 import org.gullway.coordination.MachineControl;
+import org.gullway.coordination.SharedOutage;
 import org.gullway.protocol.Cancellations;
 import org.gullway.protocol.EndNotice;
 import org.gullway.protocol.MalformedException;
@@ -33,6 +35,10 @@
     private static final String OFFERS = "/offers";
     private static final String ENDS = "/ends";
     private static final String CANCELLED = "/cancelled";
+    /** A peer's question whether the state service answers this controller, and the status that denies it. */
+    private static final String STATE_QUESTION = "/state";
+
+    private static final int WITHOUT_STATE = 503;
     private static final Duration LIMIT = Duration.ofSeconds(2);
     private static final Duration ASK_EVERY = Duration.ofSeconds(1);
     private static final byte[] EMPTY = new byte[0];
@@ -45,11 +51,16 @@
     private final CancelledTasks cancelled;
     private final CancellationHorizon horizon;
     private final LeaseKeeper leases;
+    private final Supplier<Instant> stateKnownUntil;
+    private final SharedOutage outage;
     private final Runnable schedule;
     private final Map<String, String> addresses = new HashMap<>();
     private Instant askedAt = Instant.MIN;
 
-    /** @param schedule asks for a round, after every message that was taken */
+    /**
+     * @param stateKnownUntil when the last request that the state service has answered was sent
+     * @param schedule asks for a round, after every message that was taken
+     */
     PeerExchange(
             EventLoop loop,
             Client http,
@@ -60,6 +71,7 @@
             CancelledTasks cancelled,
             CancellationHorizon horizon,
             LeaseKeeper leases,
+            Supplier<Instant> stateKnownUntil,
             Runnable schedule) {
         this.loop = loop;
         this.http = http;
@@ -69,8 +81,10 @@
         this.cancelled = cancelled;
         this.horizon = horizon;
         this.leases = leases;
+        this.stateKnownUntil = stateKnownUntil;
         this.schedule = schedule;
         peers.forEach(peer -> addresses.put(peer.name(), peer.address()));
+        this.outage = new SharedOutage(addresses.keySet());
     }
 
     /** The names of all other controllers. */
@@ -81,6 +95,10 @@
     /** Answers a request of another controller. */
     void answer(Call call) {
         leases.outsideHeard(loop.now());
+        if (call.path().equals(STATE_QUESTION)) {
+            tellWhetherWithoutState(call);
+            return;
+        }
         try {
             if (call.body() == null) {
                 throw new MalformedException("the body is larger than allowed");
@@ -102,6 +120,19 @@
         }
     }
 
+    private void tellWhetherWithoutState(Call call) {
+        if (SharedOutage.isWithoutState(stateKnownUntil.get(), loop.now())) {
+            call.refuse(WITHOUT_STATE, ASK_EVERY);
+        } else {
+            call.answer(200, EMPTY);
+        }
+    }
+
+    /** Whether all others have said lately that the state service does not answer them either. */
+    boolean allWithoutState() {
+        return outage.includesAllPeers(loop.now());
+    }
+
     private void taken(Call call) {
         call.answer(200, EMPTY);
         schedule.run();
@@ -133,12 +164,16 @@
         }
     }
 
-    /** Asks all others for the cancellations that they know, once a second at most; for times without the state service. */
-    void askForCancelled(Instant now) {
+    /**
+     * Asks all others, once a second at most, whether they reach the state service and which cancellations they know;
+     * for times without the state service.
+     */
+    void askWithoutState(Instant now) {
         if (askedAt.plus(ASK_EVERY).isAfter(now)) {
             return;
         }
         askedAt = now;
+        addresses.forEach(this::askWhetherWithoutState);
         byte[] known = Cancellations.encodeKnown(
                 cancelled.known().stream().map(Cancellations.Job::id).toList());
         for (String address : addresses.values()) {
@@ -147,6 +182,14 @@
         }
     }
 
+    private void askWhetherWithoutState(String peer, String address) {
+        http.call(address, Reply.Request.get(STATE_QUESTION, LIMIT), reply -> {
+            if (reply.kind() == Reply.Kind.ANSWERED && reply.status() == WITHOUT_STATE) {
+                outage.peerWithoutState(peer, loop.now());
+            }
+        });
+    }
+
     private void cancelledTold(String address, Instant asked, Reply reply) {
         if (!reply.ok()) {
             return;
