--- a/src/main/java/org/gullway/Controller.java
+++ b/src/main/java/org/gullway/Controller.java
@@ -134,7 +134,17 @@
                 this::schedule);
         this.commands = new CommandSender(loop, http, machines, cancelled, metrics, this::schedule);
         this.peers = new PeerExchange(
-                loop, http, self, settings.peers(), queue, machines, cancelled, horizon, leases, ledger::knownUntil, this::schedule);
+                loop,
+                http,
+                self,
+                settings.peers(),
+                queue,
+                machines,
+                cancelled,
+                horizon,
+                leases,
+                ledger::knownUntil,
+                this::schedule);
         this.reports = new ReportHandler(loop, view, ledger, machines, cancelled, horizon, leases, this::schedule);
         this.requests = new RequestRouter(loop, leases, this::healthy, new ReportIntake(loop, reports::answer), users);
         Draft.Limits limits = new Draft.Limits(settings.stateChangesPerCommit(), settings.stateValueBytes());
