--- a/src/test/java/org/gullway/SimulatedWorld.java
+++ b/src/test/java/org/gullway/SimulatedWorld.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.gullway.coordination.Keys;
@@ -54,6 +55,7 @@
     private Consumer<User> whenDone = user -> {};
     private int timesAsOften = 1;
     private Consumer<User> whenNews = user -> {};
+    private BiPredicate<String, String> failing = (machine, job) -> false;
 
     /** Size of a world: machines of each type, zone and kind, teams, and how often workers report. */
     record Shape(int capacity, Map<String, Settings.Team> teams, Duration report, double trouble) {
@@ -275,7 +277,7 @@
 
         @Override
         public boolean fails(String machine, String job) {
-            return false;
+            return failing.test(machine, job);
         }
 
         @Override
@@ -519,6 +521,11 @@
         store.whenPut(Keys.LEADER, value -> told.accept(value.path("node").asText()));
     }
 
+    /** Says of a machine and a job whether its tasks fail there. */
+    void failing(BiPredicate<String, String> fails) {
+        failing = fails;
+    }
+
     /** The name of the controller that is the leader by the state service; null if there is none. */
     String leader() {
         JsonNode leader = store.value(Keys.LEADER);
