--- a/src/main/java/org/gullway/transport/HttpServer.java
+++ b/src/main/java/org/gullway/transport/HttpServer.java
@@ -3,11 +3,13 @@
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
 import io.undertow.connector.ByteBufferPool;
+import io.undertow.io.Receiver;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.server.ServerConnection;
 import io.undertow.util.AttachmentKey;
 import io.undertow.util.Headers;
 import io.undertow.util.SameThreadExecutor;
+import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import org.slf4j.Logger;
@@ -130,12 +132,61 @@
             hand(exchange, null, sockets, handler);
             return;
         }
+        if (exchange.getRequestContentLength() < 0) {
+            exchange.getRequestReceiver()
+                    .receivePartialBytes(
+                            new BodyOfUnknownLength(sockets, limit, handler),
+                            (ex, error) -> refuseBody(ex, sockets, handler));
+            return;
+        }
         exchange.setMaxEntitySize(limit);
         exchange.getRequestReceiver()
-                .receiveFullBytes((ex, bytes) -> hand(ex, bytes, sockets, handler), (ex, error) -> {
-                    ex.setPersistent(false);
-                    hand(ex, null, sockets, handler);
-                });
+                .receiveFullBytes(
+                        (ex, bytes) -> hand(ex, bytes, sockets, handler),
+                        (ex, error) -> refuseBody(ex, sockets, handler));
+    }
+
+    private static void refuseBody(HttpServerExchange exchange, Sockets sockets, Handler handler) {
+        exchange.setPersistent(false);
+        hand(exchange, null, sockets, handler);
+    }
+
+    /**
+     * Collects a body whose length is not stated. One that turns out to be over the limit is read on for a while without
+     * being kept: if the connection were closed while its sender is still writing, the answer would be lost.
+     */
+    private static final class BodyOfUnknownLength implements Receiver.PartialBytesCallback {
+        /** Multiple of the limit beyond which the rest of a body is not read any more. */
+        private static final int MOST_READ = 16;
+
+        private final Sockets sockets;
+        private final int limit;
+        private final Handler handler;
+        private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+        private long read;
+        private boolean handed;
+
+        BodyOfUnknownLength(Sockets sockets, int limit, Handler handler) {
+            this.sockets = sockets;
+            this.limit = limit;
+            this.handler = handler;
+        }
+
+        @Override
+        public void handle(HttpServerExchange exchange, byte[] message, boolean last) {
+            if (handed) {
+                return;
+            }
+            read += message.length;
+            if (read <= limit) {
+                body.write(message, 0, message.length);
+            }
+            if (last || read > (long) limit * MOST_READ) {
+                handed = true;
+                exchange.setPersistent(last && exchange.isPersistent());
+                hand(exchange, read <= limit ? body.toByteArray() : null, sockets, handler);
+            }
+        }
     }
 
     private static void hand(HttpServerExchange exchange, byte[] body, Sockets sockets, Handler handler) {
