--- a/src/main/java/org/gullway/CancellationRequests.java
+++ b/src/main/java/org/gullway/CancellationRequests.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import org.gullway.bookkeeping.Ledger;
 import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.Draft;
 import org.gullway.coordination.JobRecord;
+import org.gullway.coordination.Transaction;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.JobStatus;
 import org.gullway.transport.Call;
@@ -74,7 +74,7 @@
     }
 
     /** Adds the cancellations that wait to the draft, as far as it has room. */
-    void propose(Draft draft, Instant timeOfDay) {
+    void propose(Transaction draft, Instant timeOfDay) {
         for (Cancellation cancellation : pending.values()) {
             JobRecord job = draft.job(cancellation.id());
             if (job != null && !job.cancelled() && draft.hasRoomFor(2)) {
--- a/src/main/java/org/gullway/CloudLoop.java
+++ b/src/main/java/org/gullway/CloudProvisioner.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 import java.util.Set;
 import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.Draft;
-import org.gullway.coordination.FleetPlan;
-import org.gullway.coordination.Grouping;
+import org.gullway.coordination.FleetAutoscaler;
+import org.gullway.coordination.GroupAssignment;
 import org.gullway.coordination.Incarnation;
 import org.gullway.coordination.MachineRecord;
-import org.gullway.coordination.Placing;
+import org.gullway.coordination.PlacementConstraints;
+import org.gullway.coordination.Transaction;
 import org.gullway.protocol.CloudMessages;
 import org.gullway.protocol.CloudMessages.Listed;
 import org.gullway.protocol.MalformedException;
@@ -30,8 +30,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Makes the rented machines those that are wanted. Every controller asks for types; only the leader does the rest. */
-final class CloudLoop {
-    private static final Logger LOG = LoggerFactory.getLogger(CloudLoop.class);
+final class CloudProvisioner {
+    private static final Logger LOG = LoggerFactory.getLogger(CloudProvisioner.class);
     private static final Duration LIMIT = Duration.ofSeconds(5);
     private static final Duration TYPES_EVERY = Duration.ofSeconds(30);
     private static final Duration LIST_EVERY = Duration.ofSeconds(4);
@@ -42,8 +42,8 @@
     private final Client http;
     private final String address;
     private final ClusterView view;
-    private final Placing placing;
-    private final FleetPlan fleet;
+    private final PlacementConstraints placing;
+    private final FleetAutoscaler fleet;
     private final Incarnation self;
     private final InstantSource timeOfDay;
     private final Runnable changed;
@@ -64,18 +64,18 @@
     private final Set<String> failed = new LinkedHashSet<>();
     private final Map<String, Instant> gone = new HashMap<>();
 
-    private record Pending(String charter, FleetPlan.Rental rental) {}
+    private record Pending(String charter, FleetAutoscaler.Rental rental) {}
 
-    private record Arrival(FleetPlan.Rental rental, Instant rented) {}
+    private record Arrival(FleetAutoscaler.Rental rental, Instant rented) {}
 
-    CloudLoop(
+    CloudProvisioner(
             EventLoop loop,
             Client http,
             String address,
             double callsPerSecond,
             ClusterView view,
-            Placing placing,
-            FleetPlan fleet,
+            PlacementConstraints placing,
+            FleetAutoscaler fleet,
             Incarnation self,
             InstantSource timeOfDay,
             Runnable changed) {
@@ -117,7 +117,7 @@
         }
         giveBack();
         if (rentals.isEmpty() && arrivals.isEmpty() && listedOnce) {
-            for (FleetPlan.Rental rental : fleet.rentals(now)) {
+            for (FleetAutoscaler.Rental rental : fleet.rentals(now)) {
                 if (!spend()) {
                     break;
                 }
@@ -145,7 +145,7 @@
     }
 
     private void rent(Pending pending) {
-        FleetPlan.Rental rental = pending.rental();
+        FleetAutoscaler.Rental rental = pending.rental();
         byte[] body =
                 CloudMessages.rental(pending.charter(), rental.type(), rental.zone(), rental.spot(), rental.count());
         http.call(address, Reply.Request.post("/rentals", body, LIMIT), reply -> {
@@ -269,7 +269,7 @@
                 arrivals.put(
                         machine.name(),
                         new Arrival(
-                                new FleetPlan.Rental(machine.type(), machine.zone(), machine.spot(), 1),
+                                new FleetAutoscaler.Rental(machine.type(), machine.zone(), machine.spot(), 1),
                                 timeOfDay.instant().minus(machine.age())));
             }
         }
@@ -277,12 +277,13 @@
     }
 
     /** Puts on record what arrived, what failed and what is gone. */
-    void propose(Draft draft, Instant timeOfDay) {
+    void propose(Transaction draft, Instant timeOfDay) {
         arrivals.keySet().removeIf(name -> view.machine(name) != null);
         if (!arrivals.isEmpty()) {
-            Grouping grouping = new Grouping(view, draft, Long.toString(self.number(), 36) + "-" + ++groupings);
+            GroupAssignment grouping =
+                    new GroupAssignment(view, draft, Long.toString(self.number(), 36) + "-" + ++groupings);
             for (Map.Entry<String, Arrival> entry : arrivals.entrySet()) {
-                FleetPlan.Rental rental = entry.getValue().rental();
+                FleetAutoscaler.Rental rental = entry.getValue().rental();
                 Instant rented = entry.getValue().rented() == null
                         ? timeOfDay
                         : entry.getValue().rented();
@@ -294,8 +295,8 @@
         }
         for (String name : failed) {
             MachineRecord machine = draft.machine(name);
-            if (machine != null && machine.fate() != MachineRecord.Fate.LOST && draft.canPutMachine(name)) {
-                draft.putMachine(machine.meant(MachineRecord.Fate.LOST));
+            if (machine != null && machine.fate() != MachineRecord.Disposition.LOST && draft.canPutMachine(name)) {
+                draft.putMachine(machine.meant(MachineRecord.Disposition.LOST));
             }
         }
         Instant now = loop.now();
--- a/src/main/java/org/gullway/Controller.java
+++ b/src/main/java/org/gullway/Controller.java
@@ -11,24 +11,24 @@
 import org.gullway.bookkeeping.Ledger;
 import org.gullway.bookkeeping.StateStore;
 import org.gullway.coordination.BestEffortQueue;
-import org.gullway.coordination.CancellationHorizon;
+import org.gullway.coordination.CancellationWatermark;
 import org.gullway.coordination.CancelledTasks;
 import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.Draft;
+import org.gullway.coordination.DeadlinePolicy;
 import org.gullway.coordination.EndedAttempts;
-import org.gullway.coordination.FleetPlan;
+import org.gullway.coordination.FleetAutoscaler;
 import org.gullway.coordination.IdleWork;
 import org.gullway.coordination.Incarnation;
-import org.gullway.coordination.JobPauses;
-import org.gullway.coordination.LeaseKeeper;
+import org.gullway.coordination.JobBackoff;
+import org.gullway.coordination.LeaseRenewalPolicy;
 import org.gullway.coordination.MachineControl;
 import org.gullway.coordination.Membership;
-import org.gullway.coordination.Neighbours;
-import org.gullway.coordination.Placing;
-import org.gullway.coordination.Repair;
+import org.gullway.coordination.PeerZones;
+import org.gullway.coordination.PlacementConstraints;
+import org.gullway.coordination.QuotaAllotments;
+import org.gullway.coordination.Reconciliation;
 import org.gullway.coordination.ReservedBooking;
-import org.gullway.coordination.Shares;
-import org.gullway.coordination.Urgency;
+import org.gullway.coordination.Transaction;
 import org.gullway.protocol.OperatorSettings;
 import org.gullway.protocol.Settings;
 import org.gullway.transport.Call;
@@ -49,20 +49,20 @@
     private final ClusterView view = new ClusterView();
     private final Incarnation self;
     private final Ledger ledger;
-    private final Placing placing;
-    private final JobPauses pauses = new JobPauses();
+    private final PlacementConstraints placing;
+    private final JobBackoff pauses = new JobBackoff();
     private final EndedAttempts ended;
     private final MachineControl machines;
     private final CancelledTasks cancelled;
-    private final CancellationHorizon horizon;
-    private final LeaseKeeper leases;
-    private final Shares shares;
+    private final CancellationWatermark horizon;
+    private final LeaseRenewalPolicy leases;
+    private final QuotaAllotments shares;
     private final ReservedBooking booking;
     private final IdleWork idle;
     private final BestEffortQueue queue;
-    private final Repair repair;
-    private final FleetPlan fleet;
-    private final CloudLoop cloud;
+    private final Reconciliation repair;
+    private final FleetAutoscaler fleet;
+    private final CloudProvisioner cloud;
     private final UserApi users;
     private final RequestRouter requests;
     private final PeerExchange peers;
@@ -94,24 +94,24 @@
         this.self = new Incarnation(
                 settings.nodeName(), (timeOfDay.millis() << 12 | random.nextInt(1 << 12)) & Long.MAX_VALUE);
         this.ledger = newLedger(settings, http, new Membership(self, operator.membershipLease()));
-        this.placing = new Placing(settings.teams());
+        this.placing = new PlacementConstraints(settings.teams());
         Duration report = settings.reportInterval();
         this.ended = new EndedAttempts(view);
         this.cancelled = new CancelledTasks(view, settings.cancelLimit());
         Map<String, String> zones = new HashMap<>();
         settings.peers().forEach(peer -> zones.put(peer.name(), peer.zone()));
         this.machines =
-                new MachineControl(view, self, report, new Neighbours(zones, settings.cancelLimit()), ended, cancelled);
-        this.leases = new LeaseKeeper(view, self, cancelled, settings.cancelLimit(), settings.workerLease());
-        this.horizon = new CancellationHorizon(view, zones.keySet());
-        Urgency urgency = new Urgency(settings.objectives());
+                new MachineControl(view, self, report, new PeerZones(zones, settings.cancelLimit()), ended, cancelled);
+        this.leases = new LeaseRenewalPolicy(view, self, cancelled, settings.cancelLimit(), settings.workerLease());
+        this.horizon = new CancellationWatermark(view, zones.keySet());
+        DeadlinePolicy urgency = new DeadlinePolicy(settings.objectives());
         this.idle = new IdleWork(view, placing, pauses, urgency, operator.spareShare());
         this.booking = new ReservedBooking(view, placing, pauses, urgency);
         this.queue = new BestEffortQueue(view, placing, pauses, urgency, idle, self.node(), report, random.split());
-        this.repair = new Repair(view, placing, self.node(), random.split());
-        this.shares = new Shares(view, placing, self.node(), allNodes(settings));
-        this.fleet = new FleetPlan(view, placing, fleetPolicy(operator));
-        this.cloud = new CloudLoop(
+        this.repair = new Reconciliation(view, placing, self.node(), random.split());
+        this.shares = new QuotaAllotments(view, placing, self.node(), allNodes(settings));
+        this.fleet = new FleetAutoscaler(view, placing, fleetPolicy(operator));
+        this.cloud = new CloudProvisioner(
                 loop,
                 http,
                 settings.cloudAddress(),
@@ -147,7 +147,8 @@
                 this::schedule);
         this.reports = new ReportHandler(loop, view, ledger, machines, cancelled, horizon, leases, this::schedule);
         this.requests = new RequestRouter(loop, leases, this::healthy, new ReportIntake(loop, reports::answer), users);
-        Draft.Limits limits = new Draft.Limits(settings.stateChangesPerCommit(), settings.stateValueBytes());
+        Transaction.Limits limits =
+                new Transaction.Limits(settings.stateChangesPerCommit(), settings.stateValueBytes());
         this.decisions = new DecisionRound(loop, timeOfDay, view, self, ledger, limits, ended, users, metrics);
         this.logInterval = operator.logInterval();
         addSteps();
@@ -178,8 +179,8 @@
         return nodes;
     }
 
-    private static FleetPlan.Policy fleetPolicy(OperatorSettings operator) {
-        return new FleetPlan.Policy(operator.spareShare(), operator.idleReturn(), operator.bootPatience());
+    private static FleetAutoscaler.Policy fleetPolicy(OperatorSettings operator) {
+        return new FleetAutoscaler.Policy(operator.spareShare(), operator.idleReturn(), operator.bootPatience());
     }
 
     /** Short beside the time for which leases are renewed by what a watch has brought. */
--- a/src/main/java/org/gullway/DecisionRound.java
+++ b/src/main/java/org/gullway/DecisionRound.java
@@ -7,10 +7,10 @@
 import org.gullway.bookkeeping.Ledger;
 import org.gullway.coordination.ClusterView;
 import org.gullway.coordination.DecisionSteps;
-import org.gullway.coordination.Draft;
 import org.gullway.coordination.EndedAttempts;
 import org.gullway.coordination.Incarnation;
 import org.gullway.coordination.Keys;
+import org.gullway.coordination.Transaction;
 import org.gullway.transport.EventLoop;
 
 /** Lets every step add its changes to one draft, within a budget of time, and commits it. */
@@ -22,13 +22,13 @@
     private final ClusterView view;
     private final Incarnation self;
     private final Ledger ledger;
-    private final Draft.Limits limits;
+    private final Transaction.Limits limits;
     private final EndedAttempts ended;
     private final UserApi users;
     private final Metrics metrics;
     private final DecisionSteps steps = new DecisionSteps(TIME_BUDGET);
     /** The commit that the present round makes. */
-    private Draft draft;
+    private Transaction draft;
 
     DecisionRound(
             EventLoop loop,
@@ -36,7 +36,7 @@
             ClusterView view,
             Incarnation self,
             Ledger ledger,
-            Draft.Limits limits,
+            Transaction.Limits limits,
             EndedAttempts ended,
             UserApi users,
             Metrics metrics) {
@@ -52,13 +52,13 @@
     }
 
     /** Adds a step; steps run in the order in which they were added, unless the last round ran out of time. */
-    DecisionRound step(String name, Consumer<Draft> action) {
+    DecisionRound step(String name, Consumer<Transaction> action) {
         steps.add(name, () -> action.accept(draft));
         return this;
     }
 
     /** Adds a step that does nothing except on the leader. */
-    DecisionRound leaderStep(String name, Consumer<Draft> action) {
+    DecisionRound leaderStep(String name, Consumer<Transaction> action) {
         return step(name, made -> {
             if (leads()) {
                 action.accept(made);
@@ -74,7 +74,7 @@
     /** Makes the decisions that are due and sends their commit. To be called only while the ledger is ready. */
     void decide(Instant began) {
         ledger.share(leads());
-        Draft made = new Draft(view, self, limits.atMost(ledger.changesLeft()), timeOfDay.instant());
+        Transaction made = new Transaction(view, self, limits.atMost(ledger.changesLeft()), timeOfDay.instant());
         draft = made;
         if (view.leader() == null) {
             made.put(Keys.LEADER, self);
@@ -90,7 +90,7 @@
         }
     }
 
-    private void commit(Draft made, Instant began) {
+    private void commit(Transaction made, Instant began) {
         ledger.commit(made, result -> {
             Duration took = Duration.between(began, loop.now());
             metrics.committed(result.committed(), made.changes().keySet(), took);
--- a/src/main/java/org/gullway/JobLookUps.java
+++ b/src/main/java/org/gullway/JobLookUps.java
@@ -11,9 +11,9 @@
 import org.gullway.bookkeeping.RecordCodec;
 import org.gullway.bookkeeping.StateStore;
 import org.gullway.coordination.CancelledTasks;
-import org.gullway.coordination.Draft;
 import org.gullway.coordination.JobRecord;
 import org.gullway.coordination.Keys;
+import org.gullway.coordination.Transaction;
 import org.gullway.protocol.JobState;
 import org.gullway.protocol.JobStatus;
 import org.gullway.protocol.MalformedException;
@@ -162,7 +162,7 @@
                 return;
             }
             try {
-                Draft.Ended state = RecordCodec.ended(end.body().path("v"));
+                Transaction.Ended state = RecordCodec.ended(end.body().path("v"));
                 JobStatus status = new JobStatus(reading.id, state.state(), state.done(), 0);
                 finals.remember(status);
                 tell(reading, status);
--- a/src/main/java/org/gullway/PeerExchange.java
+++ b/src/main/java/org/gullway/PeerExchange.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import org.gullway.coordination.BestEffortQueue;
-import org.gullway.coordination.CancellationHorizon;
+import org.gullway.coordination.CancellationWatermark;
 import org.gullway.coordination.CancelledTasks;
 import org.gullway.coordination.Incarnation;
-import org.gullway.coordination.LeaseKeeper;
+import org.gullway.coordination.LeaseRenewalPolicy;
 import org.gullway.coordination.MachineControl;
 import org.gullway.coordination.SharedOutage;
 import org.gullway.protocol.Cancellations;
@@ -49,8 +49,8 @@
     private final BestEffortQueue queue;
     private final MachineControl machines;
     private final CancelledTasks cancelled;
-    private final CancellationHorizon horizon;
-    private final LeaseKeeper leases;
+    private final CancellationWatermark horizon;
+    private final LeaseRenewalPolicy leases;
     private final Supplier<Instant> stateKnownUntil;
     private final SharedOutage outage;
     private final Runnable schedule;
@@ -69,8 +69,8 @@
             BestEffortQueue queue,
             MachineControl machines,
             CancelledTasks cancelled,
-            CancellationHorizon horizon,
-            LeaseKeeper leases,
+            CancellationWatermark horizon,
+            LeaseRenewalPolicy leases,
             Supplier<Instant> stateKnownUntil,
             Runnable schedule) {
         this.loop = loop;
--- a/src/main/java/org/gullway/ReportHandler.java
+++ b/src/main/java/org/gullway/ReportHandler.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 import java.time.Instant;
 import org.gullway.bookkeeping.Ledger;
-import org.gullway.coordination.CancellationHorizon;
+import org.gullway.coordination.CancellationWatermark;
 import org.gullway.coordination.CancelledTasks;
 import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.LeaseKeeper;
+import org.gullway.coordination.LeaseRenewalPolicy;
 import org.gullway.coordination.MachineControl;
 import org.gullway.protocol.Command;
 import org.gullway.protocol.MalformedException;
@@ -28,8 +28,8 @@
     private final Ledger ledger;
     private final MachineControl machines;
     private final CancelledTasks cancelled;
-    private final CancellationHorizon horizon;
-    private final LeaseKeeper leases;
+    private final CancellationWatermark horizon;
+    private final LeaseRenewalPolicy leases;
     private final Runnable schedule;
     private final ReportResponses responses = new ReportResponses();
     private boolean wasEntitled;
@@ -41,8 +41,8 @@
             Ledger ledger,
             MachineControl machines,
             CancelledTasks cancelled,
-            CancellationHorizon horizon,
-            LeaseKeeper leases,
+            CancellationWatermark horizon,
+            LeaseRenewalPolicy leases,
             Runnable schedule) {
         this.loop = loop;
         this.view = view;
--- a/src/main/java/org/gullway/RequestRouter.java
+++ b/src/main/java/org/gullway/RequestRouter.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.function.BooleanSupplier;
-import org.gullway.coordination.LeaseKeeper;
+import org.gullway.coordination.LeaseRenewalPolicy;
 import org.gullway.transport.Call;
 import org.gullway.transport.EventLoop;
 
@@ -16,12 +16,13 @@
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final EventLoop loop;
-    private final LeaseKeeper leases;
+    private final LeaseRenewalPolicy leases;
     private final BooleanSupplier healthy;
     private final ReportIntake reports;
     private final UserApi users;
 
-    RequestRouter(EventLoop loop, LeaseKeeper leases, BooleanSupplier healthy, ReportIntake reports, UserApi users) {
+    RequestRouter(
+            EventLoop loop, LeaseRenewalPolicy leases, BooleanSupplier healthy, ReportIntake reports, UserApi users) {
         this.loop = loop;
         this.leases = leases;
         this.healthy = healthy;
--- a/src/main/java/org/gullway/Submissions.java
+++ b/src/main/java/org/gullway/Submissions.java
@@ -10,10 +10,10 @@
 import java.util.random.RandomGenerator;
 import org.gullway.bookkeeping.Ledger;
 import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.Draft;
 import org.gullway.coordination.JobRecord;
 import org.gullway.coordination.Keys;
-import org.gullway.coordination.Placing;
+import org.gullway.coordination.PlacementConstraints;
+import org.gullway.coordination.Transaction;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.JobStatus;
@@ -33,7 +33,7 @@
     private final EventLoop loop;
     private final ClusterView view;
     private final Ledger ledger;
-    private final Placing placing;
+    private final PlacementConstraints placing;
     private final RandomGenerator random;
     private final Metrics metrics;
     private final FinalStates finals;
@@ -49,7 +49,7 @@
             EventLoop loop,
             ClusterView view,
             Ledger ledger,
-            Placing placing,
+            PlacementConstraints placing,
             RandomGenerator random,
             Metrics metrics,
             FinalStates finals,
@@ -152,7 +152,7 @@
     }
 
     /** Adds the records of jobs that wait for acceptance to the draft, as far as it has room. */
-    void propose(Draft draft, Instant timeOfDay) {
+    void propose(Transaction draft, Instant timeOfDay) {
         List<String> members = new ArrayList<>(view.members().keySet());
         for (Submission submission : pending.values()) {
             JobRequest request = submission.request();
--- a/src/main/java/org/gullway/UserApi.java
+++ b/src/main/java/org/gullway/UserApi.java
@@ -6,10 +6,10 @@
 import org.gullway.bookkeeping.Ledger;
 import org.gullway.coordination.CancelledTasks;
 import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.Draft;
 import org.gullway.coordination.JobRecord;
 import org.gullway.coordination.Keys;
-import org.gullway.coordination.Placing;
+import org.gullway.coordination.PlacementConstraints;
+import org.gullway.coordination.Transaction;
 import org.gullway.protocol.JobStatus;
 import org.gullway.transport.Call;
 import org.gullway.transport.EventLoop;
@@ -32,7 +32,7 @@
             EventLoop loop,
             ClusterView view,
             Ledger ledger,
-            Placing placing,
+            PlacementConstraints placing,
             RandomGenerator random,
             Metrics metrics,
             int guardsPerCommit,
@@ -61,15 +61,15 @@
     // Part in the rounds of decisions
 
     /** Adds what users have asked for to the draft. */
-    void propose(Draft draft, Instant timeOfDay) {
+    void propose(Transaction draft, Instant timeOfDay) {
         cancellations.propose(draft, timeOfDay);
         submissions.propose(draft, timeOfDay);
     }
 
     /** Tells the users of jobs that the draft, which has been committed, accepted or ended. */
-    void committed(Draft draft) {
+    void committed(Transaction draft) {
         draft.changes().forEach((key, value) -> {
-            if (value instanceof Draft.Ended end) {
+            if (value instanceof Transaction.Ended end) {
                 String id = key.substring(Keys.ended("").length());
                 finals.remember(new JobStatus(id, end.state(), end.done(), 0));
             } else if (key.startsWith(Keys.JOBS) && value instanceof JobRecord job) {
--- a/src/main/java/org/gullway/bookkeeping/CommitQueue.java
+++ b/src/main/java/org/gullway/bookkeeping/CommitQueue.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.Draft;
 import org.gullway.coordination.Keys;
+import org.gullway.coordination.Transaction;
 import org.gullway.transport.Budget;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.Reply;
@@ -41,7 +41,7 @@
     private Instant busyUntil = Instant.MIN;
 
     /** A commit on its way, with the membership and the marks under which it was sent. */
-    private record Sent(Draft draft, long lease, int term, long knownTo, Map<String, Long> marks) {}
+    private record Sent(Transaction draft, long lease, int term, long knownTo, Map<String, Long> marks) {}
 
     CommitQueue(
             EventLoop loop,
@@ -95,7 +95,7 @@
     }
 
     /** See {@link Ledger#commit}. */
-    void commit(Draft draft, Consumer<Ledger.Result> callback) {
+    void commit(Transaction draft, Consumer<Ledger.Result> callback) {
         committing = true;
         changes.spend(draft.changes().size());
         requests.spend(1);
--- a/src/main/java/org/gullway/bookkeeping/Ledger.java
+++ b/src/main/java/org/gullway/bookkeeping/Ledger.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.Draft;
 import org.gullway.coordination.Membership;
+import org.gullway.coordination.Transaction;
 import org.gullway.transport.Budget;
 import org.gullway.transport.EventLoop;
 
@@ -135,7 +135,7 @@
      * Sends the draft. To be called only while {@link #ready()}, and on the event loop; the callback runs there too, once
      * the outcome is certain: after an unknown outcome that is when a later execution has been ruled out.
      */
-    public void commit(Draft draft, Consumer<Result> callback) {
+    public void commit(Transaction draft, Consumer<Result> callback) {
         commits.commit(draft, callback);
     }
 
--- a/src/main/java/org/gullway/bookkeeping/RecordCodec.java
+++ b/src/main/java/org/gullway/bookkeeping/RecordCodec.java
@@ -12,17 +12,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import org.gullway.coordination.AllotmentRecord;
 import org.gullway.coordination.AttemptLayout;
 import org.gullway.coordination.ClosedMachines;
-import org.gullway.coordination.Draft;
 import org.gullway.coordination.GroupRecord;
 import org.gullway.coordination.Incarnation;
+import org.gullway.coordination.IntegerRanges;
 import org.gullway.coordination.JobRecord;
 import org.gullway.coordination.Keys;
 import org.gullway.coordination.MachineRecord;
 import org.gullway.coordination.Placement;
-import org.gullway.coordination.Ranges;
-import org.gullway.coordination.ShareRecord;
+import org.gullway.coordination.Transaction;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.Fields;
 import org.gullway.protocol.JobRequest;
@@ -46,7 +46,7 @@
         if (value instanceof GroupRecord group) {
             return encode(group);
         }
-        if (value instanceof ShareRecord share) {
+        if (value instanceof AllotmentRecord share) {
             ObjectNode node = Cbor.map();
             share.teams()
                     .forEach((team, amount) ->
@@ -56,7 +56,7 @@
         if (value instanceof Incarnation incarnation) {
             return encode(incarnation);
         }
-        if (value instanceof Draft.Ended ended) {
+        if (value instanceof Transaction.Ended ended) {
             return Cbor.map()
                     .put("state", ended.state().wire())
                     .put("tasks", ended.tasks())
@@ -154,9 +154,9 @@
     }
 
     /** Reads the record of a job that is over, which is kept outside the watched keys. */
-    public static Draft.Ended ended(JsonNode value) throws MalformedException {
+    public static Transaction.Ended ended(JsonNode value) throws MalformedException {
         Fields fields = Fields.of(value);
-        return new Draft.Ended(
+        return new Transaction.Ended(
                 JobState.of(fields.text("state")),
                 fields.countUpTo("tasks", JobRequest.MOST_TASKS),
                 fields.countUpTo("done", JobRequest.MOST_TASKS));
@@ -214,25 +214,26 @@
         return tasks;
     }
 
-    private static Ranges doneTasks(int begun, JsonNode waiting, List<Placement> live) throws MalformedException {
+    private static IntegerRanges doneTasks(int begun, JsonNode waiting, List<Placement> live)
+            throws MalformedException {
         BitSet done = new BitSet();
         done.set(0, begun);
         live.forEach(placement -> done.clear(placement.task()));
         for (int i = 0; i + 1 < waiting.size(); i += 2) {
             done.andNot(tasksOf(waiting.get(i).asInt(), waiting.get(i + 1).asInt()));
         }
-        return Ranges.of(done);
+        return IntegerRanges.of(done);
     }
 
-    private static ShareRecord share(JsonNode value) {
-        Map<String, ShareRecord.Amount> teams = new TreeMap<>();
+    private static AllotmentRecord share(JsonNode value) {
+        Map<String, AllotmentRecord.Amount> teams = new TreeMap<>();
         value.properties()
                 .forEach(e -> teams.put(
                         e.getKey(),
-                        new ShareRecord.Amount(
+                        new AllotmentRecord.Amount(
                                 e.getValue().path(0).asDouble(),
                                 e.getValue().path(1).asDouble())));
-        return new ShareRecord(teams);
+        return new AllotmentRecord(teams);
     }
 
     private static GroupRecord group(String id, Fields fields, JsonNode value) throws MalformedException {
@@ -240,9 +241,9 @@
         long epoch = fields.count("epoch");
         List<MachineRecord> machines = new ArrayList<>();
         for (JsonNode item : value.path("machines")) {
-            MachineRecord.Fate fate;
+            MachineRecord.Disposition fate;
             try {
-                fate = MachineRecord.Fate.valueOf(item.path(5).asText());
+                fate = MachineRecord.Disposition.valueOf(item.path(5).asText());
             } catch (IllegalArgumentException e) {
                 throw new MalformedException("fate is unknown");
             }
--- a/src/main/java/org/gullway/coordination/ShareRecord.java
+++ b/src/main/java/org/gullway/coordination/AllotmentRecord.java
@@ -7,8 +7,8 @@
  * How much of each team's limit the holder of a share may use. The shares of a team never sum to more than its limit,
  * so holders place without asking each other.
  */
-public record ShareRecord(Map<String, Amount> teams) {
-    public static final ShareRecord EMPTY = new ShareRecord(Map.of());
+public record AllotmentRecord(Map<String, Amount> teams) {
+    public static final AllotmentRecord EMPTY = new AllotmentRecord(Map.of());
 
     /** Processors and cards. */
     public record Amount(double cpus, double cards) {
@@ -24,13 +24,13 @@
     }
 
     /** This record with another amount for one team. */
-    public ShareRecord with(String team, Amount amount) {
+    public AllotmentRecord with(String team, Amount amount) {
         Map<String, Amount> next = new TreeMap<>(teams);
         if (amount.equals(Amount.NONE)) {
             next.remove(team);
         } else {
             next.put(team, amount);
         }
-        return new ShareRecord(next);
+        return new AllotmentRecord(next);
     }
 }
--- a/src/main/java/org/gullway/coordination/BestEffortQueue.java
+++ b/src/main/java/org/gullway/coordination/BestEffortQueue.java
@@ -28,9 +28,9 @@
     private static final Duration OFFER_PAUSE = Duration.ofMillis(500);
 
     private final ClusterView view;
-    private final Placing placing;
-    private final JobPauses pauses;
-    private final Urgency urgency;
+    private final PlacementConstraints placing;
+    private final JobBackoff pauses;
+    private final DeadlinePolicy urgency;
     private final IdleWork idle;
     private final String self;
     private final Duration offerLife;
@@ -48,12 +48,12 @@
     /** One job's tasks that are about to be placed; candidates are looked up once. */
     private final class Pull {
         private final JobRecord job;
-        private final Draft draft;
+        private final Transaction draft;
         private final Collection<MachineRecord> room;
         private final List<MachineRecord> planned = new ArrayList<>();
         private int left;
 
-        Pull(JobRecord job, Draft draft, Collection<MachineRecord> room, int most) {
+        Pull(JobRecord job, Transaction draft, Collection<MachineRecord> room, int most) {
             this.job = job;
             this.draft = draft;
             this.room = room;
@@ -89,9 +89,9 @@
 
     public BestEffortQueue(
             ClusterView view,
-            Placing placing,
-            JobPauses pauses,
-            Urgency urgency,
+            PlacementConstraints placing,
+            JobBackoff pauses,
+            DeadlinePolicy urgency,
             IdleWork idle,
             String self,
             Duration offerLife,
@@ -111,7 +111,7 @@
     }
 
     /** Fills the given machines, whose workers report here, and the room offered by peers. */
-    public List<Outgoing> propose(Draft draft, Supplier<List<MachineRecord>> own, Instant now) {
+    public List<Outgoing> propose(Transaction draft, Supplier<List<MachineRecord>> own, Instant now) {
         List<JobRecord> mine = new ArrayList<>();
         boolean othersWait = false;
         for (JobRecord job : view.jobs()) {
@@ -158,7 +158,7 @@
         return othersWait ? offers(draft, room) : List.of();
     }
 
-    private void fillAll(Draft draft, Map<MachineRecord, Offer> room, List<JobRecord> mine, Instant now) {
+    private void fillAll(Transaction draft, Map<MachineRecord, Offer> room, List<JobRecord> mine, Instant now) {
         if (mine.isEmpty()) {
             return;
         }
@@ -186,7 +186,7 @@
     }
 
     /** Idle work comes last, teams in equal turns as before, and only on room that is left over. */
-    private void fillIdle(Draft draft, Collection<MachineRecord> room, List<JobRecord> mine, Instant now) {
+    private void fillIdle(Transaction draft, Collection<MachineRecord> room, List<JobRecord> mine, Instant now) {
         List<JobRecord> jobs = mine.stream().filter(IdleWork::isIdle).toList();
         if (jobs.isEmpty() || room.isEmpty()) {
             return;
@@ -198,7 +198,7 @@
      * One task for each of these jobs, the largest first. Where the part of the limit does not do for one, the other
      * jobs of its team wait, or their small tasks would use it up again and again; these teams are returned.
      */
-    private Set<String> beginOneByOne(Draft draft, Map<MachineRecord, Offer> room, List<JobRecord> stalled) {
+    private Set<String> beginOneByOne(Transaction draft, Map<MachineRecord, Offer> room, List<JobRecord> stalled) {
         Set<String> held = new HashSet<>();
         if (stalled.isEmpty()) {
             return held;
@@ -216,7 +216,7 @@
             fill(draft, withGathered, List.of(known), 1);
             JobRecord job = draft.job(known.request().id());
             if (job != null && job.live().isEmpty() && placing.withinShare(job, draft) == 0) {
-                ShareRecord.Amount cap =
+                AllotmentRecord.Amount cap =
                         draft.share(Keys.shareOf(job)).of(job.request().team());
                 if (cap.cpus() >= job.request().cpus()
                         && cap.cards() >= job.request().cards()) {
@@ -228,7 +228,7 @@
     }
 
     /** Starts tasks in equal turns of the teams until nothing more fits, at most so many of each job. */
-    private void fill(Draft draft, Collection<MachineRecord> room, List<JobRecord> jobs, int mostEach) {
+    private void fill(Transaction draft, Collection<MachineRecord> room, List<JobRecord> jobs, int mostEach) {
         fill(draft, room, jobs, mostEach, new Allowed(Double.MAX_VALUE));
     }
 
@@ -250,7 +250,7 @@
     }
 
     private void fill(
-            Draft draft, Collection<MachineRecord> room, List<JobRecord> jobs, int mostEach, Allowed allowed) {
+            Transaction draft, Collection<MachineRecord> room, List<JobRecord> jobs, int mostEach, Allowed allowed) {
         Map<String, Deque<JobRecord>> waiting = new TreeMap<>();
         for (JobRecord known : jobs) {
             JobRecord job = draft.job(known.request().id());
@@ -276,7 +276,7 @@
 
     /** One team's turn: one task of its first job that fits. */
     private boolean turn(
-            Draft draft,
+            Transaction draft,
             Collection<MachineRecord> room,
             Deque<JobRecord> jobs,
             Map<String, Pull> pulls,
@@ -297,7 +297,7 @@
         return false;
     }
 
-    private List<Outgoing> offers(Draft draft, Map<MachineRecord, Offer> room) {
+    private List<Outgoing> offers(Transaction draft, Map<MachineRecord, Offer> room) {
         Map<String, List<Offer>> byPeer = new TreeMap<>();
         room.forEach((machine, offer) -> {
             if (placing.freeCpus(machine, draft) < 1) {
--- a/src/main/java/org/gullway/coordination/CancellationHorizon.java
+++ b/src/main/java/org/gullway/coordination/CancellationWatermark.java
@@ -15,12 +15,12 @@
  * they had committed is in the view as well, and there are no later ones while it lives. The moment of asking counts,
  * so late answers are safe, and a peer that cannot be reached, or was started anew, adds nothing.
  */
-public final class CancellationHorizon {
+public final class CancellationWatermark {
     private final ClusterView view;
     private final List<String> peers;
     private final Map<String, Instant> toldAt = new HashMap<>();
 
-    public CancellationHorizon(ClusterView view, Collection<String> peers) {
+    public CancellationWatermark(ClusterView view, Collection<String> peers) {
         this.view = view;
         this.peers = List.copyOf(peers);
     }
--- a/src/main/java/org/gullway/coordination/ClusterView.java
+++ b/src/main/java/org/gullway/coordination/ClusterView.java
@@ -51,7 +51,7 @@
     private final Map<String, MachineRecord> machines = new LinkedHashMap<>();
     private final Map<String, Long> machineMarks = new HashMap<>();
     private final Map<String, String> groupOf = new HashMap<>();
-    private final Map<String, ShareRecord> shares = new TreeMap<>();
+    private final Map<String, AllotmentRecord> shares = new TreeMap<>();
     private final Map<String, Incarnation> members = new TreeMap<>();
     private final Map<String, Room> machineUse = new HashMap<>();
     /** By share and team. */
@@ -121,7 +121,7 @@
             replaceJob(job.request().id(), job);
         } else if (value instanceof GroupRecord group) {
             replaceGroup(group.id(), group, mark);
-        } else if (value instanceof ShareRecord share) {
+        } else if (value instanceof AllotmentRecord share) {
             shares.put(key, share);
         } else if (key.startsWith(Keys.MEMBERS)) {
             groupsAndMembersVersion++;
@@ -332,7 +332,7 @@
     }
 
     /** All shares by their keys. */
-    public Map<String, ShareRecord> shares() {
+    public Map<String, AllotmentRecord> shares() {
         return shares;
     }
 
--- a/src/main/java/org/gullway/coordination/Urgency.java
+++ b/src/main/java/org/gullway/coordination/DeadlinePolicy.java
@@ -8,7 +8,7 @@
 import org.gullway.protocol.Settings;
 
 /** When a job should be complete, by its own deadline or its class's objective, and whether it still can be. */
-public final class Urgency {
+public final class DeadlinePolicy {
     /** Estimates are often wrong; a job is given up only when even a part of its estimate is too long. */
     private static final double ESTIMATE_SHARE = 0.7;
     /** Nobody waits for ever: a job as late as this has its turn by age again. */
@@ -18,7 +18,7 @@
 
     private final Map<String, Duration> finishWithin = new HashMap<>();
 
-    public Urgency(List<Settings.Objective> objectives) {
+    public DeadlinePolicy(List<Settings.Objective> objectives) {
         for (Settings.Objective objective : objectives) {
             if (objective.kind().equals("finished") && objective.jobClass() != null && objective.within() != null) {
                 finishWithin.merge(objective.jobClass(), objective.within(), (a, b) -> a.compareTo(b) < 0 ? a : b);
--- a/src/main/java/org/gullway/coordination/EndedAttempts.java
+++ b/src/main/java/org/gullway/coordination/EndedAttempts.java
@@ -49,7 +49,7 @@
     }
 
     /** Lets the commit use the room that ended attempts have left, before their ends are on record. */
-    public void credit(Draft draft) {
+    public void credit(Transaction draft) {
         byJob.forEach((id, waiting) -> {
             JobRecord job = view.job(id);
             if (job != null) {
@@ -68,7 +68,7 @@
     }
 
     /** Ends the jobs that are over with the ends known here: users wait for that. */
-    public void finish(Draft draft) {
+    public void finish(Transaction draft) {
         propose(
                 draft,
                 (job, waiting) -> job.cancelled()
@@ -77,13 +77,13 @@
     }
 
     /** Records the ends of jobs that go on: at once if changes are plentiful, or else when they have waited long. */
-    public void propose(Draft draft, boolean plenty, Instant now) {
+    public void propose(Transaction draft, boolean plenty, Instant now) {
         propose(
                 draft,
                 (job, waiting) -> plenty || waiting.since.plus(LONGEST_KEPT).isBefore(now));
     }
 
-    private void propose(Draft draft, BiPredicate<JobRecord, Waiting> due) {
+    private void propose(Transaction draft, BiPredicate<JobRecord, Waiting> due) {
         for (Iterator<Map.Entry<String, Waiting>> it = byJob.entrySet().iterator(); it.hasNext(); ) {
             Map.Entry<String, Waiting> entry = it.next();
             JobRecord known = view.job(entry.getKey());
@@ -102,7 +102,7 @@
     }
 
     /** Adds what is known to the records that this commit changes anyway. */
-    public void join(Draft draft) {
+    public void join(Transaction draft) {
         byJob.forEach((id, waiting) -> {
             if (draft.changes().get(Keys.job(id)) instanceof JobRecord job && draft.hasRoomFor(1)) {
                 Map<Placement, End> ends = current(job, waiting.ends);
--- a/src/main/java/org/gullway/coordination/FleetPlan.java
+++ b/src/main/java/org/gullway/coordination/FleetAutoscaler.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.gullway.coordination.MachineRecord.Fate;
+import org.gullway.coordination.MachineRecord.Disposition;
 import org.gullway.protocol.CloudMessages;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
@@ -22,7 +22,7 @@
  * booting; what finds no room there decides what to rent, at the lowest price for its processors. Machines that have
  * been idle for long, beyond the room kept for urgent work, are returned.
  */
-public final class FleetPlan {
+public final class FleetAutoscaler {
     private static final int MOST_TASKS_LAID_OUT = 20_000;
     /** Sizing looks at the whole fleet; machines take far longer to come up. */
     private static final Duration PLAN_EVERY = Duration.ofMillis(500);
@@ -73,7 +73,7 @@
     }
 
     private final ClusterView view;
-    private final Placing placing;
+    private final PlacementConstraints placing;
     private final Policy policy;
     private Instant plannedAt = Instant.MIN;
     private Instant proposedAt = Instant.MIN;
@@ -89,7 +89,7 @@
     private Instant excessSince;
     private Instant burstAt = Instant.MIN;
 
-    public FleetPlan(ClusterView view, Placing placing, Policy policy) {
+    public FleetAutoscaler(ClusterView view, PlacementConstraints placing, Policy policy) {
         this.view = view;
         this.placing = placing;
         this.policy = policy;
@@ -165,7 +165,7 @@
         }
         for (MachineRecord machine : view.machines()) {
             MachineType type = placing.types().get(machine.type());
-            if (type != null && machine.fate() == Fate.STAYS) {
+            if (type != null && machine.fate() == Disposition.STAYS) {
                 ClusterView.Room used = view.usedOn(machine.name());
                 if (used.cpus + smallest <= type.cpus() + 1e-6) {
                     slots.add(new Slot(
@@ -245,7 +245,7 @@
                     k -> Math.max(
                             0,
                             view.shares()
-                                            .getOrDefault(share, ShareRecord.EMPTY)
+                                            .getOrDefault(share, AllotmentRecord.EMPTY)
                                             .of(request.team())
                                             .cpus()
                                     - view.usedOf(share, request.team()).cpus));
@@ -295,7 +295,7 @@
     }
 
     /** Marks idle machines as leaving, and machines that never came up as lost. */
-    public void propose(Draft draft, Instant now, Instant timeOfDay) {
+    public void propose(Transaction draft, Instant now, Instant timeOfDay) {
         if (proposedAt.plus(PLAN_EVERY).isAfter(now)) {
             return;
         }
@@ -317,14 +317,14 @@
         noteExcess(spare - wanted, now);
         for (MachineRecord machine : dearestFirst()) {
             MachineType type = placing.types().get(machine.type());
-            if (machine.fate() != Fate.STAYS || !draft.canPutMachine(machine.name())) {
+            if (machine.fate() != Disposition.STAYS || !draft.canPutMachine(machine.name())) {
                 continue;
             }
             if (!machine.up()) {
                 if (machine.rented()
                         .plus(type.boot().multipliedBy(policy.bootPatience()))
                         .isBefore(timeOfDay)) {
-                    draft.putMachine(draft.machine(machine.name()).meant(Fate.LOST));
+                    draft.putMachine(draft.machine(machine.name()).meant(Disposition.LOST));
                 }
                 continue;
             }
@@ -336,7 +336,7 @@
                             && spare - type.cpus() >= wanted
                             && since.plus(policy.idleReturn()).isBefore(now)
                     || free > 0 && type.cpus() <= Math.min(toDrain, spare - wanted)) {
-                draft.putMachine(draft.machine(machine.name()).meant(Fate.LEAVING));
+                draft.putMachine(draft.machine(machine.name()).meant(Disposition.LEAVING));
                 spare -= free;
                 toDrain -= type.cpus();
             }
@@ -394,8 +394,8 @@
         for (MachineRecord machine : view.machines()) {
             // A placement recorded before the machine was marked has to be known here before it counts as empty.
             boolean known = view.watched() >= view.machineMark(machine.name());
-            if (machine.fate() == Fate.LOST
-                    || machine.fate() == Fate.LEAVING && known && view.usedOn(machine.name()).tasks == 0) {
+            if (machine.fate() == Disposition.LOST
+                    || machine.fate() == Disposition.LEAVING && known && view.usedOn(machine.name()).tasks == 0) {
                 names.add(machine.name());
             }
         }
--- a/src/main/java/org/gullway/coordination/Grouping.java
+++ b/src/main/java/org/gullway/coordination/GroupAssignment.java
@@ -7,16 +7,16 @@
 import java.util.TreeMap;
 
 /** Puts new machines on record, in groups of the controllers that command the fewest. */
-public final class Grouping {
+public final class GroupAssignment {
     private final ClusterView view;
-    private final Draft draft;
+    private final Transaction draft;
     private final String idPrefix;
     private final Map<String, Integer> counts = new TreeMap<>();
     private final Map<String, List<String>> open = new HashMap<>();
     private int created;
 
     /** @param idPrefix distinguishes the groups created now from all others ever created */
-    public Grouping(ClusterView view, Draft draft, String idPrefix) {
+    public GroupAssignment(ClusterView view, Transaction draft, String idPrefix) {
         this.view = view;
         this.draft = draft;
         this.idPrefix = idPrefix;
--- a/src/main/java/org/gullway/coordination/GroupTakeover.java
+++ b/src/main/java/org/gullway/coordination/GroupTakeover.java
@@ -40,7 +40,7 @@
     }
 
     /** Groups whose controller is lost, and those of a live one that many of their workers cannot reach. */
-    void propose(Draft draft) {
+    void propose(Transaction draft) {
         strayGroups.removeIf(
                 id -> view.group(id) == null || self.equals(view.group(id).controller()));
         if (strayGroups.isEmpty() && settledVersion == view.groupsAndMembersVersion()) {
@@ -63,7 +63,7 @@
      * An epoch that the lost controller never commanded under: the present one, if it was raised after the last loss
      * of a member; the lost one must not have come back unseen. After a crash of all, one raise serves all groups.
      */
-    private long epochAfterLoss(Draft draft, GroupRecord group) {
+    private long epochAfterLoss(Transaction draft, GroupRecord group) {
         draft.rely(Keys.member(group.controller().node()));
         if (!view.epochRaisedSinceLoss()) {
             return draft.raiseEpoch();
--- a/src/main/java/org/gullway/coordination/Guarantees.java
+++ b/src/main/java/org/gullway/coordination/Guarantees.java
@@ -20,7 +20,7 @@
     /**
      * Determines which jobs are within the guarantees of their teams, counting jobs in the order of their submission.
      */
-    public static Guarantees of(ClusterView view, Placing placing) {
+    public static Guarantees of(ClusterView view, PlacementConstraints placing) {
         List<JobRecord> jobs = new ArrayList<>(view.jobs());
         jobs.sort(Comparator.comparing(JobRecord::submitted)
                 .thenComparing(job -> job.request().id()));
--- a/src/main/java/org/gullway/coordination/IdleWork.java
+++ b/src/main/java/org/gullway/coordination/IdleWork.java
@@ -21,15 +21,20 @@
     private static final int MOST_JOBS = 8;
 
     private final ClusterView view;
-    private final Placing placing;
-    private final JobPauses pauses;
-    private final Urgency urgency;
+    private final PlacementConstraints placing;
+    private final JobBackoff pauses;
+    private final DeadlinePolicy urgency;
     private final double spareShare;
     private Instant proposedAt = Instant.MIN;
     private int lookFrom;
 
     /** @param spareShare room kept for urgent work, as a share of what that uses at present */
-    public IdleWork(ClusterView view, Placing placing, JobPauses pauses, Urgency urgency, double spareShare) {
+    public IdleWork(
+            ClusterView view,
+            PlacementConstraints placing,
+            JobBackoff pauses,
+            DeadlinePolicy urgency,
+            double spareShare) {
         this.view = view;
         this.placing = placing;
         this.pauses = pauses;
@@ -42,7 +47,7 @@
     }
 
     /** Best-effort jobs of a higher rank that wait although their shares would let them run, the oldest first. */
-    private List<JobRecord> waitingBefore(Draft draft, Instant now) {
+    private List<JobRecord> waitingBefore(Transaction draft, Instant now) {
         List<JobRecord> waiting = new ArrayList<>();
         for (JobRecord known : view.jobs()) {
             JobRecord job = draft.job(known.request().id());
@@ -62,7 +67,7 @@
     }
 
     /** Processors that idle work may take now. */
-    double room(Draft draft, Instant now) {
+    double room(Transaction draft, Instant now) {
         if (!waitingBefore(draft, now).isEmpty()) {
             return 0;
         }
@@ -78,7 +83,7 @@
     }
 
     /** The leader's part: stops idle tasks for what waits before them, so many as that could use. */
-    public void propose(Draft draft, Instant now) {
+    public void propose(Transaction draft, Instant now) {
         if (proposedAt.plus(EVERY).isAfter(now)
                 || view.jobs().stream()
                         .noneMatch(job -> isIdle(job) && !job.live().isEmpty())) {
@@ -102,7 +107,7 @@
             looked.add(machines.get((lookFrom + i) % machines.size()));
         }
         lookFrom = machines.isEmpty() ? 0 : (lookFrom + MOST_LOOKED_AT) % machines.size();
-        RoomMaking rooms = new RoomMaking(view, placing, urgency, draft, looked);
+        Preemption rooms = new Preemption(view, placing, urgency, draft, looked);
         waiting.stream()
                 .limit(MOST_JOBS)
                 .forEach(job -> rooms.makeRoom(
--- a/src/main/java/org/gullway/coordination/Ranges.java
+++ b/src/main/java/org/gullway/coordination/IntegerRanges.java
@@ -6,15 +6,15 @@
 import java.util.BitSet;
 
 /** An immutable set of task numbers, kept as sorted ranges. */
-public final class Ranges {
-    public static final Ranges EMPTY = new Ranges(new int[0]);
+public final class IntegerRanges {
+    public static final IntegerRanges EMPTY = new IntegerRanges(new int[0]);
 
     /** Alternating first and last numbers, ascending, with gaps between the ranges. */
     private final int[] bounds;
 
     private final int size;
 
-    private Ranges(int[] bounds) {
+    private IntegerRanges(int[] bounds) {
         this.bounds = bounds;
         int count = 0;
         for (int i = 0; i < bounds.length; i += 2) {
@@ -24,7 +24,7 @@
     }
 
     /** Builds a set from alternating first and last numbers; refuses lists that are not in order. */
-    public static Ranges of(int... bounds) {
+    public static IntegerRanges of(int... bounds) {
         int before = -2;
         if (bounds.length % 2 != 0) {
             throw new IllegalArgumentException("an odd number of bounds");
@@ -35,11 +35,11 @@
             }
             before = bounds[i + 1];
         }
-        return new Ranges(bounds.clone());
+        return new IntegerRanges(bounds.clone());
     }
 
     /** The numbers of a bit set. */
-    public static Ranges of(BitSet numbers) {
+    public static IntegerRanges of(BitSet numbers) {
         IntList bounds = new IntArrayList();
         for (int first = numbers.nextSetBit(0); first >= 0; ) {
             int after = numbers.nextClearBit(first);
@@ -47,7 +47,7 @@
             bounds.add(after - 1);
             first = numbers.nextSetBit(after);
         }
-        return new Ranges(bounds.toIntArray());
+        return new IntegerRanges(bounds.toIntArray());
     }
 
     public int size() {
@@ -75,7 +75,7 @@
     }
 
     /** This set and the number. */
-    public Ranges with(int number) {
+    public IntegerRanges with(int number) {
         int at = rangeAtOrAfter(number);
         if (at < bounds.length && bounds[at] <= number) {
             return this;
@@ -92,7 +92,7 @@
         }
         int rest = joinsAfter ? at + 1 : at;
         next.addElements(next.size(), bounds, rest, bounds.length - rest);
-        return new Ranges(next.toIntArray());
+        return new IntegerRanges(next.toIntArray());
     }
 
     /** The smallest number at or after {@code from} that is not in the set. */
@@ -111,7 +111,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Ranges r && Arrays.equals(bounds, r.bounds);
+        return other instanceof IntegerRanges r && Arrays.equals(bounds, r.bounds);
     }
 
     @Override
--- a/src/main/java/org/gullway/coordination/JobPauses.java
+++ b/src/main/java/org/gullway/coordination/JobBackoff.java
@@ -9,7 +9,7 @@
  * Pauses before a job's next start after errors, so that a job that fails on every machine does not keep the fleet
  * busy. The number of errors is in the job's record, the pause itself only here.
  */
-public final class JobPauses {
+public final class JobBackoff {
     private static final int FREE_ERRORS = 3;
     private static final Duration LONGEST = Duration.ofSeconds(30);
 
--- a/src/main/java/org/gullway/coordination/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/JobRecord.java
@@ -30,7 +30,7 @@
         String owner,
         Instant submitted,
         Instant cancelledAt,
-        Ranges done,
+        IntegerRanges done,
         long attempts,
         int errors,
         List<Placement> live) {
@@ -61,7 +61,7 @@
     }
 
     public static JobRecord accepted(JobRequest request, String owner, Instant submitted) {
-        return new JobRecord(request, owner, submitted, null, Ranges.EMPTY, 0, 0, List.of());
+        return new JobRecord(request, owner, submitted, null, IntegerRanges.EMPTY, 0, 0, List.of());
     }
 
     public boolean reserved() {
@@ -168,7 +168,7 @@
 
     /** Records the ends of attempts; what did not complete its task waits again. A service has no end of its own. */
     public JobRecord ended(Map<Placement, End> ends) {
-        Ranges nextDone = done;
+        IntegerRanges nextDone = done;
         int nextErrors = errors;
         List<Placement> left = new ArrayList<>(live.size());
         for (Placement placement : live) {
--- a/src/main/java/org/gullway/coordination/LeaseKeeper.java
+++ b/src/main/java/org/gullway/coordination/LeaseRenewalPolicy.java
@@ -10,7 +10,7 @@
  * Decides whose lease may be renewed, which an answer with 200 to a report does.
  *
  * <p><b>No longer than the knowledge of cancellations allows.</b> A cancellation that is not known here was confirmed
- * after the moment up to which they are known (see {@link CancellationHorizon}). So no controller, entitled or not, renews a lease later than
+ * after the moment up to which they are known (see {@link CancellationWatermark}). So no controller, entitled or not, renews a lease later than
  * that moment plus the cancel limit less the lease: the worker itself then ends every such task within the limit,
  * whoever crashes and whatever messages are lost. On the operators' day "gap" the state service refused a leader alone,
  * others confirmed cancellations, and the leader kept the leases for the whole cancel limit.
@@ -22,7 +22,7 @@
  * refused. So is a machine on which the start of a cancelled task may still be on its way; cancelled tasks that the
  * report lists are stopped with the very answer that renews the lease.
  */
-public final class LeaseKeeper {
+public final class LeaseRenewalPolicy {
     /** Health checks come about once a second, so outside something is wrong if none has come for so long. */
     private static final Duration OUTSIDE_SILENT = Duration.ofMillis(2500);
 
@@ -39,7 +39,7 @@
     private final Map<String, Instant> refused = new HashMap<>();
     private Instant outsideHeardAt = Instant.MIN;
 
-    public LeaseKeeper(
+    public LeaseRenewalPolicy(
             ClusterView view, Incarnation self, CancelledTasks cancelled, Duration cancelLimit, Duration workerLease) {
         this.view = view;
         this.self = self;
@@ -64,7 +64,7 @@
         MachineRecord machine = view.machine(report.machine());
         if (machine == null
                 || machine.session() != report.session()
-                || machine.fate() == MachineRecord.Fate.LOST
+                || machine.fate() == MachineRecord.Disposition.LOST
                 || report.token() > view.epoch()
                 || cancelled.mayBegin(machine, report)) {
             return false;
--- a/src/main/java/org/gullway/coordination/MachineControl.java
+++ b/src/main/java/org/gullway/coordination/MachineControl.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.gullway.coordination.JobRecord.End;
-import org.gullway.coordination.MachineRecord.Fate;
+import org.gullway.coordination.MachineRecord.Disposition;
 import org.gullway.protocol.Command;
 import org.gullway.protocol.EndNotice;
 import org.gullway.protocol.JobRequest;
@@ -79,7 +79,7 @@
             ClusterView view,
             Incarnation self,
             Duration reportInterval,
-            Neighbours neighbours,
+            PeerZones neighbours,
             EndedAttempts ended,
             CancelledTasks cancelled) {
         this.view = view;
@@ -423,7 +423,7 @@
     }
 
     /** Takes over groups, records sessions, and marks machines that are faulty, silent, deaf or about to be taken. */
-    public void propose(Draft draft, Instant now) {
+    public void propose(Transaction draft, Instant now) {
         takeover.propose(draft);
         recordSessions(draft);
         failingJobs.update(
@@ -443,10 +443,10 @@
             }
             raise |= worker.openBelow() >= draft.epoch();
             beforeTaken(draft, record, worker, now);
-            if (draft.machine(name).fate() == Fate.STAYS
+            if (draft.machine(name).fate() == Disposition.STAYS
                     && draft.canPutMachine(record.name())
                     && (worker.noticeEnd() != null || failingJobs.isFaulty(worker, now))) {
-                draft.putMachine(record.meant(Fate.LEAVING));
+                draft.putMachine(record.meant(Disposition.LEAVING));
             }
         }
         if (raise && raisedAt.plus(RAISE_PAUSE).isBefore(now) && draft.hasRoomFor(1)) {
@@ -461,7 +461,7 @@
      * A cancelled job's limit runs from its cancellation, whoever has led or commanded since and however often
      * listening began anew: before it is over, machines on which its tasks may still be are given up.
      */
-    private void giveUpOverdue(Draft draft) {
+    private void giveUpOverdue(Transaction draft) {
         for (JobRecord job : view.jobs()) {
             if (!cancelled.overdue(job, draft.timeOfDay())) {
                 continue;
@@ -471,14 +471,14 @@
                 if (record != null
                         && self.equals(record.controller())
                         && record.session() == placement.session()
-                        && record.fate() != Fate.LOST
+                        && record.fate() != Disposition.LOST
                         && draft.canPutMachine(record.name())
                         && !seenGone(record, AttemptId.of(job, placement))) {
                     LOG.info(
                             "gives up {}, a task of {} should have been gone",
                             record.name(),
                             job.request().id());
-                    draft.putMachine(record.meant(Fate.LOST));
+                    draft.putMachine(record.meant(Disposition.LOST));
                 }
             }
         }
@@ -497,13 +497,13 @@
      * Before the cloud takes a machine away, tasks that can save are stopped in time to do so; at the end the machine
      * is returned without waiting for its silence to be noticed.
      */
-    private void beforeTaken(Draft draft, MachineRecord record, Worker worker, Instant now) {
+    private void beforeTaken(Transaction draft, MachineRecord record, Worker worker, Instant now) {
         if (worker.noticeEnd() == null) {
             return;
         }
         if (!now.isBefore(worker.noticeEnd())) {
-            if (record.fate() != Fate.LOST && draft.canPutMachine(record.name())) {
-                draft.putMachine(record.meant(Fate.LOST));
+            if (record.fate() != Disposition.LOST && draft.canPutMachine(record.name())) {
+                draft.putMachine(record.meant(Disposition.LOST));
             }
             return;
         }
@@ -520,7 +520,7 @@
         });
     }
 
-    private void recordSessions(Draft draft) {
+    private void recordSessions(Transaction draft) {
         newSessions.removeIf(name -> {
             Worker worker = workers.get(name);
             MachineRecord record = view.machine(name);
--- a/src/main/java/org/gullway/coordination/MachineRecord.java
+++ b/src/main/java/org/gullway/coordination/MachineRecord.java
@@ -20,11 +20,11 @@
         Incarnation controller,
         long session,
         long epoch,
-        Fate fate,
+        Disposition fate,
         Instant rented) {
 
     /** What is meant to become of a machine. */
-    public enum Fate {
+    public enum Disposition {
         STAYS,
         /** Has missed a report, or does not hear: takes no more tasks until it is heard again. */
         SILENT,
@@ -36,7 +36,7 @@
 
     public static MachineRecord booting(
             String name, String type, String zone, boolean spot, Instant rented, Incarnation controller, long epoch) {
-        return new MachineRecord(name, null, type, zone, spot, controller, 0, epoch, Fate.STAYS, rented);
+        return new MachineRecord(name, null, type, zone, spot, controller, 0, epoch, Disposition.STAYS, rented);
     }
 
     public boolean up() {
@@ -44,7 +44,7 @@
     }
 
     public boolean takesTasks() {
-        return up() && fate == Fate.STAYS;
+        return up() && fate == Disposition.STAYS;
     }
 
     MachineRecord claimed(Incarnation by, long newEpoch) {
@@ -56,7 +56,7 @@
         return new MachineRecord(name, reportedAddress, type, zone, spot, controller, newSession, epoch, fate, rented);
     }
 
-    public MachineRecord meant(Fate next) {
+    public MachineRecord meant(Disposition next) {
         return new MachineRecord(name, address, type, zone, spot, controller, session, epoch, next, rented);
     }
 }
--- a/src/main/java/org/gullway/coordination/Neighbours.java
+++ b/src/main/java/org/gullway/coordination/PeerZones.java
@@ -10,7 +10,7 @@
  * @param zoneOf the zone of each by its name
  * @param cancelLimit how long tasks of a cancelled job may be on a machine
  */
-public record Neighbours(Map<String, String> zoneOf, Duration cancelLimit) {
+public record PeerZones(Map<String, String> zoneOf, Duration cancelLimit) {
     List<String> inZone(String zone) {
         return zoneOf.entrySet().stream()
                 .filter(e -> e.getValue().equals(zone))
--- a/src/main/java/org/gullway/coordination/Placing.java
+++ b/src/main/java/org/gullway/coordination/PlacementConstraints.java
@@ -11,13 +11,13 @@
 import org.gullway.protocol.Settings;
 
 /** Where a task may be placed: type, zone, kind of machine, room, and the team's limit. */
-public final class Placing {
+public final class PlacementConstraints {
     private static final double EPSILON = 1e-6;
 
     private final Map<String, Settings.Team> teams;
     private Map<String, MachineType> types = Map.of();
 
-    public Placing(Map<String, Settings.Team> teams) {
+    public PlacementConstraints(Map<String, Settings.Team> teams) {
         this.teams = teams;
     }
 
@@ -54,10 +54,10 @@
     }
 
     /** How many more tasks of the job its share of the team's limit allows. */
-    public int withinShare(JobRecord job, Draft draft) {
+    public int withinShare(JobRecord job, Transaction draft) {
         JobRequest request = job.request();
         String share = Keys.shareOf(job);
-        ShareRecord.Amount cap = draft.share(share).of(request.team());
+        AllotmentRecord.Amount cap = draft.share(share).of(request.team());
         double byCpus = (cap.cpus() - draft.cpusUsedOf(share, request.team()) + EPSILON) / request.cpus();
         double byCards = request.cards() == 0
                 ? byCpus
@@ -65,13 +65,13 @@
         return (int) Math.max(0, Math.min(byCpus, byCards));
     }
 
-    public double freeCpus(MachineRecord machine, Draft draft) {
+    public double freeCpus(MachineRecord machine, Transaction draft) {
         MachineType type = types.get(machine.type());
         return type == null ? 0 : type.cpus() - draft.cpusUsedOn(machine.name());
     }
 
     /** Whether one task fits on the machine beside all that is on record or in the draft. */
-    public boolean hasRoom(JobRequest job, MachineRecord machine, Draft draft) {
+    public boolean hasRoom(JobRequest job, MachineRecord machine, Transaction draft) {
         MachineType type = types.get(machine.type());
         return type != null
                 && draft.cpusUsedOn(machine.name()) + job.cpus() <= type.cpus() + EPSILON
@@ -115,7 +115,7 @@
      * steady): a machine without the image starts the task seconds later, so it fits less well than any that has it.
      */
     public List<MachineRecord> take(
-            JobRecord job, int tasks, Collection<MachineRecord> machines, Draft draft, ClusterView view) {
+            JobRecord job, int tasks, Collection<MachineRecord> machines, Transaction draft, ClusterView view) {
         return take(job, List.of(), tasks, machines, draft, view);
     }
 
@@ -128,7 +128,7 @@
             List<MachineRecord> planned,
             int tasks,
             Collection<MachineRecord> machines,
-            Draft draft,
+            Transaction draft,
             ClusterView view) {
         JobRequest request = job.request();
         List<Candidate> candidates = new ArrayList<>();
--- a/src/main/java/org/gullway/coordination/RoomMaking.java
+++ b/src/main/java/org/gullway/coordination/Preemption.java
@@ -18,14 +18,14 @@
  * Stops tasks to make room for work that may displace them. Room that is already being freed is counted first, so
  * that one waiting task never has two others stopped for it.
  */
-final class RoomMaking {
+final class Preemption {
     /** Work of a job that is late anyway weighs less than work that can still be in time. */
     private static final double TOO_LATE_WEIGHT = 0.3;
 
     private final ClusterView view;
-    private final Placing placing;
-    private final Urgency urgency;
-    private final Draft draft;
+    private final PlacementConstraints placing;
+    private final DeadlinePolicy urgency;
+    private final Transaction draft;
     /** Room that is free, or will be once stopping tasks are gone, less what is meant for waiting tasks. */
     private final Map<String, Free> free = new HashMap<>();
 
@@ -61,7 +61,12 @@
     /** One task's room on a machine and what it costs. */
     private record Way(MachineRecord machine, List<Victim> victims, double loss) {}
 
-    RoomMaking(ClusterView view, Placing placing, Urgency urgency, Draft draft, Collection<MachineRecord> machines) {
+    Preemption(
+            ClusterView view,
+            PlacementConstraints placing,
+            DeadlinePolicy urgency,
+            Transaction draft,
+            Collection<MachineRecord> machines) {
         this.view = view;
         this.placing = placing;
         this.urgency = urgency;
--- a/src/main/java/org/gullway/coordination/Shares.java
+++ b/src/main/java/org/gullway/coordination/QuotaAllotments.java
@@ -20,7 +20,7 @@
  * <p>Raising guards all other shares, so that their sum never exceeds a limit. Everybody sees all jobs, so everybody
  * knows what the others need, and gives up what they need more.
  */
-public final class Shares {
+public final class QuotaAllotments {
     /** A raise takes up to so much of the limit beyond the need, as far as nobody else needs it: so few are needed. */
     private static final double LEAST_RAISE = 0.1;
     /** Lowering by less is not worth a change of the store. */
@@ -35,7 +35,7 @@
     private static final double EPSILON = 1e-6;
 
     private final ClusterView view;
-    private final Placing placing;
+    private final PlacementConstraints placing;
     private final String own;
     private final Set<String> possible = new TreeSet<>();
     private Instant loweredAt = Instant.MIN;
@@ -46,7 +46,7 @@
     private record Unused(double used, Instant since, Instant until) {}
 
     /** @param nodes all controllers of the deployment, this one included */
-    public Shares(ClusterView view, Placing placing, String self, Collection<String> nodes) {
+    public QuotaAllotments(ClusterView view, PlacementConstraints placing, String self, Collection<String> nodes) {
         this.view = view;
         this.placing = placing;
         this.own = Keys.share(self);
@@ -55,14 +55,14 @@
     }
 
     /** Adjusts the shares held here: this node's, and the leader's while leading. */
-    public void propose(Draft draft, boolean leading, boolean plenty, Instant now) {
+    public void propose(Transaction draft, boolean leading, boolean plenty, Instant now) {
         Map<String, Map<String, double[]>> needs = needs(draft.timeOfDay());
         List<String> held = leading ? List.of(Keys.LEADERS_SHARE, own) : List.of(own);
         boolean mayLower =
                 !loweredAt.plus(plenty ? QUICK_LOWERING_PAUSE : LOWERING_PAUSE).isAfter(now);
         for (String share : held) {
-            ShareRecord before = draft.share(share);
-            ShareRecord after = before;
+            AllotmentRecord before = draft.share(share);
+            AllotmentRecord after = before;
             for (Settings.Team team : placing.teams()) {
                 after = adjust(draft, share, after, team, needs, mayLower, now);
             }
@@ -111,24 +111,24 @@
         return needs;
     }
 
-    private ShareRecord adjust(
-            Draft draft,
+    private AllotmentRecord adjust(
+            Transaction draft,
             String share,
-            ShareRecord record,
+            AllotmentRecord record,
             Settings.Team team,
             Map<String, Map<String, double[]>> needs,
             boolean mayLower,
             Instant now) {
-        ShareRecord.Amount cap = record.of(team.name());
+        AllotmentRecord.Amount cap = record.of(team.name());
         double cpus = wanted(draft, share, team, needs, 0, mayLower, now);
         double cards = wanted(draft, share, team, needs, 1, mayLower, now);
         return cpus == cap.cpus() && cards == cap.cards()
                 ? record
-                : record.with(team.name(), new ShareRecord.Amount(cpus, cards));
+                : record.with(team.name(), new AllotmentRecord.Amount(cpus, cards));
     }
 
     private double wanted(
-            Draft draft,
+            Transaction draft,
             String share,
             Settings.Team team,
             Map<String, Map<String, double[]>> needs,
@@ -230,8 +230,8 @@
         return Math.max(0, rest - fixed) * need(needs, share, team, dimension) / Math.max(1e-9, others);
     }
 
-    private static double part(ShareRecord record, String team, int dimension) {
-        ShareRecord.Amount amount = record.of(team);
+    private static double part(AllotmentRecord record, String team, int dimension) {
+        AllotmentRecord.Amount amount = record.of(team);
         return dimension == 0 ? amount.cpus() : amount.cards();
     }
 
@@ -248,10 +248,10 @@
      * belong to is not known here, so then no division of the share would surely cover what each new owner takes over
      * (two new owners together once went beyond a team's limit): the job waits until the ends are on record.
      */
-    static void hand(Draft draft, ClusterView view, JobRecord job, String to) {
+    static void hand(Transaction draft, ClusterView view, JobRecord job, String to) {
         String from = Keys.share(job.owner());
         String team = job.request().team();
-        ShareRecord.Amount held = draft.share(from).of(team);
+        AllotmentRecord.Amount held = draft.share(from).of(team);
         double cpusOnRecord = 0;
         double cardsOnRecord = 0;
         for (JobRecord known : view.jobs()) {
@@ -281,7 +281,7 @@
     }
 
     /** Frees what lost members hold beyond the use of the jobs they still own. */
-    static void release(Draft draft, ClusterView view, Placing placing) {
+    static void release(Transaction draft, ClusterView view, PlacementConstraints placing) {
         for (String key : view.shares().keySet()) {
             String node = Keys.holderOf(key);
             if (node == null
@@ -290,14 +290,15 @@
                     || !draft.hasRoomFor(2)) {
                 continue;
             }
-            ShareRecord share = view.shares().get(key);
-            ShareRecord used = ShareRecord.EMPTY;
+            AllotmentRecord share = view.shares().get(key);
+            AllotmentRecord used = AllotmentRecord.EMPTY;
             for (Settings.Team team : placing.teams()) {
                 ClusterView.Room room = view.usedOf(key, team.name());
-                ShareRecord.Amount held = share.of(team.name());
+                AllotmentRecord.Amount held = share.of(team.name());
                 used = used.with(
                         team.name(),
-                        new ShareRecord.Amount(Math.min(held.cpus(), room.cpus), Math.min(held.cards(), room.cards)));
+                        new AllotmentRecord.Amount(
+                                Math.min(held.cpus(), room.cpus), Math.min(held.cards(), room.cards)));
             }
             boolean less = share.teams().entrySet().stream()
                     .anyMatch(e -> e.getValue().cpus() > view.usedOf(key, e.getKey()).cpus + 1e-6
--- a/src/main/java/org/gullway/coordination/Repair.java
+++ b/src/main/java/org/gullway/coordination/Reconciliation.java
@@ -13,21 +13,21 @@
  * Puts right what the loss of a machine or a member leaves behind: attempts that are certainly gone wait again, jobs
  * whose owner is lost get another one, and machines are dealt out evenly again.
  */
-public final class Repair {
+public final class Reconciliation {
     /** What is lost has been missing for seconds by then. */
     private static final Duration EVERY = Duration.ofMillis(250);
 
     private static final Duration BALANCE_EVERY = Duration.ofSeconds(5);
 
     private final ClusterView view;
-    private final Placing placing;
+    private final PlacementConstraints placing;
     private final String self;
     private final RandomGenerator random;
     private Instant proposedAt = Instant.MIN;
     private Instant balancedAt = Instant.MIN;
     private long checkedPlacements;
 
-    public Repair(ClusterView view, Placing placing, String self, RandomGenerator random) {
+    public Reconciliation(ClusterView view, PlacementConstraints placing, String self, RandomGenerator random) {
         this.view = view;
         this.placing = placing;
         this.self = self;
@@ -38,7 +38,7 @@
      * Adds what puts records right whose machine or owner is gone. Each record is left to one controller: its owner, or
      * the leader if it has none among the members.
      */
-    public void propose(Draft draft, boolean leading, Instant now) {
+    public void propose(Transaction draft, boolean leading, Instant now) {
         if (proposedAt.plus(EVERY).isAfter(now)) {
             return;
         }
@@ -50,12 +50,12 @@
             }
         }
         if (leading) {
-            Shares.release(draft, view, placing);
+            QuotaAllotments.release(draft, view, placing);
             balance(draft, now);
         }
     }
 
-    private void repair(Draft draft, JobRecord known, boolean orphaned) {
+    private void repair(Transaction draft, JobRecord known, boolean orphaned) {
         JobRecord job = draft.job(known.request().id());
         if (job == null) {
             return;
@@ -71,7 +71,7 @@
         }
         if (orphaned && !next.over() && !view.members().isEmpty()) {
             List<String> members = new ArrayList<>(view.members().keySet());
-            Shares.hand(draft, view, next, members.get(random.nextInt(members.size())));
+            QuotaAllotments.hand(draft, view, next, members.get(random.nextInt(members.size())));
         }
     }
 
@@ -100,7 +100,7 @@
     }
 
     /** Moves groups from the controller with most machines to the one with fewest, after one has come back. */
-    private void balance(Draft draft, Instant now) {
+    private void balance(Transaction draft, Instant now) {
         if (balancedAt.plus(BALANCE_EVERY).isAfter(now) || view.members().size() < 2) {
             return;
         }
--- a/src/main/java/org/gullway/coordination/ReservedBooking.java
+++ b/src/main/java/org/gullway/coordination/ReservedBooking.java
@@ -28,14 +28,14 @@
     private static final int MOST_STUCK = 8;
 
     private final ClusterView view;
-    private final Placing placing;
-    private final JobPauses pauses;
-    private final Urgency urgency;
+    private final PlacementConstraints placing;
+    private final JobBackoff pauses;
+    private final DeadlinePolicy urgency;
     private int lookFrom;
     private Instant closedAt = Instant.MIN;
     private Instant roomMadeAt = Instant.MIN;
 
-    public ReservedBooking(ClusterView view, Placing placing, JobPauses pauses, Urgency urgency) {
+    public ReservedBooking(ClusterView view, PlacementConstraints placing, JobBackoff pauses, DeadlinePolicy urgency) {
         this.view = view;
         this.placing = placing;
         this.pauses = pauses;
@@ -46,7 +46,7 @@
      * Adds placements of waiting reserved jobs to the draft, the most urgent first, and closes machines to best-effort
      * starts while some of them find no room. Only the leader calls it.
      */
-    public void propose(Draft draft, Instant now) {
+    public void propose(Transaction draft, Instant now) {
         List<JobRecord> waiting = new ArrayList<>();
         for (JobRecord job : view.jobs()) {
             if (job.reserved() && job.waiting() > 0 && !pauses.paused(job, now)) {
@@ -89,7 +89,7 @@
         }
         roomMadeAt = now;
         List<MachineRecord> looked = nextMachines(machines);
-        RoomMaking rooms = new RoomMaking(view, placing, urgency, draft, looked);
+        Preemption rooms = new Preemption(view, placing, urgency, draft, looked);
         List<JobRecord> stuck = new ArrayList<>();
         for (JobRecord job : unfitted) {
             if (stuck.size() >= MOST_STUCK || !makeRoom(rooms, draft, job, looked)) {
@@ -120,7 +120,7 @@
     }
 
     /** Stops best-effort tasks of lower rank for all waiting tasks that the team's limit allows; false if not enough. */
-    private boolean makeRoom(RoomMaking rooms, Draft draft, JobRecord job, List<MachineRecord> machines) {
+    private boolean makeRoom(Preemption rooms, Transaction draft, JobRecord job, List<MachineRecord> machines) {
         int tasks = Math.min(job.waiting(), placing.withinShare(job, draft));
         return rooms.makeRoom(
                 job,
@@ -130,7 +130,7 @@
                         && other.request().rank().compareTo(job.request().rank()) > 0);
     }
 
-    private double mostFree(Draft draft, List<MachineRecord> machines) {
+    private double mostFree(Transaction draft, List<MachineRecord> machines) {
         return machines.stream()
                         .mapToDouble(machine -> placing.freeCpus(machine, draft))
                         .max()
@@ -148,7 +148,7 @@
     }
 
     /** Books as many tasks as fit, a gang's all or none; false if some wait for room. */
-    private boolean book(Draft draft, JobRecord job, List<MachineRecord> machines) {
+    private boolean book(Transaction draft, JobRecord job, List<MachineRecord> machines) {
         if (job.gang() && !job.live().isEmpty()) {
             return true;
         }
@@ -169,7 +169,7 @@
     }
 
     /** The machines with most room that best-effort work could leave, enough for all that waits. */
-    private Set<String> machinesToClose(Draft draft, List<JobRecord> unfitted, List<MachineRecord> machines) {
+    private Set<String> machinesToClose(Transaction draft, List<JobRecord> unfitted, List<MachineRecord> machines) {
         Set<String> chosen = new LinkedHashSet<>();
         if (unfitted.isEmpty()) {
             return chosen;
@@ -202,7 +202,7 @@
      * Machines that are kept from best-effort starts until the largest task of a best-effort job of which none has run
      * for long fits there; its owner alone may use them. Small tasks would fill every gap before it for ever.
      */
-    private Set<String> gathering(Draft draft) {
+    private Set<String> gathering(Transaction draft) {
         List<JobRecord> stalled = view.jobs().stream()
                 .filter(job -> !job.reserved() && job.stalledAt(draft.timeOfDay()))
                 .sorted(JobRecord.STALLED_ORDER)
@@ -225,7 +225,7 @@
         return chosen;
     }
 
-    private void close(Draft draft, Set<String> forReserved) {
+    private void close(Transaction draft, Set<String> forReserved) {
         Set<String> wanted = new LinkedHashSet<>(forReserved);
         wanted.addAll(gathering(draft));
         boolean other = !wanted.equals(view.closed());
--- a/src/main/java/org/gullway/coordination/SilentMachines.java
+++ b/src/main/java/org/gullway/coordination/SilentMachines.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.gullway.coordination.MachineRecord.Fate;
+import org.gullway.coordination.MachineRecord.Disposition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -30,7 +30,7 @@
     private final ClusterView view;
     private final Incarnation self;
     private final Duration reportInterval;
-    private final Neighbours neighbours;
+    private final PeerZones neighbours;
     private final Map<String, Worker> workers;
     /** When each zone was last seen cut off. */
     private final Map<String, Instant> cutOffAt = new HashMap<>();
@@ -43,7 +43,7 @@
             ClusterView view,
             Incarnation self,
             Duration reportInterval,
-            Neighbours neighbours,
+            PeerZones neighbours,
             Map<String, Worker> workers) {
         this.view = view;
         this.self = self;
@@ -65,7 +65,7 @@
         return reportInterval.multipliedBy(2).plus(ANSWER_LIMIT);
     }
 
-    void propose(Draft draft, Instant now) {
+    void propose(Transaction draft, Instant now) {
         if (proposedAt.plus(EVERY).isAfter(now)) {
             return;
         }
@@ -89,11 +89,11 @@
             boolean heard = worker.deafSince() == null
                     && !worker.mute()
                     && !worker.reported().isBefore(late);
-            if (record.fate() == Fate.STAYS
+            if (record.fate() == Disposition.STAYS
                     && (worker.mute() || lostSince(worker).isBefore(worker.deafSince() == null ? late : deaf))) {
-                mean(draft, record, Fate.SILENT);
-            } else if (record.fate() == Fate.SILENT && heard) {
-                mean(draft, record, Fate.STAYS);
+                mean(draft, record, Disposition.SILENT);
+            } else if (record.fate() == Disposition.SILENT && heard) {
+                mean(draft, record, Disposition.STAYS);
             }
             if (lostSince(worker).isBefore(limit)) {
                 candidates.add(record);
@@ -106,7 +106,7 @@
         }
     }
 
-    private static boolean mean(Draft draft, MachineRecord record, Fate fate) {
+    private static boolean mean(Transaction draft, MachineRecord record, Disposition fate) {
         MachineRecord current = draft.machine(record.name());
         if (current == null || current.fate() == fate || !draft.canPutMachine(record.name())) {
             return false;
@@ -121,7 +121,7 @@
      * the fault is more likely to be this controller's own network, and then it takes longer.
      */
     private void giveUp(
-            Draft draft,
+            Transaction draft,
             List<MachineRecord> candidates,
             Map<String, Boolean> zoneHeard,
             boolean othersWell,
@@ -139,7 +139,7 @@
             boolean held = cutOffAt.getOrDefault(record.zone(), Instant.MIN).isAfter(now.minus(givenUpAfter()))
                     && since.isAfter(heldLimit)
                     && !holdsCancelled(record);
-            if ((othersWell || since.isBefore(longLimit)) && !held && mean(draft, record, Fate.LOST)) {
+            if ((othersWell || since.isBefore(longLimit)) && !held && mean(draft, record, Disposition.LOST)) {
                 LOG.info(
                         "gives up {} in {}, silent or deaf for {}",
                         record.name(),
@@ -151,7 +151,7 @@
 
     /**
      * A zone of which nothing is heard, not even its controller, is most likely cut off: that controller keeps the
-     * leases of the workers there (see {@link LeaseKeeper}), and their work is not lost (dong-xanh-fleet zone: half
+     * leases of the workers there (see {@link LeaseRenewalPolicy}), and their work is not lost (dong-xanh-fleet zone: half
      * of the jobs lost tasks of 90 s).
      */
     private boolean isCutOff(String zone) {
--- a/src/main/java/org/gullway/coordination/Draft.java
+++ b/src/main/java/org/gullway/coordination/Transaction.java
@@ -23,7 +23,7 @@
  * start, and the placement is taken back. It does not guard the use of the team either: only the holder of a share
  * places on it, and it has one commit on its way at a time.
  */
-public final class Draft {
+public final class Transaction {
     /** The final state of a job, as it is kept under {@link Keys#ended}. */
     public record Ended(JobState state, int tasks, int done) {}
 
@@ -51,7 +51,7 @@
         }
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Draft.class);
+    private static final Logger LOG = LoggerFactory.getLogger(Transaction.class);
     private static final int OTHER_BYTES = 300;
     private static final int MACHINE_BYTES = 120;
 
@@ -72,7 +72,7 @@
 
     private int bytes;
 
-    public Draft(ClusterView view, Incarnation self, Limits limits, Instant timeOfDay) {
+    public Transaction(ClusterView view, Incarnation self, Limits limits, Instant timeOfDay) {
         this.view = view;
         this.self = self;
         this.limits = limits;
@@ -238,9 +238,9 @@
     }
 
     /** A share as this commit leaves it. */
-    public ShareRecord share(String key) {
+    public AllotmentRecord share(String key) {
         Object drafted = changes.get(key);
-        return drafted != null ? (ShareRecord) drafted : view.shares().getOrDefault(key, ShareRecord.EMPTY);
+        return drafted != null ? (AllotmentRecord) drafted : view.shares().getOrDefault(key, AllotmentRecord.EMPTY);
     }
 
     public double cpusUsedOf(String share, String team) {
--- a/src/main/java/org/gullway/coordination/Worker.java
+++ b/src/main/java/org/gullway/coordination/Worker.java
@@ -255,7 +255,7 @@
 
     /**
      * Its machine is commanded here under this epoch. What was heard before a takeover says nothing: a worker that had
-     * only passed by here long ago was once given up at the moment of the takeover (TroublesTest, zone that is cut off).
+     * only passed by here long ago was once given up at the moment of the takeover (FaultsTest, zone that is cut off).
      */
     void commandedUnder(long epoch, Instant now) {
         if (epoch != commandedUnder) {
--- a/src/test/java/org/gullway/AnswerLog.java
+++ b/src/test/java/org/gullway/AnswerLog.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
-import org.gullway.standin.SimulatedTime;
+import org.gullway.fake.SimulatedTime;
 import org.gullway.transport.Call;
 
 /** What the controllers answered to every request at their public addresses, and how long that took. */
--- a/src/test/java/org/gullway/Rehearsal.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -14,13 +14,13 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
+import org.gullway.fake.FakeCloud;
+import org.gullway.fake.FakeStateStore;
+import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
 import org.gullway.protocol.Rank;
-import org.gullway.standin.StandInCloud;
-import org.gullway.standin.StandInStore;
-import org.gullway.standin.StandInWorker;
 import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpServer;
 import org.gullway.transport.Reply;
@@ -36,11 +36,11 @@
  * it. The build lets that process write the class-data archive with which the service starts quickly; the test of the
  * real sockets uses the same day.
  */
-public final class Rehearsal {
+public final class ClassArchiveTraining {
     private static final int TRIES = 3;
     private static final Duration PATIENCE = Duration.ofSeconds(40);
 
-    private Rehearsal() {}
+    private ClassArchiveTraining() {}
 
     /** Arguments: the archive to write, the jar, then options of the virtual machine. */
     public static void main(String[] args) throws Exception {
@@ -81,7 +81,7 @@
                 job("run-000002", Rank.NORMAL),
                 "run-000003",
                 job("run-000003", Rank.IDLE));
-        StandInWorker.World world = new Moments(jobs);
+        FakeWorker.World world = new Moments(jobs);
         Path settings = Files.createTempFile("gullway", ".toml");
         Files.writeString(settings, settings(node, state, cloudAddress));
         loop.execute(
@@ -116,16 +116,16 @@
             Sockets sockets,
             XnioEventLoop loop,
             HttpClient client,
-            StandInWorker.World world,
+            FakeWorker.World world,
             Addresses addresses) {
-        StandInStore store = new StandInStore(loop);
-        StandInCloud cloud = new StandInCloud(
+        FakeStateStore store = new FakeStateStore(loop);
+        FakeCloud cloud = new FakeCloud(
                 loop,
                 List.of(new MachineType("small", 16, 0, 64, 50, 1, 1, 0.3, Duration.ofMillis(300), List.of("a"))),
                 2,
                 (name, kind) -> {
                     String address = freeAddress();
-                    StandInWorker machine = new StandInWorker(
+                    FakeWorker machine = new FakeWorker(
                             loop,
                             client,
                             world,
@@ -254,7 +254,7 @@
     }
 
     /** Tasks that take a moment and never fail. */
-    private record Moments(Map<String, JobRequest> jobs) implements StandInWorker.World {
+    private record Moments(Map<String, JobRequest> jobs) implements FakeWorker.World {
         @Override
         public JobRequest describe(String job) {
             return jobs.get(job);
--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -1,10 +1,10 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.gullway.MeetingsTest.endsWell;
-import static org.gullway.MeetingsTest.moreWork;
-import static org.gullway.MeetingsTest.seconds;
-import static org.gullway.MeetingsTest.working;
+import static org.gullway.FaultCombinationsTest.endsWell;
+import static org.gullway.FaultCombinationsTest.moreWork;
+import static org.gullway.FaultCombinationsTest.seconds;
+import static org.gullway.FaultCombinationsTest.working;
 
 import java.time.Duration;
 import net.jqwik.api.ForAll;
--- a/src/test/java/org/gullway/Trouble.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.gullway.standin.StandInWorker;
+import org.gullway.fake.FakeWorker;
 
 /** Troubles of simulated days, each for a span and at random places. */
-enum Trouble {
+enum Fault {
     CRASH {
         @Override
         void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
@@ -78,7 +78,7 @@
     MACHINES_DIE {
         @Override
         void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
-            world.cloud.workers().stream().limit(1 + random.nextInt(3)).forEach(StandInWorker::die);
+            world.cloud.workers().stream().limit(1 + random.nextInt(3)).forEach(FakeWorker::die);
         }
     },
     SPOT_TAKEN {
@@ -111,7 +111,7 @@
     MACHINES_DEAF {
         @Override
         void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
-            List<StandInWorker> workers = world.cloud.workers();
+            List<FakeWorker> workers = world.cloud.workers();
             workers.stream()
                     .skip(random.nextInt(Math.max(1, workers.size())))
                     .limit(1 + random.nextInt(2))
@@ -206,7 +206,7 @@
     REPORTS_HELD_BACK {
         @Override
         void strike(SimulatedWorld world, SplittableRandom random, Duration span) {
-            List<StandInWorker> held = some(world, random, 3);
+            List<FakeWorker> held = some(world, random, 3);
             held.forEach(worker -> world.network.holdBack(worker.name()));
             if (world.leader() != null) {
                 world.crash(world.leader(), Duration.ofMillis(200 + random.nextInt(20_000)));
@@ -273,8 +273,8 @@
         return world.nodes().get(random.nextInt(world.nodes().size()));
     }
 
-    private static List<StandInWorker> some(SimulatedWorld world, SplittableRandom random, int most) {
-        List<StandInWorker> workers = world.cloud.workers();
+    private static List<FakeWorker> some(SimulatedWorld world, SplittableRandom random, int most) {
+        List<FakeWorker> workers = world.cloud.workers();
         return workers.stream()
                 .skip(random.nextInt(Math.max(1, workers.size())))
                 .limit(1 + random.nextInt(most))
--- a/src/test/java/org/gullway/MeetingsTest.java
+++ b/src/test/java/org/gullway/FaultCombinationsTest.java
@@ -10,14 +10,14 @@
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.SimulatedWorld.Bounds;
 import org.gullway.SimulatedWorld.User;
+import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.Rank;
-import org.gullway.standin.StandInWorker;
 
 /**
  * Two troubles that meet, each in its hard sequence: one schedule or more for every meeting that users have named, since
  * most rules that were broken broke there. The order of the tests is theirs.
  */
-class MeetingsTest {
+class FaultCombinationsTest {
     private static final Duration LONG = Duration.ofSeconds(200);
 
     static Duration seconds(double seconds) {
@@ -63,7 +63,7 @@
         world.after(span, () -> world.network.heal(node, SimulatedWorld.stateAddress()));
     }
 
-    static void cutOff(SimulatedWorld world, StandInWorker worker, Duration span) {
+    static void cutOff(SimulatedWorld world, FakeWorker worker, Duration span) {
         world.network.cut(worker.name(), "*");
         world.network.cut("*", worker.address());
         world.after(span, () -> {
@@ -72,7 +72,7 @@
         });
     }
 
-    static void deafen(SimulatedWorld world, StandInWorker worker, Duration span) {
+    static void deafen(SimulatedWorld world, FakeWorker worker, Duration span) {
         world.network.unanswered(worker.name(), true);
         world.network.cut("*", worker.address());
         world.after(span, () -> {
@@ -156,7 +156,7 @@
     void reportsHeldBackUntilANewLeaderHasActed(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedWorld world = working(seed, Duration.ofSeconds(60));
         String leader = world.leader();
-        List<StandInWorker> held = world.cloud.workers().stream().limit(4).toList();
+        List<FakeWorker> held = world.cloud.workers().stream().limit(4).toList();
         held.forEach(worker -> world.network.holdBack(worker.name()));
         world.after(seconds(3.5), () -> world.crash(leader, Duration.ofSeconds(30)));
         world.after(Duration.ofSeconds(5), () -> world.users().subList(0, 4).forEach(User::cancel));
@@ -188,7 +188,7 @@
         world.cloud.workers().stream()
                 .filter(w -> w.kind().zone().equals(zone))
                 .limit(2)
-                .forEach(StandInWorker::die);
+                .forEach(FakeWorker::die);
         world.after(Duration.ofSeconds(4), () -> world.cloud.workers().stream()
                 .filter(w -> w.kind().zone().equals(zone))
                 .limit(2)
@@ -317,7 +317,7 @@
             moreWork(world, 9 + 3 * round, 3);
             world.run(seconds(0.1 + seed % 10 / 20.0));
             int first = 2 * round;
-            List<StandInWorker> workers = world.cloud.workers();
+            List<FakeWorker> workers = world.cloud.workers();
             workers.stream()
                     .skip((seed + round) % 3)
                     .limit(5)
@@ -475,7 +475,7 @@
         SimulatedWorld world = working(seed, LONG);
         String leader = world.leader();
         Duration span = Duration.ofSeconds(8 + seed % 45);
-        List<StandInWorker> workers = world.cloud.workers();
+        List<FakeWorker> workers = world.cloud.workers();
         workers.stream().limit(2).forEach(worker -> cutOff(world, worker, span));
         workers.stream().skip(2).limit(2).forEach(worker -> deafen(world, worker, span));
         world.run(seconds(seed % 4));
--- a/src/test/java/org/gullway/TroublesTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -9,12 +9,12 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.Rank;
 import org.gullway.protocol.Settings;
-import org.gullway.standin.StandInWorker;
 
 /** One trouble each in its hard sequence, with fixed seeds; the generated days mix them. */
-class TroublesTest {
+class FaultsTest {
     private static SimulatedWorld busy(int seed) {
         SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
         for (int i = 1; i <= 8; i++) {
@@ -44,7 +44,7 @@
     @Property(tries = 6, seed = "21")
     void aMachineThatReportsAndDoesNotHearIsGivenUp(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedWorld world = busy(seed);
-        StandInWorker deaf = world.cloud.workers().get(0);
+        FakeWorker deaf = world.cloud.workers().get(0);
         world.network.unanswered(deaf.name(), true);
         world.network.cut("*", deaf.address());
         world.after(Duration.ofSeconds(1), () -> world.submit(9, "blue", Rank.HIGH, 16, 4, Duration.ofSeconds(20)));
@@ -60,7 +60,7 @@
         for (int at : List.of(4, 15, 40)) {
             world.after(Duration.ofSeconds(at), () -> {
                 world.nodes().forEach(node -> world.crash(node, Duration.ofMillis(300)));
-                world.cloud.workers().stream().limit(1).forEach(StandInWorker::die);
+                world.cloud.workers().stream().limit(1).forEach(FakeWorker::die);
             });
         }
         for (int i = 9; i < 15; i++) {
--- a/src/test/java/org/gullway/GuestWorkTest.java
+++ b/src/test/java/org/gullway/GuestWorkTest.java
@@ -13,10 +13,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import org.gullway.fake.FakeStateStore;
+import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.Rank;
 import org.gullway.protocol.Settings;
-import org.gullway.standin.StandInStore;
-import org.gullway.standin.StandInWorker;
 
 /** Work in unusual amounts or that cannot succeed: huge arrays, swarms of tiny jobs, jobs that fail on every machine. */
 class GuestWorkTest {
@@ -79,7 +79,7 @@
                 .as("tiny jobs done")
                 .isGreaterThanOrEqualTo(700);
         assertThat(world.started()).as("the array's tasks as well").isGreaterThan(2000);
-        assertThat(world.store.largestValue()).isLessThanOrEqualTo(StandInStore.VALUE_BYTES);
+        assertThat(world.store.largestValue()).isLessThanOrEqualTo(FakeStateStore.VALUE_BYTES);
         assertThat(world.store.changes("live/jobs"))
                 .as("changes for %s jobs", world.users().size())
                 .isLessThan(5 * world.users().size() + 4 * 240);
@@ -116,7 +116,7 @@
 
     /**
      * Three jobs fail on every machine until their users cancel them; others run beside them and are not displaced.
-     * Seen to fail without the pauses ({@code JobPauses.paused} false). That good machines stay is
+     * Seen to fail without the pauses ({@code JobBackoff.paused} false). That good machines stay is
      * {@code MachineControlTest.jobsThatFailEverywhereDoNotMakeMachinesFaulty}: here they complete other tasks as well.
      */
     @Property(tries = 3, seed = "43")
@@ -166,8 +166,8 @@
         steadyWork(world, 100, 60);
         world.run(Duration.ofSeconds(20));
         String faulty = world.cloud.workers().stream()
-                .filter(StandInWorker::alive)
-                .map(StandInWorker::name)
+                .filter(FakeWorker::alive)
+                .map(FakeWorker::name)
                 .findFirst()
                 .orElseThrow();
         world.failing((machine, job) -> machine.equals(faulty));
@@ -191,7 +191,7 @@
 
     private static Set<String> names(SimulatedWorld world) {
         Set<String> names = new HashSet<>();
-        world.cloud.workers().stream().map(StandInWorker::name).forEach(names::add);
+        world.cloud.workers().stream().map(FakeWorker::name).forEach(names::add);
         return names;
     }
 }
--- a/src/test/java/org/gullway/HandoverFaultsTest.java
+++ b/src/test/java/org/gullway/HandoverFaultsTest.java
@@ -1,14 +1,14 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.gullway.MeetingsTest.cancelThrough;
-import static org.gullway.MeetingsTest.cutFromState;
-import static org.gullway.MeetingsTest.cutOff;
-import static org.gullway.MeetingsTest.deafen;
-import static org.gullway.MeetingsTest.endsWell;
-import static org.gullway.MeetingsTest.moreWork;
-import static org.gullway.MeetingsTest.seconds;
-import static org.gullway.MeetingsTest.working;
+import static org.gullway.FaultCombinationsTest.cancelThrough;
+import static org.gullway.FaultCombinationsTest.cutFromState;
+import static org.gullway.FaultCombinationsTest.cutOff;
+import static org.gullway.FaultCombinationsTest.deafen;
+import static org.gullway.FaultCombinationsTest.endsWell;
+import static org.gullway.FaultCombinationsTest.moreWork;
+import static org.gullway.FaultCombinationsTest.seconds;
+import static org.gullway.FaultCombinationsTest.working;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -20,8 +20,8 @@
 import org.gullway.SimulatedWorld.Bounds;
 import org.gullway.SimulatedWorld.User;
 import org.gullway.coordination.Keys;
+import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.Rank;
-import org.gullway.standin.StandInWorker;
 import org.gullway.transport.Reply;
 
 /** The work of a controller changes hands while old messages are on their way, jobs are cancelled or machines are silent. */
@@ -30,7 +30,7 @@
         return new Bounds(List.of(type), null, false, false, true);
     }
 
-    private static StandInWorker workerOf(SimulatedWorld world, String type) {
+    private static FakeWorker workerOf(SimulatedWorld world, String type) {
         return world.cloud.workers().stream()
                 .filter(worker -> worker.kind().type().equals(type))
                 .findFirst()
@@ -55,7 +55,7 @@
     @Property(tries = 6, seed = "211")
     void oldReportsReachEveryControllerAsALeaderBegins(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedWorld world = twoIdleMachines(seed);
-        StandInWorker worker = workerOf(world, "large");
+        FakeWorker worker = workerOf(world, "large");
         for (int i = 0; i < 5 && worker.reportsTo().equals(world.leader()); i++) {
             // Its process is back at once and keeps its machines, while another takes the leadership.
             world.crash(world.leader(), Duration.ofMillis(30));
@@ -121,9 +121,9 @@
         }
         world.run(Duration.ofSeconds(2));
         Duration span = seconds(6 + seed % 26);
-        List<StandInWorker> workers = world.cloud.workers();
+        List<FakeWorker> workers = world.cloud.workers();
         for (int i = 0; i < workers.size(); i += 2) {
-            StandInWorker worker = workers.get(i);
+            FakeWorker worker = workers.get(i);
             if (i % 4 == 0) {
                 cutOff(world, worker, span);
             } else {
@@ -278,7 +278,7 @@
             int number = i;
             world.after(seconds(0.7 * i + seed % 60 / 100.0), () -> {
                 world.crash(world.nodes().get((seed + number) % 3), Duration.ofMillis(20 + 61L * number));
-                List<StandInWorker> workers = world.cloud.workers();
+                List<FakeWorker> workers = world.cloud.workers();
                 workers.get((seed + number) % workers.size()).hang(Duration.ofMillis(100 + 70L * number));
                 cutOff(world, workers.get((seed + 3 * number) % workers.size()), Duration.ofMillis(900 - 60L * number));
             });
--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -5,10 +5,10 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
+import org.gullway.fake.FakeStateStore;
+import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.Rank;
 import org.gullway.protocol.Settings;
-import org.gullway.standin.StandInStore;
-import org.gullway.standin.StandInWorker;
 import org.junit.jupiter.api.Test;
 
 /** Two thousand machines and jobs of hundreds of tasks: what they may cost, in counts, also when much fails at once. */
@@ -54,7 +54,7 @@
         assertThat(world.store.changes("live/shares"))
                 .as("changes for shares, less than three a second")
                 .isLessThan(3 * 150);
-        assertThat(world.store.largestValue()).as("bytes of a record").isLessThanOrEqualTo(StandInStore.VALUE_BYTES);
+        assertThat(world.store.largestValue()).as("bytes of a record").isLessThanOrEqualTo(FakeStateStore.VALUE_BYTES);
     }
 
     /** All at 2,000 machines: a fifth silent for long, a controller alone with all workers, then all restarted. */
@@ -66,8 +66,8 @@
         int rented = world.cloud.rentedEver();
         assertThat(rented).isGreaterThanOrEqualTo(2000);
         int before = world.store.changes("live/groups");
-        List<StandInWorker> silent = world.cloud.workers().stream().limit(400).toList();
-        for (StandInWorker worker : silent) {
+        List<FakeWorker> silent = world.cloud.workers().stream().limit(400).toList();
+        for (FakeWorker worker : silent) {
             world.network.cut(worker.name(), "*");
             world.network.cut("*", worker.address());
             world.after(Duration.ofSeconds(40), () -> {
--- a/src/test/java/org/gullway/MainTest.java
+++ b/src/test/java/org/gullway/MainTest.java
@@ -37,7 +37,7 @@
     }
 
     private static String valid() {
-        return Rehearsal.settings("127.0.0.1:18080", "127.0.0.2:18080", "127.0.0.3:18080");
+        return ClassArchiveTraining.settings("127.0.0.1:18080", "127.0.0.2:18080", "127.0.0.3:18080");
     }
 
     private static void assertFaulty(Ending ending, String field) {
--- a/src/test/java/org/gullway/ProfileRun.java
+++ b/src/test/java/org/gullway/ProfileRun.java
@@ -49,14 +49,14 @@
             new Activity("step: requests", "UserApi", "propose"),
             new Activity("step: machines", "MachineControl", "propose"),
             new Activity("step: finished jobs", "EndedAttempts", "finish"),
-            new Activity("step: shares", "Shares", "propose"),
-            new Activity("step: repair", "Repair", "propose"),
-            new Activity("step: arrivals", "CloudLoop", "propose"),
+            new Activity("step: shares", "QuotaAllotments", "propose"),
+            new Activity("step: repair", "Reconciliation", "propose"),
+            new Activity("step: arrivals", "CloudProvisioner", "propose"),
             new Activity("step: booking", "ReservedBooking", "propose"),
             new Activity("step: idle work", "IdleWork", "propose"),
             new Activity("step: queue", "BestEffortQueue", "propose"),
             new Activity("step: ends", "EndedAttempts", "propose"),
-            new Activity("step: fleet", "FleetPlan", "propose"),
+            new Activity("step: fleet", "FleetAutoscaler", "propose"),
             new Activity("commands: finding them", "MachineControl", "pushes"),
             new Activity("commands: encoding and sending", "Controller", "command"),
             new Activity("ticks", "Controller", "tick"),
@@ -74,7 +74,7 @@
             new Activity("watch: view", "ClusterView", ""),
             new Activity("state service: decoding answers", "StateStore", ""),
             new Activity("state service: rest", "Ledger", ""),
-            new Activity("cloud", "CloudLoop", ""),
+            new Activity("cloud", "CloudProvisioner", ""),
             new Activity(OTHER, "Controller", ""));
 
     private ProfileRun() {}
--- a/src/test/java/org/gullway/RealSocketsTest.java
+++ b/src/test/java/org/gullway/RealSocketsTest.java
@@ -8,7 +8,7 @@
 class RealSocketsTest {
     @Test
     void servesJobsOverLoopback() throws Exception {
-        Rehearsal.run(List.of(
+        ClassArchiveTraining.run(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx120m",
                 "-XX:+UseSerialGC",
--- a/src/test/java/org/gullway/ReportIntakeTest.java
+++ b/src/test/java/org/gullway/ReportIntakeTest.java
@@ -6,8 +6,8 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
-import org.gullway.standin.SimulatedNetwork;
-import org.gullway.standin.SimulatedTime;
+import org.gullway.fake.SimulatedNetwork;
+import org.gullway.fake.SimulatedTime;
 import org.gullway.transport.Call;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/org/gullway/RuleCheck.java
+++ b/src/test/java/org/gullway/RuleCheck.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
+import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Settings;
-import org.gullway.standin.StandInWorker;
 
 /** The rules of the protocol, seen from outside: by what is on the machines and by what users are told. */
 final class RuleCheck {
@@ -53,7 +53,7 @@
     private final Duration cancelLimit;
     private final Map<String, Settings.Team> teams;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, StandInWorker.Kind> machines = new HashMap<>();
+    private final Map<String, FakeWorker.Kind> machines = new HashMap<>();
     /** Machines on which a task is now, by job and task. */
     private final Map<String, Map<String, Set<String>>> places = new HashMap<>();
 
@@ -75,7 +75,7 @@
 
     // Machines
 
-    void machine(String name, StandInWorker.Kind kind) {
+    void machine(String name, FakeWorker.Kind kind) {
         machines.put(name, kind);
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** Why no task of the job may start on such a machine, given where its others are; null if one may. */
-    private String wrong(JobRequest request, StandInWorker.Kind kind) {
+    private String wrong(JobRequest request, FakeWorker.Kind kind) {
         if (kind.spot() && !request.spot()) {
             return "a spot machine";
         }
@@ -330,7 +330,7 @@
     }
 
     private boolean fits(JobRequest request, String machine) {
-        StandInWorker.Kind kind = machines.get(machine);
+        FakeWorker.Kind kind = machines.get(machine);
         return usedOn.getOrDefault(machine, 0.0) + request.cpus() <= kind.cpus() + 1e-6 && wrong(request, kind) == null;
     }
 
--- a/src/test/java/org/gullway/RuleCheckTest.java
+++ b/src/test/java/org/gullway/RuleCheckTest.java
@@ -6,10 +6,10 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Map;
+import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Rank;
 import org.gullway.protocol.Settings;
-import org.gullway.standin.StandInWorker;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -20,9 +20,9 @@
 
     @BeforeEach
     void machines() {
-        rules.machine("a1", new StandInWorker.Kind("small", "a", false, 16));
-        rules.machine("a2", new StandInWorker.Kind("large", "a", true, 32));
-        rules.machine("b1", new StandInWorker.Kind("small", "b", false, 16));
+        rules.machine("a1", new FakeWorker.Kind("small", "a", false, 16));
+        rules.machine("a2", new FakeWorker.Kind("large", "a", true, 32));
+        rules.machine("b1", new FakeWorker.Kind("small", "b", false, 16));
     }
 
     private static Instant at(int second) {
--- a/src/test/java/org/gullway/SharedOutageTest.java
+++ b/src/test/java/org/gullway/SharedOutageTest.java
@@ -8,8 +8,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import org.gullway.fake.SimulatedTime;
 import org.gullway.protocol.Rank;
-import org.gullway.standin.SimulatedTime;
 import org.gullway.transport.Client;
 import org.gullway.transport.Reply;
 
--- a/src/test/java/org/gullway/SimulatedDaysTest.java
+++ b/src/test/java/org/gullway/SimulatedDaysTest.java
@@ -97,7 +97,7 @@
         int troubles = 2 + random.nextInt(5);
         for (int i = 0; i < troubles; i++) {
             Duration span = Duration.ofMillis(500 + random.nextInt(30_000));
-            Trouble trouble = Trouble.values()[random.nextInt(Trouble.values().length)];
+            Fault trouble = Fault.values()[random.nextInt(Fault.values().length)];
             SplittableRandom own = random.split();
             world.after(Duration.ofMillis(10_000 + random.nextInt(120_000)), () -> trouble.strike(world, own, span));
         }
--- a/src/test/java/org/gullway/SimulatedWorld.java
+++ b/src/test/java/org/gullway/SimulatedWorld.java
@@ -15,6 +15,11 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.gullway.coordination.Keys;
+import org.gullway.fake.FakeCloud;
+import org.gullway.fake.FakeStateStore;
+import org.gullway.fake.FakeWorker;
+import org.gullway.fake.SimulatedNetwork;
+import org.gullway.fake.SimulatedTime;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
@@ -22,11 +27,6 @@
 import org.gullway.protocol.OperatorSettings;
 import org.gullway.protocol.Rank;
 import org.gullway.protocol.Settings;
-import org.gullway.standin.SimulatedNetwork;
-import org.gullway.standin.SimulatedTime;
-import org.gullway.standin.StandInCloud;
-import org.gullway.standin.StandInStore;
-import org.gullway.standin.StandInWorker;
 import org.gullway.transport.Client;
 import org.gullway.transport.Reply;
 
@@ -41,8 +41,8 @@
     final SimulatedTime time = new SimulatedTime();
     final SplittableRandom random;
     final SimulatedNetwork network;
-    final StandInStore store;
-    final StandInCloud cloud;
+    final FakeStateStore store;
+    final FakeCloud cloud;
     final RuleCheck rules;
     final StateRequests stateRequests = new StateRequests(time);
     final AnswerLog answers = new AnswerLog(time);
@@ -227,16 +227,16 @@
         broken = rules.broken;
         random = new SplittableRandom(seed);
         network = new SimulatedNetwork(time, random.split(), shape.trouble());
-        store = new StandInStore(world);
+        store = new FakeStateStore(world);
         List<MachineType> types = List.of(
                 new MachineType("small", 16, 0, 64, 50, 1, 1.0, 0.3, Duration.ofSeconds(6), List.of("a", "b")),
                 new MachineType("large", 32, 0, 256, 50, 1, 2.5, 0.9, Duration.ofSeconds(4), List.of("a", "b")));
         for (int i = 0; i < 3; i++) {
             addresses.put("perch-" + i, "10.0.0." + (i + 1) + ":8080");
         }
-        cloud = new StandInCloud(world, types, shape.capacity(), (name, kind) -> {
+        cloud = new FakeCloud(world, types, shape.capacity(), (name, kind) -> {
             String address = "10.1.0." + Integer.parseInt(name.substring(3)) + ":9000";
-            StandInWorker worker = new StandInWorker(
+            FakeWorker worker = new FakeWorker(
                     world,
                     network.client(name, world),
                     new Workers(),
@@ -258,12 +258,12 @@
     }
 
     private boolean isUp(String machine) {
-        StandInWorker worker = cloud.worker(machine);
+        FakeWorker worker = cloud.worker(machine);
         return worker != null && worker.alive() && !worker.hung();
     }
 
     /** The world as the workers see it. */
-    private final class Workers implements StandInWorker.World {
+    private final class Workers implements FakeWorker.World {
         @Override
         public JobRequest describe(String job) {
             User user = users.get(job);
@@ -325,9 +325,9 @@
                 LEASE,
                 CANCEL,
                 150,
-                StandInStore.CHANGES_PER_SECOND,
-                StandInStore.VALUE_BYTES,
-                StandInStore.CHANGES_PER_COMMIT,
+                FakeStateStore.CHANGES_PER_SECOND,
+                FakeStateStore.VALUE_BYTES,
+                FakeStateStore.CHANGES_PER_COMMIT,
                 10,
                 Duration.ofSeconds(3),
                 1000);
@@ -352,7 +352,7 @@
         for (String node : addresses.keySet()) {
             (zone(node).equals(zone) ? inside : outside).addAll(List.of(node, address(node), meshAddress(node)));
         }
-        for (StandInWorker worker : cloud.workers()) {
+        for (FakeWorker worker : cloud.workers()) {
             (worker.kind().zone().equals(zone) ? inside : outside).addAll(List.of(worker.name(), worker.address()));
         }
         for (String in : inside) {
--- a/src/test/java/org/gullway/StateRequests.java
+++ b/src/test/java/org/gullway/StateRequests.java
@@ -6,10 +6,10 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.gullway.fake.SimulatedNetwork;
+import org.gullway.fake.SimulatedTime;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.MalformedException;
-import org.gullway.standin.SimulatedNetwork;
-import org.gullway.standin.SimulatedTime;
 import org.gullway.transport.Call;
 
 /** Counts what each controller asks of the state service, and refuses what goes over the limit of requests. */
--- a/src/test/java/org/gullway/UserRequestFaultsTest.java
+++ b/src/test/java/org/gullway/UserRequestFaultsTest.java
@@ -1,8 +1,8 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.gullway.MeetingsTest.endsWell;
-import static org.gullway.MeetingsTest.seconds;
+import static org.gullway.FaultCombinationsTest.endsWell;
+import static org.gullway.FaultCombinationsTest.seconds;
 
 import java.time.Duration;
 import net.jqwik.api.ForAll;
--- a/src/test/java/org/gullway/bookkeeping/LedgerTest.java
+++ b/src/test/java/org/gullway/bookkeeping/LedgerTest.java
@@ -11,14 +11,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.Draft;
 import org.gullway.coordination.Incarnation;
 import org.gullway.coordination.Keys;
 import org.gullway.coordination.Membership;
 import org.gullway.coordination.Samples;
-import org.gullway.standin.SimulatedNetwork;
-import org.gullway.standin.SimulatedTime;
-import org.gullway.standin.StandInStore;
+import org.gullway.coordination.Transaction;
+import org.gullway.fake.FakeStateStore;
+import org.gullway.fake.SimulatedNetwork;
+import org.gullway.fake.SimulatedTime;
 import org.junit.jupiter.api.Test;
 
 class LedgerTest {
@@ -27,7 +27,7 @@
     private final SimulatedTime.Process process = time.process();
     private final SimulatedTime.Process own = time.process();
     private final SimulatedNetwork network = new SimulatedNetwork(time, new SplittableRandom(2), 0);
-    private final StandInStore store = new StandInStore(process);
+    private final FakeStateStore store = new FakeStateStore(process);
     private final ClusterView view = new ClusterView();
     private final List<String> calls = new ArrayList<>();
     private final Ledger ledger;
@@ -53,8 +53,8 @@
         time.runUntil(time.now().plusSeconds(seconds));
     }
 
-    private Draft draft() {
-        Draft draft = new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
+    private Transaction draft() {
+        Transaction draft = new Transaction(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
         draft.raiseEpoch();
         return draft;
     }
@@ -106,7 +106,7 @@
         for (int i = 0; i < 6000; i++) {
             test.time.runUntil(test.time.now().plusMillis(1));
             if (restarted.ready()) {
-                Draft draft = new Draft(another, next, Samples.LIMITS, Samples.DAY);
+                Transaction draft = new Transaction(another, next, Samples.LIMITS, Samples.DAY);
                 draft.raiseEpoch();
                 restarted.commit(draft, result -> {});
             }
@@ -122,7 +122,7 @@
         view.watchedTo(view.watched());
         for (int i = 0; i < 300 && view.leader() != null; i++) {
             if (ledger.ready()) {
-                Draft draft = draft();
+                Transaction draft = draft();
                 draft.rely(Keys.LEADER);
                 ledger.commit(draft, result -> {});
             }
--- a/src/test/java/org/gullway/bookkeeping/RecordCodecTest.java
+++ b/src/test/java/org/gullway/bookkeeping/RecordCodecTest.java
@@ -11,17 +11,17 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.gullway.coordination.AllotmentRecord;
 import org.gullway.coordination.ClosedMachines;
-import org.gullway.coordination.Draft;
 import org.gullway.coordination.GroupRecord;
 import org.gullway.coordination.Incarnation;
+import org.gullway.coordination.IntegerRanges;
 import org.gullway.coordination.JobRecord;
 import org.gullway.coordination.Keys;
 import org.gullway.coordination.MachineRecord;
 import org.gullway.coordination.Placement;
-import org.gullway.coordination.Ranges;
 import org.gullway.coordination.Samples;
-import org.gullway.coordination.ShareRecord;
+import org.gullway.coordination.Transaction;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.JobState;
@@ -37,7 +37,7 @@
     @Property(tries = 300, seed = "5")
     void jobsSurviveTheStoreAndKeepTheirBound(@ForAll long seed) throws MalformedException {
         SplittableRandom random = new SplittableRandom(seed);
-        Ranges done = Ranges.EMPTY;
+        IntegerRanges done = IntegerRanges.EMPTY;
         for (int i = random.nextInt(40); i > 0; i--) {
             done = done.with(random.nextInt(1000));
         }
@@ -101,7 +101,7 @@
                 text(random),
                 Instant.ofEpochMilli(1L << 43),
                 Instant.ofEpochMilli(1L << 43),
-                Ranges.EMPTY,
+                IntegerRanges.EMPTY,
                 Long.MAX_VALUE,
                 Integer.MAX_VALUE,
                 List.of());
@@ -136,16 +136,16 @@
                 "g-1",
                 incarnation,
                 7,
-                List.of(booting, booting.inSession(3, "10.1.0.1:9000"), booting.meant(MachineRecord.Fate.LOST)));
+                List.of(booting, booting.inSession(3, "10.1.0.1:9000"), booting.meant(MachineRecord.Disposition.LOST)));
         assertThat(through(Keys.group("g-1"), group)).isEqualTo(group);
-        ShareRecord share = ShareRecord.EMPTY.with("red", new ShareRecord.Amount(16.5, 2));
+        AllotmentRecord share = AllotmentRecord.EMPTY.with("red", new AllotmentRecord.Amount(16.5, 2));
         assertThat(through(Keys.LEADERS_SHARE, share)).isEqualTo(share);
         assertThat(through(Keys.LEADER, incarnation)).isEqualTo(incarnation);
         assertThat(through(Keys.member("perch-0"), incarnation)).isEqualTo(incarnation);
         assertThat(through(Keys.EPOCH, 41L)).isEqualTo(41L);
         assertThat(through(Keys.CLOSED, new ClosedMachines(Set.of("vm-1"))))
                 .isEqualTo(new ClosedMachines(Set.of("vm-1")));
-        Draft.Ended ended = new Draft.Ended(JobState.DONE, 4, 4);
+        Transaction.Ended ended = new Transaction.Ended(JobState.DONE, 4, 4);
         assertThat(RecordCodec.ended(RecordCodec.encode(ended))).isEqualTo(ended);
     }
 }
--- a/src/test/java/org/gullway/coordination/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/BestEffortQueueTest.java
@@ -15,13 +15,13 @@
 
 class BestEffortQueueTest {
     private final ClusterView view = Samples.view();
-    private final Urgency urgency =
-            new Urgency(List.of(new Settings.Objective("finished", "render", Duration.ofSeconds(80))));
-    private final IdleWork idle = new IdleWork(view, Samples.placing(), new JobPauses(), urgency, 0.5);
+    private final DeadlinePolicy urgency =
+            new DeadlinePolicy(List.of(new Settings.Objective("finished", "render", Duration.ofSeconds(80))));
+    private final IdleWork idle = new IdleWork(view, Samples.placing(), new JobBackoff(), urgency, 0.5);
     private final BestEffortQueue queue = new BestEffortQueue(
             view,
             Samples.placing(),
-            new JobPauses(),
+            new JobBackoff(),
             urgency,
             idle,
             "perch-0",
@@ -41,15 +41,15 @@
                 mark);
     }
 
-    private Draft draft() {
-        return new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
+    private Transaction draft() {
+        return new Transaction(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
     }
 
     @Test
     void teamsTakeEqualTurns() {
         accept("run-000001", "red", "perch-0", 9, 9, 11);
         accept("run-000002", "blue", "perch-0", 9, 1, 12);
-        Draft draft = draft();
+        Transaction draft = draft();
         queue.propose(draft, () -> List.of(machine), Instant.EPOCH);
         assertThat(draft.job("run-000001").live()).hasSize(2);
         assertThat(draft.job("run-000002").live()).hasSize(2);
@@ -59,7 +59,7 @@
     void aTeamWithinItsGuaranteeGoesFirst() {
         accept("run-000001", "red", "perch-0", 9, 9, 11);
         accept("run-000002", "blue", "perch-0", 4, 1, 12);
-        Draft draft = draft();
+        Transaction draft = draft();
         queue.propose(draft, () -> List.of(machine), Instant.EPOCH);
         assertThat(draft.job("run-000001").live()).isEmpty();
         assertThat(draft.job("run-000002").live()).hasSize(4);
@@ -76,7 +76,7 @@
                 "vm-9");
         view.put(Keys.job("run-000001"), begun.ended(Map.of(begun.live().get(0), JobRecord.End.DONE)), 11);
         accept("run-000002", "red", "perch-0", 4, 5, 12);
-        Draft draft = draft();
+        Transaction draft = draft();
         queue.propose(draft, () -> List.of(machine), Instant.EPOCH);
         assertThat(draft.job("run-000002").live()).hasSize(4);
         assertThat(draft.job("run-000001").live()).isEmpty();
@@ -87,7 +87,7 @@
     void aJobThatHasWaitedLongBeginsWithOneTask() {
         accept("run-000001", "red", "perch-0", 4, 110, 11);
         accept("run-000002", "red", "perch-0", 4, 5, 12);
-        Draft draft = draft();
+        Transaction draft = draft();
         queue.propose(draft, () -> List.of(machine), Instant.EPOCH);
         assertThat(draft.job("run-000001").live()).hasSize(1);
         assertThat(draft.job("run-000002").live()).hasSize(3);
@@ -106,7 +106,7 @@
                         Samples.DAY.minusSeconds(160)),
                 13);
         accept("run-000002", "blue", "perch-0", 8, 5, 14);
-        Draft draft = draft();
+        Transaction draft = draft();
         queue.propose(draft, () -> List.of(machine), Instant.EPOCH);
         assertThat(draft.job("run-000001").live())
                 .extracting(Placement::machine)
@@ -137,7 +137,7 @@
                 13);
         EndedAttempts ended = new EndedAttempts(view);
         ended.add(AttemptId.of(small, small.live().get(0)), JobRecord.End.DONE, Instant.EPOCH);
-        Draft draft = draft();
+        Transaction draft = draft();
         ended.credit(draft);
         queue.propose(draft, () -> List.of(machine, view.machine("vm-2")), Instant.EPOCH);
         assertThat(draft.job("run-000001").live())
@@ -159,12 +159,12 @@
                 Samples.SELF,
                 1,
                 1,
-                MachineRecord.Fate.STAYS,
+                MachineRecord.Disposition.STAYS,
                 other.rented());
         Samples.put(view, far, 11);
         JobRequest r = Samples.request("run-000001", "red", Rank.NORMAL, 8, 4);
         view.put(Keys.job(r.id()), JobRecord.accepted(zones(r, true, false), "perch-0", Samples.DAY), 12);
-        Draft draft = draft();
+        Transaction draft = draft();
         queue.propose(draft, () -> List.of(machine, far), Instant.EPOCH);
         assertThat(draft.job(r.id()).live()).as("in one zone").hasSize(4);
         assertThat(draft.job(r.id()).live().stream().map(Placement::machine).distinct())
@@ -210,7 +210,7 @@
     void nothingStartsOnAClosedMachine() {
         view.put(Keys.CLOSED, new ClosedMachines(java.util.Set.of("vm-1")), 20);
         accept("run-000001", "red", "perch-0", 4, 5, 11);
-        Draft draft = draft();
+        Transaction draft = draft();
         queue.propose(draft, () -> List.of(machine), Instant.EPOCH);
         assertThat(draft.isEmpty()).isTrue();
     }
@@ -218,7 +218,7 @@
     @Test
     void roomThatFitsNothingHereIsOfferedToAPeerAndUsedThere() {
         accept("run-000001", "red", "perch-1", 2, 5, 11);
-        Draft draft = draft();
+        Transaction draft = draft();
         List<BestEffortQueue.Outgoing> offers = queue.propose(draft, () -> List.of(machine), Instant.EPOCH);
         assertThat(draft.isEmpty()).isTrue();
         assertThat(offers)
@@ -228,14 +228,14 @@
         BestEffortQueue peer = new BestEffortQueue(
                 view,
                 Samples.placing(),
-                new JobPauses(),
+                new JobBackoff(),
                 urgency,
                 idle,
                 "perch-1",
                 Duration.ofSeconds(3),
                 new SplittableRandom(2));
         peer.offered(offers.get(0).offers(), Instant.EPOCH);
-        Draft there = new Draft(view, Samples.PEER, Samples.LIMITS, Samples.DAY);
+        Transaction there = new Transaction(view, Samples.PEER, Samples.LIMITS, Samples.DAY);
         peer.propose(there, List::of, Instant.EPOCH);
         assertThat(there.job("run-000001").live()).hasSize(2);
         assertThat(there.guards()).contains(Keys.member("perch-1"), Keys.job("run-000001"));
@@ -252,7 +252,7 @@
     @Test
     void idleWorkTakesOnlyWhatIsLeftOver() {
         acceptIdle("run-000001", 9, 11);
-        Draft draft = draft();
+        Transaction draft = draft();
         queue.propose(draft, () -> List.of(machine), Instant.EPOCH);
         assertThat(draft.job("run-000001").live()).as("nobody else waits").hasSize(4);
 
@@ -280,7 +280,7 @@
         JobRecord normal =
                 JobRecord.accepted(Samples.request("run-000002", "red", Rank.NORMAL, 1, 4), "perch-1", Samples.DAY);
         view.put(Keys.job("run-000002"), Samples.placed(normal, Samples.DAY, "vm-1"), 13);
-        Draft draft = draft();
+        Transaction draft = draft();
         idle.propose(draft, Instant.EPOCH);
         assertThat(draft.isEmpty()).as("nobody waits").isTrue();
         accept("run-000003", "red", "perch-1", 2, 5, 14);
--- a/src/test/java/org/gullway/coordination/CancellationHorizonTest.java
+++ b/src/test/java/org/gullway/coordination/CancellationWatermarkTest.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class CancellationHorizonTest {
+class CancellationWatermarkTest {
     private static final Instant STORE = Instant.ofEpochSecond(100);
     private static final Incarnation THIRD = new Incarnation("perch-2", 19);
 
     private final ClusterView view = Samples.view();
-    private final CancellationHorizon horizon = new CancellationHorizon(view, List.of("perch-1", "perch-2"));
+    private final CancellationWatermark horizon = new CancellationWatermark(view, List.of("perch-1", "perch-2"));
 
-    CancellationHorizonTest() {
+    CancellationWatermarkTest() {
         view.put(Keys.member("perch-2"), THIRD, 9);
     }
 
@@ -51,6 +51,6 @@
 
     @Test
     void aControllerAloneKnowsWhatTheStoreSays() {
-        assertThat(new CancellationHorizon(view, List.of()).until(STORE)).isEqualTo(STORE);
+        assertThat(new CancellationWatermark(view, List.of()).until(STORE)).isEqualTo(STORE);
     }
 }
--- a/src/test/java/org/gullway/coordination/RangesTest.java
+++ b/src/test/java/org/gullway/coordination/IntegerRangesTest.java
@@ -11,10 +11,10 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class RangesTest {
+class IntegerRangesTest {
     @Property(tries = 500, seed = "4")
     void behaveLikeASet(@ForAll @Size(max = 60) List<@IntRange(min = 0, max = 40) Integer> numbers) {
-        Ranges ranges = Ranges.EMPTY;
+        IntegerRanges ranges = IntegerRanges.EMPTY;
         TreeSet<Integer> set = new TreeSet<>();
         for (int number : numbers) {
             ranges = ranges.with(number);
@@ -29,13 +29,13 @@
         for (int i = 0; i <= 41; i++) {
             assertThat(ranges.contains(i)).isEqualTo(set.contains(i));
         }
-        assertThat(Ranges.of(ranges.bounds())).isEqualTo(ranges);
+        assertThat(IntegerRanges.of(ranges.bounds())).isEqualTo(ranges);
     }
 
     @Test
     void refuseBoundsOutOfOrder() {
-        assertThatThrownBy(() -> Ranges.of(0, 3, 4, 5)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> Ranges.of(3, 2)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> Ranges.of(3)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> IntegerRanges.of(0, 3, 4, 5)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> IntegerRanges.of(3, 2)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> IntegerRanges.of(3)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/org/gullway/coordination/LeaseKeeperTest.java
+++ b/src/test/java/org/gullway/coordination/LeaseRenewalPolicyTest.java
@@ -15,9 +15,9 @@
 import org.gullway.protocol.WorkerReport;
 import org.junit.jupiter.api.Test;
 
-class LeaseKeeperTest {
+class LeaseRenewalPolicyTest {
     private final ClusterView view = Samples.view();
-    private final LeaseKeeper leases = new LeaseKeeper(
+    private final LeaseRenewalPolicy leases = new LeaseRenewalPolicy(
             view,
             Samples.SELF,
             new CancelledTasks(view, Duration.ofSeconds(40)),
@@ -25,7 +25,7 @@
             Duration.ofSeconds(20));
     private Instant now = Instant.EPOCH;
 
-    LeaseKeeperTest() {
+    LeaseRenewalPolicyTest() {
         Samples.put(view, Samples.machine("vm-1", "large", Samples.SELF), 10);
         Samples.put(view, Samples.machine("vm-2", "large", Samples.PEER), 11);
     }
@@ -71,7 +71,7 @@
     void refusesUnknownMachinesOtherSessionsAndMachinesGivenUp() {
         assertThat(leases.keeps(report("vm-9", 1, 1), now)).isFalse();
         assertThat(leases.keeps(report("vm-2", 2, 1), now)).isFalse();
-        Samples.put(view, Samples.machine("vm-2", "large", Samples.PEER).meant(MachineRecord.Fate.LOST), 12);
+        Samples.put(view, Samples.machine("vm-2", "large", Samples.PEER).meant(MachineRecord.Disposition.LOST), 12);
         assertThat(leases.keeps(report("vm-2", 1, 1), now)).isFalse();
     }
 
--- a/src/test/java/org/gullway/coordination/MachineControlTest.java
+++ b/src/test/java/org/gullway/coordination/MachineControlTest.java
@@ -41,8 +41,8 @@
                 "vm-1", "10.1.0.1:9000", "large", "a", true, session, ++sequence, token, notice, List.of(tasks));
     }
 
-    private Draft propose() {
-        Draft draft = new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
+    private Transaction propose() {
+        Transaction draft = new Transaction(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
         control.pushes(now);
         control.propose(draft, now);
         ended.finish(draft);
@@ -124,10 +124,10 @@
         Samples.put(view, Samples.machine("vm-2", "large", Samples.PEER), 61);
         view.remove(Keys.member("perch-1"), 62);
         view.watchedTo(62);
-        Draft small = new Draft(view, Samples.SELF, new Draft.Limits(3, 16 * 1024), Samples.DAY);
+        Transaction small = new Transaction(view, Samples.SELF, new Transaction.Limits(3, 16 * 1024), Samples.DAY);
         control.propose(small, now);
         Samples.commit(view, small, ++revision);
-        Draft second = propose();
+        Transaction second = propose();
         assertThat(view.epoch()).isEqualTo(2);
         assertThat(second.guards()).as("the lost one has not come back").contains(Keys.member("perch-1"), Keys.EPOCH);
         assertThat(List.of(view.machine("vm-1"), view.machine("vm-2"))).allSatisfy(machine -> {
@@ -175,8 +175,8 @@
             assertThat(control.ready(now)).extracting(MachineRecord::name).doesNotContain("vm-1");
             propose();
         }
-        assertThat(view.machine("vm-1").fate()).isEqualTo(MachineRecord.Fate.LOST);
-        assertThat(view.machine("vm-2").fate()).isEqualTo(MachineRecord.Fate.STAYS);
+        assertThat(view.machine("vm-1").fate()).isEqualTo(MachineRecord.Disposition.LOST);
+        assertThat(view.machine("vm-2").fate()).isEqualTo(MachineRecord.Disposition.STAYS);
         assertThat(view.job("run-000001").live())
                 .as("its task moves only when the machine is gone")
                 .hasSize(1);
@@ -275,7 +275,7 @@
         assertThat(view.job("run-000001").live().get(0).stopping()).isTrue();
         now = now.plusSeconds(6);
         propose();
-        assertThat(view.machine("vm-1").fate()).isEqualTo(MachineRecord.Fate.LOST);
+        assertThat(view.machine("vm-1").fate()).isEqualTo(MachineRecord.Disposition.LOST);
     }
 
     /** Pushes may be lost while reports and their answers get through, and the machine may be another's. */
@@ -312,15 +312,15 @@
         control.entitled(false, now);
         control.entitled(true, now);
         propose();
-        assertThat(view.machine("vm-1").fate()).isEqualTo(MachineRecord.Fate.STAYS);
+        assertThat(view.machine("vm-1").fate()).isEqualTo(MachineRecord.Disposition.STAYS);
         view.put(Keys.job(request.id()), view.job(request.id()).cancel(Samples.DAY.minusSeconds(31)), ++revision);
         propose();
         assertThat(view.machine("vm-1").fate())
                 .as("the first cancellation counts")
-                .isEqualTo(MachineRecord.Fate.STAYS);
-        Draft later = new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY.plusSeconds(2));
+                .isEqualTo(MachineRecord.Disposition.STAYS);
+        Transaction later = new Transaction(view, Samples.SELF, Samples.LIMITS, Samples.DAY.plusSeconds(2));
         control.propose(later, now);
-        assertThat(later.machine("vm-1").fate()).isEqualTo(MachineRecord.Fate.LOST);
+        assertThat(later.machine("vm-1").fate()).isEqualTo(MachineRecord.Disposition.LOST);
     }
 
     /** Its end is seen here, only the record is late: no reason to return the machine. */
@@ -332,9 +332,9 @@
         view.put(Keys.job(request.id()), view.job(request.id()).cancel(Samples.DAY.minusSeconds(35)), ++revision);
         view.watchedTo(revision);
         control.report(report(1, 1, null, new TaskReport(TASK, 1, Phase.ENDED, Cause.STOPPED, false)), now);
-        Draft draft = new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
+        Transaction draft = new Transaction(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
         control.propose(draft, now);
-        assertThat(draft.machine("vm-1").fate()).isEqualTo(MachineRecord.Fate.STAYS);
+        assertThat(draft.machine("vm-1").fate()).isEqualTo(MachineRecord.Disposition.STAYS);
     }
 
     /** Two jobs with a mistake fail on all machines; two others that fail on one machine alone show that it is faulty. */
@@ -360,13 +360,13 @@
             fail("vm-" + m, m - 1, "run-000001", "run-000002");
         }
         propose();
-        assertThat(view.machines()).extracting(MachineRecord::fate).containsOnly(MachineRecord.Fate.STAYS);
+        assertThat(view.machines()).extracting(MachineRecord::fate).containsOnly(MachineRecord.Disposition.STAYS);
         // Their users cancel them; what was found out stays.
         view.remove(Keys.job("run-000001"), ++revision);
         view.remove(Keys.job("run-000002"), ++revision);
         view.watchedTo(revision);
         propose();
-        assertThat(view.machines()).extracting(MachineRecord::fate).containsOnly(MachineRecord.Fate.STAYS);
+        assertThat(view.machines()).extracting(MachineRecord::fate).containsOnly(MachineRecord.Disposition.STAYS);
         for (int j = 3; j <= 4; j++) {
             String id = "run-00000" + j;
             view.put(
@@ -380,8 +380,8 @@
         view.watchedTo(revision);
         fail("vm-2", 0, "run-000003", "run-000004");
         propose();
-        assertThat(view.machine("vm-2").fate()).isEqualTo(MachineRecord.Fate.LEAVING);
-        assertThat(view.machine("vm-1").fate()).isEqualTo(MachineRecord.Fate.STAYS);
+        assertThat(view.machine("vm-2").fate()).isEqualTo(MachineRecord.Disposition.LEAVING);
+        assertThat(view.machine("vm-1").fate()).isEqualTo(MachineRecord.Disposition.STAYS);
     }
 
     private void reportUnchanged(String machine) {
--- a/src/test/java/org/gullway/coordination/PlacingTest.java
+++ b/src/test/java/org/gullway/coordination/PlacementConstraintsTest.java
@@ -10,11 +10,11 @@
 import org.gullway.protocol.Settings;
 import org.junit.jupiter.api.Test;
 
-class PlacingTest {
-    private final Placing placing = new Placing(
+class PlacementConstraintsTest {
+    private final PlacementConstraints placing = new PlacementConstraints(
             Map.of("red", new Settings.Team("red", 16, 32, 0, 0), "guest", new Settings.Team("guest", 0, 0, 0, 0)));
 
-    PlacingTest() {
+    PlacementConstraintsTest() {
         placing.learn(List.of(Samples.type("small", 16), Samples.type("large", 32)));
     }
 
@@ -48,13 +48,13 @@
         view.watchedTo(4);
         long revision = 4;
         for (Incarnation each : List.of(Samples.SELF, Samples.PEER)) {
-            Draft draft = new Draft(view, each, Samples.LIMITS, Samples.DAY);
-            new Shares(view, placing, each.node(), List.of(Samples.SELF.node(), Samples.PEER.node()))
+            Transaction draft = new Transaction(view, each, Samples.LIMITS, Samples.DAY);
+            new QuotaAllotments(view, placing, each.node(), List.of(Samples.SELF.node(), Samples.PEER.node()))
                     .propose(draft, false, true, Instant.EPOCH);
             Samples.commit(view, draft, ++revision);
         }
         for (String id : List.of("run-000001", "run-000002")) {
-            Draft draft = new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
+            Transaction draft = new Transaction(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
             assertThat(placing.withinShare(view.job(id), draft)).isGreaterThanOrEqualTo(25_000);
         }
     }
--- a/src/test/java/org/gullway/coordination/RepairTest.java
+++ b/src/test/java/org/gullway/coordination/ReconciliationTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.protocol.Rank;
 
-class RepairTest {
+class ReconciliationTest {
     private static final Incarnation THIRD = new Incarnation("perch-2", 19);
 
     private final ClusterView view = Samples.view();
@@ -29,11 +29,11 @@
     }
 
     private void repair(int seed, int rounds) {
-        Repair repair = new Repair(view, Samples.placing(), "perch-0", new SplittableRandom(seed));
+        Reconciliation repair = new Reconciliation(view, Samples.placing(), "perch-0", new SplittableRandom(seed));
         Instant now = Instant.EPOCH;
         for (int i = 0; i < rounds; i++) {
             now = now.plusSeconds(1);
-            Draft draft = new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
+            Transaction draft = new Transaction(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
             repair.propose(draft, true, now);
             Samples.commit(view, draft, ++revision);
         }
@@ -41,7 +41,7 @@
 
     private double cap(String node) {
         return view.shares()
-                .getOrDefault(Keys.share(node), ShareRecord.EMPTY)
+                .getOrDefault(Keys.share(node), AllotmentRecord.EMPTY)
                 .of("red")
                 .cpus();
     }
@@ -55,9 +55,12 @@
             @ForAll @IntRange(min = 0, max = 8) int first, @ForAll @IntRange(max = 1000) int seed) {
         view.put(Keys.member("perch-2"), THIRD, ++revision);
         Samples.put(view, Samples.machine("vm-1", "large", Samples.SELF), ++revision);
-        view.put(Keys.share("perch-9"), ShareRecord.EMPTY.with("red", new ShareRecord.Amount(24, 0)), ++revision);
+        view.put(
+                Keys.share("perch-9"),
+                AllotmentRecord.EMPTY.with("red", new AllotmentRecord.Amount(24, 0)),
+                ++revision);
         for (String node : java.util.List.of("perch-0", "perch-1", "perch-2")) {
-            view.put(Keys.share(node), ShareRecord.EMPTY, ++revision);
+            view.put(Keys.share(node), AllotmentRecord.EMPTY, ++revision);
         }
         job("run-000001", first);
         job("run-000002", 8 - first);
@@ -90,8 +93,8 @@
         assertThat(sum).isLessThanOrEqualTo(24);
     }
 
-    private void repairAt(Repair repair, int second) {
-        Draft draft = new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
+    private void repairAt(Reconciliation repair, int second) {
+        Transaction draft = new Transaction(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
         repair.propose(draft, false, Instant.EPOCH.plusSeconds(second));
         Samples.commit(view, draft, ++revision);
     }
@@ -108,7 +111,7 @@
             String machine = i % 4 == 0 ? "vm-2" : "vm-1";
             view.put(Keys.job(job.request().id()), Samples.placed(job, Samples.DAY, machine, machine), ++revision);
         }
-        Repair repair = new Repair(view, Samples.placing(), "perch-0", new SplittableRandom(1));
+        Reconciliation repair = new Reconciliation(view, Samples.placing(), "perch-0", new SplittableRandom(1));
         repairAt(repair, 1);
         assertThat(repair.checkedPlacements()).isEqualTo(80);
         for (int second = 2; second < 50; second++) {
--- a/src/test/java/org/gullway/coordination/ReservedBookingTest.java
+++ b/src/test/java/org/gullway/coordination/ReservedBookingTest.java
@@ -9,10 +9,10 @@
 class ReservedBookingTest {
     private final ClusterView view = Samples.view();
     private final ReservedBooking booking =
-            new ReservedBooking(view, Samples.placing(), new JobPauses(), new Urgency(java.util.List.of()));
+            new ReservedBooking(view, Samples.placing(), new JobBackoff(), new DeadlinePolicy(java.util.List.of()));
 
-    private Draft draft() {
-        return new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
+    private Transaction draft() {
+        return new Transaction(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
     }
 
     private void accept(String id, String team, Rank rank, int tasks, double cpus, long mark) {
@@ -27,7 +27,7 @@
         Samples.put(view, Samples.machine("vm-1", "large", Samples.SELF), 10);
         Samples.put(view, Samples.machine("vm-2", "small", Samples.PEER), 11);
         accept("run-000001", "red", Rank.HIGH, 1, 4, 12);
-        Draft draft = draft();
+        Transaction draft = draft();
         booking.propose(draft, Instant.EPOCH);
         assertThat(draft.job("run-000001").live())
                 .extracting(Placement::machine)
@@ -42,7 +42,7 @@
         JobRecord first = JobRecord.accepted(Samples.request("run-000009", "red", Rank.HIGH, 2, 4), null, Samples.DAY);
         view.put(Keys.job("run-000009"), Samples.placed(first, Samples.DAY, "vm-1"), 12);
         accept("run-000001", "red", Rank.HIGH, 1, 4, 13);
-        Draft draft = draft();
+        Transaction draft = draft();
         booking.propose(draft, Instant.EPOCH);
         assertThat(draft.job("run-000001").live())
                 .extracting(Placement::machine)
@@ -54,7 +54,7 @@
         Samples.put(view, Samples.machine("vm-1", "large", Samples.SELF), 10);
         Samples.put(view, Samples.machine("vm-2", "large", Samples.SELF), 11);
         accept("run-000001", "red", Rank.HIGH, 20, 4, 12);
-        Draft draft = draft();
+        Transaction draft = draft();
         booking.propose(draft, Instant.EPOCH);
         assertThat(draft.job("run-000001").live()).hasSize(8);
         assertThat(draft.changes()).doesNotContainKey(Keys.CLOSED);
@@ -64,7 +64,7 @@
     void closesMachinesWhileReservedWorkWaits() {
         Samples.put(view, Samples.machine("vm-1", "small", Samples.SELF), 10);
         accept("run-000001", "red", Rank.HIGH, 6, 4, 12);
-        Draft draft = draft();
+        Transaction draft = draft();
         booking.propose(draft, Instant.EPOCH);
         assertThat(draft.job("run-000001").live()).hasSize(4);
         assertThat(draft.changes()).containsEntry(Keys.CLOSED, new ClosedMachines(java.util.Set.of("vm-1")));
@@ -82,7 +82,7 @@
                         "perch-1",
                         Samples.DAY.minusSeconds(160)),
                 12);
-        Draft draft = draft();
+        Transaction draft = draft();
         booking.propose(draft, Instant.EPOCH);
         assertThat(draft.changes()).containsEntry(Keys.CLOSED, new ClosedMachines(java.util.Set.of("vm-2")));
     }
@@ -92,11 +92,11 @@
     void leavesAJobAloneThatTheSameRoundCancelled() {
         Samples.put(view, Samples.machine("vm-1", "large", Samples.SELF), 10);
         accept("run-000001", "red", Rank.HIGH, 2, 4, 12);
-        Draft draft = draft();
+        Transaction draft = draft();
         draft.putJob(view.job("run-000001").cancel(Samples.DAY));
         booking.propose(draft, Instant.EPOCH);
         assertThat(draft.job("run-000001")).isNull();
-        assertThat(draft.changes().get(Keys.ended("run-000001"))).isInstanceOf(Draft.Ended.class);
+        assertThat(draft.changes().get(Keys.ended("run-000001"))).isInstanceOf(Transaction.Ended.class);
     }
 
     @Test
@@ -113,7 +113,7 @@
         view.put(Keys.job("run-000008"), old, 12);
         view.put(Keys.job("run-000009"), wide, 13);
         accept("run-000001", "red", Rank.HIGH, 1, 4, 14);
-        Draft draft = draft();
+        Transaction draft = draft();
         booking.propose(draft, Instant.EPOCH);
         assertThat(draft.job("run-000008").live())
                 .extracting(Placement::stopping)
@@ -124,7 +124,7 @@
         assertThat(draft.changes()).containsEntry(Keys.CLOSED, new ClosedMachines(java.util.Set.of("vm-1")));
 
         Samples.commit(view, draft, 20);
-        Draft next = draft();
+        Transaction next = draft();
         booking.propose(next, Instant.EPOCH.plusSeconds(1));
         assertThat(next.isEmpty())
                 .as("one waiting task has only one stopped for it")
--- a/src/test/java/org/gullway/coordination/Samples.java
+++ b/src/test/java/org/gullway/coordination/Samples.java
@@ -14,11 +14,11 @@
     public static final Incarnation SELF = new Incarnation("perch-0", 17);
     public static final Incarnation PEER = new Incarnation("perch-1", 18);
     /** perch-1 is beside this one, perch-2 in another zone. */
-    public static final Neighbours NEIGHBOURS =
-            new Neighbours(Map.of("perch-1", "a", "perch-2", "b"), Duration.ofSeconds(40));
+    public static final PeerZones NEIGHBOURS =
+            new PeerZones(Map.of("perch-1", "a", "perch-2", "b"), Duration.ofSeconds(40));
 
     public static final Instant DAY = Instant.parse("2026-11-20T06:00:00Z");
-    public static final Draft.Limits LIMITS = new Draft.Limits(24, 16 * 1024);
+    public static final Transaction.Limits LIMITS = new Transaction.Limits(24, 16 * 1024);
 
     private Samples() {}
 
@@ -46,8 +46,8 @@
                 null);
     }
 
-    public static Placing placing() {
-        Placing placing = new Placing(Map.of(
+    public static PlacementConstraints placing() {
+        PlacementConstraints placing = new PlacementConstraints(Map.of(
                 "red", new Settings.Team("red", 16, 32, 0, 0),
                 "blue", new Settings.Team("blue", 16, 64, 0, 0)));
         placing.learn(List.of(type("small", 16), type("large", 32)));
@@ -88,9 +88,9 @@
         view.put(Keys.member(PEER.node()), PEER, 2);
         view.put(Keys.LEADER, SELF, 3);
         view.put(Keys.EPOCH, 1L, 4);
-        ShareRecord all = ShareRecord.EMPTY
-                .with("red", new ShareRecord.Amount(32, 0))
-                .with("blue", new ShareRecord.Amount(64, 0));
+        AllotmentRecord all = AllotmentRecord.EMPTY
+                .with("red", new AllotmentRecord.Amount(32, 0))
+                .with("blue", new AllotmentRecord.Amount(64, 0));
         view.put(Keys.LEADERS_SHARE, all, 5);
         view.put(Keys.share(SELF.node()), all, 6);
         view.put(Keys.share(PEER.node()), all, 7);
@@ -99,7 +99,7 @@
     }
 
     /** Applies a draft as if the store had committed it. */
-    public static void commit(ClusterView view, Draft draft, long revision) {
+    public static void commit(ClusterView view, Transaction draft, long revision) {
         draft.changes().forEach((key, value) -> {
             if (value == null) {
                 view.remove(key, revision);
--- a/src/test/java/org/gullway/coordination/SilentMachinesTest.java
+++ b/src/test/java/org/gullway/coordination/SilentMachinesTest.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.gullway.coordination.MachineRecord.Fate;
+import org.gullway.coordination.MachineRecord.Disposition;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Rank;
 import org.gullway.protocol.WorkerReport;
@@ -40,7 +40,7 @@
                         Samples.SELF,
                         1,
                         1,
-                        Fate.STAYS,
+                        Disposition.STAYS,
                         machine.rented()),
                 ++revision);
         workers.put(name, new Worker(now, at -> {}));
@@ -61,13 +61,13 @@
         for (int i = 0; i < seconds; i++) {
             now = now.plusSeconds(1);
             hear(heard);
-            Draft draft = new Draft(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
+            Transaction draft = new Transaction(view, Samples.SELF, Samples.LIMITS, Samples.DAY);
             silent.propose(draft, now);
             Samples.commit(view, draft, ++revision);
         }
     }
 
-    private Fate fate(String name) {
+    private Disposition fate(String name) {
         return view.machine(name).fate();
     }
 
@@ -77,14 +77,14 @@
         machine("vm-1", "a");
         machine("vm-2", "a");
         pass(7, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(Fate.STAYS);
+        assertThat(fate("vm-2")).isEqualTo(Disposition.STAYS);
         pass(1, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(Fate.SILENT);
+        assertThat(fate("vm-2")).isEqualTo(Disposition.SILENT);
         assertThat(view.machine("vm-2").takesTasks()).isFalse();
         pass(1, "vm-1", "vm-2");
-        assertThat(fate("vm-2")).isEqualTo(Fate.STAYS);
+        assertThat(fate("vm-2")).isEqualTo(Disposition.STAYS);
         pass(13, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(Fate.LOST);
+        assertThat(fate("vm-2")).isEqualTo(Disposition.LOST);
     }
 
     @Test
@@ -92,9 +92,9 @@
         machine("vm-1", "a");
         machine("vm-2", "a");
         pass(27);
-        assertThat(List.of(fate("vm-1"), fate("vm-2"))).containsOnly(Fate.SILENT);
+        assertThat(List.of(fate("vm-1"), fate("vm-2"))).containsOnly(Disposition.SILENT);
         pass(2);
-        assertThat(List.of(fate("vm-1"), fate("vm-2"))).containsOnly(Fate.LOST);
+        assertThat(List.of(fate("vm-1"), fate("vm-2"))).containsOnly(Disposition.LOST);
     }
 
     /** perch-2 is the only controller of zone b and not a member: it may keep the work there alive. */
@@ -104,9 +104,9 @@
         machine("vm-2", "b");
         machine("vm-3", "b");
         pass(50, "vm-1");
-        assertThat(List.of(fate("vm-2"), fate("vm-3"))).containsOnly(Fate.SILENT);
+        assertThat(List.of(fate("vm-2"), fate("vm-3"))).containsOnly(Disposition.SILENT);
         pass(4, "vm-1");
-        assertThat(List.of(fate("vm-2"), fate("vm-3"))).as("not for ever").containsOnly(Fate.LOST);
+        assertThat(List.of(fate("vm-2"), fate("vm-3"))).as("not for ever").containsOnly(Disposition.LOST);
     }
 
     @Test
@@ -114,7 +114,7 @@
         machine("vm-2", "b");
         machine("vm-3", "b");
         pass(14, "vm-2");
-        assertThat(fate("vm-3")).isEqualTo(Fate.LOST);
+        assertThat(fate("vm-3")).isEqualTo(Disposition.LOST);
     }
 
     /** Groups of the controller that is cut off are taken over at the same time; nothing is heard of those either. */
@@ -125,7 +125,7 @@
         pass(8, "vm-1");
         machine("vm-3", "b");
         pass(7, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(Fate.SILENT);
+        assertThat(fate("vm-2")).isEqualTo(Disposition.SILENT);
     }
 
     @Test
@@ -134,7 +134,7 @@
         machine("vm-1", "a");
         machine("vm-3", "b");
         pass(14, "vm-1");
-        assertThat(fate("vm-3")).isEqualTo(Fate.LOST);
+        assertThat(fate("vm-3")).isEqualTo(Disposition.LOST);
     }
 
     /** Its tasks must be gone in time, and only the cloud can end them there. */
@@ -150,8 +150,8 @@
                         .cancel(Samples.DAY),
                 ++revision);
         pass(14, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(Fate.SILENT);
-        assertThat(fate("vm-3")).isEqualTo(Fate.LOST);
+        assertThat(fate("vm-2")).isEqualTo(Disposition.SILENT);
+        assertThat(fate("vm-3")).isEqualTo(Disposition.LOST);
     }
 
     /** A controller that was not entitled has refused reports: it has to listen again first. */
@@ -163,9 +163,9 @@
         pass(20);
         silent.entitled(true, now);
         pass(7, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(Fate.STAYS);
+        assertThat(fate("vm-2")).isEqualTo(Disposition.STAYS);
         pass(4, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(Fate.SILENT);
+        assertThat(fate("vm-2")).isEqualTo(Disposition.SILENT);
     }
 
     /** Its commands are answered, so it is not silent; but no lease is renewed, and all that is placed there is lost. */
@@ -176,22 +176,22 @@
         pass(8, "vm-1", "vm-2");
         workers.get("vm-2").takeAnswer(report("vm-2", 1), now);
         pass(1, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(Fate.STAYS);
+        assertThat(fate("vm-2")).isEqualTo(Disposition.STAYS);
         workers.get("vm-2").takeAnswer(report("vm-2", 2), now);
         pass(1, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(Fate.SILENT);
+        assertThat(fate("vm-2")).isEqualTo(Disposition.SILENT);
         workers.get("vm-2").takeAnswer(report("vm-2", 2), now);
         pass(1, "vm-1");
         assertThat(fate("vm-2"))
                 .as("answers do not show that it reaches anybody")
-                .isEqualTo(Fate.SILENT);
+                .isEqualTo(Disposition.SILENT);
         workers.get("vm-2")
                 .take(new WorkerReport("vm-2", "10.1.0.1:9000", "large", "a", false, 1, 1, 1, null, List.of()), now);
         pass(1, "vm-1");
-        assertThat(fate("vm-2")).as("nor does an old copy").isEqualTo(Fate.SILENT);
+        assertThat(fate("vm-2")).as("nor does an old copy").isEqualTo(Disposition.SILENT);
         workers.get("vm-2").take(report("vm-2", 2), now);
         pass(1, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(Fate.STAYS);
+        assertThat(fate("vm-2")).isEqualTo(Disposition.STAYS);
     }
 
     private WorkerReport report(String name, long session) {
--- a/src/test/java/org/gullway/standin/StandInCloud.java
+++ b/src/test/java/org/gullway/fake/FakeCloud.java
@@ -1,4 +1,4 @@
-package org.gullway.standin;
+package org.gullway.fake;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -17,19 +17,19 @@
 import org.gullway.transport.EventLoop;
 
 /** The cloud as its protocol describes it: rents machines, whose workers come up after their boot time. */
-public final class StandInCloud {
+public final class FakeCloud {
     /** Brings up the worker of a machine. */
     @FunctionalInterface
     public interface Boot {
-        StandInWorker start(String name, StandInWorker.Kind kind);
+        FakeWorker start(String name, FakeWorker.Kind kind);
     }
 
     private static final class Machine {
-        private final StandInWorker.Kind kind;
+        private final FakeWorker.Kind kind;
         private final Instant rented;
-        private StandInWorker worker;
+        private FakeWorker worker;
 
-        Machine(StandInWorker.Kind kind, Instant rented) {
+        Machine(FakeWorker.Kind kind, Instant rented) {
             this.kind = kind;
             this.rented = rented;
         }
@@ -45,14 +45,14 @@
     private Duration longestBoot = Duration.ofDays(1);
 
     /** @param capacity machines of each type, zone and kind */
-    public StandInCloud(EventLoop loop, List<MachineType> types, int capacity, Boot boot) {
+    public FakeCloud(EventLoop loop, List<MachineType> types, int capacity, Boot boot) {
         this.loop = loop;
         this.types = types;
         this.capacity = capacity;
         this.boot = boot;
     }
 
-    public List<StandInWorker> workers() {
+    public List<FakeWorker> workers() {
         return machines.values().stream()
                 .map(m -> m.worker)
                 .filter(w -> w != null && w.alive())
@@ -60,7 +60,7 @@
     }
 
     /** The worker of this machine, or null. */
-    public StandInWorker worker(String name) {
+    public FakeWorker worker(String name) {
         Machine machine = machines.get(name);
         return machine == null ? null : machine.worker;
     }
@@ -79,7 +79,7 @@
     }
 
     /** The cloud takes a spot machine back. */
-    public void take(StandInWorker worker) {
+    public void take(FakeWorker worker) {
         worker.die();
         machines.remove(worker.name());
     }
@@ -131,7 +131,7 @@
                     .filter(t -> t.name().equals(body.path("breed").asText()))
                     .findFirst()
                     .orElseThrow();
-            StandInWorker.Kind kind = new StandInWorker.Kind(
+            FakeWorker.Kind kind = new FakeWorker.Kind(
                     type.name(),
                     body.path("shore").asText(),
                     body.path("driftwood").asBoolean(),
--- a/src/test/java/org/gullway/standin/StandInStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -1,4 +1,4 @@
-package org.gullway.standin;
+package org.gullway.fake;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -21,7 +21,7 @@
 import org.gullway.transport.EventLoop;
 
 /** The state service as its protocol describes it, in memory. */
-public final class StandInStore {
+public final class FakeStateStore {
     private record Entry(JsonNode value, long mark, long lease) {}
 
     private record Event(String key, JsonNode value, long mark) {}
@@ -111,7 +111,7 @@
     public static final int CHANGES_PER_COMMIT = 24;
     public static final int VALUE_BYTES = 16 * 1024;
 
-    public StandInStore(EventLoop loop) {
+    public FakeStateStore(EventLoop loop) {
         this.loop = loop;
         this.tokens = CHANGES_PER_SECOND;
         this.tokensAt = loop.now();
--- a/src/test/java/org/gullway/standin/StandInWorker.java
+++ b/src/test/java/org/gullway/fake/FakeWorker.java
@@ -1,4 +1,4 @@
-package org.gullway.standin;
+package org.gullway.fake;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -19,7 +19,7 @@
 import org.gullway.transport.Reply;
 
 /** A worker as its protocol describes it; its tasks only let time pass. */
-public final class StandInWorker {
+public final class FakeWorker {
     /** What the world around tells a worker and wants to know from it. */
     public interface World {
         /** The description that users have uploaded, or null. */
@@ -90,7 +90,7 @@
     private final List<Runnable> whenItGoesOn = new ArrayList<>();
     private Runnable nextReport = () -> {};
 
-    public StandInWorker(
+    public FakeWorker(
             EventLoop loop,
             Client client,
             World world,
--- a/src/test/java/org/gullway/standin/StandInsTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -1,4 +1,4 @@
-package org.gullway.standin;
+package org.gullway.fake;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The troubles of the stand-ins are those of the protocol: schedules that use them rely on it. */
-class StandInsTest {
+class FakesTest {
     private static final String STATE = "10.2.0.1:2379";
     private static final String MACHINE = "10.1.0.7:9000";
     private static final String CONTROLLER = "10.0.0.1:8080";
@@ -25,14 +25,14 @@
     private final SimulatedTime time = new SimulatedTime();
     private final SimulatedTime.Process loop = time.process();
     private final SimulatedNetwork network = new SimulatedNetwork(time, new SplittableRandom(3), 0);
-    private final StandInStore store = new StandInStore(loop);
+    private final FakeStateStore store = new FakeStateStore(loop);
     private final Client one = network.client("perch-0", loop);
     private final Client two = network.client("perch-1", loop);
     private final List<String> events = new ArrayList<>();
     private int reports;
     private long token = 1;
 
-    StandInsTest() {
+    FakesTest() {
         network.listen(STATE, loop, store::handle);
     }
 
@@ -134,7 +134,7 @@
     }
 
     /** Every job has tasks of a minute, whose begin and end are noted. */
-    private final class MinuteTasks implements StandInWorker.World {
+    private final class MinuteTasks implements FakeWorker.World {
         @Override
         public JobRequest describe(String job) {
             return new JobRequest(
@@ -178,19 +178,19 @@
     }
 
     /** A worker with one task of a minute, whose reports are answered under the present token. */
-    private StandInWorker working() {
+    private FakeWorker working() {
         network.listen(CONTROLLER, loop, call -> {
             reports++;
             call.answer(200, Cbor.encode(Cbor.map().put("baton", token)));
         });
-        StandInWorker worker = new StandInWorker(
+        FakeWorker worker = new FakeWorker(
                 loop,
                 network.client("vm-000007", loop),
                 new MinuteTasks(),
                 new SplittableRandom(1),
                 "vm-000007",
                 MACHINE,
-                new StandInWorker.Kind("small", "a", true, 16),
+                new FakeWorker.Kind("small", "a", true, 16),
                 Map.of("perch-0", CONTROLLER),
                 Duration.ofSeconds(3),
                 LEASE);
@@ -214,7 +214,7 @@
 
     @Test
     void aMachineThatHangsWithinItsLeaseGoesOnWithItsTasksAndThenWithItsCommands() {
-        StandInWorker worker = working();
+        FakeWorker worker = working();
         worker.hang(Duration.ofSeconds(12));
         int before = reports;
         List<Integer> start = command(1, "start", "run-000001/1");
@@ -236,7 +236,7 @@
 
     @Test
     void aMachineThatHangsBeyondItsLeaseFirstEndsItsTasks() {
-        StandInWorker worker = working();
+        FakeWorker worker = working();
         worker.hang(Duration.ofSeconds(25));
         List<Integer> start = command(1, "start", "run-000001/1");
         run(24);
--- a/src/test/java/org/gullway/standin/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/fake/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package org.gullway.standin;
+package org.gullway.fake;
 
 import java.time.Duration;
 import java.util.ArrayList;
