--- a/src/main/java/org/gullway/Controller.java
+++ b/src/main/java/org/gullway/Controller.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.random.RandomGenerator;
 import org.gullway.bookkeeping.Ledger;
 import org.gullway.bookkeeping.StateStore;
 import org.gullway.coordination.BestEffortQueue;
@@ -111,27 +112,8 @@
         this.repair = new Reconciliation(view, placing, self.node(), random.split());
         this.shares = new QuotaAllotments(view, placing, self.node(), allNodes(settings));
         this.fleet = new FleetAutoscaler(view, placing, fleetPolicy(operator));
-        this.cloud = new CloudProvisioner(
-                loop,
-                http,
-                settings.cloudAddress(),
-                settings.cloudRequestsPerSecond(),
-                view,
-                placing,
-                fleet,
-                self,
-                timeOfDay,
-                this::schedule);
-        this.users = new UserApi(
-                loop,
-                view,
-                ledger,
-                placing,
-                random.split(),
-                metrics,
-                4 * settings.stateChangesPerCommit(),
-                cancelled,
-                this::schedule);
+        this.cloud = newCloudProvisioner(settings, http);
+        this.users = newUserApi(settings, random.split());
         this.commands = new CommandSender(loop, http, machines, cancelled, metrics, this::schedule);
         this.peers = new PeerExchange(
                 loop,
@@ -154,6 +136,33 @@
         addSteps();
     }
 
+    private CloudProvisioner newCloudProvisioner(Settings settings, Client http) {
+        return new CloudProvisioner(
+                loop,
+                http,
+                settings.cloudAddress(),
+                settings.cloudRequestsPerSecond(),
+                view,
+                placing,
+                fleet,
+                self,
+                timeOfDay,
+                this::schedule);
+    }
+
+    private UserApi newUserApi(Settings settings, RandomGenerator random) {
+        return new UserApi(
+                loop,
+                view,
+                ledger,
+                placing,
+                random,
+                metrics,
+                4 * settings.stateChangesPerCommit(),
+                cancelled,
+                this::schedule);
+    }
+
     private Ledger newLedger(Settings settings, Client http, Membership membership) {
         return new Ledger(
                 loop,
