--- a/src/main/java/org/gullway/transport/HttpServer.java
+++ b/src/main/java/org/gullway/transport/HttpServer.java
@@ -20,7 +20,9 @@
 import org.xnio.ChannelListeners;
 import org.xnio.OptionMap;
 import org.xnio.Options;
+import org.xnio.StreamConnection;
 import org.xnio.XnioWorker;
+import org.xnio.channels.AcceptingChannel;
 
 /** Listens on one address and hands whole requests to a handler on the event loop. */
 public final class HttpServer {
@@ -104,8 +106,15 @@
 
     private HttpServer() {}
 
-    /** @param sockets what connections may take of the process's sockets */
-    public static void start(
+    /**
+     * Begins to listen.
+     *
+     * @param sockets what connections may take of the process's sockets
+     * @param address host and port; for port 0 the system chooses one
+     * @return host and port that it listens on
+     * @throws UncheckedIOException if the address cannot be listened on
+     */
+    public static String start(
             XnioWorker worker,
             ByteBufferPool buffers,
             Sockets sockets,
@@ -130,8 +139,11 @@
                 .set(Options.CONNECTION_LOW_WATER, sockets.mostAccepted() - 1)
                 .getMap();
         try {
-            worker.createStreamConnectionServer(where, ChannelListeners.openListenerAdapter(listener), socketOptions)
-                    .resumeAccepts();
+            AcceptingChannel<StreamConnection> channel = worker.createStreamConnectionServer(
+                    where, ChannelListeners.openListenerAdapter(listener), socketOptions);
+            channel.resumeAccepts();
+            int port = channel.getLocalAddress(InetSocketAddress.class).getPort();
+            return address.substring(0, colon + 1) + port;
         } catch (IOException e) {
             throw new UncheckedIOException("cannot listen on " + address, e);
         }
--- a/src/test/java/org/gullway/LoopbackAddresses.java
+++ b/src/test/java/org/gullway/LoopbackAddresses.java
@@ -1,32 +1,19 @@
 package org.gullway;
 
-import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Free addresses on loopback. */
+/** Hosts on loopback for servers of tests. */
 final class LoopbackAddresses {
-    private static final int TRIES = 20;
-
     private LoopbackAddresses() {}
 
-    /**
-     * An address of its own in the loopback range with a port that the system chose. No outgoing connection takes the
-     * port meanwhile, since those come from 127.0.0.1.
-     */
-    static String free() {
+    /** A host of its own in the loopback range; no outgoing connection takes its ports, since those come from 127.0.0.1. */
+    static String host() {
         ThreadLocalRandom random = ThreadLocalRandom.current();
-        IOException last = null;
-        for (int i = 0; i < TRIES; i++) {
-            String host = "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + "." + random.nextInt(1, 255);
-            try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(host))) {
-                return host + ":" + socket.getLocalPort();
-            } catch (IOException e) {
-                last = e;
-            }
-        }
-        throw new UncheckedIOException("no free address on loopback", last);
+        return "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + "." + random.nextInt(1, 255);
+    }
+
+    /** The address at which a server listens on a port that the system chooses when it begins to listen. */
+    static String anyPort() {
+        return host() + ":0";
     }
 }
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -10,7 +10,6 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.Deque;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -112,11 +111,11 @@
     private final DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192);
     private final Sockets sockets = new Sockets(SOCKETS);
     private final SplittableRandom random;
+    private final List<HeldAddress> held = new ArrayList<>();
     private final Map<String, String> publicAddresses = new LinkedHashMap<>();
     private final Map<String, String> meshAddresses = new LinkedHashMap<>();
     private final Map<String, Process> processes = new ConcurrentSkipListMap<>();
-    private final Map<String, Consumer<Call>> handlers = new HashMap<>();
-    private final Deque<String> spareServers = new ArrayDeque<>();
+    private final Deque<SpareServer> spareServers = new ArrayDeque<>();
     /** Starts and signals processes, which takes long beside what the event loop does. */
     private final ExecutorService starter = Executors.newSingleThreadExecutor();
 
@@ -141,13 +140,25 @@
         this.client = new HttpClient(ioLoop, buffers, sockets, Set.of());
         this.store = new FakeStateStore(loop);
         for (int i = 0; i < 3; i++) {
-            publicAddresses.put("perch-" + i, LoopbackAddresses.free());
-            meshAddresses.put("perch-" + i, LoopbackAddresses.free());
+            publicAddresses.put("perch-" + i, hold());
+            meshAddresses.put("perch-" + i, hold());
         }
         Runtime.getRuntime().addShutdownHook(atShutdown);
         this.cloud = new FakeCloud(loop, types(), setup.capacity(), (name, kind) -> boot(name, kind, machines));
     }
 
+    /** A server that listens, for a machine that is still to come. */
+    private static final class SpareServer {
+        private String address;
+        private Consumer<Call> handler = call -> call.answer(404, new byte[0]);
+    }
+
+    private String hold() {
+        HeldAddress address = HeldAddress.hold();
+        held.add(address);
+        return address.toString();
+    }
+
     /** Is told of every machine that is up, and says what its worker knows of the world. */
     interface MachineListener {
         FakeWorker.World up(String name, FakeWorker.Kind kind);
@@ -160,28 +171,27 @@
     }
 
     private FakeWorker boot(String name, FakeWorker.Kind kind, MachineListener machines) {
-        String address = spareServers.isEmpty() ? listenLater() : spareServers.remove();
+        SpareServer server = spareServers.isEmpty() ? newServer() : spareServers.remove();
         FakeWorker machine = new FakeWorker(
                 loop,
                 link(name + ">controllers").client(client),
                 machines.up(name, kind),
                 random.split(),
                 name,
-                address,
+                server.address,
                 kind,
                 publicAddresses,
                 setup.report(),
                 setup.lease());
-        handlers.put(address, link("controllers>" + name).server("", machine::handle));
+        server.handler = link("controllers>" + name).server("", machine::handle);
         return machine;
     }
 
     /** A server whose handler comes later; to start one takes this process a while. */
-    private String listenLater() {
-        String address = LoopbackAddresses.free();
-        listen(address, call -> handlers.getOrDefault(address, c -> c.answer(404, new byte[0]))
-                .accept(call));
-        return address;
+    private SpareServer newServer() {
+        SpareServer server = new SpareServer();
+        server.address = listen(call -> server.handler.accept(call));
+        return server;
     }
 
     /** What users reach the controllers with. */
@@ -193,28 +203,27 @@
         return links.computeIfAbsent(name, n -> new FaultyLink(loop, random.split()));
     }
 
-    private void listen(String address, Consumer<Call> handler) {
-        HttpServer.start(worker, buffers, sockets, address, BODY_LIMIT, handler::accept);
+    /** Starts a server and returns the address that it got. */
+    private String listen(Consumer<Call> handler) {
+        return HttpServer.start(worker, buffers, sockets, LoopbackAddresses.anyPort(), BODY_LIMIT, handler::accept);
     }
 
-    /** Starts everything. */
+    /** Starts everything; fails if a server of a stand-in cannot listen. */
     void start() {
         for (int i = 0; i < setup.spareServers(); i++) {
-            spareServers.add(listenLater());
+            spareServers.add(newServer());
         }
         write(
                 OPERATOR_SETTINGS,
                 "<gullway><membership-lease-s>" + setup.membership().toSeconds() + "</membership-lease-s></gullway>");
         for (String name : nodes()) {
-            String state = LoopbackAddresses.free();
-            String cloudAddress = LoopbackAddresses.free();
-            listen(state, link(name + ">state").server(name, store::handle));
-            listen(cloudAddress, link(name + ">cloud").server(name, cloud::handle));
+            String state = listen(link(name + ">state").server(name, store::handle));
+            String cloudAddress = listen(link(name + ">cloud").server(name, cloud::handle));
             List<String> seeds = new ArrayList<>();
             for (String peer : nodes()) {
                 if (!peer.equals(name)) {
-                    String address = LoopbackAddresses.free();
-                    listen(address, link(name + ">" + peer).forwarder(meshAddresses.get(peer), client, PEER_LIMIT));
+                    String address =
+                            listen(link(name + ">" + peer).forwarder(meshAddresses.get(peer), client, PEER_LIMIT));
                     seeds.add(seed(peer, address));
                 }
             }
@@ -350,7 +359,8 @@
 
     private void exited(String name, Process process) {
         if (processes.remove(name, process)) {
-            ended.accept(name + " ended by itself, with code " + process.exitValue());
+            ended.accept(
+                    name + " ended by itself, with code " + process.exitValue() + ", its last line: " + lastLine(name));
         }
     }
 
@@ -412,6 +422,20 @@
         });
     }
 
+    private String lastLine(String name) {
+        try {
+            List<String> lines = Files.readAllLines(log(name));
+            return lines.isEmpty() ? "none" : lines.get(lines.size() - 1);
+        } catch (IOException e) {
+            return "unreadable: " + e.getMessage();
+        }
+    }
+
+    /** The address at which peers reach the controller of this name. */
+    String meshAddress(String name) {
+        return meshAddresses.get(name);
+    }
+
     private Path log(String name) {
         return directory.resolve(name + ".log");
     }
@@ -454,6 +478,7 @@
                 process.waitFor(PATIENCE.toSeconds(), TimeUnit.SECONDS);
             }
             worker.shutdownNow();
+            held.forEach(HeldAddress::close);
             try (Stream<Path> files = Files.walk(directory)) {
                 for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(file);
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -9,6 +9,7 @@
 import java.util.TreeSet;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import java.util.regex.Matcher;
@@ -93,28 +94,36 @@
     private Duration longestStall = Duration.ZERO;
     private int jobs;
     private boolean submitting = true;
+    private final Consumer<LoopbackCluster> beforeStart;
+    private final CountDownLatch over = new CountDownLatch(1);
 
-    private SoakRun(long seed, Length length) {
+    private SoakRun(long seed, Length length, Consumer<LoopbackCluster> beforeStart) {
         this.seed = seed;
         this.length = length;
+        this.beforeStart = beforeStart;
         this.random = new SplittableRandom(seed);
         this.faults = FaultSchedule.of(seed, START, START.plus(length.faults()), BETWEEN_FAULTS);
     }
 
     /** Plays one run. */
     static Outcome play(long seed, Length length) throws IOException, InterruptedException {
-        return new SoakRun(seed, length).play();
+        return play(seed, length, cluster -> {});
+    }
+
+    /** Plays one run; the action comes before anything is started. */
+    static Outcome play(long seed, Length length, Consumer<LoopbackCluster> beforeStart)
+            throws IOException, InterruptedException {
+        return new SoakRun(seed, length, beforeStart).play();
     }
 
     private Outcome play() throws IOException, InterruptedException {
-        CountDownLatch over = new CountDownLatch(1);
         try (LoopbackCluster played = new LoopbackCluster(
-                seed, LoopbackCluster.Setup.small(), end -> rules.broken.add("process: " + end), (name, kind) -> {
+                seed, LoopbackCluster.Setup.small(), end -> endWith("process: " + end), (name, kind) -> {
                     rules.machine(name, kind);
                     return users;
                 })) {
             cluster = played;
-            cluster.loop.execute(() -> begin(over));
+            cluster.loop.execute(this::beginOrEnd);
             Duration whole =
                     START.plus(length.faults()).plus(length.afterwards()).plus(LAST_QUESTIONS);
             if (!over.await(whole.plusSeconds(60).toSeconds(), TimeUnit.SECONDS)) {
@@ -124,7 +133,21 @@
         }
     }
 
-    private void begin(CountDownLatch over) {
+    /** What can no longer go well ends at once, with its cause. */
+    private void endWith(String cause) {
+        rules.broken.add(cause);
+        over.countDown();
+    }
+
+    private void beginOrEnd() {
+        try {
+            begin();
+        } catch (RuntimeException e) {
+            endWith("the run could not start: " + e);
+        }
+    }
+
+    private void begin() {
         users = new Users(cluster.loop, cluster.userClient(), rules, random.split(), cluster.userAddresses());
         users.recordIn(history);
         users.whenNews(user -> {
@@ -137,6 +160,7 @@
                 user.cancel();
             }
         });
+        beforeStart.accept(cluster);
         cluster.start();
         // Before that no lease can end.
         cluster.loop.after(START, this::tick);
