--- /dev/null
+++ b/src/test/java/org/gullway/golden/GoldenFile.java
@@ -0,0 +1,84 @@
+package org.gullway.golden;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HexFormat;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * Bytes that an earlier version wrote, by name, one line each in hexadecimal. With the system property
+ * {@code golden.record} a missing entry is added instead of failing; an entry that is there is never changed.
+ */
+public final class GoldenFile {
+    private static final Path DIRECTORY = Path.of("src/test/resources/golden");
+
+    private final Path path;
+    private final Map<String, byte[]> entries = new TreeMap<>();
+
+    private GoldenFile(Path path) {
+        this.path = path;
+    }
+
+    /** The file of this name among the test resources. */
+    public static GoldenFile of(String name) {
+        GoldenFile file = new GoldenFile(DIRECTORY.resolve(name + ".txt"));
+        file.read();
+        return file;
+    }
+
+    private void read() {
+        if (!Files.exists(path)) {
+            return;
+        }
+        try {
+            for (String line : Files.readAllLines(path)) {
+                int space = line.indexOf(' ');
+                entries.put(line.substring(0, space), HexFormat.of().parseHex(line, space + 1, line.length()));
+            }
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    /** The golden bytes of this name. */
+    public byte[] bytes(String name) {
+        assertThat(entries).as("golden entries").containsKey(name);
+        return entries.get(name).clone();
+    }
+
+    /** Fails unless these are the golden bytes of this name. */
+    public void check(String name, byte[] actual) {
+        if (Boolean.getBoolean("golden.record") && !entries.containsKey(name)) {
+            entries.put(name, actual);
+            write();
+        }
+        assertThat(HexFormat.of().formatHex(actual))
+                .as(name)
+                .isEqualTo(HexFormat.of().formatHex(bytes(name)));
+    }
+
+    /** Fails unless this text is the golden entry of this name. */
+    public void checkText(String name, String actual) {
+        check(name, actual.getBytes(StandardCharsets.UTF_8));
+    }
+
+    private void write() {
+        StringBuilder text = new StringBuilder();
+        entries.forEach((name, bytes) -> text.append(name)
+                .append(' ')
+                .append(HexFormat.of().formatHex(bytes))
+                .append('\n'));
+        try {
+            Files.createDirectories(DIRECTORY);
+            Files.writeString(path, text);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -0,0 +1,345 @@
+package org.gullway.protocol;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.gullway.golden.GoldenFile;
+import org.junit.jupiter.api.Test;
+
+/** Messages of users, workers, the cloud and peers, and both settings files, are read and written as before. */
+class GoldenMessagesTest {
+    private static final GoldenFile GOLDEN = GoldenFile.of("messages");
+    private static final Path RESOURCES = Path.of("src/test/resources/golden");
+
+    private static String line(Object... values) {
+        return Stream.of(values).map(String::valueOf).collect(Collectors.joining("|"));
+    }
+
+    // Users
+
+    private static JobRequest request(JobRequest.Shape shape, Rank rank, boolean optional) {
+        return new JobRequest(
+                "run-000412",
+                "render",
+                "red",
+                shape,
+                rank,
+                300,
+                1.5,
+                optional ? 2 : 0,
+                6.25,
+                "img-1",
+                0.5,
+                optional ? List.of("small", "large") : null,
+                optional ? "b" : null,
+                !optional,
+                optional,
+                optional,
+                Duration.ofMillis(12_500),
+                optional ? Duration.ofSeconds(20) : Duration.ZERO,
+                optional ? Duration.ofMillis(1500) : Duration.ZERO,
+                optional ? Duration.ofMinutes(2) : null);
+    }
+
+    @Test
+    void submissionsKeepTheirBytes() throws MalformedException {
+        for (JobRequest.Shape shape : JobRequest.Shape.values()) {
+            for (Rank rank : Rank.values()) {
+                for (boolean optional : new boolean[] {false, true}) {
+                    String name =
+                            "submission-" + shape.ordinal() + "-" + rank.ordinal() + (optional ? "-all" : "-least");
+                    JobRequest request = request(shape, rank, optional);
+                    GOLDEN.check(name, Cbor.encode(request.toNode()));
+                    JobRequest read = JobRequest.parse(Cbor.decode(GOLDEN.bytes(name)));
+                    assertThat(read).isEqualTo(request);
+                    assertThat(Cbor.encode(read.toNode())).isEqualTo(GOLDEN.bytes(name));
+                }
+            }
+        }
+    }
+
+    @Test
+    void statesKeepTheirBytes() throws MalformedException {
+        for (JobState state : JobState.values()) {
+            GOLDEN.check("status-" + state.wire(), Cbor.encode(new JobStatus("run-000412", state, 3, 2).toNode()));
+            assertThat(JobState.of(state.wire())).isEqualTo(state);
+        }
+    }
+
+    // Workers
+
+    private static ObjectNode report(Long warningSeconds) {
+        ObjectNode node = Cbor.map()
+                .put("perch", "vm-000001")
+                .put("endpoint", "10.1.0.1:9000")
+                .put("breed", "small")
+                .put("shore", "a")
+                .put("driftwood", true)
+                .put("flight", 3)
+                .put("tally", 4_294_967_300L)
+                .put("baton", 9);
+        if (warningSeconds == null) {
+            node.putNull("warning_s");
+        } else {
+            node.put("warning_s", warningSeconds.doubleValue());
+        }
+        return node;
+    }
+
+    private static void leg(ArrayNode legs, String state, String cause, Boolean stored) {
+        ObjectNode leg = legs.addObject()
+                .put("leg", "run-000412/" + legs.size())
+                .put("launch", 30 + legs.size())
+                .put("tide", state);
+        if (cause != null) {
+            leg.put("cause", cause);
+        }
+        if (stored != null) {
+            leg.put("stored", stored);
+        }
+    }
+
+    private static String text(WorkerReport read) {
+        List<String> lines = new ArrayList<>();
+        lines.add(line(
+                read.machine(),
+                read.address(),
+                read.type(),
+                read.zone(),
+                read.spot(),
+                read.session(),
+                read.sequence(),
+                read.token(),
+                read.notice()));
+        for (TaskReport task : read.tasks()) {
+            lines.add(line(
+                    task.task().job(),
+                    task.task().index(),
+                    task.attempt(),
+                    task.phase().ordinal(),
+                    task.cause() == null ? "none" : task.cause().ordinal(),
+                    task.saved(),
+                    task.ended()));
+        }
+        return String.join("\n", lines);
+    }
+
+    @Test
+    void reportsAreReadAsBefore() throws MalformedException {
+        ObjectNode full = report(30L);
+        ArrayNode legs = full.putArray("legs");
+        for (String state : List.of("fetching", "gathering", "running", "saving", "later")) {
+            leg(legs, state, null, null);
+        }
+        for (String cause : List.of("done", "halted", "error", "full", "busy", "no_such", "later")) {
+            leg(legs, "ended", cause, true);
+        }
+        leg(legs, "ended", null, false);
+        checkReport("report-full", full);
+        checkReport("report-without-tasks", report(null));
+    }
+
+    private static void checkReport(String name, ObjectNode node) throws MalformedException {
+        GOLDEN.check(name, Cbor.encode(node));
+        GOLDEN.checkText(name + ".read", text(WorkerReport.parse(GOLDEN.bytes(name), machine -> null)));
+    }
+
+    @Test
+    void commandsKeepTheirBytes() {
+        TaskId task = new TaskId("run-000412", 3);
+        List<Command> commands = List.of(
+                Command.start(task, 31),
+                Command.stop(task, 30, Duration.ofMillis(4500)),
+                Command.stop(task, 29, Duration.ZERO),
+                Command.forget(task, 28));
+        GOLDEN.check("report-answer", Command.response(9, commands));
+        GOLDEN.check("report-answer-empty", Command.response(9, List.of()));
+        GOLDEN.check("report-answer-cached", new ReportResponses().encode(9, List.of()));
+        GOLDEN.check("direct-command", Command.direct(9, 3, commands));
+        GOLDEN.check("redirect", Command.redirect("perch-2"));
+        GOLDEN.check("redirect-anywhere", Command.redirect(null));
+    }
+
+    // Cloud
+
+    @Test
+    void requestsToTheCloudKeepTheirBytes() {
+        GOLDEN.check("rental", CloudMessages.rental("perch-0-1z-4", "small", "a", true, 17));
+        GOLDEN.check("return", CloudMessages.giveBack(List.of("vm-000001", "vm-000002")));
+    }
+
+    @Test
+    void answersOfTheCloudAreReadAsBefore() throws MalformedException {
+        ObjectNode types = Cbor.map();
+        ArrayNode breeds = types.putArray("breeds");
+        ObjectNode full = breeds.addObject()
+                .put("name", "small")
+                .put("cpus", 16)
+                .put("cards", 2.0)
+                .put("mem_gb", 64.5)
+                .put("local_gb", 50)
+                .put("pull_gb_per_s", 1.25)
+                .put("price", 0.96)
+                .put("low_price", 0.29)
+                .put("startup_s", 50.0);
+        full.putArray("shores").add("a").add("b");
+        ObjectNode least = full.deepCopy();
+        least.remove(List.of("cards", "shores"));
+        breeds.add(least);
+        GOLDEN.check("types", Cbor.encode(types));
+        List<String> lines = new ArrayList<>();
+        for (MachineType type : CloudMessages.types(GOLDEN.bytes("types"))) {
+            lines.add(line(
+                    type.name(),
+                    type.cpus(),
+                    type.cards(),
+                    type.memoryGb(),
+                    type.cacheGb(),
+                    type.fetchGbPerSecond(),
+                    type.price(),
+                    type.spotPrice(),
+                    type.boot(),
+                    type.zones()));
+        }
+        GOLDEN.checkText("types.read", String.join("\n", lines));
+        ObjectNode rented = Cbor.map();
+        rented.putArray("perches").add("vm-000001").add("vm-000002");
+        GOLDEN.check("rented", Cbor.encode(rented));
+        GOLDEN.checkText("rented.read", line(CloudMessages.rented(GOLDEN.bytes("rented"))));
+    }
+
+    @Test
+    void pagesOfMachinesAreReadAsBefore() throws MalformedException {
+        ObjectNode page = Cbor.map();
+        ArrayNode perches = page.putArray("perches");
+        for (String state : List.of("booting", "up", "failed")) {
+            perches.addObject()
+                    .put("name_id", "vm-" + state)
+                    .put("endpoint", "10.1.0.1:9000")
+                    .put("breed", "small")
+                    .put("shore", "a")
+                    .put("driftwood", perches.size() == 1)
+                    .put("tide", state)
+                    .put("held_s", 12.5);
+        }
+        ((ObjectNode) perches.get(0)).remove("endpoint");
+        page.put("more", true);
+        GOLDEN.check("page", Cbor.encode(page));
+        CloudMessages.Page read = CloudMessages.page(GOLDEN.bytes("page"));
+        List<String> lines = new ArrayList<>(List.of(line(read.more())));
+        for (CloudMessages.Listed machine : read.machines()) {
+            lines.add(line(
+                    machine.name(),
+                    machine.address(),
+                    machine.type(),
+                    machine.zone(),
+                    machine.spot(),
+                    machine.failed(),
+                    machine.booting(),
+                    machine.age()));
+        }
+        GOLDEN.checkText("page.read", String.join("\n", lines));
+    }
+
+    // Peers
+
+    @Test
+    void offersKeepTheirBytes() throws MalformedException {
+        List<Offer> offers =
+                List.of(new Offer("vm-000001", 3, List.of()), new Offer("vm-000002", 4, List.of("perch-0", "perch-2")));
+        GOLDEN.check("offers", Offer.encode(offers));
+        GOLDEN.check("offers-none", Offer.encode(List.of()));
+        assertThat(Offer.decode(GOLDEN.bytes("offers"))).isEqualTo(offers);
+        assertThat(Offer.encode(Offer.decode(GOLDEN.bytes("offers")))).isEqualTo(GOLDEN.bytes("offers"));
+    }
+
+    @Test
+    void endsKeepTheirBytes() throws MalformedException {
+        List<EndNotice> ends = List.of(
+                new EndNotice(new TaskId("run-000412", 3), 31, (byte) 0),
+                new EndNotice(new TaskId("run-000412", 299), 4_294_967_300L, (byte) 1),
+                new EndNotice(new TaskId("run-000413", 0), 1, (byte) 2));
+        GOLDEN.check("ends", EndNotice.encode(ends));
+        assertThat(EndNotice.decode(GOLDEN.bytes("ends"))).isEqualTo(ends);
+        assertThat(EndNotice.encode(EndNotice.decode(GOLDEN.bytes("ends")))).isEqualTo(GOLDEN.bytes("ends"));
+    }
+
+    @Test
+    void cancellationsKeepTheirBytes() throws MalformedException {
+        List<String> known = List.of("run-000412", "run-000001");
+        GOLDEN.check("cancellations-known", Cancellations.encodeKnown(known));
+        assertThat(Cancellations.decodeKnown(GOLDEN.bytes("cancellations-known")))
+                .isEqualTo(new LinkedHashSet<>(known));
+        List<Cancellations.Job> jobs = List.of(
+                new Cancellations.Job("run-000412", 1_763_618_400_123L, List.of()),
+                new Cancellations.Job(
+                        "run-000001",
+                        1_763_618_400_124L,
+                        List.of(
+                                new Cancellations.Attempt(3, 31, "vm-000001", 3),
+                                new Cancellations.Attempt(4, 4_294_967_300L, "vm-000002", 4))));
+        GOLDEN.check("cancellations", Cancellations.encode("perch-2", 7_654_321_098_765L, jobs));
+        Cancellations read = Cancellations.decode(GOLDEN.bytes("cancellations"));
+        assertThat(read).isEqualTo(new Cancellations("perch-2", 7_654_321_098_765L, true, jobs));
+        assertThat(Cancellations.encode(read.node(), read.number(), read.jobs()))
+                .isEqualTo(GOLDEN.bytes("cancellations"));
+    }
+
+    // Settings
+
+    @Test
+    void thePlatformsSettingsAreReadAsBefore() throws MalformedException {
+        Settings read = Settings.read(RESOURCES.resolve("settings.toml"));
+        List<String> lines = new ArrayList<>();
+        lines.add(line(
+                read.nodeName(),
+                read.zone(),
+                read.publicAddress(),
+                read.meshAddress(),
+                read.cloudAddress(),
+                read.stateAddress(),
+                read.reportInterval(),
+                read.workerLease(),
+                read.cancelLimit(),
+                read.stateRequestsPerSecond(),
+                read.stateChangesPerSecond(),
+                read.stateValueBytes(),
+                read.stateChangesPerCommit(),
+                read.cloudRequestsPerSecond(),
+                read.cloudListLag(),
+                read.sockets()));
+        read.peers().forEach(peer -> lines.add(line(peer.name(), peer.zone(), peer.address())));
+        new TreeMap<>(read.teams())
+                .values()
+                .forEach(team -> lines.add(line(
+                        team.name(),
+                        team.cpus(),
+                        team.cpusMax(),
+                        team.cards(),
+                        team.cardsMax(),
+                        team.cpusLimit(),
+                        team.cardsLimit())));
+        read.objectives().forEach(aim -> lines.add(line(aim.kind(), aim.jobClass(), aim.within())));
+        GOLDEN.checkText("settings.read", String.join("\n", lines));
+    }
+
+    private static String text(OperatorSettings read) {
+        return line(
+                read.membershipLease(), read.spareShare(), read.idleReturn(), read.bootPatience(), read.logInterval());
+    }
+
+    @Test
+    void operatorsSettingsAreReadAsBefore() throws MalformedException {
+        GOLDEN.checkText("operator.read", text(OperatorSettings.read(RESOURCES.resolve("operator.xml"))));
+        GOLDEN.checkText("operator-defaults.read", text(OperatorSettings.DEFAULTS));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/gullway/requests/GoldenAnswersTest.java
@@ -0,0 +1,19 @@
+package org.gullway.requests;
+
+import org.gullway.golden.GoldenFile;
+import org.gullway.protocol.JobState;
+import org.gullway.protocol.JobStatus;
+import org.junit.jupiter.api.Test;
+
+/** Answers to users have the bytes that an earlier version gave. */
+class GoldenAnswersTest {
+    private static final GoldenFile GOLDEN = GoldenFile.of("answers");
+
+    @Test
+    void answersHaveTheirBytes() {
+        for (JobState state : JobState.values()) {
+            GOLDEN.check("state-" + state.wire(), UserAnswers.state(new JobStatus("run-000412", state, 3, 2)));
+        }
+        GOLDEN.check("error", UserAnswers.error("herd is missing"));
+    }
+}
