--- /dev/null
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -0,0 +1,138 @@
+package org.gullway;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HexFormat;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import org.gullway.fake.SimulatedNetwork;
+import org.gullway.fake.SimulatedTime;
+import org.gullway.protocol.Rank;
+import org.gullway.transport.Reply;
+
+/**
+ * Plays a fixed list of simulated scenarios with fixed seeds and prints one hash over all messages on the simulated
+ * network, those to the state service among them, with their times. A change that leaves behaviour as it is leaves the
+ * hash as it is. Names of classes and texts of the log are not in it.
+ */
+public final class BehaviourFingerprint {
+    private static final int ROUGH_SCENARIOS = 12;
+    private static final int BOUND_SCENARIOS = 8;
+    private static final int SCENARIO_BYTES = 8;
+
+    private final MessageDigest whole = sha256();
+
+    private BehaviourFingerprint() {}
+
+    private static MessageDigest sha256() {
+        try {
+            return MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** Hashes the messages of one scenario. */
+    private static final class Recorder implements SimulatedNetwork.TrafficListener {
+        private final MessageDigest digest = sha256();
+        private final SimulatedTime time;
+        private long messages;
+
+        Recorder(SimulatedTime time) {
+            this.time = time;
+        }
+
+        private void add(byte[] part) {
+            digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(part.length).array());
+            digest.update(part);
+        }
+
+        private void add(String... texts) {
+            Instant now = time.now();
+            digest.update(ByteBuffer.allocate(Long.BYTES + Integer.BYTES)
+                    .putLong(now.getEpochSecond())
+                    .putInt(now.getNano())
+                    .array());
+            for (String text : texts) {
+                add(text.getBytes(StandardCharsets.UTF_8));
+            }
+            messages++;
+        }
+
+        @Override
+        public void sent(String from, String address, Reply.Request request) {
+            add("sent", from, address, request.method(), request.path());
+            add(request.body());
+        }
+
+        @Override
+        public void answered(String from, String address, Reply reply) {
+            add("answered", from, address, Integer.toString(reply.kind().ordinal()), Integer.toString(reply.status()));
+            add(reply.body());
+        }
+    }
+
+    private interface Scenario {
+        void play(SimulatedWorld world);
+    }
+
+    private void play(String name, long seed, double trouble, int capacity, Scenario scenario) {
+        // In a fixed order, unlike the teams of tests.
+        SimulatedWorld.Shape shape = new SimulatedWorld.Shape(
+                capacity, new TreeMap<>(SimulatedWorld.Shape.SMALL_TEAMS), Duration.ofSeconds(3), trouble);
+        Recorder[] recorder = new Recorder[1];
+        SimulatedWorld world = new SimulatedWorld(seed, shape, time -> recorder[0] = new Recorder(time));
+        scenario.play(world);
+        byte[] hash = recorder[0].digest.digest();
+        whole.update(hash);
+        System.out.println(name + " " + HexFormat.of().formatHex(hash, 0, SCENARIO_BYTES) + " " + recorder[0].messages
+                + " messages, " + world.started() + " starts");
+    }
+
+    private void playAll() {
+        play("quiet", 1, 0, 4, world -> {
+            SimulatedDaysTest.work(world, new SplittableRandom(2), 30, Duration.ofSeconds(100));
+            world.run(Duration.ofSeconds(240));
+        });
+        play("crowded", 7, 0, 1, world -> {
+            for (int i = 1; i <= 40; i++) {
+                int number = i;
+                world.after(
+                        Duration.ofSeconds(2L * i),
+                        () -> world.submit(
+                                number,
+                                number % 2 == 0 ? "red" : "blue",
+                                Rank.values()[number % 4],
+                                4,
+                                number % 10 == 0 ? 16 : 4,
+                                Duration.ofSeconds(18)));
+            }
+            world.run(Duration.ofSeconds(400));
+        });
+        for (int seed = 1; seed <= ROUGH_SCENARIOS; seed++) {
+            SplittableRandom random = new SplittableRandom(seed);
+            play("rough-" + seed, random.nextLong(), 0.01, 3, world -> {
+                SimulatedDaysTest.work(world, random.split(), 25, Duration.ofSeconds(120));
+                SimulatedDaysTest.playRoughDay(world, random);
+            });
+        }
+        for (int seed = 101; seed <= 100 + BOUND_SCENARIOS; seed++) {
+            SplittableRandom random = new SplittableRandom(seed);
+            play("bound-" + seed, random.nextLong(), 0.01, 3, world -> {
+                SimulatedDaysTest.work(world, random.split(), 10, Duration.ofSeconds(120));
+                SimulatedDaysTest.boundWork(world, random.split(), 11, 15, Duration.ofSeconds(120));
+                SimulatedDaysTest.playRoughDay(world, random);
+            });
+        }
+    }
+
+    public static void main(String[] arguments) {
+        BehaviourFingerprint fingerprint = new BehaviourFingerprint();
+        fingerprint.playAll();
+        System.out.println("fingerprint " + HexFormat.of().formatHex(fingerprint.whole.digest()));
+    }
+}
--- a/src/test/java/org/gullway/SimulatedDaysTest.java
+++ b/src/test/java/org/gullway/SimulatedDaysTest.java
@@ -23,7 +23,7 @@
             new Bounds(List.of("small"), null, false, true, true));
 
     /** Jobs that may be in one zone only, or spread over both. */
-    private static void boundWork(SimulatedWorld world, SplittableRandom random, int first, int jobs, Duration span) {
+    static void boundWork(SimulatedWorld world, SplittableRandom random, int first, int jobs, Duration span) {
         for (int i = first; i < first + jobs; i++) {
             int number = i;
             world.after(
@@ -94,6 +94,13 @@
     }
 
     private static void roughDay(long seed, SimulatedWorld world, SplittableRandom random) {
+        playRoughDay(world, random);
+        assertThat(world.broken).as("seed %d", seed).isEmpty();
+        assertThat(world.unfinished()).as("seed %d", seed).isEmpty();
+    }
+
+    /** Several troubles at random moments, a calm end, and submissions that are repeated all along. */
+    static void playRoughDay(SimulatedWorld world, SplittableRandom random) {
         int troubles = 2 + random.nextInt(5);
         for (int i = 0; i < troubles; i++) {
             Duration span = Duration.ofMillis(500 + random.nextInt(30_000));
@@ -108,8 +115,6 @@
         world.run(Duration.ofSeconds(200));
         world.calm();
         world.run(Duration.ofSeconds(600));
-        assertThat(world.broken).as("seed %d", seed).isEmpty();
-        assertThat(world.unfinished()).as("seed %d", seed).isEmpty();
     }
 
     @Property(tries = 40, seed = "20261120")
--- a/src/test/java/org/gullway/SimulatedWorld.java
+++ b/src/test/java/org/gullway/SimulatedWorld.java
@@ -13,6 +13,7 @@
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
+import java.util.function.Function;
 import java.util.random.RandomGenerator;
 import org.gullway.coordination.Keys;
 import org.gullway.fake.FakeCloud;
@@ -67,11 +68,17 @@
     }
 
     SimulatedWorld(long seed, Shape shape) {
+        this(seed, shape, time -> SimulatedNetwork.TrafficListener.NONE);
+    }
+
+    /** @param traffic makes, for the world's time, a listener that sees all messages */
+    SimulatedWorld(long seed, Shape shape, Function<SimulatedTime, SimulatedNetwork.TrafficListener> traffic) {
         this.shape = shape;
         rules = new RuleCheck(CANCEL, shape.teams());
         broken = rules.broken;
         random = new SplittableRandom(seed);
         network = new SimulatedNetwork(time, random.split(), shape.trouble());
+        network.observe(traffic.apply(time));
         store = new FakeStateStore(world);
         List<MachineType> types = List.of(
                 new MachineType("small", 16, 0, 64, 50, 1, 1.0, 0.3, Duration.ofSeconds(6), List.of("a", "b")),
--- a/src/test/java/org/gullway/fake/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/fake/SimulatedNetwork.java
@@ -22,10 +22,26 @@
 
     private record Held(String from, SimulatedTime.Process process, Reply.Request request) {}
 
+    /** Sees every request as it is sent and every answer as it arrives. */
+    public interface TrafficListener {
+        TrafficListener NONE = new TrafficListener() {
+            @Override
+            public void sent(String from, String address, Reply.Request request) {}
+
+            @Override
+            public void answered(String from, String address, Reply reply) {}
+        };
+
+        void sent(String from, String address, Reply.Request request);
+
+        void answered(String from, String address, Reply reply);
+    }
+
     private final SimulatedTime time;
     private final SimulatedTime.Process wires;
     private final RandomGenerator random;
     private final double trouble;
+    private TrafficListener traffic = TrafficListener.NONE;
     private final Map<String, Host> hosts = new HashMap<>();
     /** Pairs "from>to" of groups that cannot reach each other; a group is an address or a client's name. */
     private final Set<String> cuts = new HashSet<>();
@@ -54,6 +70,11 @@
         this.trouble = trouble;
     }
 
+    /** From now on the listener sees all traffic. */
+    public void observe(TrafficListener listener) {
+        traffic = listener;
+    }
+
     public void listen(String address, SimulatedTime.Process process, Consumer<Call> handler) {
         hosts.put(address, new Host(process, handler));
     }
@@ -169,10 +190,12 @@
             String address,
             Reply.Request request,
             Consumer<Reply> callback) {
+        traffic.sent(from, address, request);
         boolean[] finished = new boolean[1];
         Consumer<Reply> finish = reply -> {
             if (!finished[0]) {
                 finished[0] = true;
+                traffic.answered(from, address, reply);
                 callback.accept(reply);
             }
         };
