--- a/src/main/java/org/gullway/CloudProvisioner.java
+++ b/src/main/java/org/gullway/CloudProvisioner.java
@@ -25,6 +25,7 @@
 import org.gullway.transport.Budget;
 import org.gullway.transport.Client;
 import org.gullway.transport.EventLoop;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -138,7 +139,7 @@
     }
 
     private void askTypes() {
-        http.call(address, Reply.Request.get("/flavors", LIMIT), reply -> {
+        http.call(address, HttpRequest.get("/flavors", LIMIT), reply -> {
             try {
                 if (reply.ok()) {
                     placing.learn(CloudMessages.types(reply.body()));
@@ -156,7 +157,7 @@
         FleetAutoscaler.Rental rental = pending.rental();
         byte[] body =
                 CloudMessages.rental(pending.charter(), rental.type(), rental.zone(), rental.spot(), rental.count());
-        http.call(address, Reply.Request.post("/rentals", body, LIMIT), reply -> {
+        http.call(address, HttpRequest.post("/rentals", body, LIMIT), reply -> {
             boolean refused = reply.kind() == Reply.Kind.ANSWERED && (reply.status() == 503 || reply.status() == 400);
             if (!reply.ok() && !refused) {
                 // Under the same name the request rents nothing twice, whether it was carried out or not.
@@ -229,7 +230,7 @@
         if (LOG.isDebugEnabled()) {
             batch.forEach(this::logReturn);
         }
-        http.call(address, Reply.Request.post("/rentals/return", CloudMessages.giveBack(batch), LIMIT), reply -> {
+        http.call(address, HttpRequest.post("/rentals/return", CloudMessages.giveBack(batch), LIMIT), reply -> {
             returning = false;
             if (reply.ok()) {
                 LOG.info("returned {}", batch);
@@ -254,7 +255,7 @@
 
     private void list(String from, List<Listed> before) {
         String path = "/rentals?from=" + from + "&page=" + CloudMessages.PAGE;
-        http.call(address, Reply.Request.get(path, LIMIT), reply -> {
+        http.call(address, HttpRequest.get(path, LIMIT), reply -> {
             listing = false;
             if (!reply.ok()) {
                 return;
--- a/src/main/java/org/gullway/CommandLineInterface.java
+++ b/src/main/java/org/gullway/CommandLineInterface.java
@@ -33,7 +33,7 @@
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
-            String version = Main.class.getPackage().getImplementationVersion();
+            String version = CommandLineInterface.class.getPackage().getImplementationVersion();
             return new String[] {"gullway " + (version == null ? "(development)" : version)};
         }
     }
--- a/src/main/java/org/gullway/CommandSender.java
+++ b/src/main/java/org/gullway/CommandSender.java
@@ -16,6 +16,7 @@
 import org.gullway.protocol.WorkerReport;
 import org.gullway.transport.Client;
 import org.gullway.transport.EventLoop;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -127,7 +128,7 @@
         }
         metrics.pushed();
         byte[] body = Command.direct(push.token(), push.session(), push.commands());
-        http.call(push.address(), Reply.Request.post(PATH, body, LIMIT), reply -> {
+        http.call(push.address(), HttpRequest.post(PATH, body, LIMIT), reply -> {
             boolean answered = reply.kind() == Reply.Kind.ANSWERED && (reply.status() == 200 || reply.status() == 409);
             ended.accept(answered ? CommandOutcome.ANSWERED : outcomeWithoutAnswer(reply.kind()));
             if (answered) {
--- a/src/main/java/org/gullway/PeerExchange.java
+++ b/src/main/java/org/gullway/PeerExchange.java
@@ -22,6 +22,7 @@
 import org.gullway.transport.Call;
 import org.gullway.transport.Client;
 import org.gullway.transport.EventLoop;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -160,7 +161,7 @@
     private void tell(String node, String path, byte[] body) {
         String address = addresses.get(node);
         if (address != null) {
-            http.call(address, Reply.Request.post(path, body, LIMIT), reply -> {});
+            http.call(address, HttpRequest.post(path, body, LIMIT), reply -> {});
         }
     }
 
@@ -177,13 +178,12 @@
         byte[] known = Cancellations.encodeKnown(
                 cancelled.known().stream().map(Cancellations.Job::id).toList());
         for (String address : addresses.values()) {
-            http.call(
-                    address, Reply.Request.post(CANCELLED, known, LIMIT), reply -> cancelledTold(address, now, reply));
+            http.call(address, HttpRequest.post(CANCELLED, known, LIMIT), reply -> cancelledTold(address, now, reply));
         }
     }
 
     private void askWhetherWithoutState(String peer, String address) {
-        http.call(address, Reply.Request.get(STATE_QUESTION, LIMIT), reply -> {
+        http.call(address, HttpRequest.get(STATE_QUESTION, LIMIT), reply -> {
             if (reply.kind() == Reply.Kind.ANSWERED && reply.status() == WITHOUT_STATE) {
                 outage.peerWithoutState(peer, loop.now());
             }
--- a/src/main/java/org/gullway/bookkeeping/RecordCodec.java
+++ b/src/main/java/org/gullway/bookkeeping/RecordCodec.java
@@ -129,13 +129,33 @@
                     .add(machine.zone())
                     .add(machine.spot())
                     .add(machine.session())
-                    .add(machine.fate().name())
+                    .add(storedName(machine.fate()))
                     .add(machine.rented().toEpochMilli())
                     .add(machine.address() == null ? "" : machine.address());
         }
         return node;
     }
 
+    /** Names in stored records, which stay as they are whatever the constants are called. */
+    private static String storedName(MachineRecord.Disposition lifecycle) {
+        return switch (lifecycle) {
+            case STAYS -> "STAYS";
+            case SILENT -> "SILENT";
+            case LEAVING -> "LEAVING";
+            case LOST -> "LOST";
+        };
+    }
+
+    private static MachineRecord.Disposition lifecycle(String storedName) throws MalformedException {
+        return switch (storedName) {
+            case "STAYS" -> MachineRecord.Disposition.STAYS;
+            case "SILENT" -> MachineRecord.Disposition.SILENT;
+            case "LEAVING" -> MachineRecord.Disposition.LEAVING;
+            case "LOST" -> MachineRecord.Disposition.LOST;
+            default -> throw new MalformedException("machine lifecycle " + storedName + " is unknown");
+        };
+    }
+
     /** Reads a value under {@link Keys#LIVE}; null for a key of no known kind. */
     public static Object decode(String key, JsonNode value) throws MalformedException {
         Fields fields = Fields.of(value);
@@ -231,12 +251,7 @@
         long epoch = fields.count("epoch");
         List<MachineRecord> machines = new ArrayList<>();
         for (JsonNode item : value.path("machines")) {
-            MachineRecord.Disposition fate;
-            try {
-                fate = MachineRecord.Disposition.valueOf(item.path(5).asText());
-            } catch (IllegalArgumentException e) {
-                throw new MalformedException("fate is unknown");
-            }
+            MachineRecord.Disposition fate = lifecycle(item.path(5).asText());
             String address = item.path(7).asText();
             machines.add(new MachineRecord(
                     item.path(0).asText(),
--- a/src/main/java/org/gullway/bookkeeping/StateStore.java
+++ b/src/main/java/org/gullway/bookkeeping/StateStore.java
@@ -14,6 +14,7 @@
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.MalformedException;
 import org.gullway.transport.Client;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 
 /** The state service's calls. Every answer that is not of the stated form counts as unknown. */
@@ -65,7 +66,7 @@
         }
     }
 
-    private void call(Reply.Request request, Consumer<Outcome> callback) {
+    private void call(HttpRequest request, Consumer<Outcome> callback) {
         http.call(address, request, reply -> {
             ObjectNode body = null;
             if (reply.kind() == Reply.Kind.ANSWERED && reply.body().length > 0) {
@@ -80,12 +81,12 @@
     }
 
     public void get(String key, Consumer<Outcome> callback) {
-        call(Reply.Request.get("/store/" + key, LIMIT), callback);
+        call(HttpRequest.get("/store/" + key, LIMIT), callback);
     }
 
     public void list(String prefix, String from, Consumer<Outcome> callback) {
         String after = from == null ? "" : "&from=" + from;
-        call(Reply.Request.get("/store?under=" + prefix + after + "&page=" + PAGE, LIMIT), callback);
+        call(HttpRequest.get("/store?under=" + prefix + after + "&page=" + PAGE, LIMIT), callback);
     }
 
     /**
@@ -93,21 +94,21 @@
      */
     public void watch(String prefix, long from, Duration wait, Consumer<Outcome> callback) {
         call(
-                Reply.Request.get(
+                HttpRequest.get(
                         "/watch?under=" + prefix + "&from=" + from + "&block_ms=" + wait.toMillis(), wait.plus(LIMIT)),
                 callback);
     }
 
     public void grant(Duration life, Consumer<Outcome> callback) {
-        call(Reply.Request.post("/grants", Cbor.encode(Cbor.map().put("life_ms", life.toMillis())), LIMIT), callback);
+        call(HttpRequest.post("/grants", Cbor.encode(Cbor.map().put("life_ms", life.toMillis())), LIMIT), callback);
     }
 
     public void renew(long lease, Duration limit, Consumer<Outcome> callback) {
-        call(Reply.Request.post("/grants/" + lease + "/renew", Cbor.encode(Cbor.map()), limit), callback);
+        call(HttpRequest.post("/grants/" + lease + "/renew", Cbor.encode(Cbor.map()), limit), callback);
     }
 
     public void end(long lease, Consumer<Outcome> callback) {
-        call(Reply.Request.delete("/grants/" + lease, LIMIT), callback);
+        call(HttpRequest.delete("/grants/" + lease, LIMIT), callback);
     }
 
     /** Commits the changes if all guards hold; keys for which {@code tethered} holds live as long as the lease. */
@@ -135,7 +136,7 @@
                 }
             }
         });
-        call(Reply.Request.post("/commit", Cbor.encode(node), LIMIT), callback);
+        call(HttpRequest.post("/commit", Cbor.encode(node), LIMIT), callback);
     }
 
     /** Whether a key is written on the writer's lease, and so goes with its membership. */
--- a/src/main/java/org/gullway/coordination/GroupTakeover.java
+++ b/src/main/java/org/gullway/coordination/GroupTakeover.java
@@ -2,24 +2,24 @@
 
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
+import java.util.function.Predicate;
 
 /** Decides which groups of machines this controller takes over from others: from lost ones, and from unreachable ones. */
 final class GroupTakeover {
     private final ClusterView view;
     private final Incarnation self;
-    private final Map<String, Worker> workers;
+    private final Predicate<String> reroutedHere;
     /** Groups of a controller that some of their workers cannot reach. */
     private final Set<String> strayGroups = new HashSet<>();
     /** Version of groups and members at which no group was without a live controller; -1 if there was one. */
     private long settledVersion = -1;
 
-    /** @param workers what is known of the workers that report here, by machine; read only */
-    GroupTakeover(ClusterView view, Incarnation self, Map<String, Worker> workers) {
+    /** @param reroutedHere whether the agent of a machine sends its heartbeats here since it cannot reach its controller */
+    GroupTakeover(ClusterView view, Incarnation self, Predicate<String> reroutedHere) {
         this.view = view;
         this.self = self;
-        this.workers = workers;
+        this.reroutedHere = reroutedHere;
     }
 
     /** To be told of a worker that reports here since it cannot reach the controller of its group. */
@@ -75,8 +75,7 @@
     private boolean manyStrayed(GroupRecord group) {
         long up = group.machines().stream().filter(MachineRecord::up).count();
         long here = group.machines().stream()
-                .map(m -> workers.get(m.name()))
-                .filter(w -> w != null && w.strayedAt() != null)
+                .filter(m -> reroutedHere.test(m.name()))
                 .count();
         return 2 * here >= up;
     }
--- a/src/main/java/org/gullway/coordination/MachineControl.java
+++ b/src/main/java/org/gullway/coordination/MachineControl.java
@@ -81,7 +81,7 @@
         this.ends = new EndReporter(view, self, ended);
         this.cancelled = cancelled;
         this.failingJobs = new FailingJobs(view);
-        this.takeover = new GroupTakeover(view, self, workers);
+        this.takeover = new GroupTakeover(view, self, this::isStray);
         this.silent = new SilentMachines(view, self, reportInterval, neighbours, workers);
     }
 
@@ -146,6 +146,11 @@
         return new ReportAnswer.Commands(view.epoch(), commands, changed);
     }
 
+    private boolean isStray(String machine) {
+        Worker worker = workers.get(machine);
+        return worker != null && worker.strayedAt() != null;
+    }
+
     /** Whether a worker that was sent on is back because it cannot reach its controller, and may stay for one report. */
     private boolean stray(MachineRecord record, Instant now) {
         Worker worker = worker(record.name(), now);
--- a/src/main/java/org/gullway/transport/Client.java
+++ b/src/main/java/org/gullway/transport/Client.java
@@ -6,5 +6,5 @@
 @FunctionalInterface
 public interface Client {
     /** Makes the call; the callback gets exactly one reply, on the event loop, within the request's time limit. */
-    void call(String address, Reply.Request request, Consumer<Reply> callback);
+    void call(String address, HttpRequest request, Consumer<Reply> callback);
 }
--- a/src/main/java/org/gullway/transport/HttpClient.java
+++ b/src/main/java/org/gullway/transport/HttpClient.java
@@ -39,13 +39,13 @@
     }
 
     @Override
-    public void call(String address, Reply.Request request, Consumer<Reply> callback) {
+    public void call(String address, HttpRequest request, Consumer<Reply> callback) {
         new Call(address, request, callback).begin();
     }
 
     private final class Call {
         private final String address;
-        private final Reply.Request request;
+        private final HttpRequest request;
         private final Consumer<Reply> callback;
         private final ByteArrayOutputStream received = new ByteArrayOutputStream(512);
         private final Runnable cancelTimer;
@@ -53,7 +53,7 @@
         private boolean connecting;
         private boolean finished;
 
-        Call(String address, Reply.Request request, Consumer<Reply> callback) {
+        Call(String address, HttpRequest request, Consumer<Reply> callback) {
             this.address = address;
             this.request = request;
             this.callback = callback;
--- a/src/main/java/org/gullway/transport/Reply.java
+++ b/src/main/java/org/gullway/transport/Reply.java
@@ -1,7 +1,5 @@
 package org.gullway.transport;
 
-import java.time.Duration;
-
 /** What a caller of {@link HttpClient} gets: an answer, or the knowledge of how far the request came. */
 public record Reply(Kind kind, int status, byte[] body) {
     private static final byte[] EMPTY = new byte[0];
@@ -36,19 +34,4 @@
     public boolean ok() {
         return status == 200;
     }
-
-    /** A request with its time limit. */
-    public record Request(String method, String path, byte[] body, Duration limit) {
-        public static Request get(String path, Duration limit) {
-            return new Request("GET", path, EMPTY, limit);
-        }
-
-        public static Request post(String path, byte[] body, Duration limit) {
-            return new Request("POST", path, body, limit);
-        }
-
-        public static Request delete(String path, Duration limit) {
-            return new Request("DELETE", path, EMPTY, limit);
-        }
-    }
 }
--- a/src/test/java/org/gullway/BadInputTest.java
+++ b/src/test/java/org/gullway/BadInputTest.java
@@ -22,6 +22,7 @@
 import org.gullway.protocol.MalformedException;
 import org.gullway.protocol.Rank;
 import org.gullway.transport.Client;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 import org.junit.jupiter.api.Test;
 
@@ -69,7 +70,7 @@
         return node;
     }
 
-    private static int send(SimulatedWorld world, Reply.Request request) {
+    private static int send(SimulatedWorld world, HttpRequest request) {
         Client client = world.network.client("users", world.time.process());
         int[] status = new int[1];
         client.call(world.address("perch-0"), request, reply -> status[0] = reply.status());
@@ -78,17 +79,17 @@
     }
 
     private static int submit(SimulatedWorld world, byte[] body) {
-        return send(world, Reply.Request.post("/v2/runs", body, Duration.ofSeconds(5)));
+        return send(world, HttpRequest.post("/v2/runs", body, Duration.ofSeconds(5)));
     }
 
     private static int ask(SimulatedWorld world, String id) {
-        return send(world, Reply.Request.get("/v2/runs/" + id, Duration.ofSeconds(2)));
+        return send(world, HttpRequest.get("/v2/runs/" + id, Duration.ofSeconds(2)));
     }
 
     private static int cancel(SimulatedWorld world, String id) {
         return send(
                 world,
-                Reply.Request.post("/v2/runs/" + id + "/withdraw", Cbor.encode(Cbor.map()), Duration.ofSeconds(5)));
+                HttpRequest.post("/v2/runs/" + id + "/withdraw", Cbor.encode(Cbor.map()), Duration.ofSeconds(5)));
     }
 
     private static void assertRefused(SimulatedWorld world, ObjectNode node, int expected, String what) {
@@ -252,7 +253,7 @@
                             .client("users", world.time.process())
                             .call(
                                     world.address(controller),
-                                    Reply.Request.post("/v2/runs", Cbor.encode(odd), Duration.ofSeconds(5)),
+                                    HttpRequest.post("/v2/runs", Cbor.encode(odd), Duration.ofSeconds(5)),
                                     replies::add);
                     world.run(Duration.ofSeconds(2));
                     assertThat(replies.get(0).status()).isEqualTo(200);
@@ -300,9 +301,8 @@
         if (random.nextBoolean()) {
             body[random.nextInt(body.length)] = (byte) random.nextInt(256);
         }
-        int status = send(shared, Reply.Request.post("/agent/beat", body, Duration.ofSeconds(4)));
+        int status = send(shared, HttpRequest.post("/agent/beat", body, Duration.ofSeconds(4)));
         assertThat(status).isIn(200, 400, 421, 503);
-        assertThat(send(shared, Reply.Request.get("/up", Duration.ofSeconds(1))))
-                .isEqualTo(200);
+        assertThat(send(shared, HttpRequest.get("/up", Duration.ofSeconds(1)))).isEqualTo(200);
     }
 }
--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -12,6 +12,7 @@
 import org.gullway.fake.SimulatedNetwork;
 import org.gullway.fake.SimulatedTime;
 import org.gullway.protocol.Rank;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 
 /**
@@ -64,7 +65,7 @@
         }
 
         @Override
-        public void sent(String from, String address, Reply.Request request) {
+        public void sent(String from, String address, HttpRequest request) {
             add("sent", from, address, request.method(), request.path());
             add(request.body());
         }
--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -22,8 +22,8 @@
 import org.gullway.protocol.MachineType;
 import org.gullway.protocol.Rank;
 import org.gullway.transport.HttpClient;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpServer;
-import org.gullway.transport.Reply;
 import org.gullway.transport.Sockets;
 import org.gullway.transport.XnioEventLoop;
 import org.xnio.OptionMap;
@@ -145,7 +145,7 @@
 
     private static void submit(
             XnioEventLoop loop, HttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
-        client.call(node, Reply.Request.post("/v2/runs", Cbor.encode(job.toNode()), Duration.ofSeconds(5)), reply -> {
+        client.call(node, HttpRequest.post("/v2/runs", Cbor.encode(job.toNode()), Duration.ofSeconds(5)), reply -> {
             if (reply.status() == 201) {
                 poll(loop, client, node, job, done);
             } else {
@@ -156,7 +156,7 @@
 
     private static void poll(
             XnioEventLoop loop, HttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
-        client.call(node, Reply.Request.get("/v2/runs/" + job.id(), Duration.ofSeconds(2)), reply -> {
+        client.call(node, HttpRequest.get("/v2/runs/" + job.id(), Duration.ofSeconds(2)), reply -> {
             if (reply.ok()
                     && unchecked(() -> Cbor.decode(reply.body()).path("tide").asText())
                             .equals("done")) {
--- a/src/test/java/org/gullway/HandoverFaultsTest.java
+++ b/src/test/java/org/gullway/HandoverFaultsTest.java
@@ -21,7 +21,7 @@
 import org.gullway.coordination.Keys;
 import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.Rank;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpRequest;
 
 /** The work of a controller changes hands while old messages are on their way, jobs are cancelled or machines are silent. */
 class HandoverFaultsTest {
@@ -205,7 +205,7 @@
         for (int i = 0; i < 1500; i++) {
             world.after(Duration.ofMillis(10L * i), () -> {
                 boolean member = world.store.value(Keys.member(node)) != null;
-                prober.call(world.address(node), Reply.Request.get("/up", Duration.ofSeconds(1)), reply -> {
+                prober.call(world.address(node), HttpRequest.get("/up", Duration.ofSeconds(1)), reply -> {
                     if (!member && reply.status() == 200) {
                         readyWithoutMembership.add(world.time.now());
                     }
--- a/src/test/java/org/gullway/LateCommitAnswerTest.java
+++ b/src/test/java/org/gullway/LateCommitAnswerTest.java
@@ -18,6 +18,7 @@
 import org.gullway.protocol.Rank;
 import org.gullway.transport.Call;
 import org.gullway.transport.Client;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 
 /**
@@ -47,7 +48,7 @@
 
         void submit(String address, Consumer<String> answered) {
             boolean after = cancelled;
-            Reply.Request request = Reply.Request.post("/v2/runs", Cbor.encode(job().toNode()), Duration.ofSeconds(5));
+            HttpRequest request = HttpRequest.post("/v2/runs", Cbor.encode(job().toNode()), Duration.ofSeconds(5));
             client.call(address, request, reply -> {
                 String answer = reply.status() + " " + state(reply);
                 if (after) {
@@ -58,8 +59,8 @@
         }
 
         void cancel(String address, Runnable done) {
-            Reply.Request request =
-                    Reply.Request.post("/v2/runs/" + JOB + "/withdraw", Cbor.encode(Cbor.map()), Duration.ofSeconds(5));
+            HttpRequest request =
+                    HttpRequest.post("/v2/runs/" + JOB + "/withdraw", Cbor.encode(Cbor.map()), Duration.ofSeconds(5));
             client.call(address, request, reply -> {
                 if (reply.status() == 200) {
                     assertThat(state(reply)).isEqualTo("aborted");
--- a/src/test/java/org/gullway/QuestionLoadTest.java
+++ b/src/test/java/org/gullway/QuestionLoadTest.java
@@ -13,6 +13,7 @@
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.Rank;
 import org.gullway.transport.Client;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -194,10 +195,10 @@
     // One mechanism each
 
     private static void ask(SimulatedWorld world, String node, String id) {
-        send(world, node, Reply.Request.get("/v2/runs/" + id, Duration.ofSeconds(2)), reply -> {});
+        send(world, node, HttpRequest.get("/v2/runs/" + id, Duration.ofSeconds(2)), reply -> {});
     }
 
-    private static void send(SimulatedWorld world, String node, Reply.Request request, Consumer<Reply> callback) {
+    private static void send(SimulatedWorld world, String node, HttpRequest request, Consumer<Reply> callback) {
         Client client = world.network.client("users", world.time.process());
         client.call(world.address(node), request, callback);
     }
@@ -319,7 +320,7 @@
             send(
                     world,
                     "perch-0",
-                    Reply.Request.post("/v2/runs", body, Duration.ofSeconds(5)),
+                    HttpRequest.post("/v2/runs", body, Duration.ofSeconds(5)),
                     reply -> statuses.add(reply.status()));
         }
         world.users().get(1).cancelOnce(world.address("perch-0"), () -> statuses.add(0));
--- a/src/test/java/org/gullway/SharedOutageTest.java
+++ b/src/test/java/org/gullway/SharedOutageTest.java
@@ -11,7 +11,7 @@
 import org.gullway.fake.SimulatedTime;
 import org.gullway.protocol.Rank;
 import org.gullway.transport.Client;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpRequest;
 
 /**
  * Health checks while the state service is in trouble. The load balancer removes a node after two failures in a row and
@@ -39,7 +39,7 @@
         }
 
         private void check(String node) {
-            balancer.call(world.address(node), Reply.Request.get("/up", CHECK_LIMIT), reply -> {
+            balancer.call(world.address(node), HttpRequest.get("/up", CHECK_LIMIT), reply -> {
                 int failures = reply.ok() ? 0 : failuresInARow.getOrDefault(node, 0) + 1;
                 failuresInARow.put(node, failures);
                 mostFailuresInARow.merge(node, failures, Math::max);
--- a/src/test/java/org/gullway/SimulatedWorld.java
+++ b/src/test/java/org/gullway/SimulatedWorld.java
@@ -28,7 +28,7 @@
 import org.gullway.protocol.Rank;
 import org.gullway.protocol.Settings;
 import org.gullway.transport.Client;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpRequest;
 
 /** Three whole controllers with stand-ins in virtual time, users who submit and ask, and a check of the rules. */
 final class SimulatedWorld {
@@ -292,7 +292,7 @@
         String id = node.path("name_id").asText();
         Client client = network.client("users", world);
         String address = userAddresses().get(random.nextInt(addresses.size()));
-        client.call(address, Reply.Request.post("/v2/runs", Cbor.encode(node), Duration.ofSeconds(5)), reply -> {
+        client.call(address, HttpRequest.post("/v2/runs", Cbor.encode(node), Duration.ofSeconds(5)), reply -> {
             if (!rules.odd(id, expected, reply.status())) {
                 world.after(Duration.ofSeconds(1), () -> submitOdd(node, expected));
             }
@@ -301,7 +301,7 @@
                 Duration.ofSeconds(8),
                 () -> client.call(
                         address,
-                        Reply.Request.get("/v2/runs/" + id, Duration.ofSeconds(2)),
+                        HttpRequest.get("/v2/runs/" + id, Duration.ofSeconds(2)),
                         reply -> rules.askedUnknown(id, reply.status())));
     }
 
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -20,7 +20,7 @@
 import org.gullway.protocol.Command;
 import org.gullway.protocol.Rank;
 import org.gullway.protocol.TaskId;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpRequest;
 import org.junit.jupiter.api.Test;
 
 /** A start that the records do not allow at the moment of sending is left out of the command, and reported. */
@@ -34,7 +34,7 @@
     private final Metrics metrics = new Metrics();
     private final InvariantMonitor invariants = new InvariantMonitor(metrics);
     private final List<String> violations = new ArrayList<>();
-    private final List<Reply.Request> sent = new ArrayList<>();
+    private final List<HttpRequest> sent = new ArrayList<>();
     private final CancelledTasks cancelled = new CancelledTasks(view, Duration.ofSeconds(40));
     private boolean entitled = true;
     private final CommandSender sender = new CommandSender(
--- a/src/test/java/org/gullway/User.java
+++ b/src/test/java/org/gullway/User.java
@@ -8,6 +8,7 @@
 import org.gullway.protocol.MalformedException;
 import org.gullway.transport.Client;
 import org.gullway.transport.EventLoop;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 
 /** A job with what its user was told. */
@@ -37,7 +38,7 @@
         this.submitted = loop.now();
     }
 
-    private void call(String address, Reply.Request request, Consumer<Reply> answered) {
+    private void call(String address, HttpRequest request, Consumer<Reply> answered) {
         Instant asked = loop.now();
         client.call(address, request, reply -> {
             users.history().add(this.request.id(), loop.now(), () -> describe(address, request, reply, asked));
@@ -45,7 +46,7 @@
         });
     }
 
-    private String describe(String address, Reply.Request sent, Reply reply, Instant asked) {
+    private String describe(String address, HttpRequest sent, Reply reply, Instant asked) {
         String answer = reply.kind() == Reply.Kind.ANSWERED
                 ? reply.status() + " " + (reply.body().length == 0 ? "" : state(reply))
                 : reply.kind().toString();
@@ -67,7 +68,7 @@
 
     void submit() {
         Instant asked = loop.now();
-        call(node(), Reply.Request.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_LIMIT), reply -> {
+        call(node(), HttpRequest.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_LIMIT), reply -> {
             if (reply.status() == 201 || reply.status() == 200) {
                 boolean news = !accepted;
                 accepted = true;
@@ -100,7 +101,7 @@
         Instant asked = loop.now();
         call(
                 address,
-                Reply.Request.post("/v2/runs/" + request.id() + "/withdraw", Cbor.encode(Cbor.map()), REQUEST_LIMIT),
+                HttpRequest.post("/v2/runs/" + request.id() + "/withdraw", Cbor.encode(Cbor.map()), REQUEST_LIMIT),
                 reply -> {
                     if (reply.status() == 200) {
                         hear(reply, asked);
@@ -124,7 +125,7 @@
 
     private void ask(String address) {
         Instant asked = loop.now();
-        call(address, Reply.Request.get("/v2/runs/" + request.id(), QUESTION_LIMIT), reply -> {
+        call(address, HttpRequest.get("/v2/runs/" + request.id(), QUESTION_LIMIT), reply -> {
             if (reply.status() == 200) {
                 hear(reply, asked);
             }
@@ -145,7 +146,7 @@
             return;
         }
         Instant asked = loop.now();
-        call(node(), Reply.Request.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_LIMIT), reply -> {
+        call(node(), HttpRequest.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_LIMIT), reply -> {
             rules.submittedAgain(request.id(), reply.status(), loop.now());
             if (reply.status() == 200) {
                 hear(reply, asked);
--- a/src/test/java/org/gullway/bookkeeping/GoldenStoreCallsTest.java
+++ b/src/test/java/org/gullway/bookkeeping/GoldenStoreCallsTest.java
@@ -11,6 +11,7 @@
 import org.gullway.coordination.Keys;
 import org.gullway.golden.GoldenFile;
 import org.gullway.transport.Client;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 import org.junit.jupiter.api.Test;
 
@@ -21,7 +22,7 @@
 
     private String name;
 
-    private void record(String address, Reply.Request request, Consumer<Reply> callback) {
+    private void record(String address, HttpRequest request, Consumer<Reply> callback) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         String head = address
                 + ' '
--- a/src/test/java/org/gullway/fake/FakeWorker.java
+++ b/src/test/java/org/gullway/fake/FakeWorker.java
@@ -16,6 +16,7 @@
 import org.gullway.transport.Call;
 import org.gullway.transport.Client;
 import org.gullway.transport.EventLoop;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 
 /** A worker as its protocol describes it; its tasks only let time pass. */
@@ -243,7 +244,7 @@
         String to = controllers.get(controller);
         client.call(
                 controllerAddresses.get(to),
-                Reply.Request.post("/agent/beat", Cbor.encode(account()), PATIENCE),
+                HttpRequest.post("/agent/beat", Cbor.encode(account()), PATIENCE),
                 answer -> unlessHung(() -> {
                     // A machine that hung reads answers only now; it drops those that are older than its patience.
                     Reply reply = loop.now().isAfter(sent.plus(PATIENCE)) ? Reply.unknown() : answer;
--- a/src/test/java/org/gullway/fake/FakesTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -12,7 +12,7 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Rank;
 import org.gullway.transport.Client;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpRequest;
 import org.junit.jupiter.api.Test;
 
 /** The troubles of the stand-ins are those of the protocol: schedules that use them rely on it. */
@@ -40,7 +40,7 @@
         time.runUntil(time.now().plusMillis(Math.round(seconds * 1000)));
     }
 
-    private List<Integer> call(Client client, Reply.Request request) {
+    private List<Integer> call(Client client, HttpRequest request) {
         List<Integer> statuses = new ArrayList<>();
         client.call(STATE, request, reply -> statuses.add(reply.status()));
         return statuses;
@@ -49,12 +49,12 @@
     private List<Integer> put(Client client, int value) {
         ObjectNode node = Cbor.map();
         node.putArray("then").addObject().put("put", "a/b").put("v", value);
-        return call(client, Reply.Request.post("/commit", Cbor.encode(node), Duration.ofSeconds(3)));
+        return call(client, HttpRequest.post("/commit", Cbor.encode(node), Duration.ofSeconds(3)));
     }
 
     private List<Integer> watch(Client client, long from, int wait) {
         return call(
-                client, Reply.Request.get("/watch?under=a/&from=" + from + "&block_ms=" + wait, Duration.ofMinutes(2)));
+                client, HttpRequest.get("/watch?under=a/&from=" + from + "&block_ms=" + wait, Duration.ofMinutes(2)));
     }
 
     @Test
@@ -63,7 +63,7 @@
         List<Integer> others = watch(two, 0, 5000);
         run(0.1);
         store.refuseFrom("perch-0", true);
-        assertThat(call(one, Reply.Request.get("/store/a/b", Duration.ofSeconds(2))))
+        assertThat(call(one, HttpRequest.get("/store/a/b", Duration.ofSeconds(2))))
                 .isEmpty();
         List<Integer> put = put(two, 1);
         List<Integer> refused = put(one, 2);
@@ -79,13 +79,13 @@
 
     @Test
     void theLeaseOfTheRefusedClientRunsOut() {
-        call(one, Reply.Request.post("/grants", Cbor.encode(Cbor.map().put("life_ms", 3000)), Duration.ofSeconds(2)));
+        call(one, HttpRequest.post("/grants", Cbor.encode(Cbor.map().put("life_ms", 3000)), Duration.ofSeconds(2)));
         run(0.1);
         store.refuseFrom("perch-0", true);
         run(4);
         store.refuseFrom("perch-0", false);
         List<Integer> renewed =
-                call(one, Reply.Request.post("/grants/1/renew", Cbor.encode(Cbor.map()), Duration.ofSeconds(2)));
+                call(one, HttpRequest.post("/grants/1/renew", Cbor.encode(Cbor.map()), Duration.ofSeconds(2)));
         run(0.1);
         assertThat(renewed).containsExactly(404);
     }
@@ -123,9 +123,7 @@
         List<Integer> statuses = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             two.call(
-                    STATE,
-                    Reply.Request.get("/store/a/b", Duration.ofSeconds(2)),
-                    reply -> statuses.add(reply.status()));
+                    STATE, HttpRequest.get("/store/a/b", Duration.ofSeconds(2)), reply -> statuses.add(reply.status()));
         }
         run(0.1);
         assertThat(statuses).hasSizeLessThan(10);
@@ -207,7 +205,7 @@
         List<Integer> statuses = new ArrayList<>();
         one.call(
                 MACHINE,
-                Reply.Request.post("/do", Cbor.encode(node), Duration.ofSeconds(30)),
+                HttpRequest.post("/do", Cbor.encode(node), Duration.ofSeconds(30)),
                 reply -> statuses.add(reply.status()));
         return statuses;
     }
@@ -259,7 +257,7 @@
         assertThat(reports).isEqualTo(before);
         assertThat(stop).containsExactly(200);
         List<Integer> inspected = new ArrayList<>();
-        one.call(MACHINE, Reply.Request.get("/inspect", Duration.ofSeconds(2)), reply -> inspected.add(reply.status()));
+        one.call(MACHINE, HttpRequest.get("/inspect", Duration.ofSeconds(2)), reply -> inspected.add(reply.status()));
         run(1);
         assertThat(inspected).containsExactly(200);
     }
--- a/src/test/java/org/gullway/fake/FaultyLink.java
+++ b/src/test/java/org/gullway/fake/FaultyLink.java
@@ -8,6 +8,7 @@
 import org.gullway.transport.Call;
 import org.gullway.transport.Client;
 import org.gullway.transport.EventLoop;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 
 /** The way between two parties, on which whole messages are held, lost, delayed, repeated or carried out late. */
@@ -113,9 +114,9 @@
         };
     }
 
-    private static Reply.Request request(Call call, Duration limit) {
+    private static HttpRequest request(Call call, Duration limit) {
         String path = call.query().isEmpty() ? call.path() : call.path() + "?" + call.query();
-        return new Reply.Request(call.method(), path, call.body(), limit);
+        return new HttpRequest(call.method(), path, call.body(), limit);
     }
 
     private void deliver(SimulatedNetwork.Message message, Consumer<Call> target) {
--- a/src/test/java/org/gullway/fake/FaultyLinkTest.java
+++ b/src/test/java/org/gullway/fake/FaultyLinkTest.java
@@ -9,6 +9,7 @@
 import java.util.function.Consumer;
 import org.gullway.fake.FaultyLink.Conditions;
 import org.gullway.transport.Call;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 import org.junit.jupiter.api.Test;
 
@@ -104,7 +105,7 @@
         link.set(new Conditions(1, 0, 0, SECOND, 0, 0, Duration.ZERO));
         List<Reply.Kind> kinds = new ArrayList<>();
         link.client((address, request, callback) -> callback.accept(Reply.answered(200, new byte[0])))
-                .call("127.0.0.1:1", Reply.Request.get("/a", SECOND), reply -> kinds.add(reply.kind()));
+                .call("127.0.0.1:1", HttpRequest.get("/a", SECOND), reply -> kinds.add(reply.kind()));
         run(SECOND.multipliedBy(2));
         assertThat(kinds).containsExactly(Reply.Kind.UNKNOWN);
     }
--- a/src/test/java/org/gullway/fake/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/fake/SimulatedNetwork.java
@@ -11,6 +11,7 @@
 import java.util.random.RandomGenerator;
 import org.gullway.transport.Call;
 import org.gullway.transport.Client;
+import org.gullway.transport.HttpRequest;
 import org.gullway.transport.Reply;
 
 /**
@@ -20,19 +21,19 @@
 public final class SimulatedNetwork {
     private record Host(SimulatedTime.Process process, Consumer<Call> handler) {}
 
-    private record Held(String from, SimulatedTime.Process process, Reply.Request request) {}
+    private record Held(String from, SimulatedTime.Process process, HttpRequest request) {}
 
     /** Sees every request as it is sent and every answer as it arrives. */
     public interface TrafficListener {
         TrafficListener NONE = new TrafficListener() {
             @Override
-            public void sent(String from, String address, Reply.Request request) {}
+            public void sent(String from, String address, HttpRequest request) {}
 
             @Override
             public void answered(String from, String address, Reply reply) {}
         };
 
-        void sent(String from, String address, Reply.Request request);
+        void sent(String from, String address, HttpRequest request);
 
         void answered(String from, String address, Reply reply);
     }
@@ -185,11 +186,7 @@
     }
 
     private void send(
-            String from,
-            SimulatedTime.Process process,
-            String address,
-            Reply.Request request,
-            Consumer<Reply> callback) {
+            String from, SimulatedTime.Process process, String address, HttpRequest request, Consumer<Reply> callback) {
         traffic.sent(from, address, request);
         boolean[] finished = new boolean[1];
         Consumer<Reply> finish = reply -> {
@@ -251,7 +248,7 @@
             String from,
             SimulatedTime.Process sender,
             String address,
-            Reply.Request request,
+            HttpRequest request,
             Consumer<Reply> finish,
             Duration delay) {
         wires.after(delay, () -> {
