--- a/src/main/java/org/gullway/Main.java
+++ b/src/main/java/org/gullway/Main.java
@@ -1,10 +1,13 @@
 package org.gullway;
 
 import java.util.Map;
-import org.gullway.protocol.MalformedException;
+import org.gullway.cli.CommandLineInterface;
+import org.gullway.cli.StartOptions;
+import org.gullway.controller.Daemon;
+import org.gullway.protocol.MalformedMessageException;
 import org.gullway.protocol.OperatorSettings;
 import org.gullway.protocol.Settings;
-import org.gullway.transport.NoManagementBeans;
+import org.gullway.transport.DisabledMBeanServerBuilder;
 
 /** Starts the service, or says why it cannot be started. */
 public final class Main {
@@ -16,7 +19,7 @@
     /** Reads the command line and the settings, then starts the daemon; exits with a code above 0 if that fails. */
     public static void main(String[] args) {
         configureLogging(System.getenv());
-        NoManagementBeans.install();
+        DisabledMBeanServerBuilder.install();
         Main main = new Main();
         int code = main.prepare(args);
         if (code != 0) {
@@ -57,7 +60,7 @@
             operator = options.operatorSettings() == null
                     ? OperatorSettings.DEFAULTS
                     : OperatorSettings.read(options.operatorSettings());
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             System.err.println("gullway: " + e.getMessage());
             return FAULTY_SETTINGS;
         }
--- a/src/main/java/org/gullway/requests/FinalStates.java
+++ b/src/main/java/org/gullway/api/FinalStateCache.java
@@ -1,19 +1,19 @@
-package org.gullway.requests;
+package org.gullway.api;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.JobRecord;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.JobRecord;
 import org.gullway.protocol.JobStatus;
 
 /**
  * Final states of jobs, as far as they are known here: of those that ended, and of those that the view shows as
  * cancelled. They never change, so they may be told from memory.
  */
-final class FinalStates {
+final class FinalStateCache {
     private static final int MOST_REMEMBERED = 10_000;
 
-    private final ClusterView view;
+    private final ClusterState clusterState;
     private final Map<String, JobStatus> states = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, JobStatus> eldest) {
@@ -21,8 +21,8 @@
         }
     };
 
-    FinalStates(ClusterView view) {
-        this.view = view;
+    FinalStateCache(ClusterState clusterState) {
+        this.clusterState = clusterState;
     }
 
     /** The final state of the job; null if none is known. */
@@ -31,8 +31,8 @@
         if (end != null) {
             return end;
         }
-        JobRecord job = view.job(id);
-        return job != null && job.cancelled() ? job.status() : null;
+        JobRecord job = clusterState.job(id);
+        return job != null && job.isCancelled() ? job.status() : null;
     }
 
     boolean contains(String id) {
--- a/src/main/java/org/gullway/requests/JobLookUps.java
+++ b/src/main/java/org/gullway/api/JobLookup.java
@@ -1,4 +1,4 @@
-package org.gullway.requests;
+package org.gullway.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
@@ -9,18 +9,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.gullway.bookkeeping.RecordCodec;
-import org.gullway.bookkeeping.StateStore;
-import org.gullway.coordination.CancelledTasks;
-import org.gullway.coordination.JobRecord;
-import org.gullway.coordination.Keys;
-import org.gullway.coordination.Transaction;
+import org.gullway.coordination.cancellation.CancellationEnforcer;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.Transaction;
 import org.gullway.protocol.JobState;
 import org.gullway.protocol.JobStatus;
-import org.gullway.protocol.MalformedException;
-import org.gullway.transport.Budget;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.storage.RecordCodec;
+import org.gullway.storage.StateStoreClient;
 import org.gullway.transport.EventLoop;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpResponse;
+import org.gullway.transport.TokenBucket;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,16 +28,16 @@
  * Reads the states of jobs from the state service, where the view cannot tell them. Readings of one job are joined, and
  * all of them keep to one budget: what would have to wait too long for it is refused at once.
  */
-final class JobLookUps {
-    private static final Logger LOG = LoggerFactory.getLogger(JobLookUps.class);
+final class JobLookup {
+    private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
     /** Longer than this nobody should wait for the budget. */
     private static final Duration LONGEST_WAIT = Duration.ofSeconds(1);
 
     private final EventLoop loop;
-    private final StateStore store;
-    private final Budget budget;
-    private final FinalStates finals;
-    private final CancelledTasks cancelled;
+    private final StateStoreClient store;
+    private final TokenBucket budget;
+    private final FinalStateCache finalStates;
+    private final CancellationEnforcer cancellationEnforcer;
     /** Readings that have not been sent yet, in order, and those that have been. */
     private final Map<String, Reading> waiting = new LinkedHashMap<>();
 
@@ -45,7 +45,7 @@
     private boolean scheduled;
 
     /** Somebody who wants to know the state of a job. */
-    private record Asker(Consumer<JobFinding> found, Runnable failed) {}
+    private record Asker(Consumer<JobLookupResult> found, Runnable failed) {}
 
     /** One reading of a job's state, with all who wait for it. */
     private static final class Reading {
@@ -66,12 +66,17 @@
     }
 
     /** @param budget what the readings may use of the state service's requests */
-    JobLookUps(EventLoop loop, StateStore store, Budget budget, FinalStates finals, CancelledTasks cancelled) {
+    JobLookup(
+            EventLoop loop,
+            StateStoreClient store,
+            TokenBucket budget,
+            FinalStateCache finalStates,
+            CancellationEnforcer cancellationEnforcer) {
         this.loop = loop;
         this.store = store;
         this.budget = budget;
-        this.finals = finals;
-        this.cancelled = cancelled;
+        this.finalStates = finalStates;
+        this.cancellationEnforcer = cancellationEnforcer;
     }
 
     /**
@@ -80,26 +85,26 @@
      * @param found is told the state, or that there is no such job
      * @param failed is run if the state cannot be told now, perhaps at once
      */
-    void lookUp(String id, Consumer<JobFinding> found, Runnable failed) {
+    void lookUp(String id, Consumer<JobLookupResult> found, Runnable failed) {
         ask(id, false, new Asker(found, failed));
     }
 
     /** The same for a job of which it is known that it is over. */
-    void lookUpEnded(String id, Consumer<JobFinding> found, Runnable failed) {
+    void lookUpFinished(String id, Consumer<JobLookupResult> found, Runnable failed) {
         ask(id, true, new Asker(found, failed));
     }
 
     private void ask(String id, boolean surelyEnded, Asker asker) {
-        JobStatus end = finals.of(id);
+        JobStatus end = finalStates.of(id);
         if (end != null) {
-            asker.found().accept(JobFinding.ofFinalState(end));
+            asker.found().accept(JobLookupResult.ofFinalState(end));
         } else if (waiting.containsKey(id)) {
             Reading reading = waiting.get(id);
             reading.askers.add(asker);
             reading.surelyEnded |= surelyEnded;
         } else if (sent.containsKey(id)) {
             sent.get(id).late.add(asker);
-        } else if (budget.waitFor(requestsWaiting() + 1).compareTo(LONGEST_WAIT) > 0) {
+        } else if (budget.timeUntilAvailable(requestsWaiting() + 1).compareTo(LONGEST_WAIT) > 0) {
             asker.failed().run();
         } else {
             Reading reading = new Reading(id, surelyEnded);
@@ -117,7 +122,7 @@
     }
 
     private void sendWhatMayBeSent() {
-        while (!waiting.isEmpty() && budget.available()) {
+        while (!waiting.isEmpty() && budget.hasToken()) {
             Reading next = waiting.remove(waiting.keySet().iterator().next());
             next.sentAt = loop.now();
             sent.put(next.id, next);
@@ -134,7 +139,7 @@
     private void sendSoon() {
         if (!waiting.isEmpty() && !scheduled) {
             scheduled = true;
-            loop.after(budget.pause(), () -> {
+            loop.after(budget.batchingDelay(), () -> {
                 scheduled = false;
                 sendWhatMayBeSent();
             });
@@ -142,9 +147,9 @@
     }
 
     private void readLive(Reading reading) {
-        budget.spend(1);
-        store.get(Keys.job(reading.id), live -> {
-            if (live.kind() != Reply.Kind.ANSWERED || live.status() != 200 && live.status() != 404) {
+        budget.consume(1);
+        store.get(StoreKeys.job(reading.id), live -> {
+            if (live.kind() != HttpResponse.Outcome.ANSWERED || live.status() != 200 && live.status() != 404) {
                 fail(reading);
             } else if (live.status() == 200) {
                 tell(reading, recorded(reading.id, live.body().path("v")), live.revision());
@@ -155,22 +160,22 @@
     }
 
     private void readEnded(Reading reading) {
-        budget.spend(1);
-        store.get(Keys.ended(reading.id), end -> {
-            if (end.kind() == Reply.Kind.ANSWERED && end.status() == 404) {
+        budget.consume(1);
+        store.get(StoreKeys.finalState(reading.id), end -> {
+            if (end.kind() == HttpResponse.Outcome.ANSWERED && end.status() == 404) {
                 tell(reading, null, end.revision());
                 return;
             }
-            if (end.kind() != Reply.Kind.ANSWERED || end.status() != 200) {
+            if (end.kind() != HttpResponse.Outcome.ANSWERED || end.status() != 200) {
                 fail(reading);
                 return;
             }
             try {
-                Transaction.Ended state = RecordCodec.ended(end.body().path("v"));
+                Transaction.FinalState state = RecordCodec.ended(end.body().path("v"));
                 JobStatus status = new JobStatus(reading.id, state.state(), state.done(), 0);
-                finals.remember(status);
+                finalStates.remember(status);
                 tell(reading, status, end.revision());
-            } catch (MalformedException e) {
+            } catch (MalformedMessageException e) {
                 fail(reading);
             }
         });
@@ -178,9 +183,11 @@
 
     private void tell(Reading reading, JobStatus status, long revision) {
         sent.remove(reading.id);
-        Evidence.Source source =
-                status != null && status.state().isFinal() ? Evidence.Source.FINAL_STATE : Evidence.Source.READING;
-        JobFinding finding = new JobFinding(reading.id, status, new Evidence(source, revision, reading.sentAt));
+        ReadFreshness.Source source = status != null && status.state().isFinal()
+                ? ReadFreshness.Source.FINAL_STATE
+                : ReadFreshness.Source.READING;
+        JobLookupResult finding =
+                new JobLookupResult(reading.id, status, new ReadFreshness(source, revision, reading.sentAt));
         reading.askers.forEach(asker -> asker.found().accept(finding));
         if (finding.isFinal()) {
             reading.late.forEach(asker -> asker.found().accept(finding));
@@ -198,11 +205,11 @@
     /** A record that cannot be read still says that the job was accepted; its users must not be left without answer. */
     private JobStatus recorded(String id, JsonNode value) {
         try {
-            JobRecord job = (JobRecord) RecordCodec.decode(Keys.job(id), value);
+            JobRecord job = (JobRecord) RecordCodec.decode(StoreKeys.job(id), value);
             // Its user is told of the cancellation before the watch has brought it.
-            cancelled.learn(job, loop.now());
+            cancellationEnforcer.merge(job, loop.now());
             return job.status();
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             LOG.error("the record of {} is not of our form: {}", id, e.getMessage());
             return new JobStatus(id, value.hasNonNull("cancelled") ? JobState.CANCELLED : JobState.PENDING, 0, 0);
         }
--- a/src/main/java/org/gullway/requests/JobFinding.java
+++ b/src/main/java/org/gullway/api/JobLookupResult.java
@@ -1,4 +1,4 @@
-package org.gullway.requests;
+package org.gullway.api;
 
 import org.gullway.protocol.JobStatus;
 
@@ -8,10 +8,10 @@
  * @param status the job's state; null if there is no such job
  * @param evidence why that may be told
  */
-record JobFinding(String id, JobStatus status, Evidence evidence) {
+record JobLookupResult(String id, JobStatus status, ReadFreshness freshness) {
     /** What is known of a job that is over. */
-    static JobFinding ofFinalState(JobStatus status) {
-        return new JobFinding(status.id(), status, Evidence.ofFinalState());
+    static JobLookupResult ofFinalState(JobStatus status) {
+        return new JobLookupResult(status.id(), status, ReadFreshness.ofFinalState());
     }
 
     boolean isFinal() {
--- a/src/main/java/org/gullway/requests/StateAnswers.java
+++ b/src/main/java/org/gullway/api/LinearizableResponses.java
@@ -1,4 +1,4 @@
-package org.gullway.requests;
+package org.gullway.api;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -16,8 +16,8 @@
  * older than the request, or a final state; a request whose answer lacks that is refused for now and reported as a
  * violated invariant.
  */
-final class StateAnswers {
-    private static final Logger LOG = LoggerFactory.getLogger(StateAnswers.class);
+final class LinearizableResponses {
+    private static final Logger LOG = LoggerFactory.getLogger(LinearizableResponses.class);
     private static final byte[] EMPTY = new byte[0];
 
     private final EventLoop loop;
@@ -28,85 +28,85 @@
      * @param finalState the final state of a job, as far as it is known here; null for any other job
      * @param violated is told of answers that were withheld since their evidence was too old
      */
-    StateAnswers(EventLoop loop, Function<String, JobStatus> finalState, Consumer<String> violated) {
+    LinearizableResponses(EventLoop loop, Function<String, JobStatus> finalState, Consumer<String> violated) {
         this.loop = loop;
         this.finalState = finalState;
         this.violated = violated;
     }
 
     /** Answers questions about one job: 200 with the whole state, or 404. */
-    void answerQuestions(List<UserCall> calls, JobFinding found) {
+    void respondToQueries(List<UserRequest> calls, JobLookupResult result) {
         answer(
                 calls,
-                found,
+                result,
                 status -> status == null ? new Answer(404, EMPTY) : new Answer(200, Cbor.encode(status.toNode())));
     }
 
     /** Answers a submission whose job has just been recorded: 201 with the state that was committed. */
-    void answerAccepted(UserCall call, JobFinding committed) {
+    void respondAccepted(UserRequest userRequest, JobLookupResult committed) {
         answer(
-                List.of(call),
+                List.of(userRequest),
                 committed,
-                status -> new Answer(status.state().isFinal() ? 200 : 201, UserAnswers.state(status)));
+                status -> new Answer(status.state().isFinal() ? 200 : 201, UserResponses.state(status)));
     }
 
     /** Answers a cancellation: 200 with the final state, or 404. */
-    void answerCancellation(UserCall call, JobFinding found) {
+    void respondToCancellation(UserRequest userRequest, JobLookupResult result) {
         answer(
-                List.of(call),
-                found,
-                status -> status == null ? new Answer(404, EMPTY) : new Answer(200, UserAnswers.state(status)));
+                List.of(userRequest),
+                result,
+                status -> status == null ? new Answer(404, EMPTY) : new Answer(200, UserResponses.state(status)));
     }
 
     /** Answers a submission of a job that can never run: 422, unless it was accepted earlier. */
-    void answerImpossible(UserCall call, JobFinding found, String reason) {
+    void respondInfeasible(UserRequest userRequest, JobLookupResult result, String reason) {
         answer(
-                List.of(call),
-                found,
+                List.of(userRequest),
+                result,
                 status -> status == null
-                        ? new Answer(422, UserAnswers.error(reason))
+                        ? new Answer(422, UserResponses.error(reason))
                         : new Answer(200, Cbor.encode(status.toNode())));
     }
 
     private record Answer(int status, byte[] body) {}
 
     /** The body is made once, however many calls share the answer. */
-    private void answer(List<UserCall> calls, JobFinding found, Function<JobStatus, Answer> form) {
-        JobFinding newest = newest(found);
+    private void answer(List<UserRequest> calls, JobLookupResult result, Function<JobStatus, Answer> form) {
+        JobLookupResult newest = newest(result);
         Answer answer = form.apply(newest.status());
-        for (UserCall call : calls) {
-            if (newest.evidence().covers(call.came())) {
-                call.call().answer(answer.status(), answer.body());
+        for (UserRequest userRequest : calls) {
+            if (newest.freshness().covers(userRequest.arrivedAt())) {
+                userRequest.exchange().respond(answer.status(), answer.body());
             } else {
-                violated.accept(describe(newest, call));
-                UserAnswers.refuse(call.call());
+                violated.accept(describe(newest, userRequest));
+                UserResponses.rejectTemporarily(userRequest.exchange());
             }
         }
         if (LOG.isDebugEnabled() && !calls.isEmpty()) {
-            UserCall last = calls.get(calls.size() - 1);
+            UserRequest last = calls.get(calls.size() - 1);
             LOG.debug("answer {} to {} requests: {}", answer.status(), calls.size(), describe(newest, last));
         }
     }
 
     /** A final state that has become known meanwhile replaces any other finding. */
-    private JobFinding newest(JobFinding found) {
-        if (found.isFinal()) {
-            return found;
+    private JobLookupResult newest(JobLookupResult result) {
+        if (result.isFinal()) {
+            return result;
         }
-        JobStatus end = finalState.apply(found.id());
-        return end == null ? found : JobFinding.ofFinalState(end);
+        JobStatus end = finalState.apply(result.id());
+        return end == null ? result : JobLookupResult.ofFinalState(end);
     }
 
-    private String describe(JobFinding found, UserCall call) {
-        Evidence evidence = found.evidence();
+    private String describe(JobLookupResult result, UserRequest userRequest) {
+        ReadFreshness freshness = result.freshness();
         Instant now = loop.now();
         String state =
-                found.status() == null ? "unknown" : found.status().state().wire();
-        String age = evidence.source() == Evidence.Source.FINAL_STATE
+                result.status() == null ? "unknown" : result.status().state().wire();
+        String age = freshness.source() == ReadFreshness.Source.FINAL_STATE
                 ? ""
-                : " of revision " + evidence.revision() + ", " + millis(evidence.validFrom(), now) + " ms old";
-        return found.id() + " " + state + " by " + evidence.source() + age + ", asked " + millis(call.came(), now)
-                + " ms ago";
+                : " of revision " + freshness.revision() + ", " + millis(freshness.validFrom(), now) + " ms old";
+        return result.id() + " " + state + " by " + freshness.source() + age + ", asked "
+                + millis(userRequest.arrivedAt(), now) + " ms ago";
     }
 
     private static long millis(Instant from, Instant to) {
--- a/src/main/java/org/gullway/requests/Evidence.java
+++ b/src/main/java/org/gullway/api/ReadFreshness.java
@@ -1,4 +1,4 @@
-package org.gullway.requests;
+package org.gullway.api;
 
 import java.time.Instant;
 
@@ -9,7 +9,7 @@
  * @param revision revision of the state service at which it was read or written, 0 where that is not known
  * @param validFrom the state held at this moment or later: when the request that read or wrote it was sent
  */
-record Evidence(Source source, long revision, Instant validFrom) {
+record ReadFreshness(Source source, long revision, Instant validFrom) {
     /** How a state became known. */
     enum Source {
         /** The job's final state is on record; it never changes again. */
@@ -23,8 +23,8 @@
     }
 
     /** The evidence of a final state, which was told or recorded before and holds for good. */
-    static Evidence ofFinalState() {
-        return new Evidence(Source.FINAL_STATE, 0, Instant.MIN);
+    static ReadFreshness ofFinalState() {
+        return new ReadFreshness(Source.FINAL_STATE, 0, Instant.MIN);
     }
 
     /** Whether the evidence is not older than a request that came at this moment. */
--- a/src/main/java/org/gullway/requests/RequestMetrics.java
+++ b/src/main/java/org/gullway/api/RequestMetrics.java
@@ -1,12 +1,12 @@
-package org.gullway.requests;
+package org.gullway.api;
 
 import java.time.Duration;
 
 /** What is counted of users' requests. */
 public interface RequestMetrics {
     /** A submission was accepted so long after it had come. */
-    void accepted(Duration time);
+    void submissionAccepted(Duration time);
 
     /** So many questions were answered, or refused for now. */
-    void questions(boolean answered, int count);
+    void statusQueries(boolean answered, int count);
 }
--- a/src/main/java/org/gullway/requests/StatusQuery.java
+++ b/src/main/java/org/gullway/api/StatusQuery.java
@@ -1,4 +1,4 @@
-package org.gullway.requests;
+package org.gullway.api;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,9 +8,9 @@
     private final String id;
     private final boolean ofSubmitter;
     private final int keys;
-    private final StateAnswers answers;
+    private final LinearizableResponses responses;
     private final RequestMetrics metrics;
-    private final List<UserCall> calls = new ArrayList<>();
+    private final List<UserRequest> calls = new ArrayList<>();
     private Runnable stopTimer = () -> {};
     private boolean over;
     private int timesStale;
@@ -19,11 +19,11 @@
      * @param ofSubmitter whether it comes from a user who submits the job again
      * @param keys how many keys its verification compares
      */
-    StatusQuery(String id, boolean ofSubmitter, int keys, StateAnswers answers, RequestMetrics metrics) {
+    StatusQuery(String id, boolean ofSubmitter, int keys, LinearizableResponses responses, RequestMetrics metrics) {
         this.id = id;
         this.ofSubmitter = ofSubmitter;
         this.keys = keys;
-        this.answers = answers;
+        this.responses = responses;
         this.metrics = metrics;
     }
 
@@ -44,8 +44,8 @@
         return over;
     }
 
-    void add(UserCall call) {
-        calls.add(call);
+    void add(UserRequest userRequest) {
+        calls.add(userRequest);
     }
 
     /** @param stop ends the timer that would refuse this query */
@@ -59,16 +59,16 @@
     }
 
     /** Tells all who wait what was found out. */
-    void answer(JobFinding found) {
+    void answer(JobLookupResult result) {
         if (end(true)) {
-            answers.answerQuestions(calls, found);
+            responses.respondToQueries(calls, result);
         }
     }
 
     /** Refuses all who wait for now. */
     void refuse() {
         if (end(false)) {
-            calls.forEach(call -> UserAnswers.refuse(call.call()));
+            calls.forEach(userRequest -> UserResponses.rejectTemporarily(userRequest.exchange()));
         }
     }
 
@@ -78,7 +78,7 @@
         }
         over = true;
         stopTimer.run();
-        metrics.questions(answered, calls.size());
+        metrics.statusQueries(answered, calls.size());
         return true;
     }
 }
--- a/src/main/java/org/gullway/requests/StatusQueries.java
+++ b/src/main/java/org/gullway/api/StatusQueryHandler.java
@@ -1,4 +1,4 @@
-package org.gullway.requests;
+package org.gullway.api;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -12,13 +12,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.gullway.bookkeeping.Ledger;
-import org.gullway.bookkeeping.Verification;
-import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.JobRecord;
-import org.gullway.coordination.Keys;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.StoreKeys;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.JobStatus;
+import org.gullway.storage.LinearizableRead;
+import org.gullway.storage.ReplicatedState;
 import org.gullway.transport.EventLoop;
 
 /**
@@ -27,7 +27,7 @@
  * request serves many jobs, so the number of questions does not matter to the store. A question that cannot be answered
  * in time is refused as soon as that is clear.
  */
-final class StatusQueries {
+final class StatusQueryHandler {
     /** A user waits 2 s for an answer. */
     private static final Duration PATIENCE = Duration.ofMillis(1200);
 
@@ -40,11 +40,11 @@
     private static final int MOST_STALE = 2;
 
     private final EventLoop loop;
-    private final ClusterView view;
-    private final Ledger ledger;
-    private final FinalStates finals;
-    private final JobLookUps lookUps;
-    private final StateAnswers answers;
+    private final ClusterState clusterState;
+    private final ReplicatedState replicatedState;
+    private final FinalStateCache finalStates;
+    private final JobLookup jobLookup;
+    private final LinearizableResponses responses;
     private final RequestMetrics metrics;
     private final int keysPerRequest;
     /** Users who repeat a submission come before those who only ask. */
@@ -65,60 +65,60 @@
     /** Jobs whose states are verified together, with what is known of each; null where the view knows no such job. */
     private record Batch(Map<StatusQuery, JobStatus> known, Set<String> keys) {}
 
-    StatusQueries(
+    StatusQueryHandler(
             EventLoop loop,
-            ClusterView view,
-            Ledger ledger,
-            FinalStates finals,
-            JobLookUps lookUps,
-            StateAnswers answers,
+            ClusterState clusterState,
+            ReplicatedState replicatedState,
+            FinalStateCache finalStates,
+            JobLookup jobLookup,
+            LinearizableResponses responses,
             RequestMetrics metrics,
             int guardsPerCommit) {
         this.loop = loop;
-        this.view = view;
-        this.ledger = ledger;
-        this.finals = finals;
-        this.lookUps = lookUps;
-        this.answers = answers;
+        this.clusterState = clusterState;
+        this.replicatedState = replicatedState;
+        this.finalStates = finalStates;
+        this.jobLookup = jobLookup;
+        this.responses = responses;
         this.metrics = metrics;
         this.keysPerRequest = Math.max(KEYS_OF_UNKNOWN_JOB, guardsPerCommit);
     }
 
     /** Answers a user's question. */
-    void poll(String id, UserCall call) {
-        if (!JobRequest.isId(id)) {
-            UserAnswers.notAnId(call.call());
+    void query(String id, UserRequest userRequest) {
+        if (!JobRequest.isValidId(id)) {
+            UserResponses.rejectInvalidId(userRequest.exchange());
             return;
         }
-        JobStatus end = finals.of(id);
+        JobStatus end = finalStates.of(id);
         if (end != null) {
-            metrics.questions(true, 1);
-            answers.answerQuestions(List.of(call), JobFinding.ofFinalState(end));
-        } else if (!ledger.fresh() || !open.containsKey(id) && overloaded()) {
-            metrics.questions(false, 1);
-            UserAnswers.refuse(call.call());
+            metrics.statusQueries(true, 1);
+            responses.respondToQueries(List.of(userRequest), JobLookupResult.ofFinalState(end));
+        } else if (!replicatedState.isFresh() || !open.containsKey(id) && overloaded()) {
+            metrics.statusQueries(false, 1);
+            UserResponses.rejectTemporarily(userRequest.exchange());
         } else {
-            open.computeIfAbsent(id, i -> begin(i, false)).add(call);
+            open.computeIfAbsent(id, i -> begin(i, false)).add(userRequest);
             verifySoon();
         }
     }
 
     /** Tells a user who submits a job again what became of it; this never waits behind questions. */
-    void tellSubmitter(String id, UserCall call) {
-        JobStatus end = finals.of(id);
+    void respondToRepeatedSubmission(String id, UserRequest userRequest) {
+        JobStatus end = finalStates.of(id);
         if (end != null) {
-            answers.answerQuestions(List.of(call), JobFinding.ofFinalState(end));
-        } else if (!ledger.fresh() || submitters.size() >= MOST_SUBMITTERS) {
-            UserAnswers.refuse(call.call());
+            responses.respondToQueries(List.of(userRequest), JobLookupResult.ofFinalState(end));
+        } else if (!replicatedState.isFresh() || submitters.size() >= MOST_SUBMITTERS) {
+            UserResponses.rejectTemporarily(userRequest.exchange());
         } else {
-            begin(id, true).add(call);
+            begin(id, true).add(userRequest);
             verifySoon();
         }
     }
 
     private StatusQuery begin(String id, boolean ofSubmitter) {
-        int keys = view.job(id) == null ? KEYS_OF_UNKNOWN_JOB : 1;
-        StatusQuery query = new StatusQuery(id, ofSubmitter, keys, answers, metrics);
+        int keys = clusterState.job(id) == null ? KEYS_OF_UNKNOWN_JOB : 1;
+        StatusQuery query = new StatusQuery(id, ofSubmitter, keys, responses, metrics);
         queueOf(query).addLast(query);
         queuedKeys += keys;
         query.onEnd(loop.after(PATIENCE, () -> {
@@ -148,7 +148,7 @@
             return true;
         }
         int requests = 1 + queuedKeys / keysPerRequest;
-        return ledger.verificationWait(requests).compareTo(PATIENCE) >= 0;
+        return replicatedState.timeUntilConfirmation(requests).compareTo(PATIENCE) >= 0;
     }
 
     private void verifySoon() {
@@ -156,7 +156,7 @@
             return;
         }
         scheduled = true;
-        Duration pause = ledger.verificationPause();
+        Duration pause = replicatedState.confirmationDelay();
         Duration busy = notBefore.isAfter(loop.now()) ? Duration.between(loop.now(), notBefore) : Duration.ZERO;
         loop.after(pause.compareTo(busy) > 0 ? pause : busy, () -> {
             scheduled = false;
@@ -173,7 +173,7 @@
         }
         Instant sent = loop.now();
         inFlight.add(sent);
-        ledger.verify(batch.keys(), verification -> {
+        replicatedState.confirmVersions(batch.keys(), verification -> {
             inFlight.remove(sent);
             switch (verification.kind()) {
                 case COMPARED -> settle(batch, verification, sent);
@@ -200,35 +200,35 @@
 
     private void addTo(Batch batch, StatusQuery query) {
         String id = query.id();
-        JobStatus end = finals.of(id);
+        JobStatus end = finalStates.of(id);
         if (end != null) {
-            query.answer(JobFinding.ofFinalState(end));
+            query.answer(JobLookupResult.ofFinalState(end));
             return;
         }
-        JobRecord job = view.job(id);
+        JobRecord job = clusterState.job(id);
         batch.known().put(query, job == null ? null : job.status());
-        batch.keys().add(Keys.job(id));
+        batch.keys().add(StoreKeys.job(id));
         if (job == null) {
-            batch.keys().add(Keys.ended(id));
+            batch.keys().add(StoreKeys.finalState(id));
         }
     }
 
-    private void settle(Batch batch, Verification verification, Instant sent) {
-        Evidence evidence = new Evidence(Evidence.Source.VERIFICATION, verification.revision(), sent);
+    private void settle(Batch batch, LinearizableRead verification, Instant sent) {
+        ReadFreshness freshness = new ReadFreshness(ReadFreshness.Source.VERIFICATION, verification.revision(), sent);
         batch.known()
                 .forEach((query, status) ->
-                        settle(query, new JobFinding(query.id(), status, evidence), verification.stale()));
+                        settle(query, new JobLookupResult(query.id(), status, freshness), verification.staleKeys()));
     }
 
-    private void settle(StatusQuery query, JobFinding known, Set<String> stale) {
+    private void settle(StatusQuery query, JobLookupResult known, Set<String> stale) {
         String id = query.id();
-        boolean ended = stale.contains(Keys.ended(id));
-        if (!ended && !stale.contains(Keys.job(id))) {
+        boolean ended = stale.contains(StoreKeys.finalState(id));
+        if (!ended && !stale.contains(StoreKeys.job(id))) {
             query.answer(known);
         } else if (ended) {
-            lookUps.lookUpEnded(id, query::answer, query::refuse);
+            jobLookup.lookUpFinished(id, query::answer, query::refuse);
         } else if (query.stale() >= MOST_STALE) {
-            lookUps.lookUp(id, query::answer, query::refuse);
+            jobLookup.lookUp(id, query::answer, query::refuse);
         } else {
             queueOf(query).addLast(query);
             queuedKeys += query.keys();
--- a/src/main/java/org/gullway/requests/UserAnswers.java
+++ b/src/main/java/org/gullway/api/UserResponses.java
@@ -1,18 +1,18 @@
-package org.gullway.requests;
+package org.gullway.api;
 
 import java.time.Duration;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobStatus;
-import org.gullway.transport.Call;
+import org.gullway.transport.HttpExchange;
 
-/** Forms of answers to users, except those that tell the state of a job: see {@link StateAnswers}. */
-final class UserAnswers {
+/** Forms of answers to users, except those that tell the state of a job: see {@link LinearizableResponses}. */
+final class UserResponses {
     /** When a user who was refused for now may come again. */
     static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private static final byte[] EMPTY = new byte[0];
 
-    private UserAnswers() {}
+    private UserResponses() {}
 
     /** The state of a job without counts of its tasks. */
     static byte[] state(JobStatus status) {
@@ -27,17 +27,17 @@
     }
 
     /** Says of something that is no job id that there is no such job. */
-    static void notAnId(Call call) {
-        call.answer(404, EMPTY);
+    static void rejectInvalidId(HttpExchange exchange) {
+        exchange.respond(404, EMPTY);
     }
 
     /** Refuses for good and says why. */
-    static void complain(Call call, int status, String why) {
-        call.answer(status, error(why));
+    static void rejectInvalid(HttpExchange exchange, int status, String why) {
+        exchange.respond(status, error(why));
     }
 
     /** Refuses for now. */
-    static void refuse(Call call) {
-        call.refuse(503, RETRY_AFTER);
+    static void rejectTemporarily(HttpExchange exchange) {
+        exchange.reject(503, RETRY_AFTER);
     }
 }
--- a/src/main/java/org/gullway/requests/package-info.java
+++ b/src/main/java/org/gullway/api/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Users' requests: submissions, questions and cancellations, from their arrival until they are answered. Every answer that
- * tells a job's state goes through {@link org.gullway.requests.StateAnswers}.
+ * tells a job's state goes through {@link org.gullway.api.LinearizableResponses}.
  */
-package org.gullway.requests;
+package org.gullway.api;
--- a/src/main/java/org/gullway/CommandLineInterface.java
+++ b/src/main/java/org/gullway/cli/CommandLineInterface.java
@@ -1,4 +1,4 @@
-package org.gullway;
+package org.gullway.cli;
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -13,7 +13,7 @@
         mixinStandardHelpOptions = true,
         versionProvider = CommandLineInterface.Version.class,
         description = "Schedules users' jobs on rented machines. One process runs on every controller.")
-final class CommandLineInterface implements Callable<Integer> {
+public final class CommandLineInterface implements Callable<Integer> {
     private final ToIntFunction<StartOptions> action;
 
     @Option(
@@ -43,7 +43,7 @@
     }
 
     /** Reads the arguments and, if they are right, runs the action; returns the exit code. */
-    static int execute(String[] arguments, ToIntFunction<StartOptions> action) {
+    public static int execute(String[] arguments, ToIntFunction<StartOptions> action) {
         return new CommandLine(new CommandLineInterface(action)).execute(arguments);
     }
 
--- a/src/main/java/org/gullway/StartOptions.java
+++ b/src/main/java/org/gullway/cli/StartOptions.java
@@ -1,4 +1,4 @@
-package org.gullway;
+package org.gullway.cli;
 
 import java.nio.file.Path;
 
@@ -9,7 +9,7 @@
  * @param operatorSettings operators' own settings (XML); null if none were given
  * @param checkOnly whether to end after both files were read
  */
-record StartOptions(Path config, Path operatorSettings, boolean checkOnly) {
+public record StartOptions(Path config, Path operatorSettings, boolean checkOnly) {
     static final String CONFIG = "--config";
     static final String OPERATOR_SETTINGS = "--operator-settings";
 
@@ -18,7 +18,7 @@
      * that of the operators; null for any other, which the command line library reads. That library is built for such
      * an old Java that its classes cannot be in the class-data archive, and was a tenth of the processor time of a start.
      */
-    static StartOptions ofPlain(String[] arguments) {
+    public static StartOptions ofPlain(String[] arguments) {
         if (arguments.length == 2 && arguments[0].equals(CONFIG)) {
             return new StartOptions(Path.of(arguments[1]), null, false);
         }
--- a/src/main/java/org/gullway/RoundPacer.java
+++ b/src/main/java/org/gullway/controller/CycleThrottle.java
@@ -1,11 +1,11 @@
-package org.gullway;
+package org.gullway.controller;
 
 import java.time.Duration;
 import java.time.Instant;
 import org.gullway.transport.EventLoop;
 
 /** Runs rounds that are asked for: each gathers what came in meanwhile, and a long one leaves twice its time after it. */
-final class RoundPacer {
+final class CycleThrottle {
     private static final Duration LEAST_PAUSE = Duration.ofMillis(10);
     private static final Duration LONGEST_PAUSE = Duration.ofMillis(300);
 
@@ -14,7 +14,7 @@
     private boolean scheduled;
     private Instant notBefore = Instant.MIN;
 
-    RoundPacer(EventLoop loop, Runnable round) {
+    CycleThrottle(EventLoop loop, Runnable round) {
         this.loop = loop;
         this.round = round;
     }
@@ -39,7 +39,7 @@
     }
 
     /** Puts off the next round, after one that took this long. */
-    void pauseAfter(Duration took) {
+    void delayAfter(Duration took) {
         Duration pause = took.multipliedBy(2);
         if (pause.compareTo(LEAST_PAUSE) < 0) {
             pause = LEAST_PAUSE;
--- a/src/main/java/org/gullway/Daemon.java
+++ b/src/main/java/org/gullway/controller/Daemon.java
@@ -1,4 +1,4 @@
-package org.gullway;
+package org.gullway.controller;
 
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
@@ -10,9 +10,9 @@
 import java.util.Set;
 import org.gullway.protocol.OperatorSettings;
 import org.gullway.protocol.Settings;
-import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpServer;
-import org.gullway.transport.Sockets;
+import org.gullway.transport.SocketBudget;
+import org.gullway.transport.UndertowHttpClient;
 import org.gullway.transport.XnioEventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -22,35 +22,37 @@
 import org.xnio.XnioWorker;
 
 /** A controller on real sockets and clocks. */
-final class Daemon {
+public final class Daemon {
     private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
     private static final int BODY_LIMIT = 64 * 1024;
     private static final int BUFFER = 8 * 1024;
 
     private Daemon() {}
 
-    static void start(Settings settings, OperatorSettings operator) {
+    /** Starts a controller; returns once its event loop runs. */
+    public static void start(Settings settings, OperatorSettings operator) {
         XnioWorker worker = worker();
         ByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER, 256, 4);
         XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
         long seed = System.nanoTime()
                 ^ System.currentTimeMillis() << 20
                 ^ settings.nodeName().hashCode();
-        Sockets sockets = new Sockets(settings.sockets());
+        SocketBudget socketBudget = new SocketBudget(settings.socketLimit());
         Set<String> essential = new HashSet<>(List.of(settings.stateAddress(), settings.cloudAddress()));
         settings.peers().forEach(peer -> essential.add(peer.address()));
         Controller controller = new Controller(
                 settings,
                 operator,
                 loop,
-                new HttpClient(loop, buffers, sockets, essential),
+                new UndertowHttpClient(loop, buffers, socketBudget, essential),
                 InstantSource.system(),
                 seed);
-        HttpServer.start(worker, buffers, sockets, settings.meshAddress(), BODY_LIMIT, controller::answerPeer);
-        LOG.info("{} listens on {} to the other controllers", settings.nodeName(), settings.meshAddress());
+        HttpServer.start(worker, buffers, socketBudget, settings.peerAddress(), BODY_LIMIT, controller::handlePeer);
+        LOG.info("{} listens on {} to the other controllers", settings.nodeName(), settings.peerAddress());
         loop.execute(() -> controller.start(() -> worker.execute(() -> {
             try {
-                HttpServer.start(worker, buffers, sockets, settings.publicAddress(), BODY_LIMIT, controller::answer);
+                HttpServer.start(
+                        worker, buffers, socketBudget, settings.publicAddress(), BODY_LIMIT, controller::handle);
                 LOG.info("{} listens on {}", settings.nodeName(), settings.publicAddress());
             } catch (RuntimeException e) {
                 // A controller that nobody can reach must not stay a member.
--- a/src/main/java/org/gullway/coordination/CommandWindow.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandWindow.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.agents;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -10,41 +10,41 @@
  * (senderos-altos-lean rough: one controller of three sent twice as many commands as the others for a minute).
  */
 final class CommandWindow {
-    static final int LARGEST = 128;
-    static final int SMALLEST = 12;
+    static final int MAX_SIZE = 128;
+    static final int MIN_SIZE = 12;
     /** Answers later than this make the window smaller; the time limit of a command is several times as long. */
-    static final Duration SLOW = Duration.ofSeconds(1);
+    static final Duration SLOW_RESPONSE = Duration.ofSeconds(1);
 
     private static final double DECREASE = 0.75;
 
-    private double size = LARGEST;
-    private int onTheirWay;
+    private double size = MAX_SIZE;
+    private int inFlight;
     /** Answers to commands from before the last decrease say nothing of the present window. */
     private Instant decreasedAt = Instant.MIN;
 
     /** Commands on their way. */
-    int onTheirWay() {
-        return onTheirWay;
+    int inFlight() {
+        return inFlight;
     }
 
     boolean isFull() {
-        return onTheirWay >= (int) size;
+        return inFlight >= (int) size;
     }
 
-    void sent() {
-        onTheirWay++;
+    void onSent() {
+        inFlight++;
     }
 
     /** Takes the end of a command that was sent; without an answer it says nothing of this controller. */
-    void ended(Instant sent, boolean answered, Instant now) {
-        onTheirWay--;
+    void onOutcome(Instant sent, boolean answered, Instant now) {
+        inFlight--;
         if (!answered) {
             return;
         }
-        if (Duration.between(sent, now).compareTo(SLOW) <= 0) {
-            size = Math.min(LARGEST, size + 1);
+        if (Duration.between(sent, now).compareTo(SLOW_RESPONSE) <= 0) {
+            size = Math.min(MAX_SIZE, size + 1);
         } else if (sent.isAfter(decreasedAt)) {
-            size = Math.max(SMALLEST, size * DECREASE);
+            size = Math.max(MIN_SIZE, size * DECREASE);
             decreasedAt = now;
         }
     }
--- a/src/main/java/org/gullway/coordination/EndedAttempts.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.agents;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -6,22 +6,30 @@
 import java.util.Iterator;
 import java.util.Map;
 import java.util.function.BiPredicate;
-import org.gullway.coordination.JobRecord.End;
+import org.gullway.coordination.cycle.PlanningContext;
+import org.gullway.coordination.cycle.PlanningStep;
+import org.gullway.coordination.model.AttemptId;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.JobRecord.AttemptOutcome;
+import org.gullway.coordination.model.Placement;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.Transaction;
 
 /**
  * Attempts that have certainly ended and whose ends are not on record yet. The keeper of a job (its owner, or the
  * leader) records the ends of all its tasks, so that one writer changes a record and one change holds many ends.
  */
-public final class EndedAttempts {
+public final class CompletionBuffer implements PlanningStep {
     /** The ends of a job that goes on are on record after that, or earlier with its next placement. */
     private static final Duration LONGEST_KEPT = Duration.ofSeconds(8);
 
-    private final ClusterView view;
+    private final ClusterState clusterState;
     private final Map<String, Waiting> byJob = new HashMap<>();
 
     private static final class Waiting {
         private final Instant since;
-        private final Map<AttemptId, End> ends = new HashMap<>();
+        private final Map<AttemptId, AttemptOutcome> ends = new HashMap<>();
         private final Map<AttemptId, String> machines = new HashMap<>();
 
         Waiting(Instant since) {
@@ -29,15 +37,15 @@
         }
     }
 
-    public EndedAttempts(ClusterView view) {
-        this.view = view;
+    public CompletionBuffer(ClusterState clusterState) {
+        this.clusterState = clusterState;
     }
 
     /**
      * Takes an attempt that has certainly ended; nothing happens if it is not on record as live, or is known already.
      */
-    public void add(AttemptId attempt, End end, Instant now) {
-        JobRecord job = view.job(attempt.task().job());
+    public void add(AttemptId attempt, AttemptOutcome end, Instant now) {
+        JobRecord job = clusterState.job(attempt.task().job());
         Placement placement = job == null || contains(attempt)
                 ? null
                 : job.placementOf(attempt.task().index(), attempt.attempt());
@@ -49,13 +57,13 @@
     }
 
     /** Lets the commit use the room that ended attempts have left, before their ends are on record. */
-    public void credit(Transaction draft) {
+    public void releaseResources(Transaction transaction) {
         byJob.forEach((id, waiting) -> {
-            JobRecord job = view.job(id);
+            JobRecord job = clusterState.job(id);
             if (job != null) {
                 waiting.machines.forEach((attempt, machine) -> {
-                    if (view.placementsOn(machine).containsKey(attempt)) {
-                        draft.credit(job, machine);
+                    if (clusterState.placementsOn(machine).containsKey(attempt)) {
+                        transaction.releaseResources(job, machine);
                     }
                 });
             }
@@ -68,32 +76,35 @@
     }
 
     /** Ends the jobs that are over with the ends known here: users wait for that. */
-    public void finish(Transaction draft) {
-        propose(
-                draft,
-                (job, waiting) -> job.cancelled()
-                        || job.done().size() + waiting.ends.size()
+    public void planFinishedJobs(Transaction transaction) {
+        plan(
+                transaction,
+                (job, waiting) -> job.isCancelled()
+                        || job.completedTasks().size() + waiting.ends.size()
                                 >= job.request().tasks());
     }
 
     /** Records the ends of jobs that go on: at once if changes are plentiful, or else when they have waited long. */
-    public void propose(Transaction draft, boolean plenty, Instant now) {
-        propose(
-                draft,
-                (job, waiting) -> plenty || waiting.since.plus(LONGEST_KEPT).isBefore(now));
+    @Override
+    public void plan(Transaction transaction, PlanningContext context) {
+        boolean surplus = context.hasSurplusChanges();
+        Instant now = context.now();
+        plan(
+                transaction,
+                (job, waiting) -> surplus || waiting.since.plus(LONGEST_KEPT).isBefore(now));
     }
 
-    private void propose(Transaction draft, BiPredicate<JobRecord, Waiting> due) {
+    private void plan(Transaction transaction, BiPredicate<JobRecord, Waiting> due) {
         for (Iterator<Map.Entry<String, Waiting>> it = byJob.entrySet().iterator(); it.hasNext(); ) {
             Map.Entry<String, Waiting> entry = it.next();
-            JobRecord known = view.job(entry.getKey());
-            JobRecord job = draft.job(entry.getKey());
+            JobRecord known = clusterState.job(entry.getKey());
+            JobRecord job = transaction.job(entry.getKey());
             if (known == null) {
                 it.remove();
-            } else if (job != null && due.test(job, entry.getValue()) && draft.canPutJob(entry.getKey())) {
-                Map<Placement, End> ends = current(job, entry.getValue().ends);
+            } else if (job != null && due.test(job, entry.getValue()) && transaction.canPutJob(entry.getKey())) {
+                Map<Placement, AttemptOutcome> ends = current(job, entry.getValue().ends);
                 if (!ends.isEmpty()) {
-                    draft.putJob(job.ended(ends));
+                    transaction.putJob(job.withCompletions(ends));
                 } else if (job == known) {
                     it.remove();
                 }
@@ -102,21 +113,22 @@
     }
 
     /** Adds what is known to the records that this commit changes anyway. */
-    public void join(Transaction draft) {
+    public void addToChangedJobs(Transaction transaction) {
         byJob.forEach((id, waiting) -> {
-            if (draft.changes().get(Keys.job(id)) instanceof JobRecord job && draft.hasRoomFor(1)) {
-                Map<Placement, End> ends = current(job, waiting.ends);
+            if (transaction.changes().get(StoreKeys.job(id)) instanceof JobRecord job
+                    && transaction.hasCapacityFor(1)) {
+                Map<Placement, AttemptOutcome> ends = current(job, waiting.ends);
                 if (!ends.isEmpty()) {
-                    draft.putJob(job.ended(ends));
+                    transaction.putJob(job.withCompletions(ends));
                 }
             }
         });
     }
 
-    private static Map<Placement, End> current(JobRecord job, Map<AttemptId, End> ends) {
-        Map<Placement, End> current = new HashMap<>();
-        for (Placement placement : job.live()) {
-            End end = ends.get(AttemptId.of(job, placement));
+    private static Map<Placement, AttemptOutcome> current(JobRecord job, Map<AttemptId, AttemptOutcome> ends) {
+        Map<Placement, AttemptOutcome> current = new HashMap<>();
+        for (Placement placement : job.livePlacements()) {
+            AttemptOutcome end = ends.get(AttemptId.of(job, placement));
             if (end != null) {
                 current.put(placement, end);
             }
--- a/src/main/java/org/gullway/coordination/FailingJobs.java
+++ b/src/main/java/org/gullway/coordination/agents/JobFailureTracker.java
@@ -1,51 +1,53 @@
-package org.gullway.coordination;
+package org.gullway.coordination.agents;
 
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.JobRecord;
 
 /**
  * Tells machines that fail the tasks of any job from jobs that fail on any machine. Jobs that were submitted with a
  * mistake do so until they are cancelled, which says nothing of the machines.
  */
-final class FailingJobs {
+final class JobFailureTracker {
     private static final Duration ERROR_WINDOW = Duration.ofMinutes(2);
     /** A machine that failed tasks of so many other jobs, with no success in between, is faulty. */
     private static final int JOBS_OF_A_FAULTY_MACHINE = 2;
     /** A job that failed on so many machines here and has completed nothing fails by itself, not by the machines. */
     private static final int MACHINES_OF_A_FAILING_JOB = 3;
 
-    private final ClusterView view;
+    private final ClusterState clusterState;
     /** Jobs that have failed lately here, and whether they do so on every machine. */
     private final Map<String, Boolean> failsEverywhere = new HashMap<>();
 
-    FailingJobs(ClusterView view) {
-        this.view = view;
+    JobFailureTracker(ClusterState clusterState) {
+        this.clusterState = clusterState;
     }
 
     /** Looks at the failures of the last minutes on these workers, which must be all that have any. */
-    void update(Collection<Worker> workers, Instant now) {
+    void update(Collection<AgentState> agents, Instant now) {
         Map<String, Integer> machinesOf = new HashMap<>();
-        for (Worker worker : workers) {
-            worker.failedLately(now, ERROR_WINDOW).forEach(job -> machinesOf.merge(job, 1, Integer::sum));
+        for (AgentState agent : agents) {
+            agent.recentlyFailedJobs(now, ERROR_WINDOW).forEach(job -> machinesOf.merge(job, 1, Integer::sum));
         }
         // What was found stays, while any machine remembers the job: its record may end before.
         failsEverywhere.keySet().retainAll(machinesOf.keySet());
         machinesOf.forEach((id, machines) -> {
-            JobRecord job = view.job(id);
+            JobRecord job = clusterState.job(id);
             if (job != null) {
-                boolean everywhere =
-                        machines >= MACHINES_OF_A_FAILING_JOB && job.done().size() == 0;
+                boolean everywhere = machines >= MACHINES_OF_A_FAILING_JOB
+                        && job.completedTasks().size() == 0;
                 failsEverywhere.put(id, everywhere);
             }
         });
     }
 
     /** Whether the failures on this worker's machine are its own. */
-    boolean isFaulty(Worker worker, Instant now) {
-        long jobs = worker.failedLately(now, ERROR_WINDOW).stream()
+    boolean isFaulty(AgentState agent, Instant now) {
+        long jobs = agent.recentlyFailedJobs(now, ERROR_WINDOW).stream()
                 .filter(job -> !failsEverywhere.getOrDefault(job, false))
                 .count();
         return jobs >= JOBS_OF_A_FAULTY_MACHINE;
--- a/src/main/java/org/gullway/coordination/LookTimes.java
+++ b/src/main/java/org/gullway/coordination/agents/WakeupQueue.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.agents;
 
 import java.time.Instant;
 import java.util.ArrayList;
@@ -9,7 +9,7 @@
  * When machines have to be looked at. Finding those that are due takes time in proportion to their number, not to the
  * number of all machines.
  */
-final class LookTimes {
+final class WakeupQueue {
     private record Entry(Instant at, long order, String machine) implements Comparable<Entry> {
         @Override
         public int compareTo(Entry other) {
@@ -29,7 +29,7 @@
      * Takes out all entries that are due by now, the earliest first. A machine may be among them several times, and
      * may have been looked at since.
      */
-    List<String> takeDue(Instant now) {
+    List<String> pollDue(Instant now) {
         List<String> due = new ArrayList<>();
         while (!queue.isEmpty() && !queue.peek().at().isAfter(now)) {
             due.add(queue.poll().machine());
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/agents/package-info.java
@@ -0,0 +1,2 @@
+/** Reconciles the agents on machines with the records: heartbeats, commands, completions, failure detection. */
+package org.gullway.coordination.agents;
--- a/src/main/java/org/gullway/coordination/CancellationWatermark.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationWatermark.java
@@ -1,10 +1,12 @@
-package org.gullway.coordination;
+package org.gullway.coordination.cancellation;
 
 import java.time.Instant;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.Incarnation;
 
 /**
  * Up to when all cancellations that anybody was told of are surely known here.
@@ -16,28 +18,28 @@
  * so late answers are safe, and a peer that cannot be reached, or was started anew, adds nothing.
  */
 public final class CancellationWatermark {
-    private final ClusterView view;
+    private final ClusterState clusterState;
     private final List<String> peers;
-    private final Map<String, Instant> toldAt = new HashMap<>();
+    private final Map<String, Instant> knownThroughByPeer = new HashMap<>();
 
-    public CancellationWatermark(ClusterView view, Collection<String> peers) {
-        this.view = view;
+    public CancellationWatermark(ClusterState clusterState, Collection<String> peers) {
+        this.clusterState = clusterState;
         this.peers = List.copyOf(peers);
     }
 
     /** A peer has told all that it knows, after it was asked at that moment. */
-    public void told(Incarnation peer, Instant asked) {
-        if (view.isLive(peer)) {
-            toldAt.merge(peer.node(), asked, (a, b) -> a.isAfter(b) ? a : b);
+    public void advance(Incarnation peer, Instant asked) {
+        if (clusterState.isMember(peer)) {
+            knownThroughByPeer.merge(peer.node(), asked, (a, b) -> a.isAfter(b) ? a : b);
         }
     }
 
     /** @param knownUntil what the store says */
-    public Instant until(Instant knownUntil) {
+    public Instant knownThrough(Instant knownThrough) {
         return peers.stream()
-                .map(peer -> toldAt.getOrDefault(peer, Instant.MIN))
-                .map(told -> told.isAfter(knownUntil) ? told : knownUntil)
+                .map(peer -> knownThroughByPeer.getOrDefault(peer, Instant.MIN))
+                .map(told -> told.isAfter(knownThrough) ? told : knownThrough)
                 .min(Instant::compareTo)
-                .orElse(knownUntil);
+                .orElse(knownThrough);
     }
 }
--- a/src/main/java/org/gullway/coordination/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -1,10 +1,13 @@
-package org.gullway.coordination;
+package org.gullway.coordination.cancellation;
 
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.Map;
-import org.gullway.protocol.WorkerReport;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.Incarnation;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.protocol.Heartbeat;
 
 /**
  * Decides whose lease may be renewed, which an answer with 200 to a report does.
@@ -24,30 +27,34 @@
  */
 public final class LeaseRenewalPolicy {
     /** Health checks come about once a second, so outside something is wrong if none has come for so long. */
-    private static final Duration OUTSIDE_SILENT = Duration.ofMillis(2500);
+    private static final Duration EXTERNAL_SILENCE = Duration.ofMillis(2500);
 
-    private static final Duration REFUSAL_MEMORY = Duration.ofSeconds(25);
+    private static final Duration REJECTION_MEMORY = Duration.ofSeconds(25);
     /** Steady clocks drift apart by 0.05%: for the controller's and the worker's together, and for the timers' steps. */
     private static final long DRIFT_DIVISOR = 500;
 
-    private static final Duration SLACK = Duration.ofMillis(250);
+    private static final Duration CLOCK_SLACK = Duration.ofMillis(250);
 
-    private final ClusterView view;
+    private final ClusterState clusterState;
     private final Incarnation self;
-    private final CancelledTasks cancelled;
-    private final Duration renewedFor;
-    private final Map<String, Instant> refused = new HashMap<>();
-    private Instant outsideHeardAt = Instant.MIN;
+    private final CancellationEnforcer cancellationEnforcer;
+    private final Duration renewalWindow;
+    private final Map<String, Instant> rejectedAt = new HashMap<>();
+    private Instant lastExternalContact = Instant.MIN;
 
     public LeaseRenewalPolicy(
-            ClusterView view, Incarnation self, CancelledTasks cancelled, Duration cancelLimit, Duration workerLease) {
-        this.view = view;
+            ClusterState clusterState,
+            Incarnation self,
+            CancellationEnforcer cancellationEnforcer,
+            Duration cancelLimit,
+            Duration workerLease) {
+        this.clusterState = clusterState;
         this.self = self;
-        this.cancelled = cancelled;
-        this.renewedFor = cancelLimit
+        this.cancellationEnforcer = cancellationEnforcer;
+        this.renewalWindow = cancelLimit
                 .minus(cancelLimit.dividedBy(DRIFT_DIVISOR))
                 .minus(workerLease)
-                .minus(SLACK);
+                .minus(CLOCK_SLACK);
     }
 
     /**
@@ -55,34 +62,34 @@
      *
      * @param knownUntil the moment up to which all cancellations that anybody was told of are surely known here
      */
-    public boolean mayRenew(Instant knownUntil, Instant now) {
-        return now.isBefore(knownUntil.plus(renewedFor));
+    public boolean mayRenew(Instant knownThrough, Instant now) {
+        return now.isBefore(knownThrough.plus(renewalWindow));
     }
 
     /** Whether this worker's report is answered although this controller is not entitled, if leases may be renewed. */
-    public boolean keeps(WorkerReport report, Instant now) {
-        MachineRecord machine = view.machine(report.machine());
+    public boolean mayRenewDuringOutage(Heartbeat heartbeat, Instant now) {
+        MachineRecord machine = clusterState.machine(heartbeat.machine());
         if (machine == null
-                || machine.session() != report.session()
-                || machine.fate() == MachineRecord.Disposition.LOST
-                || report.token() > view.epoch()
-                || cancelled.mayBegin(machine, report)) {
+                || machine.agentEpoch() != heartbeat.agentEpoch()
+                || machine.lifecycle() == MachineRecord.MachineLifecycle.LOST
+                || heartbeat.fencingToken() > clusterState.fencingToken()
+                || cancellationEnforcer.mayStillStart(machine, heartbeat)) {
             return false;
         }
-        Instant before = refused.put(report.machine(), now);
+        Instant before = rejectedAt.put(heartbeat.machine(), now);
         // A worker that asks around in vain is away for ten seconds, which a zone that is cut off does not have.
         return !self.node().equals(machine.controller().node())
-                || outsideHeardAt.plus(OUTSIDE_SILENT).isBefore(now)
-                || before != null && before.plus(REFUSAL_MEMORY).isAfter(now);
+                || lastExternalContact.plus(EXTERNAL_SILENCE).isBefore(now)
+                || before != null && before.plus(REJECTION_MEMORY).isAfter(now);
     }
 
     /** To be told of every request of a user, a health check or a peer, and of a peer's answer. */
-    public void outsideHeard(Instant now) {
-        outsideHeardAt = now;
+    public void onExternalContact(Instant now) {
+        lastExternalContact = now;
     }
 
     /** To be told when this controller is entitled again. */
-    public void forget() {
-        refused.clear();
+    public void reset() {
+        rejectedAt.clear();
     }
 }
--- a/src/main/java/org/gullway/coordination/DecisionSteps.java
+++ b/src/main/java/org/gullway/coordination/cycle/CycleSteps.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.cycle;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -12,8 +12,8 @@
  * The steps of a round of decisions under a budget of time. When the budget is used up the round ends, and the next
  * one goes on with the step that would have come next.
  */
-public final class DecisionSteps {
-    private static final Logger LOG = LoggerFactory.getLogger(DecisionSteps.class);
+public final class CycleSteps {
+    private static final Logger LOG = LoggerFactory.getLogger(CycleSteps.class);
 
     private record Step(String name, Runnable action) {}
 
@@ -21,11 +21,11 @@
     private final Duration budget;
     private int next;
 
-    public DecisionSteps(Duration budget) {
+    public CycleSteps(Duration budget) {
         this.budget = budget;
     }
 
-    public DecisionSteps add(String name, Runnable action) {
+    public CycleSteps add(String name, Runnable action) {
         steps.add(new Step(name, action));
         return this;
     }
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/cycle/PlanningContext.java
@@ -0,0 +1,22 @@
+package org.gullway.coordination.cycle;
+
+import java.time.Instant;
+import java.util.function.BooleanSupplier;
+
+/**
+ * What a planning step may depend on beside the cluster state.
+ *
+ * @param now the present moment of the monotonic clock
+ * @param leader whether this controller is the leader
+ * @param surplusChanges whether the store's rate limit leaves room for changes that could wait
+ */
+public record PlanningContext(Instant now, boolean leader, BooleanSupplier surplusChanges) {
+    /** A context in which the rate limit is known. */
+    public static PlanningContext of(Instant now, boolean leader, boolean surplusChanges) {
+        return new PlanningContext(now, leader, () -> surplusChanges);
+    }
+
+    public boolean hasSurplusChanges() {
+        return surplusChanges.getAsBoolean();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/failover/package-info.java
@@ -0,0 +1,2 @@
+/** Failover of shards, queues and attempts of lost controllers and machines, and balancing afterwards. */
+package org.gullway.coordination.failover;
--- a/src/main/java/org/gullway/coordination/SharedOutage.java
+++ b/src/main/java/org/gullway/coordination/membership/StoreOutageDetector.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.membership;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -15,7 +15,7 @@
  * better. The balancer takes a node back only after a pause that doubles with each removal: when outages of 52 s came
  * every 70 s, users found no healthy node in the first seconds after each and gave up (hunted day hunt-c4d1-5).
  */
-public final class SharedOutage {
+public final class StoreOutageDetector {
     /** Watches last a second, so an answer that is older shows that later requests had none. */
     private static final Duration LONGEST_WITHOUT_ANSWER = Duration.ofSeconds(3);
     /** Peers are asked every second; this is how long an answer counts. */
@@ -26,7 +26,7 @@
     private final Map<String, Instant> withoutStateAt = new HashMap<>();
 
     /** @param peers names of all other controllers of the deployment */
-    public SharedOutage(Collection<String> peers) {
+    public StoreOutageDetector(Collection<String> peers) {
         this.peers = List.copyOf(peers);
     }
 
@@ -35,17 +35,17 @@
      *
      * @param answered when the last request that the state service has answered was sent
      */
-    public static boolean isWithoutState(Instant answered, Instant now) {
+    public static boolean isStoreUnreachable(Instant answered, Instant now) {
         return answered.plus(LONGEST_WITHOUT_ANSWER).isBefore(now);
     }
 
     /** Notes that a peer has just said that the state service does not answer it. */
-    public void peerWithoutState(String peer, Instant now) {
+    public void onPeerWithoutStore(String peer, Instant now) {
         withoutStateAt.put(peer, now);
     }
 
     /** Whether all peers have said lately that the state service does not answer them. */
-    public boolean includesAllPeers(Instant now) {
+    public boolean isSharedByAllPeers(Instant now) {
         return peers.stream().allMatch(peer -> withoutStateAt
                 .getOrDefault(peer, Instant.MIN)
                 .plus(ANSWER_COUNTS)
--- a/src/main/java/org/gullway/coordination/AttemptId.java
+++ b/src/main/java/org/gullway/coordination/model/AttemptId.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.model;
 
 import org.gullway.protocol.TaskId;
 
--- a/src/main/java/org/gullway/coordination/ClosedMachines.java
+++ b/src/main/java/org/gullway/coordination/model/CordonedMachines.java
@@ -1,9 +1,9 @@
-package org.gullway.coordination;
+package org.gullway.coordination.model;
 
 import java.util.Set;
 
 /** Machines on which no best-effort task starts while reserved work waits. */
-public record ClosedMachines(Set<String> names) {
+public record CordonedMachines(Set<String> names) {
     /** As many as surely fit into one value of the state store. */
-    public static final int MOST = 200;
+    public static final int MAX_MACHINES = 200;
 }
--- a/src/main/java/org/gullway/coordination/Incarnation.java
+++ b/src/main/java/org/gullway/coordination/model/Incarnation.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.model;
 
 /**
  * One run of a controller's process: its name and a number that no other run has.
--- a/src/main/java/org/gullway/coordination/IntegerRanges.java
+++ b/src/main/java/org/gullway/coordination/model/IntegerRanges.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.model;
 
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
--- a/src/main/java/org/gullway/coordination/GroupRecord.java
+++ b/src/main/java/org/gullway/coordination/model/MachineShard.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.model;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -11,12 +11,12 @@
  * @param epoch epoch at which it took them over; commands of earlier controllers are fenced once a worker has
  *     confirmed this epoch
  */
-public record GroupRecord(String id, Incarnation controller, long epoch, List<MachineRecord> machines) {
+public record MachineShard(String id, Incarnation controller, long fencingToken, List<MachineRecord> machines) {
     /** Small enough that a change of one machine costs little, large enough that a third of a fleet is few groups. */
-    public static final int MOST_MACHINES = 16;
+    public static final int MAX_MACHINES = 16;
 
     /** This group with the machine added, or replaced if it has one of that name. */
-    public GroupRecord with(MachineRecord machine) {
+    public MachineShard with(MachineRecord machine) {
         List<MachineRecord> next = new ArrayList<>(machines.size() + 1);
         boolean replaced = false;
         for (MachineRecord each : machines) {
@@ -27,24 +27,24 @@
         if (!replaced) {
             next.add(machine);
         }
-        return new GroupRecord(id, controller, epoch, List.copyOf(next));
+        return new MachineShard(id, controller, fencingToken, List.copyOf(next));
     }
 
     /** This group without the machine of that name. */
-    public GroupRecord without(String name) {
-        return new GroupRecord(
+    public MachineShard without(String name) {
+        return new MachineShard(
                 id,
                 controller,
-                epoch,
+                fencingToken,
                 machines.stream().filter(m -> !m.name().equals(name)).toList());
     }
 
     /** This group and its machines under another controller, which rules out commands of earlier epochs. */
-    public GroupRecord claimed(Incarnation by, long newEpoch) {
-        return new GroupRecord(
+    public MachineShard claimedBy(Incarnation by, long newFencingToken) {
+        return new MachineShard(
                 id,
                 by,
-                newEpoch,
-                machines.stream().map(m -> m.claimed(by, newEpoch)).toList());
+                newFencingToken,
+                machines.stream().map(m -> m.claimedBy(by, newFencingToken)).toList());
     }
 }
--- a/src/main/java/org/gullway/coordination/PeerZones.java
+++ b/src/main/java/org/gullway/coordination/model/PeerZones.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.model;
 
 import java.time.Duration;
 import java.util.List;
@@ -11,7 +11,8 @@
  * @param cancelLimit how long tasks of a cancelled job may be on a machine
  */
 public record PeerZones(Map<String, String> zoneOf, Duration cancelLimit) {
-    List<String> inZone(String zone) {
+    /** The other controllers in the zone. */
+    public List<String> inZone(String zone) {
         return zoneOf.entrySet().stream()
                 .filter(e -> e.getValue().equals(zone))
                 .map(Map.Entry::getKey)
--- a/src/main/java/org/gullway/coordination/Placement.java
+++ b/src/main/java/org/gullway/coordination/model/Placement.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.model;
 
 import java.time.Instant;
 
@@ -6,17 +6,17 @@
  * One attempt of a task that may be on a machine: recorded before its start is sent, removed only
  * when it is certain that the attempt has ended and cannot begin again.
  */
-public record Placement(int task, long attempt, String machine, long session, boolean stopping, Instant since) {
+public record Placement(int task, long attempt, String machine, long agentEpoch, boolean stopping, Instant placedAt) {
     @Override
     public boolean equals(Object other) {
         return this == other
                 || other instanceof Placement placement
                         && task == placement.task
                         && attempt == placement.attempt
-                        && session == placement.session
+                        && agentEpoch == placement.agentEpoch
                         && stopping == placement.stopping
                         && machine.equals(placement.machine)
-                        && since.equals(placement.since);
+                        && placedAt.equals(placement.placedAt);
     }
 
     @Override
@@ -24,7 +24,7 @@
         return 31 * (31 * machine.hashCode() + task) + Long.hashCode(attempt);
     }
 
-    public Placement stopped() {
-        return stopping ? this : new Placement(task, attempt, machine, session, true, since);
+    public Placement asStopping() {
+        return stopping ? this : new Placement(task, attempt, machine, agentEpoch, true, placedAt);
     }
 }
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/model/StoreKeys.java
@@ -0,0 +1,52 @@
+package org.gullway.coordination.model;
+
+/** Names of the keys in the state store. Everything under {@link #LIVE} is watched by every controller. */
+public final class StoreKeys {
+    public static final String LIVE = "live/";
+    public static final String LEADER = LIVE + "leader";
+    public static final String FENCING_TOKEN = LIVE + "epoch";
+    public static final String CORDONED = LIVE + "closed";
+    public static final String MEMBERS = LIVE + "members/";
+    public static final String JOBS = LIVE + "jobs/";
+    public static final String SHARDS = LIVE + "groups/";
+    public static final String QUOTA_PARTITIONS = LIVE + "shares/";
+    /** The share for all that the leader books. */
+    public static final String LEADER_QUOTA = QUOTA_PARTITIONS + "leader";
+
+    private static final String NODE_QUOTAS = QUOTA_PARTITIONS + "node/";
+    private static final String FINAL_STATES = "ended/";
+
+    private StoreKeys() {}
+
+    public static String member(String node) {
+        return MEMBERS + node;
+    }
+
+    public static String job(String id) {
+        return JOBS + id;
+    }
+
+    public static String shard(String id) {
+        return SHARDS + id;
+    }
+
+    /** The share of the controller of this name, for the best-effort jobs that it owns. */
+    public static String quotaPartition(String node) {
+        return NODE_QUOTAS + node;
+    }
+
+    /** The name of the controller that holds the share of this key; null for the leader's. */
+    public static String quotaHolder(String share) {
+        return share.startsWith(NODE_QUOTAS) ? share.substring(NODE_QUOTAS.length()) : null;
+    }
+
+    /** The share that a job's placements count for. */
+    public static String quotaPartitionOf(JobRecord job) {
+        return job.isReserved() ? LEADER_QUOTA : quotaPartition(job.owner());
+    }
+
+    /** Where the final state of a job is kept for good. */
+    public static String finalState(String id) {
+        return FINAL_STATES + id;
+    }
+}
--- a/src/main/java/org/gullway/coordination/UnfittedRequests.java
+++ b/src/main/java/org/gullway/coordination/placement/InfeasibleRequests.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.placement;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,20 +10,20 @@
  * takes no less and may go nowhere else finds none either, and the machines need not be gone through for it again: in
  * a burst there are a hundred waiting jobs and as many fragments.
  */
-final class UnfittedRequests {
+public final class InfeasibleRequests {
     private final List<JobRequest> requests = new ArrayList<>();
 
     /** Notes that no machine has room for one more task of this request. */
-    void add(JobRequest request) {
-        if (isPlain(request) && !coverAll(request)) {
+    public void add(JobRequest request) {
+        if (isIndependentOfZones(request) && !isKnownInfeasible(request)) {
             requests.add(request);
         }
     }
 
     /** Whether a task of this request surely finds no room. */
-    boolean coverAll(JobRequest request) {
+    public boolean isKnownInfeasible(JobRequest request) {
         for (JobRequest unfitted : requests) {
-            if (needsNoLess(request, unfitted) && mayGoNowhereElse(request, unfitted)) {
+            if (needsAtLeastAsMuch(request, unfitted) && isAtLeastAsConstrained(request, unfitted)) {
                 return true;
             }
         }
@@ -31,19 +31,19 @@
     }
 
     /** Where tasks of other requests may go depends on where those before them went. */
-    private static boolean isPlain(JobRequest request) {
-        return !request.oneZone() && !request.spread();
+    private static boolean isIndependentOfZones(JobRequest request) {
+        return !request.singleZone() && !request.spreadAcrossZones();
     }
 
-    private static boolean needsNoLess(JobRequest request, JobRequest unfitted) {
+    private static boolean needsAtLeastAsMuch(JobRequest request, JobRequest unfitted) {
         return request.cpus() >= unfitted.cpus()
                 && request.memoryGb() >= unfitted.memoryGb()
-                && request.cards() >= unfitted.cards();
+                && request.gpus() >= unfitted.gpus();
     }
 
-    private static boolean mayGoNowhereElse(JobRequest request, JobRequest unfitted) {
-        return (unfitted.spot() || !request.spot())
+    private static boolean isAtLeastAsConstrained(JobRequest request, JobRequest unfitted) {
+        return (unfitted.spotAllowed() || !request.spotAllowed())
                 && (unfitted.zone() == null || Objects.equals(unfitted.zone(), request.zone()))
-                && (unfitted.types() == null || Objects.equals(unfitted.types(), request.types()));
+                && (unfitted.machineTypes() == null || Objects.equals(unfitted.machineTypes(), request.machineTypes()));
     }
 }
--- a/src/main/java/org/gullway/coordination/ShareAllowance.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaHeadroom.java
@@ -1,23 +1,28 @@
-package org.gullway.coordination;
+package org.gullway.coordination.quota;
 
 import java.util.HashMap;
 import java.util.Map;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.QuotaPartition;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Settings;
 
 /** What may still be placed: within a job's share of its team's limit, and what of the limit no share holds. */
-final class ShareAllowance {
+public final class QuotaHeadroom {
     private static final double EPSILON = 1e-6;
 
-    private final ClusterView view;
+    private final ClusterState clusterState;
     private final Map<String, Double> heldByShareAndTeam = new HashMap<>();
     private final Map<String, Double> openByTeam = new HashMap<>();
 
-    ShareAllowance(ClusterView view, PlacementConstraints placing) {
-        this.view = view;
-        for (Settings.Team team : placing.teams()) {
+    public QuotaHeadroom(ClusterState clusterState, PlacementConstraints constraints) {
+        this.clusterState = clusterState;
+        for (Settings.Team team : constraints.teams()) {
             double shares = 0;
-            for (AllotmentRecord share : view.shares().values()) {
+            for (QuotaPartition share : clusterState.quotaPartitions().values()) {
                 shares += share.of(team.name()).cpus();
             }
             openByTeam.put(team.name(), Math.max(0, team.cpusLimit() - shares));
@@ -25,12 +30,12 @@
     }
 
     /** Takes what it can of so many tasks of the job, and returns how many. */
-    int take(JobRecord job, int tasks) {
+    public int admit(JobRecord job, int tasks) {
         if (tasks <= 0) {
             return 0;
         }
         JobRequest request = job.request();
-        String share = Keys.shareOf(job);
+        String share = StoreKeys.quotaPartitionOf(job);
         String key = share + '\n' + request.team();
         double held = heldByShareAndTeam.computeIfAbsent(key, k -> heldBy(share, request.team()));
         double open = openByTeam.getOrDefault(request.team(), 0.0);
@@ -42,10 +47,11 @@
     }
 
     private double heldBy(String share, String team) {
-        double part = view.shares()
-                .getOrDefault(share, AllotmentRecord.EMPTY)
+        double part = clusterState
+                .quotaPartitions()
+                .getOrDefault(share, QuotaPartition.EMPTY)
                 .of(team)
                 .cpus();
-        return Math.max(0, part - view.usedOf(share, team).cpus);
+        return Math.max(0, part - clusterState.quotaUsage(share, team).cpus);
     }
 }
--- a/src/main/java/org/gullway/coordination/QuotaAllotments.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.quota;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -10,6 +10,14 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import org.gullway.coordination.cycle.PlanningContext;
+import org.gullway.coordination.cycle.PlanningStep;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.QuotaPartition;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.Transaction;
+import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.protocol.Settings;
 
 /**
@@ -20,7 +28,7 @@
  * <p>Raising guards all other shares, so that their sum never exceeds a limit. Everybody sees all jobs, so everybody
  * knows what the others need, and gives up what they need more.
  */
-public final class QuotaAllotments {
+public final class QuotaPartitioner implements PlanningStep {
     /** A raise takes up to so much of the limit beyond the need, as far as nobody else needs it: so few are needed. */
     private static final double LEAST_RAISE = 0.1;
     /** Lowering by less is not worth a change of the store. */
@@ -34,8 +42,8 @@
 
     private static final double EPSILON = 1e-6;
 
-    private final ClusterView view;
-    private final PlacementConstraints placing;
+    private final ClusterState clusterState;
+    private final PlacementConstraints constraints;
     private final String own;
     private final Set<String> possible = new TreeSet<>();
     /** For each share that exists or may come into being, all others. */
@@ -49,30 +57,34 @@
     private record Unused(double used, Instant since, Instant until) {}
 
     /** @param nodes all controllers of the deployment, this one included */
-    public QuotaAllotments(ClusterView view, PlacementConstraints placing, String self, Collection<String> nodes) {
-        this.view = view;
-        this.placing = placing;
-        this.own = Keys.share(self);
-        possible.add(Keys.LEADERS_SHARE);
-        nodes.forEach(node -> possible.add(Keys.share(node)));
+    public QuotaPartitioner(
+            ClusterState clusterState, PlacementConstraints constraints, String self, Collection<String> nodes) {
+        this.clusterState = clusterState;
+        this.constraints = constraints;
+        this.own = StoreKeys.quotaPartition(self);
+        possible.add(StoreKeys.LEADER_QUOTA);
+        nodes.forEach(node -> possible.add(StoreKeys.quotaPartition(node)));
     }
 
     /** Adjusts the shares held here: this node's, and the leader's while leading. */
-    public void propose(Transaction draft, boolean leading, boolean plenty, Instant now) {
+    @Override
+    public void plan(Transaction transaction, PlanningContext context) {
+        Instant now = context.now();
         findShares();
-        Map<String, Map<String, double[]>> needs = needs(draft.timeOfDay());
-        List<String> held = leading ? List.of(Keys.LEADERS_SHARE, own) : List.of(own);
-        boolean mayLower =
-                !loweredAt.plus(plenty ? QUICK_LOWERING_PAUSE : LOWERING_PAUSE).isAfter(now);
+        Map<String, Map<String, double[]>> needs = needs(transaction.timeOfDay());
+        List<String> held = context.leader() ? List.of(StoreKeys.LEADER_QUOTA, own) : List.of(own);
+        boolean mayLower = !loweredAt
+                .plus(context.hasSurplusChanges() ? QUICK_LOWERING_PAUSE : LOWERING_PAUSE)
+                .isAfter(now);
         for (String share : held) {
-            AllotmentRecord before = draft.share(share);
-            AllotmentRecord after = before;
-            for (Settings.Team team : placing.teams()) {
-                after = adjust(draft, share, after, team, needs, mayLower, now);
+            QuotaPartition before = transaction.quotaPartition(share);
+            QuotaPartition after = before;
+            for (Settings.Team team : constraints.teams()) {
+                after = adjust(transaction, share, after, team, needs, mayLower, now);
             }
-            if (!after.equals(before) && draft.hasRoomFor(1)) {
-                draft.put(share, after);
-                others(share).forEach(draft::rely);
+            if (!after.equals(before) && transaction.hasCapacityFor(1)) {
+                transaction.put(share, after);
+                others(share).forEach(transaction::requireUnchanged);
                 if (mayLower) {
                     loweredAt = now;
                 }
@@ -83,7 +95,7 @@
     /** Also shares that were never written are guarded: their holders may be about to write them. */
     private void findShares() {
         Set<String> keys = new TreeSet<>(possible);
-        keys.addAll(view.shares().keySet());
+        keys.addAll(clusterState.quotaPartitions().keySet());
         if (!keys.equals(othersByShare.keySet())) {
             othersByShare.clear();
             for (String share : keys) {
@@ -104,72 +116,74 @@
      */
     private Map<String, Map<String, double[]>> needs(Instant timeOfDay) {
         Map<String, Map<String, double[]>> needs = new TreeMap<>();
-        for (JobRecord job : view.jobs()) {
-            double[] need = needs.computeIfAbsent(Keys.shareOf(job), s -> new HashMap<>())
+        for (JobRecord job : clusterState.jobs()) {
+            double[] need = needs.computeIfAbsent(StoreKeys.quotaPartitionOf(job), s -> new HashMap<>())
                     .computeIfAbsent(job.request().team(), t -> new double[6]);
-            need[0] += job.unfinished() * job.request().cpus();
-            need[1] += job.unfinished() * job.request().cards();
-            if (job.waiting() > 0) {
+            need[0] += job.unfinishedTasks() * job.request().cpus();
+            need[1] += job.unfinishedTasks() * job.request().gpus();
+            if (job.waitingTasks() > 0) {
                 need[2] = need[2] == 0
                         ? job.request().cpus()
                         : Math.min(need[2], job.request().cpus());
-                if (job.stalledAt(timeOfDay)) {
+                if (job.isStalledAt(timeOfDay)) {
                     need[4] = Math.max(need[4], job.request().cpus());
-                    need[5] = Math.max(need[5], job.request().cards());
+                    need[5] = Math.max(need[5], job.request().gpus());
                 }
                 need[3] = need[3] == 0
-                        ? job.request().cards()
-                        : Math.min(need[3], job.request().cards());
+                        ? job.request().gpus()
+                        : Math.min(need[3], job.request().gpus());
             }
         }
         return needs;
     }
 
-    private AllotmentRecord adjust(
-            Transaction draft,
+    private QuotaPartition adjust(
+            Transaction transaction,
             String share,
-            AllotmentRecord record,
+            QuotaPartition record,
             Settings.Team team,
             Map<String, Map<String, double[]>> needs,
             boolean mayLower,
             Instant now) {
-        AllotmentRecord.Amount cap = record.of(team.name());
-        double cpus = wanted(draft, share, team, needs, 0, mayLower, now);
-        double cards = wanted(draft, share, team, needs, 1, mayLower, now);
-        return cpus == cap.cpus() && cards == cap.cards()
+        QuotaPartition.Amount cap = record.of(team.name());
+        double cpus = wanted(transaction, share, team, needs, 0, mayLower, now);
+        double cards = wanted(transaction, share, team, needs, 1, mayLower, now);
+        return cpus == cap.cpus() && cards == cap.gpus()
                 ? record
-                : record.with(team.name(), new AllotmentRecord.Amount(cpus, cards));
+                : record.with(team.name(), new QuotaPartition.Amount(cpus, cards));
     }
 
     private double wanted(
-            Transaction draft,
+            Transaction transaction,
             String share,
             Settings.Team team,
             Map<String, Map<String, double[]>> needs,
             int dimension,
             boolean mayLower,
             Instant now) {
-        double limit = dimension == 0 ? team.cpusLimit() : team.cardsLimit();
-        double cap = part(draft.share(share), team.name(), dimension);
+        double limit = dimension == 0 ? team.cpusLimit() : team.gpusLimit();
+        double cap = part(transaction.quotaPartition(share), team.name(), dimension);
         double need = need(needs, share, team.name(), dimension);
         double sum = cap;
         double missing = 0;
         double othersNeed = 0;
         for (String other : others(share)) {
-            double otherCap = part(draft.share(other), team.name(), dimension);
+            double otherCap = part(transaction.quotaPartition(other), team.name(), dimension);
             double otherNeed = need(needs, other, team.name(), dimension);
             sum += otherCap;
             missing += Math.max(0, otherNeed - otherCap);
             othersNeed += otherNeed;
         }
         double free = Math.max(0, limit - sum);
-        double used = dimension == 0 ? draft.cpusUsedOf(share, team.name()) : draft.cardsUsedOf(share, team.name());
+        double used = dimension == 0
+                ? transaction.quotaCpusUsed(share, team.name())
+                : transaction.quotaGpusUsed(share, team.name());
         boolean othersShort = missing > free;
         // A large task that waits to begin gathers what ends until there is enough for it.
         double largest = need(needs, share, team.name(), 4 + dimension);
         boolean gathers = largest > 0 && cap >= largest && cap - used < largest;
-        Unused lying =
-                lying(share + '\n' + team.name() + '\n' + dimension, used, othersShort && cap > used && !gathers, now);
+        Unused lying = trackUnused(
+                share + '\n' + team.name() + '\n' + dimension, used, othersShort && cap > used && !gathers, now);
         if (need > cap && !now.isBefore(lying.until())) {
             double spare = Math.max(0, free - missing - (need - cap));
             double raise = Math.min(free, need - cap + Math.min(limit * LEAST_RAISE, spare / 2));
@@ -193,7 +207,7 @@
      * Once, two queues held 7.2 and 16.8 of 24 processors, one too little for its task of 8, the other without a
      * machine for its own, and both waited for ever (generated day 1099511627775).
      */
-    private Unused lying(String key, double used, boolean lies, Instant now) {
+    private Unused trackUnused(String key, double used, boolean lies, Instant now) {
         Unused before = unused.get(key);
         if (before != null && now.isBefore(before.until())) {
             return before;
@@ -216,13 +230,13 @@
      */
     private double part(
             String share, String team, double limit, Map<String, Map<String, double[]>> needs, int dimension) {
-        double leaders = Math.min(limit, need(needs, Keys.LEADERS_SHARE, team, dimension));
-        if (share.equals(Keys.LEADERS_SHARE)) {
+        double leaders = Math.min(limit, need(needs, StoreKeys.LEADER_QUOTA, team, dimension));
+        if (share.equals(StoreKeys.LEADER_QUOTA)) {
             return leaders;
         }
         List<String> queues = new ArrayList<>(others(share));
         queues.add(share);
-        queues.remove(Keys.LEADERS_SHARE);
+        queues.remove(StoreKeys.LEADER_QUOTA);
         double rest = limit - leaders;
         double all = Math.max(
                 1e-9,
@@ -244,9 +258,9 @@
         return Math.max(0, rest - fixed) * need(needs, share, team, dimension) / Math.max(1e-9, others);
     }
 
-    private static double part(AllotmentRecord record, String team, int dimension) {
-        AllotmentRecord.Amount amount = record.of(team);
-        return dimension == 0 ? amount.cpus() : amount.cards();
+    private static double part(QuotaPartition record, String team, int dimension) {
+        QuotaPartition.Amount amount = record.of(team);
+        return dimension == 0 ? amount.cpus() : amount.gpus();
     }
 
     private static double need(Map<String, Map<String, double[]>> needs, String share, String team, int dimension) {
@@ -262,64 +276,70 @@
      * belong to is not known here, so then no division of the share would surely cover what each new owner takes over
      * (two new owners together once went beyond a team's limit): the job waits until the ends are on record.
      */
-    static void hand(Transaction draft, ClusterView view, JobRecord job, String to) {
-        String from = Keys.share(job.owner());
+    public static void transferJob(Transaction transaction, ClusterState clusterState, JobRecord job, String to) {
+        String from = StoreKeys.quotaPartition(job.owner());
         String team = job.request().team();
-        AllotmentRecord.Amount held = draft.share(from).of(team);
+        QuotaPartition.Amount held = transaction.quotaPartition(from).of(team);
         double cpusOnRecord = 0;
         double cardsOnRecord = 0;
-        for (JobRecord known : view.jobs()) {
-            JobRecord other = draft.job(known.request().id());
+        for (JobRecord known : clusterState.jobs()) {
+            JobRecord other = transaction.job(known.request().id());
             if (other != null
                     && job.owner().equals(other.owner())
                     && other.request().team().equals(team)) {
-                cpusOnRecord += other.live().size() * other.request().cpus();
-                cardsOnRecord += other.live().size() * other.request().cards();
+                cpusOnRecord += other.livePlacements().size() * other.request().cpus();
+                cardsOnRecord += other.livePlacements().size() * other.request().gpus();
             }
         }
-        if (cpusOnRecord > held.cpus() + EPSILON || cardsOnRecord > held.cards() + EPSILON) {
+        if (cpusOnRecord > held.cpus() + EPSILON || cardsOnRecord > held.gpus() + EPSILON) {
             return;
         }
-        double cpus = job.live().size() * job.request().cpus();
-        double cards = job.live().size() * job.request().cards();
-        draft.rely(Keys.member(job.owner()));
+        double cpus = job.livePlacements().size() * job.request().cpus();
+        double cards = job.livePlacements().size() * job.request().gpus();
+        transaction.requireUnchanged(StoreKeys.member(job.owner()));
         if (cpus > 0 || cards > 0) {
-            draft.put(from, draft.share(from).with(team, held.plus(-cpus, -cards)));
-            draft.put(
-                    Keys.share(to),
-                    draft.share(Keys.share(to))
-                            .with(team, draft.share(Keys.share(to)).of(team).plus(cpus, cards)));
+            transaction.put(from, transaction.quotaPartition(from).with(team, held.plus(-cpus, -cards)));
+            transaction.put(
+                    StoreKeys.quotaPartition(to),
+                    transaction
+                            .quotaPartition(StoreKeys.quotaPartition(to))
+                            .with(
+                                    team,
+                                    transaction
+                                            .quotaPartition(StoreKeys.quotaPartition(to))
+                                            .of(team)
+                                            .plus(cpus, cards)));
         }
-        draft.moveUse(job, Keys.share(to));
-        draft.putJob(job.ownedBy(to));
+        transaction.moveQuotaUsage(job, StoreKeys.quotaPartition(to));
+        transaction.putJob(job.withOwner(to));
     }
 
     /** Frees what lost members hold beyond the use of the jobs they still own. */
-    static void release(Transaction draft, ClusterView view, PlacementConstraints placing) {
-        for (String key : view.shares().keySet()) {
-            String node = Keys.holderOf(key);
+    public static void releaseLostMembers(
+            Transaction transaction, ClusterState clusterState, PlacementConstraints constraints) {
+        for (String key : clusterState.quotaPartitions().keySet()) {
+            String node = StoreKeys.quotaHolder(key);
             if (node == null
-                    || view.members().containsKey(node)
-                    || draft.changes().containsKey(key)
-                    || !draft.hasRoomFor(2)) {
+                    || clusterState.members().containsKey(node)
+                    || transaction.changes().containsKey(key)
+                    || !transaction.hasCapacityFor(2)) {
                 continue;
             }
-            AllotmentRecord share = view.shares().get(key);
-            AllotmentRecord used = AllotmentRecord.EMPTY;
-            for (Settings.Team team : placing.teams()) {
-                ClusterView.Room room = view.usedOf(key, team.name());
-                AllotmentRecord.Amount held = share.of(team.name());
+            QuotaPartition share = clusterState.quotaPartitions().get(key);
+            QuotaPartition used = QuotaPartition.EMPTY;
+            for (Settings.Team team : constraints.teams()) {
+                ClusterState.ResourceUsage room = clusterState.quotaUsage(key, team.name());
+                QuotaPartition.Amount held = share.of(team.name());
                 used = used.with(
                         team.name(),
-                        new AllotmentRecord.Amount(
-                                Math.min(held.cpus(), room.cpus), Math.min(held.cards(), room.cards)));
+                        new QuotaPartition.Amount(Math.min(held.cpus(), room.cpus), Math.min(held.gpus(), room.gpus)));
             }
-            boolean less = share.teams().entrySet().stream()
-                    .anyMatch(e -> e.getValue().cpus() > view.usedOf(key, e.getKey()).cpus + 1e-6
-                            || e.getValue().cards() > view.usedOf(key, e.getKey()).cards + 1e-6);
+            boolean less = share.amountByTeam().entrySet().stream()
+                    .anyMatch(e -> e.getValue().cpus() > clusterState.quotaUsage(key, e.getKey()).cpus + 1e-6
+                            || e.getValue().gpus() > clusterState.quotaUsage(key, e.getKey()).gpus + 1e-6);
             if (less) {
-                draft.rely(Keys.member(node));
-                draft.put(key, used);
+                transaction.requireUnchanged(StoreKeys.member(node));
+                transaction.put(key, used);
             }
         }
     }
--- a/src/main/java/org/gullway/coordination/Offering.java
+++ b/src/main/java/org/gullway/coordination/scaling/MachineOffering.java
@@ -1,18 +1,18 @@
-package org.gullway.coordination;
+package org.gullway.coordination.scaling;
 
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
 
 /** A kind of machine that can be rented: its type, its zone, and whether the cloud may take it back. */
-record Offering(MachineType type, String zone, boolean spot) {
+record MachineOffering(MachineType type, String zone, boolean spot) {
     double pricePerCpu() {
         return (spot ? type.spotPrice() : type.price()) / type.cpus();
     }
 
     /** Whether tasks of the job may run on such a machine and fit an empty one. */
-    boolean suits(JobRequest job) {
-        return (!spot || job.spot())
-                && type.allowedFor(job)
+    boolean isCompatible(JobRequest job) {
+        return (!spot || job.spotAllowed())
+                && type.isAllowedFor(job)
                 && type.fits(job)
                 && (job.zone() == null || job.zone().equals(zone));
     }
--- a/src/main/java/org/gullway/coordination/FleetReduction.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination;
+package org.gullway.coordination.scaling;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -7,7 +7,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.gullway.coordination.MachineRecord.Disposition;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.model.MachineRecord.MachineLifecycle;
+import org.gullway.coordination.model.Transaction;
+import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.protocol.MachineType;
 
 /**
@@ -15,13 +19,13 @@
  * machines are seldom empty, so those beyond the need take no more tasks and are returned when their last one ends; no
  * work is lost.
  */
-final class FleetReduction {
+final class ScaleInPolicy {
     /** Room lies in fragments: what a few large machines hold is kept, which matters to small fleets alone. */
     private static final int KEPT_MACHINES = 4;
 
-    private final ClusterView view;
-    private final PlacementConstraints placing;
-    private final FleetAutoscaler.Policy policy;
+    private final ClusterState clusterState;
+    private final PlacementConstraints constraints;
+    private final FleetAutoscaler.ScalingPolicy policy;
     private final Map<String, Instant> idleSince = new HashMap<>();
     /** The least excess of processors since then. */
     private double leastExcess;
@@ -40,9 +44,9 @@
                 .thenComparingDouble(Candidate::used);
     }
 
-    FleetReduction(ClusterView view, PlacementConstraints placing, FleetAutoscaler.Policy policy) {
-        this.view = view;
-        this.placing = placing;
+    ScaleInPolicy(ClusterState clusterState, PlacementConstraints constraints, FleetAutoscaler.ScalingPolicy policy) {
+        this.clusterState = clusterState;
+        this.constraints = constraints;
         this.policy = policy;
     }
 
@@ -53,25 +57,25 @@
      * @param waiting processors of tasks that wait and may be placed
      * @param kept processors to be kept free for urgent work
      */
-    void propose(Transaction draft, double spare, double waiting, double kept, Instant now) {
-        idleSince.keySet().removeIf(name -> view.machine(name) == null || view.usedOn(name).tasks > 0);
+    void plan(Transaction transaction, double spare, double waiting, double kept, Instant now) {
+        idleSince.keySet().removeIf(name -> clusterState.machine(name) == null || clusterState.usageOn(name).tasks > 0);
         double wanted = waiting + kept;
         noteExcess(spare - wanted, now);
         double left = spare;
-        for (Candidate candidate : candidates(draft)) {
+        for (Candidate candidate : candidates(transaction)) {
             MachineRecord machine = candidate.machine();
-            if (!draft.canPutMachine(machine.name())) {
+            if (!transaction.canPutMachine(machine.name())) {
                 continue;
             }
-            MachineType type = placing.types().get(machine.type());
-            if (!machine.up()) {
-                giveUpIfOverdue(draft, machine, type);
+            MachineType type = constraints.types().get(machine.type());
+            if (!machine.isUp()) {
+                giveUpIfOverdue(transaction, machine, type);
                 continue;
             }
-            double free = placing.freeCpus(machine, draft);
+            double free = constraints.freeCpus(machine, transaction);
             boolean idle = isIdle(machine, now) && waiting == 0 && left - type.cpus() >= wanted;
             if (idle || free > 0 && type.cpus() <= Math.min(toDrain, left - wanted)) {
-                draft.putMachine(draft.machine(machine.name()).meant(Disposition.LEAVING));
+                transaction.putMachine(transaction.machine(machine.name()).withLifecycle(MachineLifecycle.DRAINING));
                 left -= free;
                 toDrain -= type.cpus();
             }
@@ -79,17 +83,17 @@
     }
 
     private boolean isIdle(MachineRecord machine, Instant now) {
-        if (view.usedOn(machine.name()).tasks > 0) {
+        if (clusterState.usageOn(machine.name()).tasks > 0) {
             return false;
         }
         Instant since = idleSince.computeIfAbsent(machine.name(), name -> now);
-        return since.plus(policy.idleReturn()).isBefore(now);
+        return since.plus(policy.scaleInDelay()).isBefore(now);
     }
 
-    private void giveUpIfOverdue(Transaction draft, MachineRecord machine, MachineType type) {
-        Duration patience = type.boot().multipliedBy(policy.bootPatience());
-        if (machine.rented().plus(patience).isBefore(draft.timeOfDay())) {
-            draft.putMachine(draft.machine(machine.name()).meant(Disposition.LOST));
+    private void giveUpIfOverdue(Transaction transaction, MachineRecord machine, MachineType type) {
+        Duration patience = type.bootTime().multipliedBy(policy.bootTimeoutFactor());
+        if (machine.provisionedAt().plus(patience).isBefore(transaction.timeOfDay())) {
+            transaction.putMachine(transaction.machine(machine.name()).withLifecycle(MachineLifecycle.LOST));
         }
     }
 
@@ -100,9 +104,9 @@
             leastExcess = excess;
         }
         leastExcess = Math.min(leastExcess, excess);
-        if (!excessSince.plus(policy.idleReturn()).isAfter(now)) {
+        if (!excessSince.plus(policy.scaleInDelay()).isAfter(now)) {
             double largest = 0;
-            for (MachineType type : placing.types().values()) {
+            for (MachineType type : constraints.types().values()) {
                 largest = Math.max(largest, type.cpus());
             }
             toDrain = leastExcess - KEPT_MACHINES * largest;
@@ -111,38 +115,40 @@
     }
 
     /** Most machines are up and busy in a fleet of the right size: only the others are put in order. */
-    private List<Candidate> candidates(Transaction draft) {
+    private List<Candidate> candidates(Transaction transaction) {
         List<Candidate> candidates = new ArrayList<>();
         Map<String, Double> busy = new HashMap<>();
-        for (MachineRecord machine : view.machines()) {
-            MachineType type = placing.types().get(machine.type());
-            if (type == null || machine.fate() != Disposition.STAYS || !mayLeave(draft, machine, type)) {
+        for (MachineRecord machine : clusterState.machines()) {
+            MachineType type = constraints.types().get(machine.type());
+            if (type == null
+                    || machine.lifecycle() != MachineLifecycle.ACTIVE
+                    || !mayLeave(transaction, machine, type)) {
                 continue;
             }
-            String group = view.groupOf(machine.name());
+            String group = clusterState.shardOf(machine.name());
             candidates.add(new Candidate(
                     machine,
-                    new Offering(type, machine.zone(), machine.spot()).pricePerCpu(),
+                    new MachineOffering(type, machine.zone(), machine.spot()).pricePerCpu(),
                     busy.computeIfAbsent(group, this::busyShare),
                     group,
-                    view.usedOn(machine.name()).cpus));
+                    clusterState.usageOn(machine.name()).cpus));
         }
         candidates.sort(Candidate.DEAREST_FIRST);
         return candidates;
     }
 
-    private boolean mayLeave(Transaction draft, MachineRecord machine, MachineType type) {
-        return !machine.up()
-                || view.usedOn(machine.name()).tasks == 0
-                || type.cpus() <= toDrain && placing.freeCpus(machine, draft) > 0;
+    private boolean mayLeave(Transaction transaction, MachineRecord machine, MachineType type) {
+        return !machine.isUp()
+                || clusterState.usageOn(machine.name()).tasks == 0
+                || type.cpus() <= toDrain && constraints.freeCpus(machine, transaction) > 0;
     }
 
     private double busyShare(String group) {
         double used = 0;
         double cpus = 0;
-        for (MachineRecord machine : view.group(group).machines()) {
-            MachineType type = placing.types().get(machine.type());
-            used += view.usedOn(machine.name()).cpus;
+        for (MachineRecord machine : clusterState.shard(group).machines()) {
+            MachineType type = constraints.types().get(machine.type());
+            used += clusterState.usageOn(machine.name()).cpus;
             cpus += type == null ? 0 : type.cpus();
         }
         return used / Math.max(1, cpus);
--- a/src/main/java/org/gullway/coordination/SpareRoom.java
+++ b/src/main/java/org/gullway/coordination/scaling/SpareCapacityPolicy.java
@@ -1,19 +1,21 @@
-package org.gullway.coordination;
+package org.gullway.coordination.scaling;
 
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashSet;
 import java.util.Set;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.JobRecord;
 
 /**
  * How much room is kept free for urgent work: a share of what it uses, and at least that of a large job of late, which
  * may come again at any moment, all at once.
  */
-final class SpareRoom {
+final class SpareCapacityPolicy {
     private static final Duration BURST_MEMORY = Duration.ofMinutes(1);
     private static final Duration BURST_HALF_LIFE = Duration.ofSeconds(90);
 
-    private final ClusterView view;
+    private final ClusterState clusterState;
     private final double share;
     /** Urgent jobs that were counted for the size of a burst already. */
     private final Set<String> counted = new HashSet<>();
@@ -22,21 +24,21 @@
 
     private Instant burstAt = Instant.MIN;
 
-    SpareRoom(ClusterView view, double share) {
-        this.view = view;
+    SpareCapacityPolicy(ClusterState clusterState, double share) {
+        this.clusterState = clusterState;
         this.share = share;
     }
 
     /** Processors to be kept free, while urgent work uses so many. */
-    double wanted(double urgentUse, Instant now) {
-        for (JobRecord job : view.jobs()) {
-            if (job.reserved() && counted.add(job.request().id())) {
+    double requiredCpus(double urgentUse, Instant now) {
+        for (JobRecord job : clusterState.jobs()) {
+            if (job.isReserved() && counted.add(job.request().id())) {
                 double size = job.request().tasks() * job.request().cpus();
                 burst = Math.max(burst * fading(now), size);
                 burstAt = now;
             }
         }
-        counted.removeIf(id -> view.job(id) == null);
+        counted.removeIf(id -> clusterState.job(id) == null);
         boolean quiet = burstAt.plus(BURST_MEMORY).isBefore(now);
         return Math.max(share * urgentUse, quiet ? 0 : burst * fading(now));
     }
--- a/src/main/java/org/gullway/coordination/DeadlinePolicy.java
+++ b/src/main/java/org/gullway/coordination/scheduling/DeadlinePolicy.java
@@ -1,10 +1,11 @@
-package org.gullway.coordination;
+package org.gullway.coordination.scheduling;
 
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.gullway.coordination.model.JobRecord;
 import org.gullway.protocol.Settings;
 
 /** When a job should be complete, by its own deadline or its class's objective, and whether it still can be. */
@@ -36,21 +37,22 @@
     }
 
     /** Time of day at which the job should be complete; jobs without an aim rank as if they had a long one. */
-    public Instant due(JobRecord job) {
+    public Instant dueAt(JobRecord job) {
         Duration aim = aim(job);
-        return job.submitted().plus(aim == null ? NO_AIM : aim);
+        return job.submittedAt().plus(aim == null ? NO_AIM : aim);
     }
 
     /**
      * Whether a task started now would end after the job is due. In an overload such jobs come after those that can
      * still be in time: by due time alone the late ones would make all others late too (senderos-altos rough).
      */
-    public boolean tooLate(JobRecord job, Instant timeOfDay) {
+    public boolean willMissDeadline(JobRecord job, Instant timeOfDay) {
         if (aim(job) == null) {
             return false;
         }
-        Duration least = Duration.ofMillis((long) (job.request().estimate().toMillis() * ESTIMATE_SHARE));
-        Instant due = due(job);
+        Duration least =
+                Duration.ofMillis((long) (job.request().estimatedRunTime().toMillis() * ESTIMATE_SHARE));
+        Instant due = dueAt(job);
         return timeOfDay.plus(least).isAfter(due) && timeOfDay.isBefore(due.plus(LONGEST_PASSED_OVER));
     }
 }
--- a/src/main/java/org/gullway/Metrics.java
+++ b/src/main/java/org/gullway/observability/Metrics.java
@@ -1,4 +1,4 @@
-package org.gullway;
+package org.gullway.observability;
 
 import io.micrometer.core.instrument.FunctionCounter;
 import io.micrometer.core.instrument.MeterRegistry;
@@ -8,19 +8,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToDoubleFunction;
 import org.HdrHistogram.Histogram;
-import org.gullway.coordination.Keys;
-import org.gullway.requests.RequestMetrics;
+import org.gullway.api.RequestMetrics;
+import org.gullway.coordination.model.StoreKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Counts and latencies, logged in one line for each interval. */
-final class Metrics implements RequestMetrics {
+public final class Metrics implements RequestMetrics {
     private static final Logger LOG = LoggerFactory.getLogger(Metrics.class);
     private static final long LONGEST_MS = 60_000;
 
     private long commits;
     private long refusals;
-    private long pushes;
+    private long commandBatches;
     private long offers;
     private long jobChanges;
     private long groupChanges;
@@ -33,18 +33,19 @@
 
     private final Histogram acceptance = new Histogram(LONGEST_MS, 2);
     private final Histogram commit = new Histogram(LONGEST_MS, 2);
-    private final Histogram round = new Histogram(LONGEST_MS, 2);
+    private final Histogram cycle = new Histogram(LONGEST_MS, 2);
 
     private static void record(Histogram histogram, Duration time) {
         histogram.recordValue(Math.min(LONGEST_MS, Math.max(0, TimeUnit.NANOSECONDS.toMillis(time.toNanos()))));
     }
 
     @Override
-    public void accepted(Duration time) {
+    public void submissionAccepted(Duration time) {
         record(acceptance, time);
     }
 
-    void committed(boolean done, Set<String> keys, Duration time) {
+    /** A transaction that changed these keys was committed or refused, so long after its cycle began. */
+    public void commitFinished(boolean done, Set<String> keys, Duration time) {
         if (done) {
             commits++;
         } else {
@@ -55,29 +56,29 @@
     }
 
     private void changed(String key) {
-        if (key.startsWith(Keys.JOBS)) {
+        if (key.startsWith(StoreKeys.JOBS)) {
             jobChanges++;
-        } else if (key.startsWith(Keys.GROUPS)) {
+        } else if (key.startsWith(StoreKeys.SHARDS)) {
             groupChanges++;
         } else {
             otherChanges++;
         }
     }
 
-    void round(Duration time) {
-        record(round, time);
+    public void cycleFinished(Duration time) {
+        record(cycle, time);
     }
 
-    void pushed() {
-        pushes++;
+    public void commandSent() {
+        commandBatches++;
     }
 
-    void offered() {
+    public void offerSent() {
         offers++;
     }
 
     @Override
-    public void questions(boolean answered, int count) {
+    public void statusQueries(boolean answered, int count) {
         if (answered) {
             questionsAnswered += count;
         } else {
@@ -95,7 +96,7 @@
             registry = new SimpleMeterRegistry();
             register("commits", metrics -> metrics.commits);
             register("commits.refused", metrics -> metrics.refusals);
-            register("pushes", metrics -> metrics.pushes);
+            register("pushes", metrics -> metrics.commandBatches);
             register("offers", metrics -> metrics.offers);
             register("changes.jobs", metrics -> metrics.jobChanges);
             register("changes.groups", metrics -> metrics.groupChanges);
@@ -115,7 +116,8 @@
         return (long) registry().get(name).functionCounter().count();
     }
 
-    void log(String situation) {
+    /** Logs one line of figures and begins new histograms. */
+    public void log(String situation) {
         LOG.info(
                 "{} accepted={} p99={}ms commits={} refused={} changes={}/{}/{} p50={}ms p99={}ms rounds={} max={}ms pushes={} offers={} questions={}/{} violations={}",
                 situation,
@@ -128,8 +130,8 @@
                 count("changes.other"),
                 commit.getValueAtPercentile(50),
                 commit.getValueAtPercentile(99),
-                round.getTotalCount(),
-                round.getMaxValue(),
+                cycle.getTotalCount(),
+                cycle.getMaxValue(),
                 count("pushes"),
                 count("offers"),
                 count("questions.answered"),
@@ -137,6 +139,6 @@
                 count("invariants.violated"));
         acceptance.reset();
         commit.reset();
-        round.reset();
+        cycle.reset();
     }
 }
--- a/src/main/java/org/gullway/package-info.java
+++ b/src/main/java/org/gullway/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A cluster scheduler: one daemon on every controller. The classes of this package connect the decisions with the
- * sockets and the clock; all of them run on the thread of one event loop.
+ * A cluster scheduler: one daemon on every controller. All code of a running controller is executed by the thread of one
+ * event loop; see docs/architecture.md.
  */
 package org.gullway;
--- a/src/main/java/org/gullway/protocol/Command.java
+++ b/src/main/java/org/gullway/protocol/AgentCommand.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** A command to a worker about one attempt of a task. */
-public record Command(Kind kind, TaskId task, long attempt, Duration grace) {
+public record AgentCommand(Kind kind, TaskId task, long attempt, Duration grace) {
     /** What the worker is to do: begin the attempt, end it, or drop its memory of an ended attempt. */
     public enum Kind {
         START,
@@ -14,16 +14,16 @@
         FORGET
     }
 
-    public static Command start(TaskId task, long attempt) {
-        return new Command(Kind.START, task, attempt, Duration.ZERO);
+    public static AgentCommand start(TaskId task, long attempt) {
+        return new AgentCommand(Kind.START, task, attempt, Duration.ZERO);
     }
 
-    public static Command stop(TaskId task, long attempt, Duration grace) {
-        return new Command(Kind.STOP, task, attempt, grace);
+    public static AgentCommand stop(TaskId task, long attempt, Duration grace) {
+        return new AgentCommand(Kind.STOP, task, attempt, grace);
     }
 
-    public static Command forget(TaskId task, long attempt) {
-        return new Command(Kind.FORGET, task, attempt, Duration.ZERO);
+    public static AgentCommand forget(TaskId task, long attempt) {
+        return new AgentCommand(Kind.FORGET, task, attempt, Duration.ZERO);
     }
 
     private void writeTo(ArrayNode list) {
@@ -42,23 +42,23 @@
     }
 
     /** The answer to a worker's report. */
-    public static byte[] response(long token, List<Command> commands) {
-        ObjectNode node = Cbor.map().put("baton", token);
+    public static byte[] encodeResponse(long fencingToken, List<AgentCommand> commands) {
+        ObjectNode node = Cbor.map().put("baton", fencingToken);
         ArrayNode list = node.putArray("calls");
         commands.forEach(c -> c.writeTo(list));
         return Cbor.encode(node);
     }
 
     /** The body of a direct command. */
-    public static byte[] direct(long token, long session, List<Command> commands) {
-        ObjectNode node = Cbor.map().put("baton", token).put("flight", session);
+    public static byte[] encodeDirect(long fencingToken, long agentEpoch, List<AgentCommand> commands) {
+        ObjectNode node = Cbor.map().put("baton", fencingToken).put("flight", agentEpoch);
         ArrayNode list = node.putArray("calls");
         commands.forEach(c -> c.writeTo(list));
         return Cbor.encode(node);
     }
 
     /** Sends a worker to another controller; null lets it try the next one. */
-    public static byte[] redirect(String controller) {
+    public static byte[] encodeRedirect(String controller) {
         ObjectNode node = Cbor.map();
         if (controller != null) {
             node.put("roost", controller);
--- a/src/main/java/org/gullway/protocol/Cbor.java
+++ b/src/main/java/org/gullway/protocol/Cbor.java
@@ -38,18 +38,18 @@
     }
 
     /** Reads a body that has to be exactly one map. */
-    public static ObjectNode decode(byte[] body) throws MalformedException {
+    public static ObjectNode decode(byte[] body) throws MalformedMessageException {
         JsonNode node;
         try (JsonParser parser = parser(body)) {
             node = JsonTrees.readNext(parser);
             if (parser.nextToken() != null) {
-                throw new MalformedException("bytes after the map");
+                throw new MalformedMessageException("bytes after the map");
             }
         } catch (IOException | StackOverflowError e) {
-            throw new MalformedException("not CBOR");
+            throw new MalformedMessageException("not CBOR");
         }
         if (!(node instanceof ObjectNode map)) {
-            throw new MalformedException("not a map");
+            throw new MalformedMessageException("not a map");
         }
         return map;
     }
--- a/src/main/java/org/gullway/protocol/CloudMessages.java
+++ b/src/main/java/org/gullway/protocol/CloudMessages.java
@@ -9,14 +9,14 @@
 
 /** What is said to the cloud and what it answers. */
 public final class CloudMessages {
-    public static final int MOST_RENTED_AT_ONCE = 50;
-    public static final int MOST_RETURNED_AT_ONCE = 100;
-    public static final int PAGE = 500;
+    public static final int MAX_PROVISIONED_PER_CALL = 50;
+    public static final int MAX_RELEASED_PER_CALL = 100;
+    public static final int PAGE_SIZE = 500;
 
     private CloudMessages() {}
 
     /** A machine as the cloud's lagging list shows it. */
-    public record Listed(
+    public record ListedMachine(
             String name,
             String address,
             String type,
@@ -27,14 +27,14 @@
             Duration age) {}
 
     /** One page of the machine list. */
-    public record Page(List<Listed> machines, boolean more) {}
+    public record Page(List<ListedMachine> machines, boolean more) {}
 
     /**
      * Reads the types of machines that the cloud rents out; one that names no zones is rented out in none.
      */
-    public static List<MachineType> types(byte[] body) throws MalformedException {
+    public static List<MachineType> decodeTypes(byte[] body) throws MalformedMessageException {
         List<MachineType> types = new ArrayList<>();
-        for (Fields type : Fields.of(Cbor.decode(body)).list("breeds")) {
+        for (MessageFields type : MessageFields.of(Cbor.decode(body)).list("breeds")) {
             List<String> zones = type.textsOrNull("shores");
             types.add(new MachineType(
                     type.text("name"),
@@ -56,7 +56,7 @@
      *
      * @param request its name: the cloud carries out requests of one name only once
      */
-    public static byte[] rental(String request, String type, String zone, boolean spot, int count) {
+    public static byte[] encodeProvisionRequest(String request, String type, String zone, boolean spot, int count) {
         return Cbor.encode(Cbor.map()
                 .put("charter", request)
                 .put("breed", type)
@@ -65,13 +65,13 @@
                 .put("count", count));
     }
 
-    public static List<String> rented(byte[] body) throws MalformedException {
-        List<String> names = Fields.of(Cbor.decode(body)).textsOrNull("perches");
+    public static List<String> decodeProvisioned(byte[] body) throws MalformedMessageException {
+        List<String> names = MessageFields.of(Cbor.decode(body)).textsOrNull("perches");
         return names == null ? List.of() : names;
     }
 
     /** The body of a request that ends the rental of these machines. */
-    public static byte[] giveBack(List<String> machines) {
+    public static byte[] encodeRelease(List<String> machines) {
         ObjectNode node = Cbor.map();
         ArrayNode list = node.putArray("perches");
         machines.forEach(list::add);
@@ -79,12 +79,12 @@
     }
 
     /** Reads one page of the list of rented machines. */
-    public static Page page(byte[] body) throws MalformedException {
+    public static Page decodePage(byte[] body) throws MalformedMessageException {
         JsonNode map = Cbor.decode(body);
-        List<Listed> machines = new ArrayList<>();
-        for (Fields item : Fields.of(map).list("perches")) {
+        List<ListedMachine> machines = new ArrayList<>();
+        for (MessageFields item : MessageFields.of(map).list("perches")) {
             String state = item.text("tide");
-            machines.add(new Listed(
+            machines.add(new ListedMachine(
                     item.text("name_id"),
                     item.textOrNull("endpoint"),
                     item.text("breed"),
--- a/src/main/java/org/gullway/protocol/WorkerReport.java
+++ b/src/main/java/org/gullway/protocol/Heartbeat.java
@@ -5,17 +5,17 @@
 import java.util.function.Function;
 
 /** A worker's account of itself, from a report or from the answer to a direct command. */
-public record WorkerReport(
+public record Heartbeat(
         String machine,
         String address,
         String type,
         String zone,
         boolean spot,
-        long session,
+        long agentEpoch,
         long sequence,
-        long token,
-        Duration notice,
-        List<TaskReport> tasks) {
+        long fencingToken,
+        Duration spotNotice,
+        List<TaskStatus> tasks) {
 
     /**
      * Reads a report.
@@ -23,13 +23,13 @@
      * @param lastMessages the last message of the machine with a name, or null if none is known; what has not changed
      *     since then is shared with it
      */
-    public static WorkerReport parse(byte[] body, Function<String, WorkerReport> lastMessages)
-            throws MalformedException {
-        return WorkerReportReader.read(body, lastMessages);
+    public static Heartbeat parse(byte[] body, Function<String, Heartbeat> lastMessages)
+            throws MalformedMessageException {
+        return HeartbeatReader.read(body, lastMessages);
     }
 
     /** Newer in the order of the worker's own messages. */
-    public boolean newerThan(long otherSession, long otherSequence) {
-        return session > otherSession || session == otherSession && sequence > otherSequence;
+    public boolean isNewerThan(long otherAgentEpoch, long otherSequence) {
+        return agentEpoch > otherAgentEpoch || agentEpoch == otherAgentEpoch && sequence > otherSequence;
     }
 }
--- a/src/main/java/org/gullway/protocol/WorkerReportReader.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatReader.java
@@ -13,49 +13,49 @@
  * Reads a worker's report from its CBOR body in one pass. Values that equal those of the worker's last message are
  * taken from there, so a report in which only counters have changed allocates little, however many tasks it lists.
  */
-final class WorkerReportReader {
+final class HeartbeatReader {
     private static final BigInteger LARGEST_COUNT = BigInteger.valueOf(Long.MAX_VALUE);
 
-    private static final String TEXT = "a text of 1 to " + Fields.LONGEST_TEXT + " characters";
+    private static final String TEXT = "a text of 1 to " + MessageFields.LONGEST_TEXT + " characters";
 
     private final JsonParser parser;
-    private final Function<String, WorkerReport> lastMessages;
+    private final Function<String, Heartbeat> lastMessages;
     /** The last message of the worker that the report names; null if there is none or the name is still to come. */
-    private WorkerReport last;
+    private Heartbeat last;
 
     private String machine;
     private String address;
     private String type;
     private String zone;
     private Boolean spot;
-    private long session = -1;
+    private long agentEpoch = -1;
     private long sequence = -1;
-    private long workerToken = -1;
+    private long fencingToken = -1;
     private Duration notice;
-    private List<TaskReport> tasks = List.of();
+    private List<TaskStatus> tasks = List.of();
 
-    private WorkerReportReader(JsonParser parser, Function<String, WorkerReport> lastMessages) {
+    private HeartbeatReader(JsonParser parser, Function<String, Heartbeat> lastMessages) {
         this.parser = parser;
         this.lastMessages = lastMessages;
     }
 
     /** @param lastMessages the last message of the machine with a name, or null if none is known */
-    static WorkerReport read(byte[] body, Function<String, WorkerReport> lastMessages) throws MalformedException {
+    static Heartbeat read(byte[] body, Function<String, Heartbeat> lastMessages) throws MalformedMessageException {
         try (JsonParser parser = Cbor.parser(body)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new MalformedException("not a map");
+                throw new MalformedMessageException("not a map");
             }
-            WorkerReport report = new WorkerReportReader(parser, lastMessages).readMap();
+            Heartbeat heartbeat = new HeartbeatReader(parser, lastMessages).readMap();
             if (parser.nextToken() != null) {
-                throw new MalformedException("bytes after the map");
+                throw new MalformedMessageException("bytes after the map");
             }
-            return report;
+            return heartbeat;
         } catch (IOException e) {
-            throw new MalformedException("not CBOR");
+            throw new MalformedMessageException("not CBOR");
         }
     }
 
-    private WorkerReport readMap() throws IOException, MalformedException {
+    private Heartbeat readMap() throws IOException, MalformedMessageException {
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
             if (parser.nextToken() == JsonToken.VALUE_NULL) {
                 continue;
@@ -70,9 +70,9 @@
                 case "breed" -> type = text(name, last == null ? null : last.type());
                 case "shore" -> zone = text(name, last == null ? null : last.zone());
                 case "driftwood" -> spot = flag(name);
-                case "flight" -> session = count(name);
+                case "flight" -> agentEpoch = count(name);
                 case "tally" -> sequence = count(name);
-                case "baton" -> workerToken = count(name);
+                case "baton" -> fencingToken = count(name);
                 case "warning_s" -> notice = seconds(name);
                 case "legs" -> tasks = readTasks();
                 default -> skip();
@@ -84,26 +84,26 @@
         requirePresent(type != null, "breed");
         requirePresent(zone != null, "shore");
         requirePresent(spot != null, "driftwood");
-        requirePresent(session >= 0, "flight");
+        requirePresent(agentEpoch >= 0, "flight");
         requirePresent(sequence >= 0, "tally");
-        requirePresent(workerToken >= 0, "baton");
-        return new WorkerReport(machine, address, type, zone, spot, session, sequence, workerToken, notice, tasks);
+        requirePresent(fencingToken >= 0, "baton");
+        return new Heartbeat(machine, address, type, zone, spot, agentEpoch, sequence, fencingToken, notice, tasks);
     }
 
     /** The list of the last message itself if nothing in it has changed. */
-    private List<TaskReport> readTasks() throws IOException, MalformedException {
+    private List<TaskStatus> readTasks() throws IOException, MalformedMessageException {
         if (parser.currentToken() != JsonToken.START_ARRAY) {
             throw wrong("legs", "a list");
         }
-        List<TaskReport> before = last == null ? List.of() : last.tasks();
-        List<TaskReport> changed = null;
+        List<TaskStatus> before = last == null ? List.of() : last.tasks();
+        List<TaskStatus> changed = null;
         int read = 0;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (parser.currentToken() != JsonToken.START_OBJECT) {
                 throw wrong("legs", "a list of maps");
             }
-            TaskReport known = read < before.size() ? before.get(read) : null;
-            TaskReport task = readTask(known);
+            TaskStatus known = read < before.size() ? before.get(read) : null;
+            TaskStatus task = readTask(known);
             if (changed == null && task != known) {
                 changed = new ArrayList<>(before.subList(0, read));
             }
@@ -119,11 +119,11 @@
     }
 
     /** The known report of the task at the same place of the last message, if it is the same. */
-    private TaskReport readTask(TaskReport known) throws IOException, MalformedException {
+    private TaskStatus readTask(TaskStatus known) throws IOException, MalformedMessageException {
         TaskId task = null;
         long attempt = -1;
-        TaskReport.Phase phase = null;
-        TaskReport.Cause cause = null;
+        TaskStatus.Phase phase = null;
+        TaskStatus.Cause cause = null;
         boolean causeIsText = true;
         boolean saved = false;
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
@@ -133,12 +133,12 @@
             switch (name) {
                 case "leg" -> task = taskId(known == null ? null : known.task());
                 case "launch" -> attempt = count("legs[].launch");
-                case "tide" -> phase = TaskReport.Phase.of(text("legs[].tide", "running"));
+                case "tide" -> phase = TaskStatus.Phase.of(text("legs[].tide", "running"));
                 case "cause" -> {
                     // Only a task that has ended needs one.
                     causeIsText = isText();
                     if (causeIsText) {
-                        cause = TaskReport.Cause.of(text("legs[].cause", "done"));
+                        cause = TaskStatus.Cause.of(text("legs[].cause", "done"));
                     } else {
                         skip();
                     }
@@ -151,25 +151,25 @@
         requirePresent(task != null, "legs[].leg");
         requirePresent(attempt >= 0, "legs[].launch");
         requirePresent(phase != null, "legs[].tide");
-        if (phase != TaskReport.Phase.ENDED) {
+        if (phase != TaskStatus.Phase.ENDED) {
             cause = null;
         } else if (!causeIsText) {
             throw wrong("legs[].cause", TEXT);
         } else if (cause == null) {
-            cause = TaskReport.Cause.OTHER;
+            cause = TaskStatus.Cause.OTHER;
         }
         if (known != null
                 && known.task() == task
                 && known.attempt() == attempt
                 && known.phase() == phase
                 && known.cause() == cause
-                && known.saved() == saved) {
+                && known.checkpointed() == saved) {
             return known;
         }
-        return new TaskReport(task, attempt, phase, cause, saved);
+        return new TaskStatus(task, attempt, phase, cause, saved);
     }
 
-    private TaskId taskId(TaskId known) throws IOException, MalformedException {
+    private TaskId taskId(TaskId known) throws IOException, MalformedMessageException {
         requireText("legs[].leg");
         if (known != null
                 && known.isWrittenAs(parser.getTextCharacters(), parser.getTextOffset(), parser.getTextLength())) {
@@ -179,12 +179,12 @@
     }
 
     /** The expected text itself if the value equals it. */
-    private String text(String name, String expected) throws IOException, MalformedException {
+    private String text(String name, String expected) throws IOException, MalformedMessageException {
         requireText(name);
         return expected != null && equalsText(expected) ? expected : parser.getText();
     }
 
-    private void requireText(String name) throws IOException, MalformedException {
+    private void requireText(String name) throws IOException, MalformedMessageException {
         if (!isText()) {
             throw wrong(name, TEXT);
         }
@@ -193,7 +193,7 @@
     private boolean isText() throws IOException {
         return parser.currentToken() == JsonToken.VALUE_STRING
                 && parser.getTextLength() > 0
-                && parser.getTextLength() <= Fields.LONGEST_TEXT;
+                && parser.getTextLength() <= MessageFields.LONGEST_TEXT;
     }
 
     private boolean equalsText(String expected) throws IOException {
@@ -211,7 +211,7 @@
         return true;
     }
 
-    private long count(String name) throws IOException, MalformedException {
+    private long count(String name) throws IOException, MalformedMessageException {
         if (parser.currentToken() == JsonToken.VALUE_NUMBER_INT) {
             if (parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER) {
                 long value = parser.getLongValue();
@@ -226,7 +226,7 @@
         throw wrong(name, "a count");
     }
 
-    private boolean flag(String name) throws MalformedException {
+    private boolean flag(String name) throws MalformedMessageException {
         JsonToken value = parser.currentToken();
         if (value != JsonToken.VALUE_TRUE && value != JsonToken.VALUE_FALSE) {
             throw wrong(name, "true or false");
@@ -234,13 +234,13 @@
         return value == JsonToken.VALUE_TRUE;
     }
 
-    private Duration seconds(String name) throws IOException, MalformedException {
+    private Duration seconds(String name) throws IOException, MalformedMessageException {
         JsonToken token = parser.currentToken();
         double value = token != null && token.isNumeric() ? parser.getDoubleValue() : Double.NaN;
-        if (!Fields.isAmount(value)) {
+        if (!MessageFields.isAmount(value)) {
             throw wrong(name, "an amount from 0 to 1e9");
         }
-        return Fields.toDuration(value);
+        return MessageFields.toDuration(value);
     }
 
     /** Passes over a value of no interest; it is still checked to be well-formed. */
@@ -251,19 +251,19 @@
         }
     }
 
-    private void requireEnd() throws MalformedException {
+    private void requireEnd() throws MalformedMessageException {
         if (parser.currentToken() != JsonToken.END_OBJECT) {
-            throw new MalformedException("not CBOR");
+            throw new MalformedMessageException("not CBOR");
         }
     }
 
-    private static void requirePresent(boolean present, String name) throws MalformedException {
+    private static void requirePresent(boolean present, String name) throws MalformedMessageException {
         if (!present) {
-            throw new MalformedException(name + " is missing");
+            throw new MalformedMessageException(name + " is missing");
         }
     }
 
-    private static MalformedException wrong(String name, String expected) {
-        return new MalformedException(name + " is not " + expected);
+    private static MalformedMessageException wrong(String name, String expected) {
+        return new MalformedMessageException(name + " is not " + expected);
     }
 }
--- a/src/main/java/org/gullway/protocol/JobRequest.java
+++ b/src/main/java/org/gullway/protocol/JobRequest.java
@@ -14,21 +14,21 @@
         String jobClass,
         String team,
         Shape shape,
-        Rank rank,
+        Priority priority,
         int tasks,
         double cpus,
-        double cards,
+        double gpus,
         double memoryGb,
         String image,
         double imageGb,
-        List<String> types,
+        List<String> machineTypes,
         String zone,
-        boolean oneZone,
-        boolean spread,
-        boolean spot,
-        Duration estimate,
-        Duration checkpoint,
-        Duration save,
+        boolean singleZone,
+        boolean spreadAcrossZones,
+        boolean spotAllowed,
+        Duration estimatedRunTime,
+        Duration checkpointInterval,
+        Duration checkpointTime,
         Duration deadline) {
 
     /** How a job's tasks belong together. */
@@ -40,12 +40,12 @@
         /** Tasks that run until the job is cancelled. */
         SERVICE;
 
-        static Shape of(String wire) throws MalformedException {
+        static Shape of(String wire) throws MalformedMessageException {
             return switch (wire) {
                 case "array" -> ARRAY;
                 case "gang" -> GANG;
                 case "service" -> SERVICE;
-                default -> throw new MalformedException("shape is none of array, gang, service");
+                default -> throw new MalformedMessageException("shape is none of array, gang, service");
             };
         }
 
@@ -54,28 +54,28 @@
         }
     }
 
-    public static final int MOST_TASKS = 100_000;
+    public static final int MAX_TASKS = 100_000;
     private static final Pattern ID = Pattern.compile("run-[0-9]{1,18}");
 
-    public static boolean isId(String text) {
+    public static boolean isValidId(String text) {
         return ID.matcher(text).matches();
     }
 
     /**
      * Reads a submission.
      *
-     * @throws MalformedException naming the first field that is missing or not allowed
+     * @throws MalformedMessageException naming the first field that is missing or not allowed
      */
-    public static JobRequest parse(JsonNode map) throws MalformedException {
-        Fields fields = Fields.of(map);
+    public static JobRequest parse(JsonNode map) throws MalformedMessageException {
+        MessageFields fields = MessageFields.of(map);
         String id = fields.text("name_id");
-        if (!isId(id)) {
-            throw new MalformedException("name_id is not of the form run-000412");
+        if (!isValidId(id)) {
+            throw new MalformedMessageException("name_id is not of the form run-000412");
         }
         Shape shape = Shape.of(fields.text("shape"));
-        int tasks = fields.countUpTo("legs", MOST_TASKS);
+        int tasks = fields.countUpTo("legs", MAX_TASKS);
         if (tasks < 1) {
-            throw new MalformedException("legs is below 1");
+            throw new MalformedMessageException("legs is below 1");
         }
         List<String> types = fields.textsOrNull("breeds");
         return new JobRequest(
@@ -83,7 +83,7 @@
                 fields.text("herd"),
                 fields.text("crew"),
                 shape,
-                Rank.of(fields.text("rank")),
+                Priority.of(fields.text("rank")),
                 tasks,
                 fields.positive("cpus"),
                 fields.amount("cards"),
@@ -108,26 +108,26 @@
                 .put("herd", jobClass)
                 .put("crew", team)
                 .put("shape", shape.wire())
-                .put("rank", rank.wire())
+                .put("rank", priority.wire())
                 .put("legs", tasks)
                 .put("cpus", cpus)
-                .put("cards", cards)
+                .put("cards", gpus)
                 .put("mem_gb", memoryGb)
                 .put("kit", image)
                 .put("image_gb", imageGb);
-        if (types != null) {
+        if (machineTypes != null) {
             ArrayNode list = node.putArray("breeds");
-            types.forEach(list::add);
+            machineTypes.forEach(list::add);
         }
         if (zone != null) {
             node.put("shore", zone);
         }
-        node.put("same_place", oneZone)
-                .put("spread", spread)
-                .put("driftwood", spot)
-                .put("reckon_s", seconds(estimate))
-                .put("waypoint_s", seconds(checkpoint))
-                .put("stow_s", seconds(save));
+        node.put("same_place", singleZone)
+                .put("spread", spreadAcrossZones)
+                .put("driftwood", spotAllowed)
+                .put("reckon_s", seconds(estimatedRunTime))
+                .put("waypoint_s", seconds(checkpointInterval))
+                .put("stow_s", seconds(checkpointTime));
         if (deadline != null) {
             node.put("landfall_s", seconds(deadline));
         }
@@ -135,8 +135,8 @@
     }
 
     /** Whether stopping a task keeps its work. */
-    public boolean saves() {
-        return !checkpoint.isZero();
+    public boolean hasCheckpoints() {
+        return !checkpointInterval.isZero();
     }
 
     static double seconds(Duration span) {
--- a/src/main/java/org/gullway/protocol/JobState.java
+++ b/src/main/java/org/gullway/protocol/JobState.java
@@ -22,12 +22,12 @@
     }
 
     /** The state with this name in the protocol. */
-    public static JobState of(String wire) throws MalformedException {
+    public static JobState of(String wire) throws MalformedMessageException {
         for (JobState state : values()) {
             if (state.wire.equals(wire)) {
                 return state;
             }
         }
-        throw new MalformedException("unknown job state " + wire);
+        throw new MalformedMessageException("unknown job state " + wire);
     }
 }
--- a/src/main/java/org/gullway/protocol/MachineType.java
+++ b/src/main/java/org/gullway/protocol/MachineType.java
@@ -7,19 +7,19 @@
 public record MachineType(
         String name,
         double cpus,
-        double cards,
+        double gpus,
         double memoryGb,
         double cacheGb,
         double fetchGbPerSecond,
         double price,
         double spotPrice,
-        Duration boot,
+        Duration bootTime,
         List<String> zones) {
     public boolean fits(JobRequest job) {
-        return job.cpus() <= cpus && job.cards() <= cards && job.memoryGb() <= memoryGb;
+        return job.cpus() <= cpus && job.gpus() <= gpus && job.memoryGb() <= memoryGb;
     }
 
-    public boolean allowedFor(JobRequest job) {
-        return job.types() == null || job.types().contains(name);
+    public boolean isAllowedFor(JobRequest job) {
+        return job.machineTypes() == null || job.machineTypes().contains(name);
     }
 }
--- a/src/main/java/org/gullway/protocol/Fields.java
+++ b/src/main/java/org/gullway/protocol/MessageFields.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** Checked access to the fields of a map; every complaint names the field. */
-public final class Fields {
+public final class MessageFields {
     private static final double LARGEST_AMOUNT = 1e9;
     /** Characters of a text at most. */
     static final int LONGEST_TEXT = 200;
@@ -15,13 +15,13 @@
     private final JsonNode map;
     private final String where;
 
-    private Fields(JsonNode map, String where) {
+    private MessageFields(JsonNode map, String where) {
         this.map = map;
         this.where = where;
     }
 
-    public static Fields of(JsonNode map) {
-        return new Fields(map, "");
+    public static MessageFields of(JsonNode map) {
+        return new MessageFields(map, "");
     }
 
     public boolean has(String name) {
@@ -29,19 +29,19 @@
         return node != null && !node.isNull();
     }
 
-    private JsonNode required(String name) throws MalformedException {
+    private JsonNode required(String name) throws MalformedMessageException {
         if (!has(name)) {
-            throw new MalformedException(where + name + " is missing");
+            throw new MalformedMessageException(where + name + " is missing");
         }
         return map.get(name);
     }
 
-    private MalformedException wrong(String name, String expected) {
-        return new MalformedException(where + name + " is not " + expected);
+    private MalformedMessageException wrong(String name, String expected) {
+        return new MalformedMessageException(where + name + " is not " + expected);
     }
 
     /** A text that is not empty and not longer than the protocol allows. */
-    public String text(String name) throws MalformedException {
+    public String text(String name) throws MalformedMessageException {
         JsonNode node = required(name);
         if (!node.isTextual() || node.textValue().isEmpty() || node.textValue().length() > LONGEST_TEXT) {
             throw wrong(name, "a text of 1 to " + LONGEST_TEXT + " characters");
@@ -49,12 +49,12 @@
         return node.textValue();
     }
 
-    public String textOrNull(String name) throws MalformedException {
+    public String textOrNull(String name) throws MalformedMessageException {
         return has(name) ? text(name) : null;
     }
 
     /** A finite amount of zero or more. */
-    public double amount(String name) throws MalformedException {
+    public double amount(String name) throws MalformedMessageException {
         JsonNode node = required(name);
         double value = node.isNumber() ? node.doubleValue() : Double.NaN;
         if (!isAmount(value)) {
@@ -73,7 +73,7 @@
     }
 
     /** A finite amount above zero. */
-    public double positive(String name) throws MalformedException {
+    public double positive(String name) throws MalformedMessageException {
         double value = amount(name);
         if (value <= 0) {
             throw wrong(name, "an amount above 0");
@@ -81,20 +81,20 @@
         return value;
     }
 
-    public Duration seconds(String name) throws MalformedException {
+    public Duration seconds(String name) throws MalformedMessageException {
         return toDuration(amount(name));
     }
 
-    public Duration secondsOrNull(String name) throws MalformedException {
+    public Duration secondsOrNull(String name) throws MalformedMessageException {
         return has(name) ? seconds(name) : null;
     }
 
-    public Duration millis(String name) throws MalformedException {
+    public Duration millis(String name) throws MalformedMessageException {
         return Duration.ofNanos(Math.round(amount(name) * 1e6));
     }
 
     /** An integer from 0; whole numbers written as decimals are taken too. */
-    public long count(String name) throws MalformedException {
+    public long count(String name) throws MalformedMessageException {
         JsonNode node = required(name);
         if (node.isIntegralNumber()) {
             BigInteger value = node.bigIntegerValue();
@@ -106,7 +106,7 @@
     }
 
     /** An integer from 0 to {@code most}. */
-    public int countUpTo(String name, int most) throws MalformedException {
+    public int countUpTo(String name, int most) throws MalformedMessageException {
         long value = count(name);
         if (value > most) {
             throw wrong(name, "a count up to " + most);
@@ -115,7 +115,7 @@
     }
 
     /** True or false; a field that is missing is an error. */
-    public boolean flag(String name) throws MalformedException {
+    public boolean flag(String name) throws MalformedMessageException {
         JsonNode node = required(name);
         if (!node.isBoolean()) {
             throw wrong(name, "true or false");
@@ -124,7 +124,7 @@
     }
 
     /** A list of texts, which may be empty, or null if there is no such field. */
-    public List<String> textsOrNull(String name) throws MalformedException {
+    public List<String> textsOrNull(String name) throws MalformedMessageException {
         if (!has(name)) {
             return null;
         }
@@ -143,16 +143,16 @@
     }
 
     /** The fields of a map within this one; errors name the path to them. */
-    public Fields inner(String name) throws MalformedException {
+    public MessageFields inner(String name) throws MalformedMessageException {
         JsonNode node = required(name);
         if (!node.isObject()) {
             throw wrong(name, "a map");
         }
-        return new Fields(node, where + name + ".");
+        return new MessageFields(node, where + name + ".");
     }
 
     /** A list of maps; it is empty if there is no such field. */
-    public List<Fields> list(String name) throws MalformedException {
+    public List<MessageFields> list(String name) throws MalformedMessageException {
         if (!has(name)) {
             return List.of();
         }
@@ -160,12 +160,12 @@
         if (!node.isArray()) {
             throw wrong(name, "a list");
         }
-        List<Fields> items = new ArrayList<>(node.size());
+        List<MessageFields> items = new ArrayList<>(node.size());
         for (JsonNode item : node) {
             if (!item.isObject()) {
                 throw wrong(name, "a list of maps");
             }
-            items.add(new Fields(item, where + name + "[" + items.size() + "]."));
+            items.add(new MessageFields(item, where + name + "[" + items.size() + "]."));
         }
         return items;
     }
--- a/src/main/java/org/gullway/protocol/OperatorSettings.java
+++ b/src/main/java/org/gullway/protocol/OperatorSettings.java
@@ -19,7 +19,11 @@
  * @param logInterval pause between two lines of figures in the log
  */
 public record OperatorSettings(
-        Duration membershipLease, double spareShare, Duration idleReturn, int bootPatience, Duration logInterval) {
+        Duration membershipLease,
+        double spareCapacityShare,
+        Duration scaleInDelay,
+        int bootTimeoutFactor,
+        Duration logInterval) {
     public static final OperatorSettings DEFAULTS =
             new OperatorSettings(Duration.ofSeconds(6), 0.5, Duration.ofSeconds(45), 4, Duration.ofSeconds(10));
 
@@ -28,13 +32,13 @@
                 || membershipLease.compareTo(Duration.ofMinutes(10)) > 0) {
             throw new IllegalArgumentException("membership-lease-s is not from 1 to 600");
         }
-        if (!(spareShare >= 0 && spareShare <= 100)) {
+        if (!(spareCapacityShare >= 0 && spareCapacityShare <= 100)) {
             throw new IllegalArgumentException("spare-share is not from 0 to 100");
         }
-        if (bootPatience < 1 || bootPatience > 100) {
+        if (bootTimeoutFactor < 1 || bootTimeoutFactor > 100) {
             throw new IllegalArgumentException("boot-patience is not from 1 to 100");
         }
-        if (idleReturn.isNegative() || logInterval.compareTo(Duration.ofSeconds(1)) < 0) {
+        if (scaleInDelay.isNegative() || logInterval.compareTo(Duration.ofSeconds(1)) < 0) {
             throw new IllegalArgumentException("idle-return-s is below 0 or log-interval-s below 1");
         }
     }
@@ -42,21 +46,22 @@
     /**
      * Reads the XML file; settings that it does not name have their defaults.
      *
-     * @throws MalformedException with one line for the operator, if the file cannot be read or a value is not allowed
+     * @throws MalformedMessageException with one line for the operator, if the file cannot be read or a value is not allowed
      */
-    public static OperatorSettings read(Path file) throws MalformedException {
+    public static OperatorSettings read(Path file) throws MalformedMessageException {
         JsonNode tree;
         try (var in = Files.newInputStream(file)) {
             tree = new XmlMapper().readTree(in);
         } catch (JacksonException e) {
-            throw new MalformedException(file + " is not XML: " + MalformedException.inOneLine(e.getOriginalMessage()));
+            throw new MalformedMessageException(
+                    file + " is not XML: " + MalformedMessageException.inOneLine(e.getOriginalMessage()));
         } catch (IOException e) {
-            throw new MalformedException("cannot read " + file + ": " + e.getMessage());
+            throw new MalformedMessageException("cannot read " + file + ": " + e.getMessage());
         }
         return of(tree);
     }
 
-    static OperatorSettings of(JsonNode tree) throws MalformedException {
+    static OperatorSettings of(JsonNode tree) throws MalformedMessageException {
         OperatorSettings s = DEFAULTS;
         for (Map.Entry<String, JsonNode> entry : tree.properties()) {
             String name = entry.getKey();
@@ -65,21 +70,21 @@
                 Duration span = Double.isFinite(value) ? Duration.ofMillis(Math.round(value * 1000)) : Duration.ZERO;
                 s = switch (name) {
                     case "membership-lease-s" -> new OperatorSettings(
-                            span, s.spareShare, s.idleReturn, s.bootPatience, s.logInterval);
+                            span, s.spareCapacityShare, s.scaleInDelay, s.bootTimeoutFactor, s.logInterval);
                     case "spare-share" -> new OperatorSettings(
-                            s.membershipLease, value, s.idleReturn, s.bootPatience, s.logInterval);
+                            s.membershipLease, value, s.scaleInDelay, s.bootTimeoutFactor, s.logInterval);
                     case "idle-return-s" -> new OperatorSettings(
-                            s.membershipLease, s.spareShare, span, s.bootPatience, s.logInterval);
+                            s.membershipLease, s.spareCapacityShare, span, s.bootTimeoutFactor, s.logInterval);
                     case "boot-patience" -> new OperatorSettings(
-                            s.membershipLease, s.spareShare, s.idleReturn, (int) value, s.logInterval);
+                            s.membershipLease, s.spareCapacityShare, s.scaleInDelay, (int) value, s.logInterval);
                     case "log-interval-s" -> new OperatorSettings(
-                            s.membershipLease, s.spareShare, s.idleReturn, s.bootPatience, span);
-                    default -> throw new MalformedException("operator setting " + name + " is unknown");
+                            s.membershipLease, s.spareCapacityShare, s.scaleInDelay, s.bootTimeoutFactor, span);
+                    default -> throw new MalformedMessageException("operator setting " + name + " is unknown");
                 };
             } catch (NumberFormatException e) {
-                throw new MalformedException("operator setting " + name + " is not a number");
+                throw new MalformedMessageException("operator setting " + name + " is not a number");
             } catch (IllegalArgumentException e) {
-                throw new MalformedException("operator setting " + e.getMessage());
+                throw new MalformedMessageException("operator setting " + e.getMessage());
             }
         }
         return s;
--- a/src/main/java/org/gullway/protocol/Cancellations.java
+++ b/src/main/java/org/gullway/protocol/PeerCancellations.java
@@ -20,25 +20,25 @@
  * @param number of its process, which no other process has
  * @param complete whether nothing was left out for its size
  */
-public record Cancellations(String node, long number, boolean complete, List<Job> jobs) {
+public record PeerCancellations(String node, long number, boolean complete, List<CancelledJob> jobs) {
     private static final int VERSION = 1;
-    private static final int MOST_KNOWN = 4000;
-    private static final int MOST_BYTES = 40 * 1024;
-    private static final int MOST_ATTEMPTS = 10_000;
+    private static final int MAX_KNOWN_JOBS = 4000;
+    private static final int MAX_BYTES = 40 * 1024;
+    private static final int MAX_ATTEMPTS = 10_000;
 
     /** A cancelled job: when that was, as the time of day in milliseconds, and its attempts that may still be live. */
-    public record Job(String id, long cancelledAt, List<Attempt> attempts) {}
+    public record CancelledJob(String id, long cancelledAt, List<CancelledAttempt> attempts) {}
 
     /** One attempt of a task in a session of a machine. */
-    public record Attempt(int task, long attempt, String machine, long session) {}
+    public record CancelledAttempt(int task, long attempt, String machine, long agentEpoch) {}
 
     /** The body of a request: the names of the cancelled jobs that the asker knows, 4000 at most. */
     public static byte[] encodeKnown(Collection<String> jobs) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(16 * jobs.size());
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(VERSION);
-            out.writeShort(Math.min(jobs.size(), MOST_KNOWN));
-            int left = MOST_KNOWN;
+            out.writeShort(Math.min(jobs.size(), MAX_KNOWN_JOBS));
+            int left = MAX_KNOWN_JOBS;
             for (String job : jobs) {
                 if (left-- > 0) {
                     out.writeUTF(job);
@@ -51,7 +51,7 @@
     }
 
     /** Reads the names that {@link #encodeKnown} wrote. */
-    public static Set<String> decodeKnown(byte[] body) throws MalformedException {
+    public static Set<String> decodeKnown(byte[] body) throws MalformedMessageException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
             checkVersion(in);
             int count = in.readUnsignedShort();
@@ -62,17 +62,17 @@
             checkEnd(in);
             return jobs;
         } catch (IOException e) {
-            throw new MalformedException("cut-off names of cancelled jobs");
+            throw new MalformedMessageException("cut-off names of cancelled jobs");
         }
     }
 
     /** As many of the jobs as fit into one message. */
-    public static byte[] encode(String node, long number, Collection<Job> jobs) {
+    public static byte[] encode(String node, long number, Collection<CancelledJob> jobs) {
         ByteArrayOutputStream list = new ByteArrayOutputStream();
         int written = 0;
         try (DataOutputStream out = new DataOutputStream(list)) {
-            for (Job job : jobs) {
-                if (list.size() > MOST_BYTES) {
+            for (CancelledJob job : jobs) {
+                if (list.size() > MAX_BYTES) {
                     break;
                 }
                 write(job, out);
@@ -93,64 +93,64 @@
         }
     }
 
-    private static void write(Job job, DataOutputStream out) throws IOException {
+    private static void write(CancelledJob job, DataOutputStream out) throws IOException {
         out.writeUTF(job.id);
         out.writeLong(job.cancelledAt);
         out.writeInt(job.attempts.size());
-        for (Attempt attempt : job.attempts) {
+        for (CancelledAttempt attempt : job.attempts) {
             out.writeInt(attempt.task);
             out.writeLong(attempt.attempt);
             out.writeUTF(attempt.machine);
-            out.writeLong(attempt.session);
+            out.writeLong(attempt.agentEpoch);
         }
     }
 
     /**
      * Reads an answer as the peer encoded it.
      *
-     * @throws MalformedException if it is cut off, has bytes left over, or is of another version
+     * @throws MalformedMessageException if it is cut off, has bytes left over, or is of another version
      */
-    public static Cancellations decode(byte[] body) throws MalformedException {
+    public static PeerCancellations decode(byte[] body) throws MalformedMessageException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
             checkVersion(in);
             String node = in.readUTF();
             long number = in.readLong();
             boolean complete = in.readBoolean();
             int count = in.readUnsignedShort();
-            List<Job> jobs = new ArrayList<>();
+            List<CancelledJob> jobs = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 jobs.add(readJob(in));
             }
             checkEnd(in);
-            return new Cancellations(node, number, complete, List.copyOf(jobs));
+            return new PeerCancellations(node, number, complete, List.copyOf(jobs));
         } catch (IOException e) {
-            throw new MalformedException("cut-off cancellations");
+            throw new MalformedMessageException("cut-off cancellations");
         }
     }
 
-    private static Job readJob(DataInputStream in) throws IOException, MalformedException {
+    private static CancelledJob readJob(DataInputStream in) throws IOException, MalformedMessageException {
         String id = in.readUTF();
         long cancelledAt = in.readLong();
         int count = in.readInt();
-        if (count < 0 || count > MOST_ATTEMPTS) {
-            throw new MalformedException("too many attempts of " + id);
+        if (count < 0 || count > MAX_ATTEMPTS) {
+            throw new MalformedMessageException("too many attempts of " + id);
         }
-        List<Attempt> attempts = new ArrayList<>();
+        List<CancelledAttempt> attempts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            attempts.add(new Attempt(in.readInt(), in.readLong(), in.readUTF(), in.readLong()));
+            attempts.add(new CancelledAttempt(in.readInt(), in.readLong(), in.readUTF(), in.readLong()));
         }
-        return new Job(id, cancelledAt, List.copyOf(attempts));
+        return new CancelledJob(id, cancelledAt, List.copyOf(attempts));
     }
 
-    private static void checkVersion(DataInputStream in) throws IOException, MalformedException {
+    private static void checkVersion(DataInputStream in) throws IOException, MalformedMessageException {
         if (in.readUnsignedByte() != VERSION) {
-            throw new MalformedException("unknown version of cancellations");
+            throw new MalformedMessageException("unknown version of cancellations");
         }
     }
 
-    private static void checkEnd(DataInputStream in) throws IOException, MalformedException {
+    private static void checkEnd(DataInputStream in) throws IOException, MalformedMessageException {
         if (in.read() >= 0) {
-            throw new MalformedException("bytes after cancellations");
+            throw new MalformedMessageException("bytes after cancellations");
         }
     }
 }
--- a/src/main/java/org/gullway/protocol/Rank.java
+++ b/src/main/java/org/gullway/protocol/Priority.java
@@ -1,19 +1,19 @@
 package org.gullway.protocol;
 
 /** Priority of a job, highest first. */
-public enum Rank {
+public enum Priority {
     PROD,
     HIGH,
     NORMAL,
     IDLE;
 
-    static Rank of(String wire) throws MalformedException {
+    static Priority of(String wire) throws MalformedMessageException {
         return switch (wire) {
             case "prod" -> PROD;
             case "high" -> HIGH;
             case "normal" -> NORMAL;
             case "idle" -> IDLE;
-            default -> throw new MalformedException("rank is none of prod, high, normal, idle");
+            default -> throw new MalformedMessageException("rank is none of prod, high, normal, idle");
         };
     }
 
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -19,22 +19,22 @@
         String nodeName,
         String zone,
         String publicAddress,
-        String meshAddress,
+        String peerAddress,
         List<Peer> peers,
         String cloudAddress,
         String stateAddress,
         Map<String, Team> teams,
         List<Objective> objectives,
-        Duration reportInterval,
+        Duration heartbeatInterval,
         Duration workerLease,
-        Duration cancelLimit,
+        Duration cancellationLimit,
         double stateRequestsPerSecond,
         double stateChangesPerSecond,
         int stateValueBytes,
         int stateChangesPerCommit,
         double cloudRequestsPerSecond,
         Duration cloudListLag,
-        int sockets) {
+        int socketLimit) {
 
     private static final Pattern ADDRESS = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}");
 
@@ -42,7 +42,7 @@
     public record Peer(String name, String zone, String address) {}
 
     /** A team with its guarantee and its limit; 0 means none: a team may be without a guarantee, and without a limit. */
-    public record Team(String name, double cpus, double cpusMax, double cards, double cardsMax) {
+    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
         /** More than any fleet has, and still a number that shares can be reckoned with. */
         private static final double UNLIMITED = 1e7;
 
@@ -50,8 +50,8 @@
             return cpusMax == 0 ? UNLIMITED : cpusMax;
         }
 
-        public double cardsLimit() {
-            return cardsMax == 0 ? UNLIMITED : cardsMax;
+        public double gpusLimit() {
+            return gpusMax == 0 ? UNLIMITED : gpusMax;
         }
     }
 
@@ -61,32 +61,32 @@
     /**
      * Reads the TOML file of the platform.
      *
-     * @throws MalformedException with one line for the operator, if the file cannot be read or a field is wrong
+     * @throws MalformedMessageException with one line for the operator, if the file cannot be read or a field is wrong
      */
-    public static Settings read(Path file) throws MalformedException {
+    public static Settings read(Path file) throws MalformedMessageException {
         JsonNode tree;
         try (InputStream in = Files.newInputStream(file);
                 JsonParser parser = new TomlFactory().createParser(in)) {
             tree = JsonTrees.readNext(parser);
         } catch (com.fasterxml.jackson.core.JacksonException e) {
-            throw new MalformedException(
-                    file + " is not TOML: " + MalformedException.inOneLine(e.getOriginalMessage()));
+            throw new MalformedMessageException(
+                    file + " is not TOML: " + MalformedMessageException.inOneLine(e.getOriginalMessage()));
         } catch (IOException e) {
-            throw new MalformedException("cannot read " + file + ": " + e.getMessage());
+            throw new MalformedMessageException("cannot read " + file + ": " + e.getMessage());
         }
         return of(tree);
     }
 
-    static Settings of(JsonNode tree) throws MalformedException {
-        Fields top = Fields.of(tree);
+    static Settings of(JsonNode tree) throws MalformedMessageException {
+        MessageFields top = MessageFields.of(tree);
         List<Peer> peers = new ArrayList<>();
-        for (Fields seed : top.list("seeds")) {
+        for (MessageFields seed : top.list("seeds")) {
             peers.add(new Peer(seed.text("node_name"), seed.text("site"), address(seed, "addr")));
         }
-        Fields external = top.inner("external");
-        Fields facts = top.inner("facts");
+        MessageFields external = top.inner("external");
+        MessageFields facts = top.inner("facts");
         Map<String, Team> teams = new LinkedHashMap<>();
-        for (Fields team : facts.list("teams")) {
+        for (MessageFields team : facts.list("teams")) {
             Team read = new Team(
                     team.text("name"),
                     team.amount("cpus"),
@@ -94,20 +94,20 @@
                     team.has("gpus") ? team.amount("gpus") : 0,
                     team.has("gpus_max") ? team.amount("gpus_max") : 0);
             if (teams.put(read.name(), read) != null) {
-                throw new MalformedException("facts.teams names " + read.name() + " twice");
+                throw new MalformedMessageException("facts.teams names " + read.name() + " twice");
             }
         }
         List<Objective> objectives = new ArrayList<>();
-        for (Fields objective : facts.list("objectives")) {
+        for (MessageFields objective : facts.list("objectives")) {
             // Aims of kinds that are not known yet, or of another form, must not keep a controller from starting.
             if (objective.has("kind") && objective.has("class")) {
                 objectives.add(new Objective(
                         objective.text("kind"), objective.text("class"), objective.secondsOrNull("within_s")));
             }
         }
-        Fields workers = facts.inner("workers");
-        Fields state = facts.inner("state");
-        Fields cloud = facts.inner("cloud");
+        MessageFields workers = facts.inner("workers");
+        MessageFields state = facts.inner("state");
+        MessageFields cloud = facts.inner("cloud");
         return new Settings(
                 top.text("node_name"),
                 top.text("site"),
@@ -130,26 +130,26 @@
                 atLeastOne(facts.inner("quota"), "sockets"));
     }
 
-    private static String address(Fields fields, String name) throws MalformedException {
+    private static String address(MessageFields fields, String name) throws MalformedMessageException {
         String text = fields.text(name);
         if (!ADDRESS.matcher(text).matches()) {
-            throw new MalformedException(name + " is not an address like 10.0.0.1:8080");
+            throw new MalformedMessageException(name + " is not an address like 10.0.0.1:8080");
         }
         return text;
     }
 
-    private static Duration span(Fields fields, String name) throws MalformedException {
+    private static Duration span(MessageFields fields, String name) throws MalformedMessageException {
         Duration span = fields.seconds(name);
         if (span.isZero()) {
-            throw new MalformedException(name + " is 0");
+            throw new MalformedMessageException(name + " is 0");
         }
         return span;
     }
 
-    private static int atLeastOne(Fields fields, String name) throws MalformedException {
+    private static int atLeastOne(MessageFields fields, String name) throws MalformedMessageException {
         int count = fields.countUpTo(name, 1_000_000);
         if (count < 1) {
-            throw new MalformedException(name + " is below 1");
+            throw new MalformedMessageException(name + " is below 1");
         }
         return count;
     }
--- a/src/main/java/org/gullway/protocol/TaskId.java
+++ b/src/main/java/org/gullway/protocol/TaskId.java
@@ -3,7 +3,7 @@
 /** One task of a job. */
 public record TaskId(String job, int index) {
     /** Reads the form of the protocol, {@code job/index} with an index from 0. */
-    public static TaskId parse(String wire) throws MalformedException {
+    public static TaskId parse(String wire) throws MalformedMessageException {
         int slash = wire.lastIndexOf('/');
         try {
             int index = Integer.parseInt(wire, slash + 1, wire.length(), 10);
@@ -13,7 +13,7 @@
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
             // reported below
         }
-        throw new MalformedException("leg is not of the form run-000412/3");
+        throw new MalformedMessageException("leg is not of the form run-000412/3");
     }
 
     /** Whether these characters are this id as it is written on the wire. */
--- a/src/main/java/org/gullway/protocol/TaskReport.java
+++ b/src/main/java/org/gullway/protocol/TaskStatus.java
@@ -1,7 +1,7 @@
 package org.gullway.protocol;
 
 /** One task as its worker sees it; {@code cause} is null until the task has ended. */
-public record TaskReport(TaskId task, long attempt, Phase phase, Cause cause, boolean saved) {
+public record TaskStatus(TaskId task, long attempt, Phase phase, Cause cause, boolean checkpointed) {
     /** How far the attempt has come; in all phases but {@code ENDED} it occupies its room. */
     public enum Phase {
         FETCHING,
@@ -43,7 +43,7 @@
         }
     }
 
-    public boolean ended() {
+    public boolean isEnded() {
         return phase == Phase.ENDED;
     }
 }
--- a/src/main/java/org/gullway/bookkeeping/RefusalHistory.java
+++ b/src/main/java/org/gullway/storage/ConflictHistory.java
@@ -1,13 +1,13 @@
-package org.gullway.bookkeeping;
+package org.gullway.storage;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import org.gullway.coordination.Keys;
+import org.gullway.coordination.model.StoreKeys;
 
 /** Remembers failed guards since the last commit that succeeded, to notice keys about which the view is wrong. */
-final class RefusalHistory {
-    private record Refusal(long mark, long revision) {}
+final class ConflictHistory {
+    private record Refusal(long version, long revision) {}
 
     private final Map<String, Refusal> refusals = new HashMap<>();
 
@@ -29,10 +29,10 @@
         boolean wrong = false;
         for (String key : failed) {
             Refusal before = refusals.put(key, new Refusal(marks.get(key), revision));
-            wrong |= key.startsWith(Keys.LIVE)
+            wrong |= key.startsWith(StoreKeys.LIVE)
                     && before != null
-                    && before.mark() > 0
-                    && before.mark() == marks.get(key)
+                    && before.version() > 0
+                    && before.version() == marks.get(key)
                     && knownTo >= before.revision();
         }
         return wrong;
--- a/src/main/java/org/gullway/bookkeeping/Verification.java
+++ b/src/main/java/org/gullway/storage/LinearizableRead.java
@@ -1,7 +1,7 @@
-package org.gullway.bookkeeping;
+package org.gullway.storage;
 
 import java.util.Set;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpResponse;
 
 /**
  * What the store said of the view's marks.
@@ -9,7 +9,7 @@
  * @param stale the keys whose marks are not the newest, if they were compared
  * @param revision of the state service at which they were compared
  */
-public record Verification(Kind kind, Set<String> stale, long revision) {
+public record LinearizableRead(Kind kind, Set<String> staleKeys, long revision) {
     /** How a verification ended. */
     public enum Kind {
         /** The marks were compared; {@code stale} names the keys whose marks are not the newest. */
@@ -20,14 +20,14 @@
         FAILED
     }
 
-    static Verification of(StateStore.Outcome outcome) {
+    static LinearizableRead of(StateStoreClient.Outcome outcome) {
         if (outcome.is(200)) {
-            return new Verification(Kind.COMPARED, Set.of(), outcome.revision());
+            return new LinearizableRead(Kind.COMPARED, Set.of(), outcome.revision());
         }
         if (outcome.is(409)) {
-            return new Verification(Kind.COMPARED, outcome.failedGuards(), outcome.revision());
+            return new LinearizableRead(Kind.COMPARED, outcome.failedConditions(), outcome.revision());
         }
-        boolean busy = outcome.kind() == Reply.Kind.ANSWERED && outcome.status() == 429;
-        return new Verification(busy ? Kind.BUSY : Kind.FAILED, Set.of(), 0);
+        boolean busy = outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 429;
+        return new LinearizableRead(busy ? Kind.BUSY : Kind.FAILED, Set.of(), 0);
     }
 }
--- a/src/main/java/org/gullway/bookkeeping/MemberRegistration.java
+++ b/src/main/java/org/gullway/storage/MembershipLease.java
@@ -1,20 +1,20 @@
-package org.gullway.bookkeeping;
+package org.gullway.storage;
 
 import java.time.Instant;
 import java.util.Map;
 import java.util.Set;
-import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.Incarnation;
-import org.gullway.coordination.Keys;
-import org.gullway.coordination.Membership;
+import org.gullway.coordination.membership.Membership;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.Incarnation;
+import org.gullway.coordination.model.StoreKeys;
 import org.gullway.transport.EventLoop;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpResponse;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Writes this controller's member key on a lease, renews the lease, and joins anew once it has ended. */
-final class MemberRegistration {
-    private static final Logger LOG = LoggerFactory.getLogger(MemberRegistration.class);
+final class MembershipLease {
+    private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
     private static final int RENEWALS_PER_LIFE = 5;
     private static final int RENEWAL_LIMIT_DIVISOR = 3;
     private static final int MOST_RENEWALS_IN_FLIGHT = 2;
@@ -26,8 +26,8 @@
     }
 
     private final EventLoop loop;
-    private final StateStore store;
-    private final ClusterView view;
+    private final StateStoreClient store;
+    private final ClusterState clusterState;
     private final Membership membership;
     private final Runnable onJoined;
     private final Runnable changed;
@@ -45,16 +45,16 @@
      * @param onJoined runs whenever a membership begins
      * @param changed runs, after {@code onJoined}, whenever this controller may have become entitled to act
      */
-    MemberRegistration(
+    MembershipLease(
             EventLoop loop,
-            StateStore store,
-            ClusterView view,
+            StateStoreClient store,
+            ClusterState clusterState,
             Membership membership,
             Runnable onJoined,
             Runnable changed) {
         this.loop = loop;
         this.store = store;
-        this.view = view;
+        this.clusterState = clusterState;
         this.membership = membership;
         this.onJoined = onJoined;
         this.changed = changed;
@@ -62,12 +62,12 @@
 
     void start() {
         join();
-        loop.every(membership.life().dividedBy(RENEWALS_PER_LIFE), this::renew);
+        loop.every(membership.leaseDuration().dividedBy(RENEWALS_PER_LIFE), this::renew);
     }
 
     /** Whether the member key is written and its lease is surely not over. */
     boolean trusted() {
-        return phase == Phase.MEMBER && membership.trusted(loop.now());
+        return phase == Phase.MEMBER && membership.isTrusted(loop.now());
     }
 
     /** Whether the membership with this lease is the present one, trusted or not. */
@@ -96,20 +96,20 @@
     }
 
     String key() {
-        return Keys.member(self().node());
+        return StoreKeys.member(self().node());
     }
 
     /** Records that the member key was written anew, under the same lease. */
     void rewritten(long revision) {
         memberSince = revision;
-        view.put(key(), self(), revision);
+        clusterState.put(key(), self(), revision);
     }
 
     /** Joins anew, unless that is under way: two at a time would end each other's lease (incident inc-9df7). */
     void join() {
         if (phase != Phase.JOINING) {
             phase = Phase.JOINING;
-            membership.lost();
+            membership.onLost();
             tryToJoin();
         }
     }
@@ -119,7 +119,7 @@
             if (outcome.is(200) && outcome.body().hasNonNull("tether")) {
                 // Only this node writes this key, so an earlier process or membership of its own left it there.
                 endFormerLease(outcome.body().path("tether").asLong());
-            } else if (outcome.kind() == Reply.Kind.ANSWERED && outcome.status() == 404) {
+            } else if (outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 404) {
                 enter();
             } else {
                 rejoinSoon();
@@ -129,7 +129,7 @@
 
     private void endFormerLease(long lease) {
         store.end(lease, outcome -> {
-            if (outcome.kind() == Reply.Kind.ANSWERED && outcome.status() == 200) {
+            if (outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 200) {
                 tryToJoin();
             } else {
                 rejoinSoon();
@@ -138,12 +138,12 @@
     }
 
     private void rejoinSoon() {
-        loop.after(StateStore.RETRY, this::tryToJoin);
+        loop.after(StateStoreClient.RETRY, this::tryToJoin);
     }
 
     private void enter() {
         Instant sent = loop.now();
-        store.grant(membership.life(), outcome -> {
+        store.grant(membership.leaseDuration(), outcome -> {
             if (outcome.is(200)) {
                 writeKey(outcome.body().path("tether").asLong(), sent);
             } else {
@@ -163,7 +163,7 @@
     }
 
     private void joined(long lease, Instant sent, long revision) {
-        membership.joined(lease, sent);
+        membership.onJoined(lease, sent);
         joinedAt = revision;
         rewritten(revision);
         phase = Phase.MEMBER;
@@ -180,7 +180,7 @@
         long lease = membership.lease();
         Instant sent = loop.now();
         renewals++;
-        store.renew(lease, membership.life().dividedBy(RENEWAL_LIMIT_DIVISOR), outcome -> {
+        store.renew(lease, membership.leaseDuration().dividedBy(RENEWAL_LIMIT_DIVISOR), outcome -> {
             renewals--;
             if (isCurrent(lease)) {
                 renewalAnswered(outcome, sent);
@@ -188,15 +188,15 @@
         });
     }
 
-    private void renewalAnswered(StateStore.Outcome outcome, Instant sent) {
-        if (outcome.kind() == Reply.Kind.ANSWERED && outcome.status() == 200) {
-            boolean before = membership.trusted(loop.now());
-            membership.renewed(sent);
+    private void renewalAnswered(StateStoreClient.Outcome outcome, Instant sent) {
+        if (outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 200) {
+            boolean before = membership.isTrusted(loop.now());
+            membership.onRenewed(sent);
             if (!before) {
                 LOG.info("membership is trusted again");
                 changed.run();
             }
-        } else if (outcome.kind() == Reply.Kind.ANSWERED && outcome.status() == 404) {
+        } else if (outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 404) {
             LOG.info("membership ended");
             join();
         }
