--- a/src/main/java/org/gullway/bookkeeping/RecordCodec.java
+++ b/src/main/java/org/gullway/storage/RecordCodec.java
@@ -1,4 +1,4 @@
-package org.gullway.bookkeeping;
+package org.gullway.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -12,21 +12,21 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.gullway.coordination.AllotmentRecord;
-import org.gullway.coordination.ClosedMachines;
-import org.gullway.coordination.GroupRecord;
-import org.gullway.coordination.Incarnation;
-import org.gullway.coordination.IntegerRanges;
-import org.gullway.coordination.JobRecord;
-import org.gullway.coordination.Keys;
-import org.gullway.coordination.MachineRecord;
-import org.gullway.coordination.Placement;
-import org.gullway.coordination.Transaction;
+import org.gullway.coordination.model.CordonedMachines;
+import org.gullway.coordination.model.Incarnation;
+import org.gullway.coordination.model.IntegerRanges;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.model.MachineShard;
+import org.gullway.coordination.model.Placement;
+import org.gullway.coordination.model.QuotaPartition;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.Transaction;
 import org.gullway.protocol.Cbor;
-import org.gullway.protocol.Fields;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.JobState;
-import org.gullway.protocol.MalformedException;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.protocol.MessageFields;
 
 /** Records as values of the state store. */
 public final class RecordCodec {
@@ -42,26 +42,26 @@
         if (value instanceof JobRecord job) {
             return encode(job);
         }
-        if (value instanceof GroupRecord group) {
-            return encode(group);
+        if (value instanceof MachineShard shard) {
+            return encode(shard);
         }
-        if (value instanceof AllotmentRecord share) {
+        if (value instanceof QuotaPartition share) {
             ObjectNode node = Cbor.map();
-            share.teams()
+            share.amountByTeam()
                     .forEach((team, amount) ->
-                            node.putArray(team).add(amount.cpus()).add(amount.cards()));
+                            node.putArray(team).add(amount.cpus()).add(amount.gpus()));
             return node;
         }
         if (value instanceof Incarnation incarnation) {
             return encode(incarnation);
         }
-        if (value instanceof Transaction.Ended ended) {
+        if (value instanceof Transaction.FinalState ended) {
             return Cbor.map()
                     .put("state", ended.state().wire())
                     .put("tasks", ended.tasks())
                     .put("done", ended.done());
         }
-        if (value instanceof ClosedMachines closed) {
+        if (value instanceof CordonedMachines closed) {
             ObjectNode node = Cbor.map();
             ArrayNode names = node.putArray("machines");
             closed.names().forEach(names::add);
@@ -83,14 +83,14 @@
         if (job.owner() != null) {
             node.put("owner", job.owner());
         }
-        if (job.cancelled()) {
+        if (job.isCancelled()) {
             node.put("cancelled", job.cancelledAt().toEpochMilli());
         }
-        node.put("submitted", job.submitted().toEpochMilli())
-                .put("attempts", job.attempts())
-                .put("errors", job.errors());
+        node.put("submitted", job.submittedAt().toEpochMilli())
+                .put("attempts", job.attemptCount())
+                .put("errors", job.consecutiveErrors());
         ArrayNode done = node.putArray("done");
-        for (int bound : job.done().bounds()) {
+        for (int bound : job.completedTasks().bounds()) {
             done.add(bound);
         }
         encode(job, node);
@@ -102,11 +102,11 @@
         Map<List<Object>, ArrayNode> byPlace = new HashMap<>();
         ArrayNode live = node.putArray("live");
         ArrayNode stopping = null;
-        for (Placement p : job.live()) {
-            long since = p.since().toEpochMilli() - job.submitted().toEpochMilli();
-            byPlace.computeIfAbsent(List.of(p.machine(), p.session(), since), k -> live.addArray()
+        for (Placement p : job.livePlacements()) {
+            long since = p.placedAt().toEpochMilli() - job.submittedAt().toEpochMilli();
+            byPlace.computeIfAbsent(List.of(p.machine(), p.agentEpoch(), since), k -> live.addArray()
                             .add(p.machine())
-                            .add(p.session())
+                            .add(p.agentEpoch())
                             .add(since))
                     .add(p.task())
                     .add(p.attempt());
@@ -117,84 +117,84 @@
         }
     }
 
-    private static ObjectNode encode(GroupRecord group) {
+    private static ObjectNode encode(MachineShard shard) {
         ObjectNode node = Cbor.map();
-        node.set("controller", encode(group.controller()));
-        node.put("epoch", group.epoch());
+        node.set("controller", encode(shard.controller()));
+        node.put("epoch", shard.fencingToken());
         ArrayNode machines = node.putArray("machines");
-        for (MachineRecord machine : group.machines()) {
+        for (MachineRecord machine : shard.machines()) {
             machines.addArray()
                     .add(machine.name())
                     .add(machine.type())
                     .add(machine.zone())
                     .add(machine.spot())
-                    .add(machine.session())
-                    .add(storedName(machine.fate()))
-                    .add(machine.rented().toEpochMilli())
+                    .add(machine.agentEpoch())
+                    .add(storedName(machine.lifecycle()))
+                    .add(machine.provisionedAt().toEpochMilli())
                     .add(machine.address() == null ? "" : machine.address());
         }
         return node;
     }
 
     /** Names in stored records, which stay as they are whatever the constants are called. */
-    private static String storedName(MachineRecord.Disposition lifecycle) {
+    private static String storedName(MachineRecord.MachineLifecycle lifecycle) {
         return switch (lifecycle) {
-            case STAYS -> "STAYS";
-            case SILENT -> "SILENT";
-            case LEAVING -> "LEAVING";
+            case ACTIVE -> "STAYS";
+            case UNRESPONSIVE -> "SILENT";
+            case DRAINING -> "LEAVING";
             case LOST -> "LOST";
         };
     }
 
-    private static MachineRecord.Disposition lifecycle(String storedName) throws MalformedException {
+    private static MachineRecord.MachineLifecycle lifecycle(String storedName) throws MalformedMessageException {
         return switch (storedName) {
-            case "STAYS" -> MachineRecord.Disposition.STAYS;
-            case "SILENT" -> MachineRecord.Disposition.SILENT;
-            case "LEAVING" -> MachineRecord.Disposition.LEAVING;
-            case "LOST" -> MachineRecord.Disposition.LOST;
-            default -> throw new MalformedException("machine lifecycle " + storedName + " is unknown");
+            case "STAYS" -> MachineRecord.MachineLifecycle.ACTIVE;
+            case "SILENT" -> MachineRecord.MachineLifecycle.UNRESPONSIVE;
+            case "LEAVING" -> MachineRecord.MachineLifecycle.DRAINING;
+            case "LOST" -> MachineRecord.MachineLifecycle.LOST;
+            default -> throw new MalformedMessageException("machine lifecycle " + storedName + " is unknown");
         };
     }
 
-    /** Reads a value under {@link Keys#LIVE}; null for a key of no known kind. */
-    public static Object decode(String key, JsonNode value) throws MalformedException {
-        Fields fields = Fields.of(value);
-        if (key.startsWith(Keys.JOBS)) {
+    /** Reads a value under {@link StoreKeys#LIVE}; null for a key of no known kind. */
+    public static Object decode(String key, JsonNode value) throws MalformedMessageException {
+        MessageFields fields = MessageFields.of(value);
+        if (key.startsWith(StoreKeys.JOBS)) {
             return job(fields, value);
         }
-        if (key.startsWith(Keys.GROUPS)) {
-            return group(key.substring(Keys.GROUPS.length()), fields, value);
+        if (key.startsWith(StoreKeys.SHARDS)) {
+            return group(key.substring(StoreKeys.SHARDS.length()), fields, value);
         }
-        if (key.startsWith(Keys.SHARES)) {
+        if (key.startsWith(StoreKeys.QUOTA_PARTITIONS)) {
             return share(value);
         }
-        if (key.startsWith(Keys.MEMBERS) || key.equals(Keys.LEADER)) {
+        if (key.startsWith(StoreKeys.MEMBERS) || key.equals(StoreKeys.LEADER)) {
             return incarnation(fields);
         }
-        if (key.equals(Keys.EPOCH)) {
+        if (key.equals(StoreKeys.FENCING_TOKEN)) {
             return fields.count("epoch");
         }
-        if (key.equals(Keys.CLOSED)) {
+        if (key.equals(StoreKeys.CORDONED)) {
             List<String> names = fields.textsOrNull("machines");
-            return new ClosedMachines(names == null ? Set.of() : new LinkedHashSet<>(names));
+            return new CordonedMachines(names == null ? Set.of() : new LinkedHashSet<>(names));
         }
         return null;
     }
 
     /** Reads the record of a job that is over, which is kept outside the watched keys. */
-    public static Transaction.Ended ended(JsonNode value) throws MalformedException {
-        Fields fields = Fields.of(value);
-        return new Transaction.Ended(
+    public static Transaction.FinalState ended(JsonNode value) throws MalformedMessageException {
+        MessageFields fields = MessageFields.of(value);
+        return new Transaction.FinalState(
                 JobState.of(fields.text("state")),
-                fields.countUpTo("tasks", JobRequest.MOST_TASKS),
-                fields.countUpTo("done", JobRequest.MOST_TASKS));
+                fields.countUpTo("tasks", JobRequest.MAX_TASKS),
+                fields.countUpTo("done", JobRequest.MAX_TASKS));
     }
 
-    private static Incarnation incarnation(Fields fields) throws MalformedException {
+    private static Incarnation incarnation(MessageFields fields) throws MalformedMessageException {
         return new Incarnation(fields.text("node"), fields.count("number"));
     }
 
-    private static JobRecord job(Fields fields, JsonNode value) throws MalformedException {
+    private static JobRecord job(MessageFields fields, JsonNode value) throws MalformedMessageException {
         List<Placement> live = new ArrayList<>();
         Instant submitted = Instant.ofEpochMilli(fields.count("submitted"));
         Set<Integer> stopping = new HashSet<>();
@@ -222,7 +222,7 @@
         try {
             ranges = IntegerRanges.of(bounds);
         } catch (IllegalArgumentException e) {
-            throw new MalformedException("done: " + e.getMessage());
+            throw new MalformedMessageException("done: " + e.getMessage());
         }
         return new JobRecord(
                 JobRequest.parse(value.path("request")),
@@ -235,23 +235,24 @@
                 List.copyOf(live));
     }
 
-    private static AllotmentRecord share(JsonNode value) {
-        Map<String, AllotmentRecord.Amount> teams = new TreeMap<>();
+    private static QuotaPartition share(JsonNode value) {
+        Map<String, QuotaPartition.Amount> teams = new TreeMap<>();
         value.properties()
                 .forEach(e -> teams.put(
                         e.getKey(),
-                        new AllotmentRecord.Amount(
+                        new QuotaPartition.Amount(
                                 e.getValue().path(0).asDouble(),
                                 e.getValue().path(1).asDouble())));
-        return new AllotmentRecord(teams);
+        return new QuotaPartition(teams);
     }
 
-    private static GroupRecord group(String id, Fields fields, JsonNode value) throws MalformedException {
+    private static MachineShard group(String id, MessageFields fields, JsonNode value)
+            throws MalformedMessageException {
         Incarnation controller = incarnation(fields.inner("controller"));
-        long epoch = fields.count("epoch");
+        long fencingToken = fields.count("epoch");
         List<MachineRecord> machines = new ArrayList<>();
         for (JsonNode item : value.path("machines")) {
-            MachineRecord.Disposition fate = lifecycle(item.path(5).asText());
+            MachineRecord.MachineLifecycle lifecycle = lifecycle(item.path(5).asText());
             String address = item.path(7).asText();
             machines.add(new MachineRecord(
                     item.path(0).asText(),
@@ -261,10 +262,10 @@
                     item.path(3).asBoolean(),
                     controller,
                     item.path(4).asLong(),
-                    epoch,
-                    fate,
+                    fencingToken,
+                    lifecycle,
                     Instant.ofEpochMilli(item.path(6).asLong())));
         }
-        return new GroupRecord(id, controller, epoch, List.copyOf(machines));
+        return new MachineShard(id, controller, fencingToken, List.copyOf(machines));
     }
 }
--- a/src/main/java/org/gullway/bookkeeping/StateStore.java
+++ b/src/main/java/org/gullway/storage/StateStoreClient.java
@@ -1,4 +1,4 @@
-package org.gullway.bookkeeping;
+package org.gullway.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,39 +10,39 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
-import org.gullway.coordination.Keys;
+import org.gullway.coordination.model.StoreKeys;
 import org.gullway.protocol.Cbor;
-import org.gullway.protocol.MalformedException;
-import org.gullway.transport.Client;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpRequest;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpResponse;
 
 /** The state service's calls. Every answer that is not of the stated form counts as unknown. */
-public final class StateStore {
+public final class StateStoreClient {
     private static final Duration LIMIT = Duration.ofSeconds(3);
     /** The pause before a call that failed is tried again. */
     static final Duration RETRY = Duration.ofMillis(250);
 
     private static final int PAGE = 500;
 
-    private final Client http;
+    private final HttpClient httpClient;
     private final String address;
 
-    public StateStore(Client http, String address) {
-        this.http = http;
+    public StateStoreClient(HttpClient httpClient, String address) {
+        this.httpClient = httpClient;
         this.address = address;
     }
 
     /** Outcome of a call; the body is null unless the status came with a map. */
-    public record Outcome(Reply.Kind kind, int status, ObjectNode body) {
+    public record Outcome(HttpResponse.Outcome kind, int status, ObjectNode body) {
         boolean is(int expected) {
-            return kind == Reply.Kind.ANSWERED && status == expected && body != null;
+            return kind == HttpResponse.Outcome.ANSWERED && status == expected && body != null;
         }
 
         /** The request may have been carried out, or may be carried out later. */
-        boolean unknown() {
-            return kind == Reply.Kind.UNKNOWN
-                    || kind == Reply.Kind.ANSWERED
+        boolean isUnknown() {
+            return kind == HttpResponse.Outcome.UNKNOWN
+                    || kind == HttpResponse.Outcome.ANSWERED
                             && (status == 200 && body == null
                                     || status != 200
                                             && status != 400
@@ -55,11 +55,11 @@
 
         /** Revision of the state service at which the answer holds, or that of a single key; 0 if it names none. */
         public long revision() {
-            return body == null ? 0 : body.path("logline").asLong(mark(body));
+            return body == null ? 0 : body.path("logline").asLong(version(body));
         }
 
         /** The keys whose guards a refused commit names; to be asked only of an outcome with a body. */
-        Set<String> failedGuards() {
+        Set<String> failedConditions() {
             Set<String> failed = new HashSet<>();
             body.path("failed").forEach(key -> failed.add(key.asText()));
             return failed;
@@ -67,16 +67,16 @@
     }
 
     private void call(HttpRequest request, Consumer<Outcome> callback) {
-        http.call(address, request, reply -> {
+        httpClient.call(address, request, response -> {
             ObjectNode body = null;
-            if (reply.kind() == Reply.Kind.ANSWERED && reply.body().length > 0) {
+            if (response.outcome() == HttpResponse.Outcome.ANSWERED && response.body().length > 0) {
                 try {
-                    body = Cbor.decode(reply.body());
-                } catch (MalformedException e) {
+                    body = Cbor.decode(response.body());
+                } catch (MalformedMessageException e) {
                     body = null;
                 }
             }
-            callback.accept(new Outcome(reply.kind(), reply.status(), body));
+            callback.accept(new Outcome(response.outcome(), response.status(), body));
         });
     }
 
@@ -141,10 +141,10 @@
 
     /** Whether a key is written on the writer's lease, and so goes with its membership. */
     private static boolean isTethered(String key) {
-        return key.startsWith(Keys.MEMBERS) || key.equals(Keys.LEADER);
+        return key.startsWith(StoreKeys.MEMBERS) || key.equals(StoreKeys.LEADER);
     }
 
-    static long mark(JsonNode item) {
+    static long version(JsonNode item) {
         return item.path("mark").asLong();
     }
 }
--- a/src/main/java/org/gullway/bookkeeping/StoreWatch.java
+++ b/src/main/java/org/gullway/storage/WatchStream.java
@@ -1,22 +1,22 @@
-package org.gullway.bookkeeping;
+package org.gullway.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.Map;
-import org.gullway.coordination.ClusterView;
-import org.gullway.coordination.Keys;
-import org.gullway.protocol.MalformedException;
-import org.gullway.transport.Budget;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.protocol.MalformedMessageException;
 import org.gullway.transport.EventLoop;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpResponse;
+import org.gullway.transport.TokenBucket;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Keeps the view up to date with the state store: one full reading, then the watch from its revision on. */
-final class StoreWatch {
-    private static final Logger LOG = LoggerFactory.getLogger(StoreWatch.class);
+final class WatchStream {
+    private static final Logger LOG = LoggerFactory.getLogger(WatchStream.class);
     /** How old the view may be for this controller to act on it. */
     private static final Duration FRESH = Duration.ofSeconds(10);
 
@@ -25,15 +25,15 @@
     private static final Duration BUSY = Duration.ofMillis(120);
 
     private final EventLoop loop;
-    private final StateStore store;
-    private final ClusterView view;
-    private final Budget requests;
+    private final StateStoreClient store;
+    private final ClusterState clusterState;
+    private final TokenBucket requests;
     private final Duration wait;
     private final Runnable changed;
     private boolean synced;
     private Instant lastWatched = Instant.MIN;
     /** When the last reading or watch that was answered had been sent. */
-    private Instant knownUntil = Instant.MIN;
+    private Instant knownThrough = Instant.MIN;
     /** Counts full readings: answers that belong to an earlier one are dropped. */
     private long run;
     /** Revision that the watch has to reach before the view is good enough for another commit. */
@@ -49,10 +49,16 @@
      * @param wait how long the state service holds back the answer to a watch while nothing changes
      * @param changed runs whenever the view has changed, or has come nearer to an awaited revision
      */
-    StoreWatch(EventLoop loop, StateStore store, ClusterView view, Budget requests, Duration wait, Runnable changed) {
+    WatchStream(
+            EventLoop loop,
+            StateStoreClient store,
+            ClusterState clusterState,
+            TokenBucket requests,
+            Duration wait,
+            Runnable changed) {
         this.loop = loop;
         this.store = store;
-        this.view = view;
+        this.clusterState = clusterState;
         this.requests = requests;
         this.wait = wait;
         this.changed = changed;
@@ -63,14 +69,14 @@
         return synced && loop.now().isBefore(lastWatched.plus(FRESH));
     }
 
-    /** See {@link Ledger#knownUntil()}. */
+    /** See {@link ReplicatedState#knownThrough()}. */
     Instant knownUntil() {
-        return knownUntil;
+        return knownThrough;
     }
 
     /** Makes {@link #reachedAwaited()} hold back until the watch has passed the revision; false if it has already. */
     boolean await(long revision) {
-        if (view.watched() >= revision) {
+        if (clusterState.watchedRevision() >= revision) {
             return false;
         }
         awaited = revision;
@@ -80,7 +86,7 @@
 
     /** Whether the watch has passed the awaited revision; if it does not for too long, everything is read anew. */
     boolean reachedAwaited() {
-        if (view.watched() >= awaited) {
+        if (clusterState.watchedRevision() >= awaited) {
             awaited = 0;
             return true;
         }
@@ -100,7 +106,7 @@
     }
 
     private void readPage(Reading reading, String from, long firstRevision) {
-        store.list(Keys.LIVE, from, outcome -> {
+        store.list(StoreKeys.LIVE, from, outcome -> {
             if (reading.run() != run) {
                 return;
             }
@@ -112,7 +118,7 @@
         });
     }
 
-    private void pageRead(Reading reading, StateStore.Outcome outcome, long firstRevision) {
+    private void pageRead(Reading reading, StateStoreClient.Outcome outcome, long firstRevision) {
         String last = null;
         for (JsonNode item : outcome.body().path("items")) {
             last = item.path("k").asText();
@@ -128,19 +134,19 @@
     }
 
     private void allRead(Reading reading, long revision) {
-        view.clear();
+        clusterState.clear();
         reading.items().forEach(this::take);
-        view.readAt(revision);
+        clusterState.onFullRead(revision);
         synced = true;
         lastWatched = loop.now();
-        knownUntil = reading.asked();
+        knownThrough = reading.asked();
         LOG.info("read {} keys at revision {}", reading.items().size(), revision);
         changed.run();
         watch(reading.run(), revision);
     }
 
     private void retry(long ofRun, Runnable action) {
-        loop.after(StateStore.RETRY, () -> ifCurrent(ofRun, action));
+        loop.after(StateStoreClient.RETRY, () -> ifCurrent(ofRun, action));
     }
 
     private void ifCurrent(long ofRun, Runnable action) {
@@ -153,20 +159,20 @@
         try {
             Object value = RecordCodec.decode(key, item.path("v"));
             if (value != null) {
-                view.put(key, value, StateStore.mark(item));
+                clusterState.put(key, value, StateStoreClient.version(item));
             }
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             LOG.error("{} holds a value that is not of our form: {}", key, e.getMessage());
         }
     }
 
     private void watch(long ofRun, long from) {
         Instant asked = loop.now();
-        store.watch(Keys.LIVE, from, wait, outcome -> {
+        store.watch(StoreKeys.LIVE, from, wait, outcome -> {
             if (ofRun != run) {
                 return;
             }
-            if (outcome.kind() == Reply.Kind.ANSWERED && outcome.status() == 410) {
+            if (outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 410) {
                 readAll();
             } else if (outcome.is(200)) {
                 watched(ofRun, asked, from, outcome);
@@ -176,22 +182,22 @@
         });
     }
 
-    private void watched(long ofRun, Instant asked, long from, StateStore.Outcome outcome) {
+    private void watched(long ofRun, Instant asked, long from, StateStoreClient.Outcome outcome) {
         boolean any = false;
         for (JsonNode event : outcome.body().path("events")) {
             any |= apply(event);
         }
         long to = Math.max(from, outcome.revision());
-        view.watchedTo(to);
+        clusterState.advanceTo(to);
         lastWatched = loop.now();
-        knownUntil = asked;
+        knownThrough = asked;
         if (any || awaited > 0) {
             changed.run();
         }
         // The store answers at once while changes go on; a short pause gathers them and spares requests.
         if (asked.plus(BUSY).isAfter(loop.now())) {
-            requests.spend(1);
-            loop.after(requests.pause(), () -> ifCurrent(ofRun, () -> watch(ofRun, to)));
+            requests.consume(1);
+            loop.after(requests.batchingDelay(), () -> ifCurrent(ofRun, () -> watch(ofRun, to)));
         } else {
             watch(ofRun, to);
         }
@@ -200,7 +206,7 @@
     private boolean apply(JsonNode event) {
         String removed = event.path("remove").asText(null);
         if (removed != null) {
-            return view.remove(removed, StateStore.mark(event));
+            return clusterState.remove(removed, StateStoreClient.version(event));
         }
         take(event.path("put").asText(), event);
         return true;
--- a/src/main/java/org/gullway/bookkeeping/package-info.java
+++ b/src/main/java/org/gullway/storage/package-info.java
@@ -2,4 +2,4 @@
  * The state service: reading, watching and committing records, and this controller's membership. Nothing here decides
  * about jobs or machines.
  */
-package org.gullway.bookkeeping;
+package org.gullway.storage;
--- a/src/main/java/org/gullway/transport/ConnectionPool.java
+++ b/src/main/java/org/gullway/transport/ConnectionPool.java
@@ -21,7 +21,7 @@
 final class ConnectionPool<C> {
     private static final int IDLE_PER_ADDRESS = 4;
 
-    private final Sockets sockets;
+    private final SocketBudget socketBudget;
     private final Set<String> essential;
     private final Consumer<C> close;
     /** All idle connections with their addresses, the one that was idle longest first. */
@@ -33,8 +33,8 @@
 
     private int open;
 
-    ConnectionPool(Sockets sockets, Set<String> essential, Consumer<C> close) {
-        this.sockets = sockets;
+    ConnectionPool(SocketBudget socketBudget, Set<String> essential, Consumer<C> close) {
+        this.socketBudget = socketBudget;
         this.essential = essential;
         this.close = close;
     }
@@ -60,12 +60,12 @@
     /** Whether the budget lets a connect begin now; if so it counts until it has failed or its connection is discarded. */
     boolean mayConnect(String address) {
         if (!essential.contains(address)) {
-            while (open >= sockets.forWorkers() && !idle.isEmpty()) {
+            while (open >= socketBudget.availableForWorkers() && !idle.isEmpty()) {
                 C oldest = idle.keySet().iterator().next();
                 forget(oldest);
                 discard(oldest);
             }
-            if (open >= sockets.forWorkers()) {
+            if (open >= socketBudget.availableForWorkers()) {
                 return false;
             }
         }
@@ -99,7 +99,8 @@
     /** Keeps a connection for the next call. */
     void keep(String address, C connection) {
         Deque<C> there = byAddress.computeIfAbsent(address, a -> new ArrayDeque<>());
-        if (there.size() >= IDLE_PER_ADDRESS || open > sockets.forWorkers() && !essential.contains(address)) {
+        if (there.size() >= IDLE_PER_ADDRESS
+                || open > socketBudget.availableForWorkers() && !essential.contains(address)) {
             if (there.isEmpty()) {
                 byAddress.remove(address);
             }
--- a/src/main/java/org/gullway/transport/NoManagementBeans.java
+++ b/src/main/java/org/gullway/transport/DisabledMBeanServerBuilder.java
@@ -8,12 +8,12 @@
  * Keeps the platform's management server from being set up, which XNIO does for each of its workers: on a small machine
  * that was a fifth of the time until a controller listens, and nothing can connect to it. XNIO goes on without.
  */
-public final class NoManagementBeans extends MBeanServerBuilder {
+public final class DisabledMBeanServerBuilder extends MBeanServerBuilder {
     private static final String BUILDER_PROPERTY = "javax.management.builder.initial";
 
     /** From now on nothing in this process can set up a management server. To be called before XNIO is used. */
     public static void install() {
-        System.setProperty(BUILDER_PROPERTY, NoManagementBeans.class.getName());
+        System.setProperty(BUILDER_PROPERTY, DisabledMBeanServerBuilder.class.getName());
     }
 
     @Override
--- a/src/main/java/org/gullway/transport/Call.java
+++ b/src/main/java/org/gullway/transport/HttpExchange.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** One request with the means to answer it, at once or later, always exactly once. */
-public interface Call {
+public interface HttpExchange {
     String method();
 
     /** The path without the query. */
@@ -15,8 +15,8 @@
     /** The body, or null if it was larger than allowed. */
     byte[] body();
 
-    void answer(int status, byte[] content);
+    void respond(int status, byte[] content);
 
     /** Refuses for now and says when to come back. */
-    void refuse(int status, Duration retryAfter);
+    void reject(int status, Duration retryAfter);
 }
--- a/src/main/java/org/gullway/transport/HttpRequest.java
+++ b/src/main/java/org/gullway/transport/HttpRequest.java
@@ -7,7 +7,7 @@
  *
  * @param limit how long its caller waits for a response
  */
-public record HttpRequest(String method, String path, byte[] body, Duration limit) {
+public record HttpRequest(String method, String path, byte[] body, Duration timeout) {
     private static final byte[] EMPTY = new byte[0];
 
     public static HttpRequest get(String path, Duration limit) {
--- a/src/main/java/org/gullway/transport/HttpServer.java
+++ b/src/main/java/org/gullway/transport/HttpServer.java
@@ -31,18 +31,18 @@
     /** Handles one request; the answer may be given at once or later, always exactly once. */
     @FunctionalInterface
     public interface Handler {
-        void handle(Call call);
+        void handle(HttpExchange exchange);
     }
 
-    private static final class ExchangeCall implements Call {
+    private static final class ExchangeCall implements HttpExchange {
         private final HttpServerExchange exchange;
         private final byte[] body;
-        private final Sockets sockets;
+        private final SocketBudget socketBudget;
 
-        private ExchangeCall(HttpServerExchange exchange, byte[] body, Sockets sockets) {
+        private ExchangeCall(HttpServerExchange exchange, byte[] body, SocketBudget socketBudget) {
             this.exchange = exchange;
             this.body = body;
-            this.sockets = sockets;
+            this.socketBudget = socketBudget;
         }
 
         @Override
@@ -66,11 +66,11 @@
         }
 
         @Override
-        public void answer(int status, byte[] content) {
+        public void respond(int status, byte[] content) {
             if (exchange.isResponseStarted()) {
                 return;
             }
-            if (sockets.crowded()) {
+            if (socketBudget.isCrowded()) {
                 exchange.setPersistent(false);
             }
             exchange.setStatusCode(status);
@@ -86,9 +86,9 @@
         }
 
         @Override
-        public void refuse(int status, Duration retryAfter) {
+        public void reject(int status, Duration retryAfter) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Math.max(1, retryAfter.toSeconds()));
-            answer(status, new byte[0]);
+            respond(status, new byte[0]);
         }
     }
 
@@ -117,7 +117,7 @@
     public static String start(
             XnioWorker worker,
             ByteBufferPool buffers,
-            Sockets sockets,
+            SocketBudget socketBudget,
             String address,
             int bodyLimit,
             Handler handler) {
@@ -128,15 +128,15 @@
         // while nothing is compiled yet, and nothing here depends on that header.
         HttpOpenListener listener = new HttpOpenListener(buffers, SERVER_OPTIONS);
         listener.setRootHandler(exchange -> {
-            count(sockets, exchange.getConnection());
-            receive(exchange, sockets, bodyLimit, handler);
+            count(socketBudget, exchange.getConnection());
+            receive(exchange, socketBudget, bodyLimit, handler);
         });
         OptionMap socketOptions = OptionMap.builder()
                 .set(Options.TCP_NODELAY, true)
                 .set(Options.REUSE_ADDRESSES, true)
                 .set(Options.BACKLOG, BACKLOG)
-                .set(Options.CONNECTION_HIGH_WATER, sockets.mostAccepted())
-                .set(Options.CONNECTION_LOW_WATER, sockets.mostAccepted() - 1)
+                .set(Options.CONNECTION_HIGH_WATER, socketBudget.maxAccepted())
+                .set(Options.CONNECTION_LOW_WATER, socketBudget.maxAccepted() - 1)
                 .getMap();
         try {
             AcceptingChannel<StreamConnection> channel = worker.createStreamConnectionServer(
@@ -150,37 +150,37 @@
     }
 
     /** A connection counts from its first request on. */
-    private static void count(Sockets sockets, ServerConnection connection) {
+    private static void count(SocketBudget socketBudget, ServerConnection connection) {
         if (connection.getAttachment(COUNTED) == null) {
             connection.putAttachment(COUNTED, true);
-            sockets.accepted(1);
-            connection.addCloseListener(closed -> sockets.accepted(-1));
+            socketBudget.onAcceptedChange(1);
+            connection.addCloseListener(closed -> socketBudget.onAcceptedChange(-1));
         }
     }
 
-    private static void receive(HttpServerExchange exchange, Sockets sockets, int limit, Handler handler) {
+    private static void receive(HttpServerExchange exchange, SocketBudget socketBudget, int limit, Handler handler) {
         if (exchange.getRequestContentLength() > limit) {
             exchange.setPersistent(false);
-            hand(exchange, null, sockets, handler);
+            hand(exchange, null, socketBudget, handler);
             return;
         }
         if (exchange.getRequestContentLength() < 0) {
             exchange.getRequestReceiver()
                     .receivePartialBytes(
-                            new BodyOfUnknownLength(sockets, limit, handler),
-                            (ex, error) -> refuseBody(ex, sockets, handler));
+                            new BodyOfUnknownLength(socketBudget, limit, handler),
+                            (ex, error) -> refuseBody(ex, socketBudget, handler));
             return;
         }
         exchange.setMaxEntitySize(limit);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (ex, bytes) -> hand(ex, bytes, sockets, handler),
-                        (ex, error) -> refuseBody(ex, sockets, handler));
+                        (ex, bytes) -> hand(ex, bytes, socketBudget, handler),
+                        (ex, error) -> refuseBody(ex, socketBudget, handler));
     }
 
-    private static void refuseBody(HttpServerExchange exchange, Sockets sockets, Handler handler) {
+    private static void refuseBody(HttpServerExchange exchange, SocketBudget socketBudget, Handler handler) {
         exchange.setPersistent(false);
-        hand(exchange, null, sockets, handler);
+        hand(exchange, null, socketBudget, handler);
     }
 
     /**
@@ -191,15 +191,15 @@
         /** Multiple of the limit beyond which the rest of a body is not read any more. */
         private static final int MOST_READ = 16;
 
-        private final Sockets sockets;
+        private final SocketBudget socketBudget;
         private final int limit;
         private final Handler handler;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private long read;
         private boolean handed;
 
-        BodyOfUnknownLength(Sockets sockets, int limit, Handler handler) {
-            this.sockets = sockets;
+        BodyOfUnknownLength(SocketBudget socketBudget, int limit, Handler handler) {
+            this.socketBudget = socketBudget;
             this.limit = limit;
             this.handler = handler;
         }
@@ -216,18 +216,18 @@
             if (last || read > (long) limit * MOST_READ) {
                 handed = true;
                 exchange.setPersistent(last && exchange.isPersistent());
-                hand(exchange, read <= limit ? body.toByteArray() : null, sockets, handler);
+                hand(exchange, read <= limit ? body.toByteArray() : null, socketBudget, handler);
             }
         }
     }
 
-    private static void hand(HttpServerExchange exchange, byte[] body, Sockets sockets, Handler handler) {
+    private static void hand(HttpServerExchange exchange, byte[] body, SocketBudget socketBudget, Handler handler) {
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
             try {
-                handler.handle(new ExchangeCall(exchange, body, sockets));
+                handler.handle(new ExchangeCall(exchange, body, socketBudget));
             } catch (RuntimeException e) {
                 LOG.error("{} {} failed", exchange.getRequestMethod(), exchange.getRequestPath(), e);
-                new ExchangeCall(exchange, body, sockets).refuse(503, Duration.ofSeconds(2));
+                new ExchangeCall(exchange, body, socketBudget).reject(503, Duration.ofSeconds(2));
             }
         });
     }
--- a/src/main/java/org/gullway/transport/Sockets.java
+++ b/src/main/java/org/gullway/transport/SocketBudget.java
@@ -10,7 +10,7 @@
  * all workers of the fleet deployments has two connections for each). With a reserve of 7% the limit was still reached in
  * a cut zone (dong-xanh-fleet zone, half as many machines again).
  */
-public final class Sockets {
+public final class SocketBudget {
     private static final double ACCEPTED_PART = 0.78;
     private static final double CROWDED_PART = 0.68;
     private static final double WORKERS_PART = 0.85;
@@ -20,27 +20,27 @@
     private int accepted;
 
     /** @param limit sockets that the process may have open at a time */
-    public Sockets(int limit) {
+    public SocketBudget(int limit) {
         this.limit = limit;
     }
 
     /** Connections that may be accepted at a time. */
-    int mostAccepted() {
+    int maxAccepted() {
         return Math.max(1, (int) (limit * ACCEPTED_PART));
     }
 
     /** To be told of every connection that was accepted, and of its end. */
-    void accepted(int change) {
+    void onAcceptedChange(int change) {
         accepted += change;
     }
 
     /** Whether connections should be closed with the answer, so that others can come. */
-    public boolean crowded() {
+    public boolean isCrowded() {
         return accepted > limit * CROWDED_PART;
     }
 
     /** How many connections we may have open, apart from the reserve. */
-    int forWorkers() {
+    int availableForWorkers() {
         return Math.max(LEAST_FOR_WORKERS, (int) (limit * WORKERS_PART) - accepted);
     }
 }
--- /dev/null
+++ b/src/main/java/org/gullway/transport/UndertowHttpClient.java
@@ -0,0 +1,239 @@
+package org.gullway.transport;
+
+import io.undertow.client.ClientCallback;
+import io.undertow.client.ClientConnection;
+import io.undertow.client.ClientExchange;
+import io.undertow.client.ClientRequest;
+import io.undertow.client.UndertowClient;
+import io.undertow.connector.ByteBufferPool;
+import io.undertow.connector.PooledByteBuffer;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import io.undertow.util.Protocols;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.net.URI;
+import java.nio.ByteBuffer;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.xnio.ChannelListener;
+import org.xnio.IoUtils;
+import org.xnio.OptionMap;
+import org.xnio.channels.StreamSinkChannel;
+import org.xnio.channels.StreamSourceChannel;
+
+/** Calls over kept connections, each with a time limit, all on the event loop. */
+public final class UndertowHttpClient implements HttpClient {
+    private final XnioEventLoop loop;
+    private final ByteBufferPool buffers;
+    private final ConnectionPool<ClientConnection> connections;
+
+    /**
+     * @param sockets what connections may take of the process's sockets
+     * @param essential addresses that are always called, whatever else is open
+     */
+    public UndertowHttpClient(
+            XnioEventLoop loop, ByteBufferPool buffers, SocketBudget socketBudget, Set<String> essential) {
+        this.loop = loop;
+        this.buffers = buffers;
+        this.connections = new ConnectionPool<>(socketBudget, essential, IoUtils::safeClose);
+    }
+
+    @Override
+    public void call(String address, HttpRequest request, Consumer<HttpResponse> callback) {
+        new PendingCall(address, request, callback).begin();
+    }
+
+    private final class PendingCall {
+        private final String address;
+        private final HttpRequest request;
+        private final Consumer<HttpResponse> callback;
+        private final ByteArrayOutputStream received = new ByteArrayOutputStream(512);
+        private final Runnable cancelTimer;
+        private ClientConnection connection;
+        private boolean connecting;
+        private boolean finished;
+
+        PendingCall(String address, HttpRequest request, Consumer<HttpResponse> callback) {
+            this.address = address;
+            this.request = request;
+            this.callback = callback;
+            this.cancelTimer = loop.after(request.timeout(), () -> finish(unfinished()));
+        }
+
+        void begin() {
+            ClientConnection kept = connections.reuse(address, ClientConnection::isOpen);
+            if (kept != null) {
+                send(kept);
+                return;
+            }
+            if (connections.isAbandoned(address)) {
+                finish(HttpResponse.notSent());
+                return;
+            }
+            if (!connections.mayConnect(address)) {
+                finish(HttpResponse.noSocket());
+                return;
+            }
+            connecting = true;
+            UndertowClient.getInstance()
+                    .connect(
+                            new ClientCallback<>() {
+                                @Override
+                                public void completed(ClientConnection made) {
+                                    connectEnded();
+                                    made.addCloseListener(connections::closedByPeer);
+                                    if (finished) {
+                                        connections.keep(address, made);
+                                    } else {
+                                        send(made);
+                                    }
+                                }
+
+                                @Override
+                                public void failed(IOException e) {
+                                    connectEnded();
+                                    connections.connectFailed();
+                                    finish(HttpResponse.notSent());
+                                }
+                            },
+                            URI.create("http://" + address),
+                            loop.thread(),
+                            buffers,
+                            OptionMap.EMPTY);
+        }
+
+        private void connectEnded() {
+            connecting = false;
+            if (finished) {
+                connections.abandonedEnded(address);
+            }
+        }
+
+        /** Until a connection stands nothing was sent; from then on the outcome is open. */
+        private HttpResponse unfinished() {
+            return connection == null ? HttpResponse.notSent() : HttpResponse.unknown();
+        }
+
+        private void send(ClientConnection made) {
+            connection = made;
+            ClientRequest head = new ClientRequest()
+                    .setMethod(HttpString.tryFromString(request.method()))
+                    .setPath(request.path())
+                    .setProtocol(Protocols.HTTP_1_1);
+            head.getRequestHeaders().put(Headers.HOST, address);
+            if (request.body().length > 0) {
+                head.getRequestHeaders().put(Headers.CONTENT_LENGTH, request.body().length);
+                head.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/cbor");
+            } else if (!"GET".equals(request.method())) {
+                head.getRequestHeaders().put(Headers.CONTENT_LENGTH, 0);
+            }
+            made.sendRequest(head, new ClientCallback<>() {
+                @Override
+                public void completed(ClientExchange exchange) {
+                    exchange.setResponseListener(new ClientCallback<>() {
+                        @Override
+                        public void completed(ClientExchange answered) {
+                            read(answered);
+                        }
+
+                        @Override
+                        public void failed(IOException e) {
+                            finish(HttpResponse.unknown());
+                        }
+                    });
+                    if (request.body().length > 0) {
+                        write(exchange.getRequestChannel(), ByteBuffer.wrap(request.body()));
+                    }
+                }
+
+                @Override
+                public void failed(IOException e) {
+                    finish(HttpResponse.unknown());
+                }
+            });
+        }
+
+        private void write(StreamSinkChannel channel, ByteBuffer body) {
+            try {
+                while (body.hasRemaining()) {
+                    if (channel.write(body) == 0) {
+                        channel.getWriteSetter().set((ChannelListener<StreamSinkChannel>) c -> write(c, body));
+                        channel.resumeWrites();
+                        return;
+                    }
+                }
+                channel.suspendWrites();
+                channel.shutdownWrites();
+                if (!channel.flush()) {
+                    channel.getWriteSetter().set((ChannelListener<StreamSinkChannel>) c -> {
+                        try {
+                            if (c.flush()) {
+                                c.suspendWrites();
+                            }
+                        } catch (IOException e) {
+                            finish(HttpResponse.unknown());
+                        }
+                    });
+                    channel.resumeWrites();
+                }
+            } catch (IOException e) {
+                finish(HttpResponse.unknown());
+            }
+        }
+
+        private void read(ClientExchange exchange) {
+            StreamSourceChannel channel = exchange.getResponseChannel();
+            drain(exchange, channel);
+        }
+
+        private void drain(ClientExchange exchange, StreamSourceChannel channel) {
+            try (PooledByteBuffer pooled = buffers.allocate()) {
+                ByteBuffer buffer = pooled.getBuffer();
+                while (true) {
+                    buffer.clear();
+                    int n = channel.read(buffer);
+                    if (n < 0) {
+                        HttpResponse response =
+                                HttpResponse.answered(exchange.getResponse().getResponseCode(), received.toByteArray());
+                        boolean close = "close"
+                                .equalsIgnoreCase(exchange.getResponse()
+                                        .getResponseHeaders()
+                                        .getFirst(Headers.CONNECTION));
+                        ClientConnection mine = connection;
+                        if (!finished && !close) {
+                            connection = null;
+                            connections.keep(address, mine);
+                        }
+                        finish(response);
+                        return;
+                    }
+                    if (n == 0) {
+                        channel.getReadSetter().set((ChannelListener<StreamSourceChannel>) c -> drain(exchange, c));
+                        channel.resumeReads();
+                        return;
+                    }
+                    buffer.flip();
+                    received.write(buffer.array(), buffer.arrayOffset() + buffer.position(), buffer.remaining());
+                }
+            } catch (IOException e) {
+                finish(HttpResponse.unknown());
+            }
+        }
+
+        private void finish(HttpResponse response) {
+            if (finished) {
+                return;
+            }
+            finished = true;
+            cancelTimer.run();
+            if (connecting) {
+                connections.abandon(address);
+            }
+            if (connection != null) {
+                connections.discard(connection);
+            }
+            callback.accept(response);
+        }
+    }
+}
--- a/src/test/java/org/gullway/BadInputTest.java
+++ b/src/test/java/org/gullway/BadInputTest.java
@@ -15,15 +15,15 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.lifecycle.BeforeContainer;
-import org.gullway.AnswerLog.Kind;
-import org.gullway.coordination.Keys;
+import org.gullway.ResponseLog.Kind;
+import org.gullway.coordination.model.StoreKeys;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
-import org.gullway.protocol.MalformedException;
-import org.gullway.protocol.Rank;
-import org.gullway.transport.Client;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.protocol.Priority;
+import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpRequest;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpResponse;
 import org.junit.jupiter.api.Test;
 
 /** Whatever is sent to a controller: unfit jobs are never accepted, known ones stay known, and the rest goes on. */
@@ -33,14 +33,14 @@
     private static final Set<String> NUMBERS =
             Set.of("legs", "cpus", "cards", "mem_gb", "image_gb", "reckon_s", "waypoint_s", "stow_s", "landfall_s");
 
-    private static SimulatedWorld shared;
+    private static SimulatedCluster shared;
     private static int nextNumber = 500_000;
 
-    private final SimulatedWorld world = new SimulatedWorld(5, 0, 3);
+    private final SimulatedCluster cluster = new SimulatedCluster(5, 0, 3);
 
     @BeforeContainer
     static void begin() {
-        shared = new SimulatedWorld(6, 0, 3);
+        shared = new SimulatedCluster(6, 0, 3);
         shared.run(Duration.ofSeconds(15));
     }
 
@@ -50,7 +50,7 @@
                         "render",
                         "blue",
                         JobRequest.Shape.ARRAY,
-                        Rank.HIGH,
+                        Priority.HIGH,
                         2,
                         4,
                         0,
@@ -70,34 +70,34 @@
         return node;
     }
 
-    private static int send(SimulatedWorld world, HttpRequest request) {
-        Client client = world.network.client("users", world.time.process());
+    private static int send(SimulatedCluster cluster, HttpRequest request) {
+        HttpClient client = cluster.network.client("users", cluster.time.process());
         int[] status = new int[1];
-        client.call(world.address("perch-0"), request, reply -> status[0] = reply.status());
-        world.run(Duration.ofSeconds(2));
+        client.call(cluster.address("perch-0"), request, response -> status[0] = response.status());
+        cluster.run(Duration.ofSeconds(2));
         return status[0];
     }
 
-    private static int submit(SimulatedWorld world, byte[] body) {
-        return send(world, HttpRequest.post("/v2/runs", body, Duration.ofSeconds(5)));
+    private static int submit(SimulatedCluster cluster, byte[] body) {
+        return send(cluster, HttpRequest.post("/v2/runs", body, Duration.ofSeconds(5)));
     }
 
-    private static int ask(SimulatedWorld world, String id) {
-        return send(world, HttpRequest.get("/v2/runs/" + id, Duration.ofSeconds(2)));
+    private static int ask(SimulatedCluster cluster, String id) {
+        return send(cluster, HttpRequest.get("/v2/runs/" + id, Duration.ofSeconds(2)));
     }
 
-    private static int cancel(SimulatedWorld world, String id) {
+    private static int cancel(SimulatedCluster cluster, String id) {
         return send(
-                world,
+                cluster,
                 HttpRequest.post("/v2/runs/" + id + "/withdraw", Cbor.encode(Cbor.map()), Duration.ofSeconds(5)));
     }
 
-    private static void assertRefused(SimulatedWorld world, ObjectNode node, int expected, String what) {
-        assertThat(submit(world, Cbor.encode(node))).as(what).isEqualTo(expected);
+    private static void assertRefused(SimulatedCluster cluster, ObjectNode node, int expected, String what) {
+        assertThat(submit(cluster, Cbor.encode(node))).as(what).isEqualTo(expected);
         String id = node.path("name_id").asText();
-        if (JobRequest.isId(id)) {
-            assertThat(ask(world, id)).as(what + ", asked about").isEqualTo(404);
-            assertThat(world.store.value(Keys.job(id))).as(what).isNull();
+        if (JobRequest.isValidId(id)) {
+            assertThat(ask(cluster, id)).as(what + ", asked about").isEqualTo(404);
+            assertThat(cluster.store.value(StoreKeys.job(id))).as(what).isNull();
         }
     }
 
@@ -129,48 +129,50 @@
 
     @Test
     void everyFieldThatIsMissingOrWrongGets400() {
-        world.run(Duration.ofSeconds(15));
+        cluster.run(Duration.ofSeconds(15));
         int number = 1000;
         for (String field : List.copyOf(
                 valid(1).properties().stream().map(entry -> entry.getKey()).toList())) {
             if (!MAY_BE_MISSING.contains(field)) {
                 ObjectNode lacking = valid(number++);
                 lacking.remove(field);
-                assertRefused(world, lacking, 400, field + " is missing");
+                assertRefused(cluster, lacking, 400, field + " is missing");
             }
             for (JsonNode value : wrongValues(field, valid(1).get(field))) {
                 ObjectNode node = valid(number++);
                 node.set(field, value);
-                assertRefused(world, node, 400, field + " is " + value);
+                assertRefused(cluster, node, 400, field + " is " + value);
             }
         }
         for (String field : List.of("legs", "cpus")) {
-            assertRefused(world, valid(number++).put(field, 0), 400, field + " is 0");
+            assertRefused(cluster, valid(number++).put(field, 0), 400, field + " is 0");
         }
-        assertRefused(world, valid(number++).put("legs", 100_001), 400, "too many tasks");
-        assertRefused(world, valid(number++).put("rank", "urgent"), 400, "unknown rank");
-        assertRefused(world, valid(number++).put("shape", "swarm"), 400, "unknown shape");
-        assertThat(submit(world, Cbor.encode(valid(number)))).as("a valid one").isEqualTo(201);
+        assertRefused(cluster, valid(number++).put("legs", 100_001), 400, "too many tasks");
+        assertRefused(cluster, valid(number++).put("rank", "urgent"), 400, "unknown rank");
+        assertRefused(cluster, valid(number++).put("shape", "swarm"), 400, "unknown shape");
+        assertThat(submit(cluster, Cbor.encode(valid(number))))
+                .as("a valid one")
+                .isEqualTo(201);
     }
 
     @Test
     void jobsThatCanNeverRunGet422() {
-        world.run(Duration.ofSeconds(15));
+        cluster.run(Duration.ofSeconds(15));
         int number = 1000;
-        assertRefused(world, valid(number++).put("crew", "nobody"), 422, "unknown team");
-        assertRefused(world, valid(number++).put("cpus", 17), 422, "too many processors for its type");
-        assertRefused(world, valid(number++).put("mem_gb", 65), 422, "too much memory for its type");
-        assertRefused(world, valid(number++).put("cards", 1), 422, "cards of which there are none");
-        assertRefused(world, valid(number++).put("shore", "z"), 422, "unknown zone");
+        assertRefused(cluster, valid(number++).put("crew", "nobody"), 422, "unknown team");
+        assertRefused(cluster, valid(number++).put("cpus", 17), 422, "too many processors for its type");
+        assertRefused(cluster, valid(number++).put("mem_gb", 65), 422, "too much memory for its type");
+        assertRefused(cluster, valid(number++).put("cards", 1), 422, "cards of which there are none");
+        assertRefused(cluster, valid(number++).put("shore", "z"), 422, "unknown zone");
         ObjectNode noType = valid(number++);
         noType.putArray("breeds").add("unheard-of");
-        assertRefused(world, noType, 422, "unknown machine type");
+        assertRefused(cluster, noType, 422, "unknown machine type");
         ObjectNode emptyTypes = valid(number++);
         emptyTypes.putArray("breeds");
-        assertRefused(world, emptyTypes, 422, "no machine type");
+        assertRefused(cluster, emptyTypes, 422, "no machine type");
         ObjectNode overLimit = valid(number++).put("crew", "red").put("cpus", 25);
         overLimit.remove("breeds");
-        assertRefused(world, overLimit, 422, "one task above the team's limit");
+        assertRefused(cluster, overLimit, 422, "one task above the team's limit");
     }
 
     /** Any mix of spoilt fields: accepted if and only if the request can be read, refused with 400 if it cannot. */
@@ -189,7 +191,7 @@
         boolean readable = true;
         try {
             JobRequest.parse(Cbor.decode(Cbor.encode(node)));
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             readable = false;
         }
         int status = submit(shared, Cbor.encode(node));
@@ -200,7 +202,7 @@
 
     @Test
     void bodiesThatAreNoMapOrTooLargeGet400AndTheConnectionGoesOn() {
-        world.run(Duration.ofSeconds(15));
+        cluster.run(Duration.ofSeconds(15));
         byte[] whole = Cbor.encode(valid(1));
         for (byte[] body : List.of(
                 new byte[0],
@@ -210,35 +212,35 @@
                 Arrays.copyOf(whole, whole.length - 1),
                 Arrays.copyOf(whole, whole.length + 1),
                 Cbor.encode(NODES.arrayNode()))) {
-            assertThat(submit(world, body)).isEqualTo(400);
+            assertThat(submit(cluster, body)).isEqualTo(400);
         }
-        assertThat(ask(world, "run-000001")).isEqualTo(404);
-        assertThat(submit(world, whole)).isEqualTo(201);
+        assertThat(ask(cluster, "run-000001")).isEqualTo(404);
+        assertThat(submit(cluster, whole)).isEqualTo(201);
     }
 
     @Test
     void unknownIdsGet404() {
-        world.run(Duration.ofSeconds(15));
+        cluster.run(Duration.ofSeconds(15));
         for (String id : List.of(
                 "run-999999", "run-", "run--1", "job-000001", "run-0000011111111111111", "", "a/b", "%2e%2e/run-1")) {
-            assertThat(ask(world, id)).as("asked: " + id).isEqualTo(404);
-            assertThat(cancel(world, id)).as("cancelled: " + id).isEqualTo(404);
+            assertThat(ask(cluster, id)).as("asked: " + id).isEqualTo(404);
+            assertThat(cancel(cluster, id)).as("cancelled: " + id).isEqualTo(404);
         }
-        assertThat(world.answers.of(Kind.QUESTION)).noneMatch(entry -> entry.status() == 200);
+        assertThat(cluster.answers.of(Kind.QUESTION)).noneMatch(entry -> entry.status() == 200);
     }
 
     /** The same id with other contents, also such as could not run, is answered with the state of the job. */
     @Test
-    void oddRepeatsGetTheStateOfTheJobWhetherItRunsIsDoneOrCancelled() throws MalformedException {
-        world.run(Duration.ofSeconds(15));
-        User runs = world.submit(1, "blue", Rank.HIGH, 1, 4, Duration.ofSeconds(300));
-        User done = world.submit(2, "blue", Rank.HIGH, 1, 4, Duration.ofSeconds(2));
-        User cancelled = world.submit(3, "blue", Rank.HIGH, 1, 4, Duration.ofSeconds(300));
-        world.run(Duration.ofSeconds(30));
+    void oddRepeatsGetTheStateOfTheJobWhetherItRunsIsDoneOrCancelled() throws MalformedMessageException {
+        cluster.run(Duration.ofSeconds(15));
+        TestUser runs = cluster.submit(1, "blue", Priority.HIGH, 1, 4, Duration.ofSeconds(300));
+        TestUser done = cluster.submit(2, "blue", Priority.HIGH, 1, 4, Duration.ofSeconds(2));
+        TestUser cancelled = cluster.submit(3, "blue", Priority.HIGH, 1, 4, Duration.ofSeconds(300));
+        cluster.run(Duration.ofSeconds(30));
         cancelled.cancel();
-        world.run(Duration.ofSeconds(10));
-        assertThat(world.rules.told(done.request.id())).isEqualTo("done");
-        for (User user : List.of(runs, done, cancelled)) {
+        cluster.run(Duration.ofSeconds(10));
+        assertThat(cluster.rules.told(done.request.id())).isEqualTo("done");
+        for (TestUser user : List.of(runs, done, cancelled)) {
             String state = user == runs ? "running" : user == done ? "done" : "aborted";
             ObjectNode node = user.request.toNode();
             for (ObjectNode odd : List.of(
@@ -247,22 +249,22 @@
                     node.deepCopy().put("crew", "nobody"),
                     node.deepCopy().put("shore", "z"),
                     node.deepCopy().put("rank", "idle"))) {
-                for (String controller : world.nodes()) {
-                    List<Reply> replies = new ArrayList<>();
-                    world.network
-                            .client("users", world.time.process())
+                for (String controller : cluster.nodes()) {
+                    List<HttpResponse> replies = new ArrayList<>();
+                    cluster.network
+                            .client("users", cluster.time.process())
                             .call(
-                                    world.address(controller),
+                                    cluster.address(controller),
                                     HttpRequest.post("/v2/runs", Cbor.encode(odd), Duration.ofSeconds(5)),
                                     replies::add);
-                    world.run(Duration.ofSeconds(2));
+                    cluster.run(Duration.ofSeconds(2));
                     assertThat(replies.get(0).status()).isEqualTo(200);
                     assertThat(Cbor.decode(replies.get(0).body()).path("tide").asText())
                             .isEqualTo(state);
                 }
             }
         }
-        assertThat(world.broken).isEmpty();
+        assertThat(cluster.broken).isEmpty();
     }
 
     /** Reports with spoilt bytes or odd fields are answered, and the machine's work and all other requests go on. */
--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -11,9 +11,9 @@
 import java.util.TreeMap;
 import org.gullway.fake.SimulatedNetwork;
 import org.gullway.fake.SimulatedTime;
-import org.gullway.protocol.Rank;
+import org.gullway.protocol.Priority;
 import org.gullway.transport.HttpRequest;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpResponse;
 
 /**
  * Plays a fixed list of simulated scenarios with fixed seeds and prints one hash over all messages on the simulated
@@ -71,62 +71,67 @@
         }
 
         @Override
-        public void answered(String from, String address, Reply reply) {
-            add("answered", from, address, Integer.toString(reply.kind().ordinal()), Integer.toString(reply.status()));
-            add(reply.body());
+        public void answered(String from, String address, HttpResponse response) {
+            add(
+                    "answered",
+                    from,
+                    address,
+                    Integer.toString(response.outcome().ordinal()),
+                    Integer.toString(response.status()));
+            add(response.body());
         }
     }
 
     private interface Scenario {
-        void play(SimulatedWorld world);
+        void play(SimulatedCluster cluster);
     }
 
     private void play(String name, long seed, double trouble, int capacity, Scenario scenario) {
         // In a fixed order, unlike the teams of tests.
-        SimulatedWorld.Shape shape = new SimulatedWorld.Shape(
-                capacity, new TreeMap<>(SimulatedWorld.Shape.SMALL_TEAMS), Duration.ofSeconds(3), trouble);
+        SimulatedCluster.Shape shape = new SimulatedCluster.Shape(
+                capacity, new TreeMap<>(SimulatedCluster.Shape.SMALL_TEAMS), Duration.ofSeconds(3), trouble);
         Recorder[] recorder = new Recorder[1];
-        SimulatedWorld world = new SimulatedWorld(seed, shape, time -> recorder[0] = new Recorder(time));
-        scenario.play(world);
+        SimulatedCluster cluster = new SimulatedCluster(seed, shape, time -> recorder[0] = new Recorder(time));
+        scenario.play(cluster);
         byte[] hash = recorder[0].digest.digest();
         whole.update(hash);
         System.out.println(name + " " + HexFormat.of().formatHex(hash, 0, SCENARIO_BYTES) + " " + recorder[0].messages
-                + " messages, " + world.started() + " starts");
+                + " messages, " + cluster.started() + " starts");
     }
 
     private void playAll() {
-        play("quiet", 1, 0, 4, world -> {
-            SimulatedDaysTest.work(world, new SplittableRandom(2), 30, Duration.ofSeconds(100));
-            world.run(Duration.ofSeconds(240));
+        play("quiet", 1, 0, 4, cluster -> {
+            SimulatedScenariosTest.work(cluster, new SplittableRandom(2), 30, Duration.ofSeconds(100));
+            cluster.run(Duration.ofSeconds(240));
         });
-        play("crowded", 7, 0, 1, world -> {
+        play("crowded", 7, 0, 1, cluster -> {
             for (int i = 1; i <= 40; i++) {
                 int number = i;
-                world.after(
+                cluster.after(
                         Duration.ofSeconds(2L * i),
-                        () -> world.submit(
+                        () -> cluster.submit(
                                 number,
                                 number % 2 == 0 ? "red" : "blue",
-                                Rank.values()[number % 4],
+                                Priority.values()[number % 4],
                                 4,
                                 number % 10 == 0 ? 16 : 4,
                                 Duration.ofSeconds(18)));
             }
-            world.run(Duration.ofSeconds(400));
+            cluster.run(Duration.ofSeconds(400));
         });
         for (int seed = 1; seed <= ROUGH_SCENARIOS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            play("rough-" + seed, random.nextLong(), 0.01, 3, world -> {
-                SimulatedDaysTest.work(world, random.split(), 25, Duration.ofSeconds(120));
-                SimulatedDaysTest.playRoughDay(world, random);
+            play("rough-" + seed, random.nextLong(), 0.01, 3, cluster -> {
+                SimulatedScenariosTest.work(cluster, random.split(), 25, Duration.ofSeconds(120));
+                SimulatedScenariosTest.playRoughDay(cluster, random);
             });
         }
         for (int seed = 101; seed <= 100 + BOUND_SCENARIOS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            play("bound-" + seed, random.nextLong(), 0.01, 3, world -> {
-                SimulatedDaysTest.work(world, random.split(), 10, Duration.ofSeconds(120));
-                SimulatedDaysTest.boundWork(world, random.split(), 11, 15, Duration.ofSeconds(120));
-                SimulatedDaysTest.playRoughDay(world, random);
+            play("bound-" + seed, random.nextLong(), 0.01, 3, cluster -> {
+                SimulatedScenariosTest.work(cluster, random.split(), 10, Duration.ofSeconds(120));
+                SimulatedScenariosTest.boundWork(cluster, random.split(), 11, 15, Duration.ofSeconds(120));
+                SimulatedScenariosTest.playRoughDay(cluster, random);
             });
         }
     }
--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -20,11 +20,11 @@
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
-import org.gullway.protocol.Rank;
-import org.gullway.transport.HttpClient;
+import org.gullway.protocol.Priority;
 import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpServer;
-import org.gullway.transport.Sockets;
+import org.gullway.transport.SocketBudget;
+import org.gullway.transport.UndertowHttpClient;
 import org.gullway.transport.XnioEventLoop;
 import org.xnio.OptionMap;
 import org.xnio.Options;
@@ -69,23 +69,23 @@
                 .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
         DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192);
         XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
-        Sockets sockets = new Sockets(1000);
-        HttpClient client = new HttpClient(loop, buffers, sockets, Set.of());
+        SocketBudget socketBudget = new SocketBudget(1000);
+        UndertowHttpClient client = new UndertowHttpClient(loop, buffers, socketBudget, Set.of());
         String node = freeAddress();
         String state = freeAddress();
         String cloudAddress = freeAddress();
         Map<String, JobRequest> jobs = Map.of(
                 "run-000001",
-                job("run-000001", Rank.HIGH),
+                job("run-000001", Priority.HIGH),
                 "run-000002",
-                job("run-000002", Rank.NORMAL),
+                job("run-000002", Priority.NORMAL),
                 "run-000003",
-                job("run-000003", Rank.IDLE));
+                job("run-000003", Priority.IDLE));
         FakeWorker.World world = new Moments(jobs);
         Path settings = Files.createTempFile("gullway", ".toml");
         Files.writeString(settings, settings(node, state, cloudAddress));
-        loop.execute(
-                () -> listen(worker, buffers, sockets, loop, client, world, new Addresses(node, state, cloudAddress)));
+        loop.execute(() ->
+                listen(worker, buffers, socketBudget, loop, client, world, new Addresses(node, state, cloudAddress)));
         List<String> whole = new ArrayList<>(command);
         whole.addAll(List.of("--config", settings.toString()));
         Process process = new ProcessBuilder(whole).inheritIO().start();
@@ -113,9 +113,9 @@
     private static void listen(
             XnioWorker worker,
             DefaultByteBufferPool buffers,
-            Sockets sockets,
+            SocketBudget socketBudget,
             XnioEventLoop loop,
-            HttpClient client,
+            UndertowHttpClient client,
             FakeWorker.World world,
             Addresses addresses) {
         FakeStateStore store = new FakeStateStore(loop);
@@ -136,17 +136,17 @@
                             Map.of("perch-0", addresses.node()),
                             Duration.ofMillis(500),
                             Duration.ofSeconds(20));
-                    HttpServer.start(worker, buffers, sockets, address, 65536, machine::handle);
+                    HttpServer.start(worker, buffers, socketBudget, address, 65536, machine::handle);
                     return machine;
                 });
-        HttpServer.start(worker, buffers, sockets, addresses.state(), 65536, store::handle);
-        HttpServer.start(worker, buffers, sockets, addresses.cloud(), 65536, cloud::handle);
+        HttpServer.start(worker, buffers, socketBudget, addresses.state(), 65536, store::handle);
+        HttpServer.start(worker, buffers, socketBudget, addresses.cloud(), 65536, cloud::handle);
     }
 
     private static void submit(
-            XnioEventLoop loop, HttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
-        client.call(node, HttpRequest.post("/v2/runs", Cbor.encode(job.toNode()), Duration.ofSeconds(5)), reply -> {
-            if (reply.status() == 201) {
+            XnioEventLoop loop, UndertowHttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
+        client.call(node, HttpRequest.post("/v2/runs", Cbor.encode(job.toNode()), Duration.ofSeconds(5)), response -> {
+            if (response.status() == 201) {
                 poll(loop, client, node, job, done);
             } else {
                 loop.after(Duration.ofMillis(200), () -> submit(loop, client, node, job, done));
@@ -155,10 +155,10 @@
     }
 
     private static void poll(
-            XnioEventLoop loop, HttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
-        client.call(node, HttpRequest.get("/v2/runs/" + job.id(), Duration.ofSeconds(2)), reply -> {
-            if (reply.ok()
-                    && unchecked(() -> Cbor.decode(reply.body()).path("tide").asText())
+            XnioEventLoop loop, UndertowHttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
+        client.call(node, HttpRequest.get("/v2/runs/" + job.id(), Duration.ofSeconds(2)), response -> {
+            if (response.isOk()
+                    && unchecked(() -> Cbor.decode(response.body()).path("tide").asText())
                             .equals("done")) {
                 done.complete(null);
             } else {
@@ -167,13 +167,13 @@
         });
     }
 
-    private static JobRequest job(String id, Rank rank) {
+    private static JobRequest job(String id, Priority priority) {
         return new JobRequest(
                 id,
                 "render",
                 "red",
                 JobRequest.Shape.ARRAY,
-                rank,
+                priority,
                 3,
                 4,
                 0,
--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.gullway.SimulatedWorld.Bounds;
-import org.gullway.coordination.Keys;
-import org.gullway.protocol.Rank;
+import org.gullway.SimulatedCluster.Bounds;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.protocol.Priority;
 
 /** Transactions of which the answer is lost or that are carried out late, each with a second trouble. */
 class CommitFaultsTest {
@@ -25,21 +25,22 @@
      */
     @Property(tries = 4, seed = "201")
     void answersOfTransactionsAreLostWhileOthersReadWhatTheyWrote(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = working(seed, Duration.ofSeconds(30));
-        world.store.loseAnswers(0.3, world.random.split());
-        world.whenNews(user -> world.lookClosely(user, world.random));
-        moreWork(world, 9, 8);
+        SimulatedCluster cluster = working(seed, Duration.ofSeconds(30));
+        cluster.store.loseAnswers(0.3, cluster.random.split());
+        cluster.whenNews(user -> cluster.lookClosely(user, cluster.random));
+        moreWork(cluster, 9, 8);
         for (int i = 0; i < 20; i++) {
             int number = 30 + i;
-            world.after(
+            cluster.after(
                     Duration.ofMillis(900L * i),
-                    () -> world.submit(number, "blue", number % 2 == 0 ? Rank.HIGH : Rank.NORMAL, 1, 1, seconds(0.4)));
+                    () -> cluster.submit(
+                            number, "blue", number % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 1, 1, seconds(0.4)));
         }
         for (int i = 0; i < 4; i++) {
-            User user = world.users().get(i);
-            world.after(Duration.ofSeconds(3L * i), user::cancel);
+            TestUser user = cluster.users().get(i);
+            cluster.after(Duration.ofSeconds(3L * i), user::cancel);
         }
-        endsWell(world, Duration.ofSeconds(40));
+        endsWell(cluster, Duration.ofSeconds(40));
     }
 
     /**
@@ -49,18 +50,19 @@
      */
     @Property(tries = 6, seed = "202")
     void aBookingArrivesAfterAnotherHasTakenItsRoom(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         // Afterwards there are idle machines, and the leader holds all of the team's limit.
-        world.submit(1, "red", Rank.HIGH, 2, 12, Duration.ofSeconds(5), ANYWHERE);
-        world.submit(2, "blue", Rank.HIGH, 3, 20, Duration.ofSeconds(5), ANYWHERE);
-        world.run(Duration.ofSeconds(25));
-        String first = Keys.job("run-000003");
-        world.store.holdUpNext(
-                change -> change.path("put").asText().equals(first) && world.store.value(first) != null,
+        cluster.submit(1, "red", Priority.HIGH, 2, 12, Duration.ofSeconds(5), ANYWHERE);
+        cluster.submit(2, "blue", Priority.HIGH, 3, 20, Duration.ofSeconds(5), ANYWHERE);
+        cluster.run(Duration.ofSeconds(25));
+        String first = StoreKeys.job("run-000003");
+        cluster.store.holdUpNext(
+                change -> change.path("put").asText().equals(first) && cluster.store.value(first) != null,
                 seconds(5 + seed % 7));
-        world.submit(3, "red", Rank.HIGH, 1, 20, Duration.ofSeconds(40), ANYWHERE);
-        world.after(seconds(1), () -> world.submit(4, "red", Rank.PROD, 1, 20, Duration.ofSeconds(40), ANYWHERE));
-        endsWell(world, Duration.ofSeconds(60));
+        cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(40), ANYWHERE);
+        cluster.after(
+                seconds(1), () -> cluster.submit(4, "red", Priority.PROD, 1, 20, Duration.ofSeconds(40), ANYWHERE));
+        endsWell(cluster, Duration.ofSeconds(60));
     }
 
     /**
@@ -70,19 +72,19 @@
      */
     @Property(tries = 6, seed = "203")
     void newMachinesReportBeforeTheyAreOnRecordAndTheLeaderEnds(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
-        world.cloud.bootWithin(seconds(0.2 + seed % 18 / 10.0));
-        world.run(Duration.ofSeconds(5));
-        world.store.lateWrites(0.4, world.random.split());
-        moreWork(world, 1, 20);
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
+        cluster.cloud.bootWithin(seconds(0.2 + seed % 18 / 10.0));
+        cluster.run(Duration.ofSeconds(5));
+        cluster.store.lateWrites(0.4, cluster.random.split());
+        moreWork(cluster, 1, 20);
         for (int i = 0; i < 4; i++) {
-            world.after(seconds(2 + 9 * i + seed % 8 / 2.0), () -> {
-                if (world.leader() != null) {
-                    world.crash(world.leader(), seconds(0.2 + seed % 30 / 3.0));
+            cluster.after(seconds(2 + 9 * i + seed % 8 / 2.0), () -> {
+                if (cluster.leader() != null) {
+                    cluster.crash(cluster.leader(), seconds(0.2 + seed % 30 / 3.0));
                 }
             });
         }
-        endsWell(world, Duration.ofSeconds(50));
-        assertThat(world.cloud.rented()).as("machines never returned").isZero();
+        endsWell(cluster, Duration.ofSeconds(50));
+        assertThat(cluster.cloud.rented()).as("machines never returned").isZero();
     }
 }
--- a/src/test/java/org/gullway/ControllerProfile.java
+++ b/src/test/java/org/gullway/ControllerProfile.java
@@ -15,7 +15,7 @@
 import java.util.logging.Logger;
 import java.util.stream.Stream;
 import org.gullway.protocol.JobRequest;
-import org.gullway.protocol.Rank;
+import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 
 /**
@@ -42,9 +42,9 @@
     private static final int SYSTEM_TICKS = 12;
 
     private final LoopbackCluster cluster;
-    private final RuleCheck rules = new RuleCheck(CANCEL_LIMIT, TEAMS);
+    private final InvariantChecker rules = new InvariantChecker(CANCEL_LIMIT, TEAMS);
     private final SplittableRandom random = new SplittableRandom(1);
-    private Users users;
+    private TestUsers users;
     private int jobs;
     private int jobsAtATime = 1;
     private Map<String, Long> before = Map.of();
@@ -93,7 +93,7 @@
 
     private void play() throws InterruptedException {
         onLoop(() -> {
-            users = new Users(cluster.loop, cluster.userClient(), rules, random.split(), cluster.userAddresses());
+            users = new TestUsers(cluster.loop, cluster.userClient(), rules, random.split(), cluster.userAddresses());
             cluster.start();
         });
         phase("start of all", Duration.ofSeconds(6));
@@ -140,7 +140,7 @@
                 "render",
                 number % 2 == 0 ? "red" : "blue",
                 JobRequest.Shape.ARRAY,
-                number % 3 == 0 ? Rank.NORMAL : Rank.HIGH,
+                number % 3 == 0 ? Priority.NORMAL : Priority.HIGH,
                 10 + number * 5 % 95,
                 4,
                 0,
--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -10,84 +10,87 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.fake.FakeWorker;
-import org.gullway.protocol.Rank;
+import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 
 /** One trouble each in its hard sequence, with fixed seeds; the generated days mix them. */
 class FaultsTest {
-    private static SimulatedWorld busy(int seed) {
-        SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
+    private static SimulatedCluster busy(int seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 8; i++) {
             int number = i;
-            world.after(
+            cluster.after(
                     Duration.ofMillis(200L * i),
-                    () -> world.submit(
+                    () -> cluster.submit(
                             number,
                             number % 2 == 0 ? "red" : "blue",
-                            number % 3 == 0 ? Rank.HIGH : Rank.NORMAL,
+                            number % 3 == 0 ? Priority.HIGH : Priority.NORMAL,
                             5,
                             4,
                             Duration.ofSeconds(12 + number)));
         }
-        world.run(Duration.ofSeconds(18));
-        assertThat(world.started()).isPositive();
-        return world;
+        cluster.run(Duration.ofSeconds(18));
+        assertThat(cluster.started()).isPositive();
+        return cluster;
     }
 
-    private static void finishes(SimulatedWorld world, Duration within) {
-        world.run(within);
-        assertThat(world.broken).isEmpty();
-        assertThat(world.unfinished()).isEmpty();
+    private static void finishes(SimulatedCluster cluster, Duration within) {
+        cluster.run(within);
+        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.unfinished()).isEmpty();
     }
 
     /** It never hears again: its reports go on, its sessions move on, and it has to be returned all the same. */
     @Property(tries = 6, seed = "21")
     void aMachineThatReportsAndDoesNotHearIsGivenUp(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = busy(seed);
-        FakeWorker deaf = world.cloud.workers().get(0);
-        world.network.unanswered(deaf.name(), true);
-        world.network.cut("*", deaf.address());
-        world.after(Duration.ofSeconds(1), () -> world.submit(9, "blue", Rank.HIGH, 16, 4, Duration.ofSeconds(20)));
-        finishes(world, Duration.ofSeconds(150));
-        assertThat(world.cloud.worker(deaf.name())).as("returned").isNull();
+        SimulatedCluster cluster = busy(seed);
+        FakeWorker deaf = cluster.cloud.workers().get(0);
+        cluster.network.unanswered(deaf.name(), true);
+        cluster.network.cut("*", deaf.address());
+        cluster.after(
+                Duration.ofSeconds(1), () -> cluster.submit(9, "blue", Priority.HIGH, 16, 4, Duration.ofSeconds(20)));
+        finishes(cluster, Duration.ofSeconds(150));
+        assertThat(cluster.cloud.worker(deaf.name())).as("returned").isNull();
     }
 
     /** Copies come up to three leases late, to controllers that have all been started anew and know nothing newer. */
     @Property(tries = 6, seed = "22")
     void lateCopiesOfReportsToControllersThatKnowNothing(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = busy(seed);
-        world.network.copyLate(0.8, "/agent/beat", SimulatedWorld.LEASE.multipliedBy(3), world.userAddresses());
+        SimulatedCluster cluster = busy(seed);
+        cluster.network.copyLate(0.8, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(3), cluster.userAddresses());
         for (int at : List.of(4, 15, 40)) {
-            world.after(Duration.ofSeconds(at), () -> {
-                world.nodes().forEach(node -> world.crash(node, Duration.ofMillis(300)));
-                world.cloud.workers().stream().limit(1).forEach(FakeWorker::die);
+            cluster.after(Duration.ofSeconds(at), () -> {
+                cluster.nodes().forEach(node -> cluster.crash(node, Duration.ofMillis(300)));
+                cluster.cloud.workers().stream().limit(1).forEach(FakeWorker::die);
             });
         }
         for (int i = 9; i < 15; i++) {
             int number = i;
-            world.after(Duration.ofSeconds(5L * (i - 8)), () -> {
-                world.submit(number, "blue", number % 2 == 0 ? Rank.HIGH : Rank.IDLE, 6, 8, Duration.ofSeconds(9));
-                world.after(
+            cluster.after(Duration.ofSeconds(5L * (i - 8)), () -> {
+                cluster.submit(
+                        number, "blue", number % 2 == 0 ? Priority.HIGH : Priority.IDLE, 6, 8, Duration.ofSeconds(9));
+                cluster.after(
                         Duration.ofSeconds(7),
-                        () -> world.users().get(number - 1).cancel());
+                        () -> cluster.users().get(number - 1).cancel());
             });
         }
-        finishes(world, Duration.ofSeconds(240));
+        finishes(cluster, Duration.ofSeconds(240));
     }
 
     /** It keeps its workers and loses all else: it must stop by its own clock, and its workers turn to the others. */
     @Property(tries = 6, seed = "23")
     void aControllerIsLeftWithItsWorkersAlone(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = busy(seed);
-        String alone = world.nodes().get(seed % 3);
-        world.network.cut(alone, SimulatedWorld.stateAddress());
-        for (String other : world.nodes()) {
-            world.network.cut(alone, world.meshAddress(other));
-            world.network.cut(other, world.meshAddress(alone));
+        SimulatedCluster cluster = busy(seed);
+        String alone = cluster.nodes().get(seed % 3);
+        cluster.network.cut(alone, SimulatedCluster.stateAddress());
+        for (String other : cluster.nodes()) {
+            cluster.network.cut(alone, cluster.meshAddress(other));
+            cluster.network.cut(other, cluster.meshAddress(alone));
         }
-        world.after(Duration.ofSeconds(3), () -> world.submit(9, "blue", Rank.HIGH, 8, 4, Duration.ofSeconds(10)));
-        world.after(Duration.ofSeconds(70), world::calm);
-        finishes(world, Duration.ofSeconds(200));
+        cluster.after(
+                Duration.ofSeconds(3), () -> cluster.submit(9, "blue", Priority.HIGH, 8, 4, Duration.ofSeconds(10)));
+        cluster.after(Duration.ofSeconds(70), cluster::calm);
+        finishes(cluster, Duration.ofSeconds(200));
     }
 
     /**
@@ -98,81 +101,82 @@
      */
     @Property(tries = 6, seed = "26")
     void theWorkOfAZoneThatIsCutOffGoesOn(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 6; i++) {
-            world.submit(i, i % 2 == 0 ? "red" : "blue", Rank.NORMAL, 2, 4, Duration.ofSeconds(55 + i));
+            cluster.submit(i, i % 2 == 0 ? "red" : "blue", Priority.NORMAL, 2, 4, Duration.ofSeconds(55 + i));
         }
-        world.run(Duration.ofSeconds(25));
-        assertThat(world.started()).isEqualTo(12);
-        world.cutZone("b", true);
-        world.run(SimulatedWorld.CANCEL.minusSeconds(12));
-        world.cutZone("b", false);
-        finishes(world, Duration.ofSeconds(100));
-        assertThat(world.started()).as("none began anew").isEqualTo(12);
+        cluster.run(Duration.ofSeconds(25));
+        assertThat(cluster.started()).isEqualTo(12);
+        cluster.cutZone("b", true);
+        cluster.run(SimulatedCluster.CANCEL.minusSeconds(12));
+        cluster.cutZone("b", false);
+        finishes(cluster, Duration.ofSeconds(100));
+        assertThat(cluster.started()).as("none began anew").isEqualTo(12);
     }
 
     /** The same with a cancellation: nobody can stop those tasks, but the cloud ends them in time. */
     @Property(tries = 6, seed = "27")
     void cancelledTasksInAZoneThatIsCutOffAreGoneInTime(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 6; i++) {
-            world.submit(i, i % 2 == 0 ? "red" : "blue", Rank.NORMAL, 2, 4, Duration.ofSeconds(200));
+            cluster.submit(i, i % 2 == 0 ? "red" : "blue", Priority.NORMAL, 2, 4, Duration.ofSeconds(200));
         }
-        world.run(Duration.ofSeconds(25));
-        world.cutZone("b", true);
-        world.after(Duration.ofSeconds(9), () -> world.users().forEach(User::cancel));
-        world.after(Duration.ofSeconds(70), () -> world.cutZone("b", false));
-        finishes(world, Duration.ofSeconds(150));
+        cluster.run(Duration.ofSeconds(25));
+        cluster.cutZone("b", true);
+        cluster.after(Duration.ofSeconds(9), () -> cluster.users().forEach(TestUser::cancel));
+        cluster.after(Duration.ofSeconds(70), () -> cluster.cutZone("b", false));
+        finishes(cluster, Duration.ofSeconds(150));
     }
 
     /** Processes are back within milliseconds, again and again, also while a leader is being chosen. */
     @Property(tries = 6, seed = "24")
     void restartsWithinMillisecondsDuringAnElection(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = busy(seed);
+        SimulatedCluster cluster = busy(seed);
         for (int i = 0; i < 9; i++) {
-            String node = world.nodes().get((seed + i * (1 + seed % 2)) % 3);
-            world.after(Duration.ofMillis(230L * i), () -> world.crash(node, Duration.ofMillis(3 + seed % 50)));
+            String node = cluster.nodes().get((seed + i * (1 + seed % 2)) % 3);
+            cluster.after(Duration.ofMillis(230L * i), () -> cluster.crash(node, Duration.ofMillis(3 + seed % 50)));
         }
-        world.after(Duration.ofSeconds(1), () -> world.submit(9, "blue", Rank.HIGH, 8, 4, Duration.ofSeconds(10)));
-        world.after(Duration.ofSeconds(5), world::calm);
-        finishes(world, Duration.ofSeconds(150));
+        cluster.after(
+                Duration.ofSeconds(1), () -> cluster.submit(9, "blue", Priority.HIGH, 8, 4, Duration.ofSeconds(10)));
+        cluster.after(Duration.ofSeconds(5), cluster::calm);
+        finishes(cluster, Duration.ofSeconds(150));
     }
 
     /** Small tasks press all day long: at least half of all are served, and the largest begin within four minutes. */
     @Property(tries = 4, seed = "25")
     void largeJobsBeginUnderSteadyPressureOfSmallOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = new SimulatedWorld(seed, 0, 1);
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 1);
         for (int i = 1; i <= 180; i++) {
             int number = i;
             boolean large = number % 30 == 0;
-            world.after(
+            cluster.after(
                     Duration.ofMillis(2000L * i),
-                    () -> world.submit(
+                    () -> cluster.submit(
                             number,
                             large || number % 4 != 1 ? "blue" : "red",
-                            Rank.NORMAL,
+                            Priority.NORMAL,
                             large ? 6 : 4,
                             large ? 16 : 4,
                             Duration.ofSeconds(large ? 20 : 18)));
         }
-        world.run(Duration.ofMinutes(13));
-        assertThat(world.broken).isEmpty();
-        List<User> large =
-                world.users().stream().filter(u -> u.request.cpus() == 16).toList();
+        cluster.run(Duration.ofMinutes(13));
+        assertThat(cluster.broken).isEmpty();
+        List<TestUser> large =
+                cluster.users().stream().filter(u -> u.request.cpus() == 16).toList();
         assertThat(large)
                 .hasSize(6)
                 .allSatisfy(user -> assertThat(user.waited()).isNotNull().isLessThan(Duration.ofMinutes(4)));
         for (String group : List.of("red", "blue", "render", "survey")) {
-            List<User> all = world.users().stream()
+            List<TestUser> all = cluster.users().stream()
                     .filter(u -> u.request.team().equals(group)
                             || u.request.jobClass().equals(group))
                     .toList();
-            assertThat(2 * all.stream().filter(User::over).count())
+            assertThat(2 * all.stream().filter(TestUser::over).count())
                     .as("served of %s", group)
                     .isGreaterThanOrEqualTo(all.size())
                     .isPositive();
         }
-        assertThat(large.stream().filter(User::over).count()).isGreaterThanOrEqualTo(3);
+        assertThat(large.stream().filter(TestUser::over).count()).isGreaterThanOrEqualTo(3);
     }
 
     /**
@@ -181,38 +185,39 @@
      */
     @Property(tries = 3, seed = "28")
     void aGuestTeamNeitherStarvesOthersNorIsStarved(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        Map<String, Settings.Team> teams = new HashMap<>(SimulatedWorld.Shape.SMALL_TEAMS);
+        Map<String, Settings.Team> teams = new HashMap<>(SimulatedCluster.Shape.SMALL_TEAMS);
         teams.put("guest", new Settings.Team("guest", 0, 0, 0, 0));
-        SimulatedWorld world = new SimulatedWorld(seed, new SimulatedWorld.Shape(3, teams, Duration.ofSeconds(3), 0));
-        world.submit(1, "guest", Rank.IDLE, 600, 1, Duration.ofSeconds(4));
-        world.submit(2, "guest", Rank.IDLE, 20, 8, Duration.ofSeconds(40));
+        SimulatedCluster cluster =
+                new SimulatedCluster(seed, new SimulatedCluster.Shape(3, teams, Duration.ofSeconds(3), 0));
+        cluster.submit(1, "guest", Priority.IDLE, 600, 1, Duration.ofSeconds(4));
+        cluster.submit(2, "guest", Priority.IDLE, 20, 8, Duration.ofSeconds(40));
         for (int i = 10; i < 100; i++) {
             int number = i;
-            world.after(
+            cluster.after(
                     Duration.ofMillis(300L * i),
-                    () -> world.submit(number, "guest", Rank.IDLE, 1, 1, Duration.ofSeconds(5)));
+                    () -> cluster.submit(number, "guest", Priority.IDLE, 1, 1, Duration.ofSeconds(5)));
         }
         for (int i = 200; i < 230; i++) {
             int number = i;
-            world.after(
+            cluster.after(
                     Duration.ofSeconds(2L * (i - 200)),
-                    () -> world.submit(
+                    () -> cluster.submit(
                             number,
                             number % 2 == 0 ? "red" : "blue",
-                            number % 3 == 0 ? Rank.NORMAL : Rank.HIGH,
+                            number % 3 == 0 ? Priority.NORMAL : Priority.HIGH,
                             2,
                             4,
                             Duration.ofSeconds(8)));
         }
-        world.run(Duration.ofSeconds(75));
-        List<User> residents = world.users().stream()
+        cluster.run(Duration.ofSeconds(75));
+        List<TestUser> residents = cluster.users().stream()
                 .filter(u -> !u.request.team().equals("guest"))
                 .toList();
         assertThat(residents).hasSize(30);
         assertThat(residents)
                 .allSatisfy(user -> assertThat(user.waited()).isNotNull().isLessThan(Duration.ofSeconds(40)));
-        world.calm();
-        finishes(world, Duration.ofSeconds(300));
+        cluster.calm();
+        finishes(cluster, Duration.ofSeconds(300));
     }
 
     /**
@@ -221,27 +226,27 @@
      */
     @Property(tries = 12, seed = "29")
     void aControllerThatStoodStillGoesOn(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = busy(seed);
-        String leader = world.leader();
+        SimulatedCluster cluster = busy(seed);
+        String leader = cluster.leader();
         Duration still = Duration.ofMillis(1500 + seed * 37 % 40_000);
-        world.after(Duration.ofMillis(seed % 700), () -> world.standStill(leader, still));
+        cluster.after(Duration.ofMillis(seed % 700), () -> cluster.standStill(leader, still));
         for (int i = 9; i < 15; i++) {
             int number = i;
-            world.after(Duration.ofSeconds(3L * (i - 9)), () -> {
-                world.submit(
+            cluster.after(Duration.ofSeconds(3L * (i - 9)), () -> {
+                cluster.submit(
                         number,
                         number % 2 == 0 ? "red" : "blue",
-                        number % 3 == 0 ? Rank.HIGH : Rank.NORMAL,
+                        number % 3 == 0 ? Priority.HIGH : Priority.NORMAL,
                         4,
                         4,
                         Duration.ofSeconds(15));
-                world.users().get(number - 9).cancel();
+                cluster.users().get(number - 9).cancel();
             });
         }
         for (int i = 0; i < 40; i++) {
-            world.after(Duration.ofMillis(1100L * i), () -> world.users().forEach(User::askEverywhere));
+            cluster.after(Duration.ofMillis(1100L * i), () -> cluster.users().forEach(TestUser::askEverywhere));
         }
-        world.after(still.plusSeconds(2), world::calm);
-        finishes(world, Duration.ofSeconds(220));
+        cluster.after(still.plusSeconds(2), cluster::calm);
+        finishes(cluster, Duration.ofSeconds(220));
     }
 }
--- a/src/test/java/org/gullway/HandoverFaultsTest.java
+++ b/src/test/java/org/gullway/HandoverFaultsTest.java
@@ -17,10 +17,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.gullway.SimulatedWorld.Bounds;
-import org.gullway.coordination.Keys;
+import org.gullway.SimulatedCluster.Bounds;
+import org.gullway.coordination.model.StoreKeys;
 import org.gullway.fake.FakeWorker;
-import org.gullway.protocol.Rank;
+import org.gullway.protocol.Priority;
 import org.gullway.transport.HttpRequest;
 
 /** The work of a controller changes hands while old messages are on their way, jobs are cancelled or machines are silent. */
@@ -29,20 +29,20 @@
         return new Bounds(List.of(type), null, false, false, true);
     }
 
-    private static FakeWorker workerOf(SimulatedWorld world, String type) {
-        return world.cloud.workers().stream()
+    private static FakeWorker workerOf(SimulatedCluster cluster, String type) {
+        return cluster.cloud.workers().stream()
                 .filter(worker -> worker.kind().type().equals(type))
                 .findFirst()
                 .orElseThrow();
     }
 
     /** One idle machine of each type. */
-    private static SimulatedWorld twoIdleMachines(int seed) {
-        SimulatedWorld world = new SimulatedWorld(seed, 0, 1);
-        world.submit(1, "blue", Rank.HIGH, 1, 20, Duration.ofSeconds(5), only("large"));
-        world.submit(2, "blue", Rank.HIGH, 1, 14, Duration.ofSeconds(5), only("small"));
-        world.run(Duration.ofSeconds(25));
-        return world;
+    private static SimulatedCluster twoIdleMachines(int seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 1);
+        cluster.submit(1, "blue", Priority.HIGH, 1, 20, Duration.ofSeconds(5), only("large"));
+        cluster.submit(2, "blue", Priority.HIGH, 1, 14, Duration.ofSeconds(5), only("small"));
+        cluster.run(Duration.ofSeconds(25));
+        return cluster;
     }
 
     /**
@@ -53,31 +53,31 @@
      */
     @Property(tries = 6, seed = "211")
     void oldReportsReachEveryControllerAsALeaderBegins(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = twoIdleMachines(seed);
-        FakeWorker worker = workerOf(world, "large");
-        for (int i = 0; i < 5 && worker.reportsTo().equals(world.leader()); i++) {
+        SimulatedCluster cluster = twoIdleMachines(seed);
+        FakeWorker worker = workerOf(cluster, "large");
+        for (int i = 0; i < 5 && worker.reportsTo().equals(cluster.leader()); i++) {
             // Its process is back at once and keeps its machines, while another takes the leadership.
-            world.crash(world.leader(), Duration.ofMillis(30));
-            world.run(Duration.ofSeconds(3));
+            cluster.crash(cluster.leader(), Duration.ofMillis(30));
+            cluster.run(Duration.ofSeconds(3));
         }
-        world.network.keepCopies(1, "/agent/beat");
-        world.run(Duration.ofSeconds(4));
-        world.network.keepCopies(0, "/agent/beat");
-        User silent = world.submit(3, "red", Rank.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
-        world.run(seconds(1.5));
-        assertThat(world.rules.running()).isEqualTo(1);
-        world.network.mute(worker.name(), true);
-        world.network.cut("*", worker.address());
+        cluster.network.keepCopies(1, "/agent/beat");
+        cluster.run(Duration.ofSeconds(4));
+        cluster.network.keepCopies(0, "/agent/beat");
+        TestUser silent = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
+        cluster.run(seconds(1.5));
+        assertThat(cluster.rules.running()).isEqualTo(1);
+        cluster.network.mute(worker.name(), true);
+        cluster.network.cut("*", worker.address());
         silent.cancel();
-        world.submit(4, "red", Rank.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
-        world.whenLeaderBegins(leader -> world.network.releaseCopies(world.userAddresses()));
-        world.run(seconds(0.5));
+        cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
+        cluster.whenLeaderBegins(leader -> cluster.network.releaseCopies(cluster.userAddresses()));
+        cluster.run(seconds(0.5));
         if (seed % 2 == 0) {
-            world.nodes().forEach(node -> world.crash(node, Duration.ofMillis(300)));
+            cluster.nodes().forEach(node -> cluster.crash(node, Duration.ofMillis(300)));
         } else {
-            world.crash(world.leader(), Duration.ofSeconds(20));
+            cluster.crash(cluster.leader(), Duration.ofSeconds(20));
         }
-        endsWell(world, Duration.ofSeconds(40));
+        endsWell(cluster, Duration.ofSeconds(40));
     }
 
     /**
@@ -86,19 +86,19 @@
      */
     @Property(tries = 6, seed = "212")
     void jobsAreCancelledWhileTheyGetAnotherOwner(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 36; i++) {
-            world.submit(i, i % 4 == 0 ? "red" : "blue", Rank.NORMAL, 1, 2, Duration.ofSeconds(150));
+            cluster.submit(i, i % 4 == 0 ? "red" : "blue", Priority.NORMAL, 1, 2, Duration.ofSeconds(150));
         }
-        world.run(Duration.ofSeconds(25));
-        String ending = world.nodes().get(seed % 3);
-        world.crash(ending, Duration.ofSeconds(30));
-        world.network.slow("/watch", seconds(0.6));
-        List<User> users = world.users();
+        cluster.run(Duration.ofSeconds(25));
+        String ending = cluster.nodes().get(seed % 3);
+        cluster.crash(ending, Duration.ofSeconds(30));
+        cluster.network.slow("/watch", seconds(0.6));
+        List<TestUser> users = cluster.users();
         for (int i = 0; i < 36; i++) {
-            world.after(seconds(4.7 + 0.08 * i + seed % 80 / 1000.0), users.get(i)::cancel);
+            cluster.after(seconds(4.7 + 0.08 * i + seed % 80 / 1000.0), users.get(i)::cancel);
         }
-        endsWell(world, Duration.ofSeconds(40));
+        endsWell(cluster, Duration.ofSeconds(40));
     }
 
     /**
@@ -109,29 +109,31 @@
     @Property(tries = 6, seed = "213")
     void everyTeamAtItsLimitCancellationsOnSilentMachinesAndAnotherLeader(
             @ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 11; i++) {
-            world.submit(i, i <= 3 ? "red" : "blue", i % 2 == 0 ? Rank.HIGH : Rank.NORMAL, 2, 4, seconds(120));
+            cluster.submit(
+                    i, i <= 3 ? "red" : "blue", i % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 2, 4, seconds(120));
         }
-        world.run(Duration.ofSeconds(25));
-        assertThat(world.rules.running()).as("both limits are used up").isEqualTo(22);
+        cluster.run(Duration.ofSeconds(25));
+        assertThat(cluster.rules.running()).as("both limits are used up").isEqualTo(22);
         for (int i = 12; i <= 23; i++) {
-            world.submit(i, i % 3 == 0 ? "red" : "blue", i % 2 == 0 ? Rank.HIGH : Rank.NORMAL, 2, 4, seconds(20));
+            cluster.submit(
+                    i, i % 3 == 0 ? "red" : "blue", i % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 2, 4, seconds(20));
         }
-        world.run(Duration.ofSeconds(2));
+        cluster.run(Duration.ofSeconds(2));
         Duration span = seconds(6 + seed % 26);
-        List<FakeWorker> workers = world.cloud.workers();
+        List<FakeWorker> workers = cluster.cloud.workers();
         for (int i = 0; i < workers.size(); i += 2) {
             FakeWorker worker = workers.get(i);
             if (i % 4 == 0) {
-                cutOff(world, worker, span);
+                cutOff(cluster, worker, span);
             } else {
                 worker.hang(span);
             }
         }
-        world.users().subList(0, 8).forEach(User::cancel);
-        world.after(seconds(seed % 4), () -> world.crash(world.leader(), seconds(0.2 + seed % 9)));
-        endsWell(world, span.plusSeconds(20));
+        cluster.users().subList(0, 8).forEach(TestUser::cancel);
+        cluster.after(seconds(seed % 4), () -> cluster.crash(cluster.leader(), seconds(0.2 + seed % 9)));
+        endsWell(cluster, span.plusSeconds(20));
     }
 
     /**
@@ -141,20 +143,20 @@
      */
     @Property(tries = 9, seed = "214")
     void aStartOfAnEarlierCommanderArrivesAfterTheNewOnesCommands(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = twoIdleMachines(seed);
-        world.network.holdUp(1, "/do");
-        User late = world.submit(3, "red", Rank.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
-        world.run(seconds(1));
-        world.network.holdUp(0, "/do");
-        String commander = workerOf(world, "large").reportsTo();
+        SimulatedCluster cluster = twoIdleMachines(seed);
+        cluster.network.holdUp(1, "/do");
+        TestUser late = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
+        cluster.run(seconds(1));
+        cluster.network.holdUp(0, "/do");
+        String commander = workerOf(cluster, "large").reportsTo();
         if (seed % 3 == 0) {
-            cutFromState(world, commander, Duration.ofSeconds(30));
+            cutFromState(cluster, commander, Duration.ofSeconds(30));
         } else {
-            world.crash(commander, seed % 3 == 1 ? Duration.ofMillis(200) : Duration.ofSeconds(20));
+            cluster.crash(commander, seed % 3 == 1 ? Duration.ofMillis(200) : Duration.ofSeconds(20));
         }
         late.cancel();
-        world.submit(4, "red", Rank.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
-        endsWell(world, Duration.ofSeconds(40));
+        cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
+        endsWell(cluster, Duration.ofSeconds(40));
     }
 
     /**
@@ -163,14 +165,14 @@
      */
     @Property(tries = 6, seed = "218")
     void aStartArrivesAfterItsSenderHasGivenUp(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = twoIdleMachines(seed);
-        world.network.holdUp(1, "/do");
-        User late = world.submit(3, "red", Rank.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
-        world.run(seconds(1));
-        world.network.holdUp(0, "/do");
+        SimulatedCluster cluster = twoIdleMachines(seed);
+        cluster.network.holdUp(1, "/do");
+        TestUser late = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
+        cluster.run(seconds(1));
+        cluster.network.holdUp(0, "/do");
         late.cancel();
-        world.submit(4, "red", Rank.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
-        endsWell(world, Duration.ofSeconds(40));
+        cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
+        endsWell(cluster, Duration.ofSeconds(40));
     }
 
     /**
@@ -179,16 +181,16 @@
      */
     @Property(tries = 4, seed = "215")
     void theOnlyMachineOfItsKindReportsAndDoesNotHear(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = new SimulatedWorld(seed, 0, 1);
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 1);
         Bounds one = new Bounds(List.of("large"), "a", false, false, false);
-        world.submit(1, "blue", Rank.HIGH, 1, 20, Duration.ofSeconds(400), one);
-        world.run(Duration.ofSeconds(25));
-        deafen(world, workerOf(world, "large"), Duration.ofDays(1));
-        world.after(seconds(seed % 30), () -> world.users().forEach(User::cancel));
-        world.after(Duration.ofSeconds(31), () -> world.submit(2, "blue", Rank.HIGH, 1, 20, seconds(10), one));
-        world.run(Duration.ofSeconds(110));
-        assertThat(world.broken).isEmpty();
-        assertThat(world.unfinished()).isEmpty();
+        cluster.submit(1, "blue", Priority.HIGH, 1, 20, Duration.ofSeconds(400), one);
+        cluster.run(Duration.ofSeconds(25));
+        deafen(cluster, workerOf(cluster, "large"), Duration.ofDays(1));
+        cluster.after(seconds(seed % 30), () -> cluster.users().forEach(TestUser::cancel));
+        cluster.after(Duration.ofSeconds(31), () -> cluster.submit(2, "blue", Priority.HIGH, 1, 20, seconds(10), one));
+        cluster.run(Duration.ofSeconds(110));
+        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.unfinished()).isEmpty();
     }
 
     /**
@@ -197,25 +199,27 @@
      */
     @Property(tries = 4, seed = "216")
     void aControllerIsNotReadyOnceItsMembershipHasEnded(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = working(seed, Duration.ofSeconds(60));
-        String node = world.nodes().get(seed % 3);
-        var prober = world.network.client("prober", world.time.process());
+        SimulatedCluster cluster = working(seed, Duration.ofSeconds(60));
+        String node = cluster.nodes().get(seed % 3);
+        var prober = cluster.network.client("prober", cluster.time.process());
         List<Instant> readyWithoutMembership = new ArrayList<>();
-        cutFromState(world, node, Duration.ofSeconds(30));
+        cutFromState(cluster, node, Duration.ofSeconds(30));
         for (int i = 0; i < 1500; i++) {
-            world.after(Duration.ofMillis(10L * i), () -> {
-                boolean member = world.store.value(Keys.member(node)) != null;
-                prober.call(world.address(node), HttpRequest.get("/up", Duration.ofSeconds(1)), reply -> {
-                    if (!member && reply.status() == 200) {
-                        readyWithoutMembership.add(world.time.now());
+            cluster.after(Duration.ofMillis(10L * i), () -> {
+                boolean member = cluster.store.value(StoreKeys.member(node)) != null;
+                prober.call(cluster.address(node), HttpRequest.get("/up", Duration.ofSeconds(1)), response -> {
+                    if (!member && response.status() == 200) {
+                        readyWithoutMembership.add(cluster.time.now());
                     }
                 });
             });
         }
-        world.run(Duration.ofSeconds(15));
-        assertThat(world.store.value(Keys.member(node))).as("its membership").isNull();
+        cluster.run(Duration.ofSeconds(15));
+        assertThat(cluster.store.value(StoreKeys.member(node)))
+                .as("its membership")
+                .isNull();
         assertThat(readyWithoutMembership).isEmpty();
-        endsWell(world, Duration.ofSeconds(20));
+        endsWell(cluster, Duration.ofSeconds(20));
     }
 
     /**
@@ -225,23 +229,23 @@
      */
     @Property(tries = 4, seed = "219")
     void aLeaderIsLeftWithWorkersThatNobodyElseReaches(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = working(seed, Duration.ofSeconds(200));
-        String leader = world.leader();
-        Duration span = SimulatedWorld.CANCEL.plusSeconds(20);
-        cutFromState(world, leader, span);
-        world.cutMesh(leader, true);
-        for (String other : world.nodes()) {
+        SimulatedCluster cluster = working(seed, Duration.ofSeconds(200));
+        String leader = cluster.leader();
+        Duration span = SimulatedCluster.CANCEL.plusSeconds(20);
+        cutFromState(cluster, leader, span);
+        cluster.cutMesh(leader, true);
+        for (String other : cluster.nodes()) {
             if (!other.equals(leader)) {
-                world.network.cut(other, SimulatedWorld.cloudAddress());
-                world.cloud.workers().forEach(worker -> world.network.cut(other, worker.address()));
-                world.cloud.workers().forEach(worker -> world.network.cut(worker.name(), world.address(other)));
+                cluster.network.cut(other, SimulatedCluster.cloudAddress());
+                cluster.cloud.workers().forEach(worker -> cluster.network.cut(other, worker.address()));
+                cluster.cloud.workers().forEach(worker -> cluster.network.cut(worker.name(), cluster.address(other)));
             }
         }
-        world.after(
+        cluster.after(
                 seconds(1 + seed % 8),
                 () -> cancelThrough(
-                        world, world.otherThan(leader), world.users().subList(0, 6)));
-        endsWell(world, span);
+                        cluster, cluster.otherThan(leader), cluster.users().subList(0, 6)));
+        endsWell(cluster, span);
     }
 
     /**
@@ -250,17 +254,17 @@
      */
     @Property(tries = 4, seed = "220")
     void noWorkerReachesACommanderThatIsWellOtherwise(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = working(seed, Duration.ofSeconds(60));
-        int started = world.started();
-        String commander = world.cloud.workers().get(0).reportsTo();
-        world.cloud.workers().forEach(worker -> {
-            world.network.cut(worker.name(), world.address(commander));
-            world.network.cut(commander, worker.address());
+        SimulatedCluster cluster = working(seed, Duration.ofSeconds(60));
+        int started = cluster.started();
+        String commander = cluster.cloud.workers().get(0).reportsTo();
+        cluster.cloud.workers().forEach(worker -> {
+            cluster.network.cut(worker.name(), cluster.address(commander));
+            cluster.network.cut(commander, worker.address());
         });
-        world.run(Duration.ofSeconds(80));
-        assertThat(world.broken).isEmpty();
-        assertThat(world.unfinished()).isEmpty();
-        assertThat(world.started()).as("none began anew").isEqualTo(started);
+        cluster.run(Duration.ofSeconds(80));
+        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.unfinished()).isEmpty();
+        assertThat(cluster.started()).as("none began anew").isEqualTo(started);
     }
 
     /**
@@ -270,19 +274,22 @@
      */
     @Property(tries = 6, seed = "217")
     void processesAndMachinesAreBackWithinAFractionOfASecond(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = working(seed, Duration.ofSeconds(50));
-        moreWork(world, 9, 8);
-        world.after(seconds(1), () -> world.crash(world.leader(), seconds(5 + seed % 6)));
+        SimulatedCluster cluster = working(seed, Duration.ofSeconds(50));
+        moreWork(cluster, 9, 8);
+        cluster.after(seconds(1), () -> cluster.crash(cluster.leader(), seconds(5 + seed % 6)));
         for (int i = 0; i < 12; i++) {
             int number = i;
-            world.after(seconds(0.7 * i + seed % 60 / 100.0), () -> {
-                world.crash(world.nodes().get((seed + number) % 3), Duration.ofMillis(20 + 61L * number));
-                List<FakeWorker> workers = world.cloud.workers();
+            cluster.after(seconds(0.7 * i + seed % 60 / 100.0), () -> {
+                cluster.crash(cluster.nodes().get((seed + number) % 3), Duration.ofMillis(20 + 61L * number));
+                List<FakeWorker> workers = cluster.cloud.workers();
                 workers.get((seed + number) % workers.size()).hang(Duration.ofMillis(100 + 70L * number));
-                cutOff(world, workers.get((seed + 3 * number) % workers.size()), Duration.ofMillis(900 - 60L * number));
+                cutOff(
+                        cluster,
+                        workers.get((seed + 3 * number) % workers.size()),
+                        Duration.ofMillis(900 - 60L * number));
             });
         }
-        world.after(seconds(4), () -> world.users().subList(0, 3).forEach(User::cancel));
-        endsWell(world, Duration.ofSeconds(15));
+        cluster.after(seconds(4), () -> cluster.users().subList(0, 3).forEach(TestUser::cancel));
+        endsWell(cluster, Duration.ofSeconds(15));
     }
 }
--- a/src/test/java/org/gullway/RuleCheck.java
+++ b/src/test/java/org/gullway/InvariantChecker.java
@@ -17,7 +17,7 @@
 import org.gullway.protocol.Settings;
 
 /** The rules of the protocol, seen from outside: by what is on the machines and by what users are told. */
-final class RuleCheck {
+final class InvariantChecker {
     /** A job about which no question is answered for so long after all troubles is forgotten. */
     private static final Duration FORGOTTEN = Duration.ofSeconds(75);
     /** The same while most other questions are answered, whatever troubles there are. */
@@ -64,7 +64,7 @@
     private int starts;
     private int startsAfterCancellation;
 
-    RuleCheck(Duration cancelLimit, Map<String, Settings.Team> teams) {
+    InvariantChecker(Duration cancelLimit, Map<String, Settings.Team> teams) {
         this.cancelLimit = cancelLimit;
         this.teams = teams;
     }
@@ -127,10 +127,10 @@
 
     /** Why no task of the job may start on such a machine, given where its others are; null if one may. */
     private String wrong(JobRequest request, FakeWorker.Kind kind) {
-        if (kind.spot() && !request.spot()) {
+        if (kind.spot() && !request.spotAllowed()) {
             return "a spot machine";
         }
-        if (request.types() != null && !request.types().contains(kind.type())) {
+        if (request.machineTypes() != null && !request.machineTypes().contains(kind.type())) {
             return "of type " + kind.type();
         }
         if (request.zone() != null && !request.zone().equals(kind.zone())) {
@@ -147,10 +147,10 @@
                 }
             }
         }
-        if (request.oneZone() && elsewhere > 0) {
+        if (request.singleZone() && elsewhere > 0) {
             return "in zone " + kind.zone() + ", its other tasks are not";
         }
-        if (request.spread() && there + 1 > (request.tasks() + 1) / 2) {
+        if (request.spreadAcrossZones() && there + 1 > (request.tasks() + 1) / 2) {
             return "the task beyond half of them in zone " + kind.zone();
         }
         return null;
--- a/src/test/java/org/gullway/RuleCheckTest.java
+++ b/src/test/java/org/gullway/InvariantCheckerTest.java
@@ -8,15 +8,16 @@
 import java.util.Map;
 import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.JobRequest;
-import org.gullway.protocol.Rank;
+import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** Each rule broken once on purpose: a check that finds nothing must be known to find something. */
-class RuleCheckTest {
+class InvariantCheckerTest {
     private static final Duration CANCEL = Duration.ofSeconds(40);
-    private final RuleCheck rules = new RuleCheck(CANCEL, Map.of("red", new Settings.Team("red", 8, 24, 0, 0)));
+    private final InvariantChecker rules =
+            new InvariantChecker(CANCEL, Map.of("red", new Settings.Team("red", 8, 24, 0, 0)));
 
     @BeforeEach
     void machines() {
@@ -29,14 +30,14 @@
         return Instant.EPOCH.plusSeconds(second);
     }
 
-    private String job(int number, int tasks, SimulatedWorld.Bounds bounds) {
+    private String job(int number, int tasks, SimulatedCluster.Bounds bounds) {
         String id = String.format("run-%06d", number);
         rules.submitted(new JobRequest(
                 id,
                 "render",
                 "red",
                 JobRequest.Shape.ARRAY,
-                Rank.HIGH,
+                Priority.HIGH,
                 tasks,
                 4,
                 0,
@@ -57,7 +58,7 @@
     }
 
     private String anywhere(int number, int tasks) {
-        return job(number, tasks, new SimulatedWorld.Bounds(null, null, false, false, true));
+        return job(number, tasks, new SimulatedCluster.Bounds(null, null, false, false, true));
     }
 
     private void breaks(String rule) {
@@ -66,7 +67,7 @@
 
     @Test
     void typeZoneAndKind() {
-        String typed = job(1, 4, new SimulatedWorld.Bounds(List.of("small"), "a", false, false, false));
+        String typed = job(1, 4, new SimulatedCluster.Bounds(List.of("small"), "a", false, false, false));
         rules.began("a1", typed + "/0", at(1));
         assertThat(rules.broken).isEmpty();
         rules.began("a2", typed + "/1", at(1));
@@ -76,13 +77,13 @@
         breaks("wrong_place: run-000001/2 on b1: in zone b");
         rules.broken.clear();
         rules.began(
-                "a2", job(2, 1, new SimulatedWorld.Bounds(List.of("small"), null, false, false, true)) + "/0", at(1));
+                "a2", job(2, 1, new SimulatedCluster.Bounds(List.of("small"), null, false, false, true)) + "/0", at(1));
         breaks("wrong_place: run-000002/0 on a2: of type large");
     }
 
     @Test
     void oneZone() {
-        String id = job(1, 3, SimulatedWorld.Bounds.ONE_ZONE);
+        String id = job(1, 3, SimulatedCluster.Bounds.ONE_ZONE);
         rules.began("a1", id + "/0", at(1));
         rules.began("a2", id + "/1", at(1));
         rules.ended("a1", id + "/0", true);
@@ -93,7 +94,7 @@
 
     @Test
     void oneZoneMayChangeOnceNoTaskIsLeft() {
-        String id = job(1, 2, SimulatedWorld.Bounds.ONE_ZONE);
+        String id = job(1, 2, SimulatedCluster.Bounds.ONE_ZONE);
         rules.began("a1", id + "/0", at(1));
         rules.ended("a1", id + "/0", false);
         rules.began("b1", id + "/0", at(2));
@@ -102,7 +103,7 @@
 
     @Test
     void spread() {
-        String id = job(1, 5, SimulatedWorld.Bounds.SPREAD);
+        String id = job(1, 5, SimulatedCluster.Bounds.SPREAD);
         for (int i = 0; i < 3; i++) {
             rules.began("a1", id + "/" + i, at(1));
         }
@@ -231,7 +232,7 @@
 
     @Test
     void aJobIsLeftWaitingBesideRoom() {
-        String id = job(1, 1, SimulatedWorld.Bounds.in("b"));
+        String id = job(1, 1, SimulatedCluster.Bounds.in("b"));
         rules.waiting(machine -> true, at(1));
         rules.calm(at(2));
         rules.waiting(machine -> true, at(3));
--- a/src/test/java/org/gullway/LateCommitAnswerTest.java
+++ b/src/test/java/org/gullway/LateCommitAnswerTest.java
@@ -10,16 +10,16 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.gullway.coordination.Samples;
+import org.gullway.coordination.model.TestFixtures;
 import org.gullway.fake.SimulatedTime;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
-import org.gullway.protocol.MalformedException;
-import org.gullway.protocol.Rank;
-import org.gullway.transport.Call;
-import org.gullway.transport.Client;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.protocol.Priority;
+import org.gullway.transport.HttpClient;
+import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpRequest;
-import org.gullway.transport.Reply;
+import org.gullway.transport.HttpResponse;
 
 /**
  * The answer to a controller's own commit of a job's first record comes only after the job has been cancelled through
@@ -36,21 +36,21 @@
     private static final class Submitter {
         private final SimulatedTime time;
         private final SimulatedTime.Process process;
-        private final Client client;
+        private final HttpClient client;
         private final List<String> submissionsAfterCancellation = new ArrayList<>();
         private boolean cancelled;
 
-        Submitter(SimulatedWorld world) {
-            this.time = world.time;
-            this.process = world.time.process();
-            this.client = world.network.client("users", process);
+        Submitter(SimulatedCluster cluster) {
+            this.time = cluster.time;
+            this.process = cluster.time.process();
+            this.client = cluster.network.client("users", process);
         }
 
         void submit(String address, Consumer<String> answered) {
             boolean after = cancelled;
             HttpRequest request = HttpRequest.post("/v2/runs", Cbor.encode(job().toNode()), Duration.ofSeconds(5));
-            client.call(address, request, reply -> {
-                String answer = reply.status() + " " + state(reply);
+            client.call(address, request, response -> {
+                String answer = response.status() + " " + state(response);
                 if (after) {
                     submissionsAfterCancellation.add(answer);
                 }
@@ -61,9 +61,9 @@
         void cancel(String address, Runnable done) {
             HttpRequest request =
                     HttpRequest.post("/v2/runs/" + JOB + "/withdraw", Cbor.encode(Cbor.map()), Duration.ofSeconds(5));
-            client.call(address, request, reply -> {
-                if (reply.status() == 200) {
-                    assertThat(state(reply)).isEqualTo("aborted");
+            client.call(address, request, response -> {
+                if (response.status() == 200) {
+                    assertThat(state(response)).isEqualTo("aborted");
                     cancelled = true;
                     done.run();
                 } else {
@@ -82,26 +82,26 @@
             time.runUntil(time.now().plus(span));
         }
 
-        private static String state(Reply reply) {
+        private static String state(HttpResponse response) {
             try {
-                return reply.body().length == 0
+                return response.body().length == 0
                         ? ""
-                        : Cbor.decode(reply.body()).path("tide").asText();
-            } catch (MalformedException e) {
+                        : Cbor.decode(response.body()).path("tide").asText();
+            } catch (MalformedMessageException e) {
                 return "unreadable";
             }
         }
     }
 
     private static JobRequest job() {
-        return Samples.request(JOB, "blue", Rank.HIGH, 3, 4);
+        return TestFixtures.request(JOB, "blue", Priority.HIGH, 3, 4);
     }
 
-    private static boolean commitsTheJob(Call call) {
+    private static boolean commitsTheJob(HttpExchange exchange) {
         try {
-            return call.path().equals("/commit")
-                    && Cbor.decode(call.body()).path("then").toString().contains(JOB);
-        } catch (MalformedException e) {
+            return exchange.path().equals("/commit")
+                    && Cbor.decode(exchange.body()).path("then").toString().contains(JOB);
+        } catch (MalformedMessageException e) {
             return false;
         }
     }
@@ -111,18 +111,18 @@
     }
 
     /** Before a machine is up, so that the cancellation ends the job at once. */
-    private static SimulatedWorld started(int seed) {
-        SimulatedWorld world = new SimulatedWorld(seed, 0, 3);
-        world.run(seconds(5));
-        assertThat(world.leader()).isNotNull();
-        return world;
+    private static SimulatedCluster started(int seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
+        cluster.run(seconds(5));
+        assertThat(cluster.leader()).isNotNull();
+        return cluster;
     }
 
-    private static void nothingWentBack(SimulatedWorld world, Submitter user) {
+    private static void nothingWentBack(SimulatedCluster cluster, Submitter user) {
         user.run(COMMIT_ANSWERED_AFTER.plus(Duration.ofSeconds(8)));
         assertThat(user.submissionsAfterCancellation).contains("200 aborted");
         assertThat(user.submissionsAfterCancellation).allMatch(answer -> isOneOf(answer, "200 aborted", "503 "));
-        assertThat(world.broken).isEmpty();
+        assertThat(cluster.broken).isEmpty();
     }
 
     /**
@@ -131,16 +131,17 @@
      */
     @Property(tries = 8, seed = "231")
     void aSecondSubmissionIsNotAnsweredByTheCommitOfTheFirst(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = started(seed);
-        String slow = world.otherThan(world.leader());
-        String other = world.leader();
-        Submitter user = new Submitter(world);
-        world.store.answerLate((client, call) -> client.equals(slow) && commitsTheJob(call), COMMIT_ANSWERED_AFTER);
-        user.submit(world.address(slow), first -> {
+        SimulatedCluster cluster = started(seed);
+        String slow = cluster.otherThan(cluster.leader());
+        String other = cluster.leader();
+        Submitter user = new Submitter(cluster);
+        cluster.store.answerLate(
+                (client, exchange) -> client.equals(slow) && commitsTheJob(exchange), COMMIT_ANSWERED_AFTER);
+        user.submit(cluster.address(slow), first -> {
             assertThat(first).isEqualTo("200 pending");
-            user.cancel(world.address(other), () -> user.submitAgainAndAgain(world.address(slow)));
+            user.cancel(cluster.address(other), () -> user.submitAgainAndAgain(cluster.address(slow)));
         });
-        nothingWentBack(world, user);
+        nothingWentBack(cluster, user);
     }
 
     /**
@@ -149,21 +150,21 @@
      */
     @Property(tries = 8, seed = "232")
     void aSubmissionThatCameAfterTheCommitWasSentIsNotAnsweredByIt(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = started(seed);
-        String slow = world.otherThan(world.leader());
-        String other = world.leader();
-        Submitter user = new Submitter(world);
-        world.store.answerLate(
-                (client, call) -> client.equals(slow)
-                        && (commitsTheJob(call) || call.path().equals("/watch")),
+        SimulatedCluster cluster = started(seed);
+        String slow = cluster.otherThan(cluster.leader());
+        String other = cluster.leader();
+        Submitter user = new Submitter(cluster);
+        cluster.store.answerLate(
+                (client, exchange) -> client.equals(slow)
+                        && (commitsTheJob(exchange) || exchange.path().equals("/watch")),
                 COMMIT_ANSWERED_AFTER);
         // A watch that is open already would be answered in time.
-        world.run(Duration.ofSeconds(3));
-        user.submit(world.address(slow), first -> {});
-        world.after(
+        cluster.run(Duration.ofSeconds(3));
+        user.submit(cluster.address(slow), first -> {});
+        cluster.after(
                 Duration.ofMillis(100),
-                () -> user.cancel(world.address(other), () -> user.submitAgainAndAgain(world.address(slow))));
-        nothingWentBack(world, user);
+                () -> user.cancel(cluster.address(other), () -> user.submitAgainAndAgain(cluster.address(slow))));
+        nothingWentBack(cluster, user);
     }
 
     /**
@@ -172,19 +173,19 @@
      */
     @Property(tries = 4, seed = "234")
     void aCancelledJobThatTheViewLacksIsNotReadAgainAndAgain(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = started(seed);
-        String slow = world.otherThan(world.leader());
-        Submitter user = new Submitter(world);
-        world.store.answerLate(
-                (client, call) -> client.equals(slow) && call.path().equals("/watch"), WATCH_LAGS);
+        SimulatedCluster cluster = started(seed);
+        String slow = cluster.otherThan(cluster.leader());
+        Submitter user = new Submitter(cluster);
+        cluster.store.answerLate(
+                (client, exchange) -> client.equals(slow) && exchange.path().equals("/watch"), WATCH_LAGS);
         // A watch that is open already would be answered in time.
-        world.run(Duration.ofSeconds(3));
-        world.stateRequests.clear();
+        cluster.run(Duration.ofSeconds(3));
+        cluster.stateRequests.clear();
         user.submit(
-                world.address(world.leader()),
-                first -> user.cancel(world.address(slow), () -> user.submitAgainAndAgain(world.address(slow))));
+                cluster.address(cluster.leader()),
+                first -> user.cancel(cluster.address(slow), () -> user.submitAgainAndAgain(cluster.address(slow))));
         user.run(WATCH_LAGS.minusMillis(500));
-        assertThat(world.stateRequests.reads(slow)).isBetween(1, 2);
-        nothingWentBack(world, user);
+        assertThat(cluster.stateRequests.reads(slow)).isBetween(1, 2);
+        nothingWentBack(cluster, user);
     }
 }
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -22,18 +22,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import org.gullway.coordination.Keys;
+import org.gullway.coordination.model.StoreKeys;
 import org.gullway.fake.FakeCloud;
 import org.gullway.fake.FakeStateStore;
 import org.gullway.fake.FakeWorker;
 import org.gullway.fake.FaultyLink;
 import org.gullway.protocol.MachineType;
 import org.gullway.protocol.Settings;
-import org.gullway.transport.Call;
-import org.gullway.transport.Client;
 import org.gullway.transport.HttpClient;
+import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpServer;
-import org.gullway.transport.Sockets;
+import org.gullway.transport.SocketBudget;
+import org.gullway.transport.UndertowHttpClient;
 import org.gullway.transport.XnioEventLoop;
 import org.xnio.OptionMap;
 import org.xnio.Options;
@@ -79,7 +79,7 @@
                     CANCEL,
                     Duration.ofSeconds(2),
                     4,
-                    SimulatedWorld.Shape.SMALL_TEAMS,
+                    SimulatedCluster.Shape.SMALL_TEAMS,
                     40,
                     List.of(
                             java(),
@@ -101,7 +101,7 @@
 
     private final Setup setup;
     final StoppableEventLoop loop;
-    private final HttpClient client;
+    private final UndertowHttpClient client;
     final FakeStateStore store;
     final FakeCloud cloud;
     /** By the names of both parties, "from>to"; workers have one link to all controllers and one from them. */
@@ -109,7 +109,7 @@
 
     private final XnioWorker worker;
     private final DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192);
-    private final Sockets sockets = new Sockets(SOCKETS);
+    private final SocketBudget socketBudget = new SocketBudget(SOCKETS);
     private final SplittableRandom random;
     private final List<HeldAddress> held = new ArrayList<>();
     private final Map<String, String> publicAddresses = new LinkedHashMap<>();
@@ -137,7 +137,7 @@
                 .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
         XnioEventLoop ioLoop = new XnioEventLoop(worker.getIoThread());
         this.loop = new StoppableEventLoop(ioLoop);
-        this.client = new HttpClient(ioLoop, buffers, sockets, Set.of());
+        this.client = new UndertowHttpClient(ioLoop, buffers, socketBudget, Set.of());
         this.store = new FakeStateStore(loop);
         for (int i = 0; i < 3; i++) {
             publicAddresses.put("perch-" + i, hold());
@@ -150,7 +150,7 @@
     /** A server that listens, for a machine that is still to come. */
     private static final class SpareServer {
         private String address;
-        private Consumer<Call> handler = call -> call.answer(404, new byte[0]);
+        private Consumer<HttpExchange> handler = exchange -> exchange.respond(404, new byte[0]);
     }
 
     private String hold() {
@@ -190,12 +190,12 @@
     /** A server whose handler comes later; to start one takes this process a while. */
     private SpareServer newServer() {
         SpareServer server = new SpareServer();
-        server.address = listen(call -> server.handler.accept(call));
+        server.address = listen(exchange -> server.handler.accept(exchange));
         return server;
     }
 
     /** What users reach the controllers with. */
-    Client userClient() {
+    HttpClient userClient() {
         return link("users>controllers").client(client);
     }
 
@@ -204,8 +204,9 @@
     }
 
     /** Starts a server and returns the address that it got. */
-    private String listen(Consumer<Call> handler) {
-        return HttpServer.start(worker, buffers, sockets, LoopbackAddresses.anyPort(), BODY_LIMIT, handler::accept);
+    private String listen(Consumer<HttpExchange> handler) {
+        return HttpServer.start(
+                worker, buffers, socketBudget, LoopbackAddresses.anyPort(), BODY_LIMIT, handler::accept);
     }
 
     /** Starts everything; fails if a server of a stand-in cannot listen. */
@@ -327,7 +328,7 @@
 
     /** The name of the controller that leads by the state service; null if there is none. */
     String leader() {
-        var leader = store.value(Keys.LEADER);
+        var leader = store.value(StoreKeys.LEADER);
         return leader == null ? null : leader.path("node").asText();
     }
 
--- a/src/test/java/org/gullway/ProfileRun.java
+++ b/src/test/java/org/gullway/ProfileRun.java
@@ -13,7 +13,7 @@
 import jdk.jfr.consumer.RecordedEvent;
 import jdk.jfr.consumer.RecordedFrame;
 import jdk.jfr.consumer.RecordingFile;
-import org.gullway.protocol.Rank;
+import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 
 /**
@@ -44,36 +44,33 @@
     /** The first that matches counts; an empty method stands for all methods of the class. */
     private static final List<Activity> ACTIVITIES = List.of(
             new Activity("logging", "org.slf4j", ""),
-            new Activity("commits: encoding", "StateStore", "commit"),
-            new Activity("commits: rest", "Ledger", "commit"),
-            new Activity("step: requests", "UserApi", "propose"),
-            new Activity("step: machines", "MachineControl", "propose"),
-            new Activity("step: finished jobs", "EndedAttempts", "finish"),
-            new Activity("step: shares", "QuotaAllotments", "propose"),
-            new Activity("step: repair", "Reconciliation", "propose"),
-            new Activity("step: arrivals", "CloudProvisioner", "propose"),
-            new Activity("step: booking", "ReservedBooking", "propose"),
-            new Activity("step: idle work", "IdleWork", "propose"),
-            new Activity("step: queue", "BestEffortQueue", "propose"),
-            new Activity("step: ends", "EndedAttempts", "propose"),
-            new Activity("step: fleet", "FleetAutoscaler", "propose"),
-            new Activity("commands: finding them", "MachineControl", "pushes"),
-            new Activity("commands: encoding and sending", "Controller", "command"),
+            new Activity("commits: encoding", "StateStoreClient", "commit"),
+            new Activity("commits: rest", "ReplicatedState", "commit"),
+            new Activity("step: user requests", "UserApi", "plan"),
+            new Activity("step: agents", "AgentReconciler", "plan"),
+            new Activity("step: finished jobs", "CompletionBuffer", "planFinishedJobs"),
+            new Activity("step: quota", "QuotaPartitioner", "plan"),
+            new Activity("step: reconciliation", "Reconciliation", "plan"),
+            new Activity("step: provisioned machines", "CloudProvisioner", "plan"),
+            new Activity("step: reserved", "ReservedScheduler", "plan"),
+            new Activity("step: scavenger", "ScavengerScheduler", "plan"),
+            new Activity("step: best effort", "BestEffortQueue", "plan"),
+            new Activity("step: completions", "CompletionBuffer", "plan"),
+            new Activity("step: scaling", "FleetAutoscaler", "plan"),
+            new Activity("commands: finding them", "AgentReconciler", "commandsDue"),
+            new Activity("commands: encoding and sending", "CommandSender", ""),
             new Activity("ticks", "Controller", "tick"),
-            new Activity("room offered to peers", "Controller", "tellPeer"),
-            new Activity("rounds: rest", "Controller", "round"),
-            new Activity("reports: decoding", "WorkerReport", "parse"),
-            new Activity("reports: decoding", "Cbor", "decode under Controller.report"),
-            new Activity("reports: answering", "Command", "response"),
-            new Activity("reports: taking", "MachineControl", "report"),
-            new Activity("reports: rest", "Controller", "report"),
-            new Activity("commands: answers", "Controller", "lambda$command"),
-            new Activity("peers", "Controller", "answerPeer"),
+            new Activity("heartbeats: decoding", "Heartbeat", "parse"),
+            new Activity("heartbeats: encoding responses", "AgentCommand", "encodeResponse"),
+            new Activity("heartbeats: reconciling", "AgentReconciler", "onHeartbeat"),
+            new Activity("heartbeats: rest", "HeartbeatHandler", ""),
+            new Activity("scheduling cycles: rest", "Controller", "runCycle"),
+            new Activity("peers", "PeerExchange", ""),
             new Activity("users", "UserApi", ""),
             new Activity("watch: decoding records", "RecordCodec", "decode"),
-            new Activity("watch: view", "ClusterView", ""),
-            new Activity("state service: decoding answers", "StateStore", ""),
-            new Activity("state service: rest", "Ledger", ""),
+            new Activity("watch: cluster state", "ClusterState", ""),
+            new Activity("state store: decoding responses", "StateStoreClient", ""),
+            new Activity("state store: rest", "ReplicatedState", ""),
             new Activity("cloud", "CloudProvisioner", ""),
             new Activity(OTHER, "Controller", ""));
 
@@ -82,29 +79,29 @@
     /** Argument: the file for the recording; without it a temporary one is used and removed. */
     public static void main(String[] args) throws IOException {
         Path file = args.length > 0 ? Path.of(args[0]) : Files.createTempFile("gullway", ".jfr");
-        SimulatedWorld world =
-                new SimulatedWorld(1, new SimulatedWorld.Shape(MACHINES_OF_A_KIND, TEAMS, REPORT_INTERVAL, 0.0005));
-        submitJobs(world);
-        world.run(WARM_UP);
-        int startedBefore = world.started();
+        SimulatedCluster cluster =
+                new SimulatedCluster(1, new SimulatedCluster.Shape(MACHINES_OF_A_KIND, TEAMS, REPORT_INTERVAL, 0.0005));
+        submitJobs(cluster);
+        cluster.run(WARM_UP);
+        int startedBefore = cluster.started();
         long began = System.nanoTime();
         try (Recording recording = new Recording()) {
             recording.enable(CPU_EVENT).withPeriod(Duration.ofMillis(10));
             recording.enable(ALLOCATION_EVENT).with("throttle", "1000/s");
             recording.enable(PAUSE_EVENT);
             recording.start();
-            world.run(MEASURED);
+            cluster.run(MEASURED);
             recording.stop();
             recording.dump(file);
         }
         Duration took = Duration.ofNanos(System.nanoTime() - began);
         System.out.printf(
                 "%d machines up, %d tasks started in %d s of virtual time, played in %.1f s; rules broken: %d%n%n",
-                world.cloud.workers().size(),
-                world.started() - startedBefore,
+                cluster.cloud.workers().size(),
+                cluster.started() - startedBefore,
                 MEASURED.toSeconds(),
                 took.toMillis() / 1000.0,
-                world.broken.size());
+                cluster.broken.size());
         print(file);
         if (args.length == 0) {
             Files.delete(file);
@@ -112,16 +109,16 @@
         System.exit(0);
     }
 
-    private static void submitJobs(SimulatedWorld world) {
+    private static void submitJobs(SimulatedCluster cluster) {
         long jobs = WARM_UP.plus(MEASURED).dividedBy(BETWEEN_JOBS);
         for (int i = 1; i <= jobs; i++) {
             int number = i;
-            world.after(
+            cluster.after(
                     BETWEEN_JOBS.multipliedBy(i),
-                    () -> world.submit(
+                    () -> cluster.submit(
                             number,
                             number % 2 == 0 ? "red" : "blue",
-                            number % 3 == 0 ? Rank.NORMAL : Rank.HIGH,
+                            number % 3 == 0 ? Priority.NORMAL : Priority.HIGH,
                             10 + number * 5 % 95,
                             4,
                             Duration.ofSeconds(RUN_SECONDS + number % 20)));
--- a/src/test/java/org/gullway/AnswerLog.java
+++ b/src/test/java/org/gullway/ResponseLog.java
@@ -5,10 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.gullway.fake.SimulatedTime;
-import org.gullway.transport.Call;
+import org.gullway.transport.HttpExchange;
 
 /** What the controllers answered to every request at their public addresses, and how long that took. */
-final class AnswerLog {
+final class ResponseLog {
     /** What a request is for. */
     enum Kind {
         QUESTION,
@@ -17,17 +17,17 @@
         REPORT,
         OTHER;
 
-        private static Kind of(Call call) {
-            if (call.path().equals("/agent/beat")) {
+        private static Kind of(HttpExchange exchange) {
+            if (exchange.path().equals("/agent/beat")) {
                 return REPORT;
             }
-            if (call.path().equals("/v2/runs")) {
+            if (exchange.path().equals("/v2/runs")) {
                 return SUBMISSION;
             }
-            if (!call.path().startsWith("/v2/runs/")) {
+            if (!exchange.path().startsWith("/v2/runs/")) {
                 return OTHER;
             }
-            return call.method().equals("GET") ? QUESTION : CANCELLATION;
+            return exchange.method().equals("GET") ? QUESTION : CANCELLATION;
         }
     }
 
@@ -61,60 +61,60 @@
         }
     }
 
-    private record LoggedCall(Call call, Entry entry, SimulatedTime time) implements Call {
+    private record LoggedCall(HttpExchange exchange, Entry entry, SimulatedTime time) implements HttpExchange {
         @Override
         public String method() {
-            return call.method();
+            return exchange.method();
         }
 
         @Override
         public String path() {
-            return call.path();
+            return exchange.path();
         }
 
         @Override
         public String query() {
-            return call.query();
+            return exchange.query();
         }
 
         @Override
         public byte[] body() {
-            return call.body();
+            return exchange.body();
         }
 
         private void note(int status) {
             if (entry.answered != null) {
-                throw new IllegalStateException(call.path() + " is answered a second time");
+                throw new IllegalStateException(exchange.path() + " is answered a second time");
             }
             entry.answered = time.now();
             entry.status = status;
         }
 
         @Override
-        public void answer(int status, byte[] content) {
+        public void respond(int status, byte[] content) {
             note(status);
-            call.answer(status, content);
+            exchange.respond(status, content);
         }
 
         @Override
-        public void refuse(int status, Duration retryAfter) {
+        public void reject(int status, Duration retryAfter) {
             note(status);
             entry.comeBack = retryAfter.compareTo(Duration.ofSeconds(1)) >= 0;
-            call.refuse(status, retryAfter);
+            exchange.reject(status, retryAfter);
         }
     }
 
     private final SimulatedTime time;
     private final List<Entry> entries = new ArrayList<>();
 
-    AnswerLog(SimulatedTime time) {
+    ResponseLog(SimulatedTime time) {
         this.time = time;
     }
 
-    Call logged(String node, Call call) {
-        Entry entry = new Entry(node, Kind.of(call), time.now());
+    HttpExchange logged(String node, HttpExchange exchange) {
+        Entry entry = new Entry(node, Kind.of(exchange), time.now());
         entries.add(entry);
-        return new LoggedCall(call, entry, time);
+        return new LoggedCall(exchange, entry, time);
     }
 
     void clear() {
--- a/src/test/java/org/gullway/GuestWorkTest.java
+++ b/src/test/java/org/gullway/ScavengerClassTest.java
@@ -15,21 +15,21 @@
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.fake.FakeStateStore;
 import org.gullway.fake.FakeWorker;
-import org.gullway.protocol.Rank;
+import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 
 /** Work in unusual amounts or that cannot succeed: huge arrays, swarms of tiny jobs, jobs that fail on every machine. */
-class GuestWorkTest {
+class ScavengerClassTest {
     private static final int GUEST_ARRAY = 1;
     private static final int GUEST_LARGEST = 2;
 
-    private static SimulatedWorld worldWithGuest(int seed, int capacity) {
-        Map<String, Settings.Team> teams = new HashMap<>(SimulatedWorld.Shape.SMALL_TEAMS);
+    private static SimulatedCluster worldWithGuest(int seed, int capacity) {
+        Map<String, Settings.Team> teams = new HashMap<>(SimulatedCluster.Shape.SMALL_TEAMS);
         teams.put("guest", new Settings.Team("guest", 0, 0, 0, 0));
-        return new SimulatedWorld(seed, new SimulatedWorld.Shape(capacity, teams, Duration.ofSeconds(3), 0));
+        return new SimulatedCluster(seed, new SimulatedCluster.Shape(capacity, teams, Duration.ofSeconds(3), 0));
     }
 
-    private static void assertServed(List<User> users, Duration longestWait) {
+    private static void assertServed(List<TestUser> users, Duration longestWait) {
         assertThat(users)
                 .isNotEmpty()
                 .allSatisfy(user -> assertThat(user.waited()).isNotNull().isLessThan(longestWait));
@@ -40,157 +40,158 @@
      */
     @Property(tries = 1, seed = "41")
     void aHugeArrayAndASwarmOfAGuest(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = worldWithGuest(seed, 12);
-        world.submit(GUEST_ARRAY, "guest", Rank.IDLE, 25_000, 0.25, Duration.ofSeconds(45));
-        world.submit(GUEST_LARGEST, "guest", Rank.IDLE, 8, 16, Duration.ofSeconds(20));
+        SimulatedCluster cluster = worldWithGuest(seed, 12);
+        cluster.submit(GUEST_ARRAY, "guest", Priority.IDLE, 25_000, 0.25, Duration.ofSeconds(45));
+        cluster.submit(GUEST_LARGEST, "guest", Priority.IDLE, 8, 16, Duration.ofSeconds(20));
         for (int i = 0; i < 720; i++) {
             int number = 1000 + i;
-            world.after(
+            cluster.after(
                     Duration.ofMillis(250L * i),
-                    () -> world.submit(number, "guest", Rank.NORMAL, 1, 0.25, Duration.ofSeconds(5)));
+                    () -> cluster.submit(number, "guest", Priority.NORMAL, 1, 0.25, Duration.ofSeconds(5)));
         }
         for (int i = 0; i < 60; i++) {
             int number = 100 + i;
-            world.after(
+            cluster.after(
                     Duration.ofSeconds(3L * i),
-                    () -> world.submit(
+                    () -> cluster.submit(
                             number,
                             number % 2 == 0 ? "red" : "blue",
-                            number % 3 == 0 ? Rank.NORMAL : Rank.HIGH,
+                            number % 3 == 0 ? Priority.NORMAL : Priority.HIGH,
                             2,
                             4,
                             Duration.ofSeconds(8)));
         }
-        world.run(Duration.ofSeconds(240));
-        assertThat(world.broken).isEmpty();
-        List<User> guests = world.users().stream()
+        cluster.run(Duration.ofSeconds(240));
+        assertThat(cluster.broken).isEmpty();
+        List<TestUser> guests = cluster.users().stream()
                 .filter(u -> u.request.team().equals("guest"))
                 .toList();
-        List<User> residents = world.users().stream()
+        List<TestUser> residents = cluster.users().stream()
                 .filter(u -> !u.request.team().equals("guest"))
                 .toList();
         assertServed(residents, Duration.ofSeconds(40));
         assertServed(guests, Duration.ofMinutes(4));
-        assertThat(residents).allMatch(User::over);
+        assertThat(residents).allMatch(TestUser::over);
         assertThat(guests.stream()
                         .filter(u -> u.request.tasks() == 1)
-                        .filter(User::over)
+                        .filter(TestUser::over)
                         .count())
                 .as("tiny jobs done")
                 .isGreaterThanOrEqualTo(700);
-        assertThat(world.started()).as("the array's tasks as well").isGreaterThan(2000);
-        assertThat(world.store.largestValue()).isLessThanOrEqualTo(FakeStateStore.VALUE_BYTES);
-        assertThat(world.store.changes("live/jobs"))
-                .as("changes for %s jobs", world.users().size())
-                .isLessThan(5 * world.users().size() + 4 * 240);
+        assertThat(cluster.started()).as("the array's tasks as well").isGreaterThan(2000);
+        assertThat(cluster.store.largestValue()).isLessThanOrEqualTo(FakeStateStore.VALUE_BYTES);
+        assertThat(cluster.store.changes("live/jobs"))
+                .as("changes for %s jobs", cluster.users().size())
+                .isLessThan(5 * cluster.users().size() + 4 * 240);
     }
 
     /** Four tiny jobs a second for three minutes, a quarter of them cancelled at any moment of their lives. */
     @Property(tries = 2, seed = "42")
     void tinyJobsOfWhichAQuarterIsCancelledEndInTime(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = worldWithGuest(seed, 4);
+        SimulatedCluster cluster = worldWithGuest(seed, 4);
         for (int i = 1; i <= 720; i++) {
             int number = i;
-            world.after(Duration.ofMillis(250L * i), () -> {
-                User user = world.submit(
+            cluster.after(Duration.ofMillis(250L * i), () -> {
+                TestUser user = cluster.submit(
                         number,
                         number % 3 == 0 ? "guest" : "blue",
-                        number % 2 == 0 ? Rank.NORMAL : Rank.IDLE,
+                        number % 2 == 0 ? Priority.NORMAL : Priority.IDLE,
                         1,
                         0.25,
                         Duration.ofSeconds(5));
                 if (number % 4 == 0) {
-                    world.after(Duration.ofMillis(number * 997L % 9000), user::cancel);
+                    cluster.after(Duration.ofMillis(number * 997L % 9000), user::cancel);
                 }
             });
         }
-        world.run(Duration.ofSeconds(180));
-        long late = world.users().subList(0, 560).stream()
+        cluster.run(Duration.ofSeconds(180));
+        long late = cluster.users().subList(0, 560).stream()
                 .filter(user -> !user.over())
                 .count();
         assertThat(late).as("not over after 40 s").isZero();
-        world.run(Duration.ofSeconds(30));
-        assertThat(world.broken).isEmpty();
-        assertThat(world.unfinished()).isEmpty();
+        cluster.run(Duration.ofSeconds(30));
+        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.unfinished()).isEmpty();
     }
 
     /**
      * Three jobs fail on every machine until their users cancel them; others run beside them and are not displaced.
      * Seen to fail without the pauses ({@code JobBackoff.paused} false). That good machines stay is
-     * {@code MachineControlTest.jobsThatFailEverywhereDoNotMakeMachinesFaulty}: here they complete other tasks as well.
+     * {@code AgentReconcilerTest.jobsThatFailEverywhereDoNotMakeMachinesFaulty}: here they complete other tasks as well.
      */
     @Property(tries = 3, seed = "43")
     void jobsThatFailOnEveryMachine(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = worldWithGuest(seed, 4);
+        SimulatedCluster cluster = worldWithGuest(seed, 4);
         Set<String> failing = new HashSet<>();
         Map<String, List<Instant>> failures = new HashMap<>();
-        world.failing((machine, job) -> {
+        cluster.failing((machine, job) -> {
             if (failing.contains(job)) {
-                failures.computeIfAbsent(job, j -> new ArrayList<>()).add(world.time.now());
+                failures.computeIfAbsent(job, j -> new ArrayList<>()).add(cluster.time.now());
             }
             return failing.contains(job);
         });
-        steadyWork(world, 100, 90);
-        world.run(Duration.ofSeconds(20));
+        steadyWork(cluster, 100, 90);
+        cluster.run(Duration.ofSeconds(20));
         for (int i = 1; i <= 3; i++) {
             int number = i;
-            User user = world.submit(number, number == 3 ? "guest" : "blue", Rank.NORMAL, 6, 4, Duration.ofSeconds(2));
+            TestUser user = cluster.submit(
+                    number, number == 3 ? "guest" : "blue", Priority.NORMAL, 6, 4, Duration.ofSeconds(2));
             failing.add(user.request.id());
         }
-        world.run(Duration.ofSeconds(150));
+        cluster.run(Duration.ofSeconds(150));
         assertThat(failures).hasSize(3).allSatisfy((job, times) -> {
             assertThat(times).as("of %s", job).hasSizeLessThan(90);
-            Instant lastMinutes = world.time.now().minusSeconds(75);
+            Instant lastMinutes = cluster.time.now().minusSeconds(75);
             assertThat(times.stream().filter(lastMinutes::isBefore).count())
                     .as("of %s in the last 75 s, with pauses of 30 s", job)
                     .isLessThanOrEqualTo(18);
         });
         int failed = failures.values().stream().mapToInt(List::size).sum();
-        assertThat(world.started() - failed)
+        assertThat(cluster.started() - failed)
                 .as("starts of others, and at most all tasks of the failing jobs that run now")
                 .isLessThanOrEqualTo(2 * 90 + 3 * 6);
-        world.users().stream().filter(u -> failing.contains(u.request.id())).forEach(User::cancel);
-        world.run(Duration.ofSeconds(60));
-        assertThat(world.broken).isEmpty();
-        assertThat(world.unfinished()).isEmpty();
+        cluster.users().stream().filter(u -> failing.contains(u.request.id())).forEach(TestUser::cancel);
+        cluster.run(Duration.ofSeconds(60));
+        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.unfinished()).isEmpty();
     }
 
     /**
      * Everything fails on one machine: it goes, and all jobs are done elsewhere. Seen to fail without
-     * {@code MachineControl.isFaulty}.
+     * {@code AgentReconciler.isFaulty}.
      */
     @Property(tries = 3, seed = "44")
     void aMachineOnWhichEverythingFailsIsReturned(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedWorld world = worldWithGuest(seed, 4);
-        steadyWork(world, 100, 60);
-        world.run(Duration.ofSeconds(20));
-        String faulty = world.cloud.workers().stream()
+        SimulatedCluster cluster = worldWithGuest(seed, 4);
+        steadyWork(cluster, 100, 60);
+        cluster.run(Duration.ofSeconds(20));
+        String faulty = cluster.cloud.workers().stream()
                 .filter(FakeWorker::alive)
                 .map(FakeWorker::name)
                 .findFirst()
                 .orElseThrow();
-        world.failing((machine, job) -> machine.equals(faulty));
-        world.run(Duration.ofSeconds(60));
-        assertThat(names(world)).doesNotContain(faulty);
-        world.run(Duration.ofSeconds(90));
-        assertThat(world.broken).isEmpty();
-        assertThat(world.unfinished()).isEmpty();
+        cluster.failing((machine, job) -> machine.equals(faulty));
+        cluster.run(Duration.ofSeconds(60));
+        assertThat(names(cluster)).doesNotContain(faulty);
+        cluster.run(Duration.ofSeconds(90));
+        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.unfinished()).isEmpty();
     }
 
     /** Two jobs every three seconds. */
-    private static void steadyWork(SimulatedWorld world, int first, int jobs) {
+    private static void steadyWork(SimulatedCluster cluster, int first, int jobs) {
         for (int i = 0; i < jobs; i++) {
             int number = first + i;
-            world.after(
+            cluster.after(
                     Duration.ofMillis(1500L * i),
-                    () -> world.submit(
-                            number, number % 2 == 0 ? "red" : "blue", Rank.HIGH, 2, 4, Duration.ofSeconds(6)));
+                    () -> cluster.submit(
+                            number, number % 2 == 0 ? "red" : "blue", Priority.HIGH, 2, 4, Duration.ofSeconds(6)));
         }
     }
 
-    private static Set<String> names(SimulatedWorld world) {
+    private static Set<String> names(SimulatedCluster cluster) {
         Set<String> names = new HashSet<>();
-        world.cloud.workers().stream().map(FakeWorker::name).forEach(names::add);
+        cluster.cloud.workers().stream().map(FakeWorker::name).forEach(names::add);
         return names;
     }
 }
--- a/src/test/java/org/gullway/ServiceCheck.java
+++ b/src/test/java/org/gullway/ServiceCheck.java
@@ -18,14 +18,14 @@
     private ServiceCheck() {}
 
     /** The groups of which less than half has begun, each with its figures. */
-    static List<String> unserved(List<User> users) {
+    static List<String> unserved(List<TestUser> users) {
         double largest =
                 users.stream().mapToDouble(user -> user.request.cpus()).max().orElse(0);
         Map<String, Count> groups = new LinkedHashMap<>();
-        for (User user : users) {
+        for (TestUser user : users) {
             if (user.acceptedAfter() != null && !user.cancelAsked()) {
                 JobRequest job = user.request;
-                count(groups, "rank " + job.rank(), user);
+                count(groups, "rank " + job.priority(), user);
                 count(groups, "team " + job.team(), user);
                 if (job.cpus() == largest) {
                     count(groups, "largest tasks", user);
@@ -41,7 +41,7 @@
         return unserved;
     }
 
-    private static void count(Map<String, Count> groups, String name, User user) {
+    private static void count(Map<String, Count> groups, String name, TestUser user) {
         Count count = groups.computeIfAbsent(name, n -> new Count());
         count.jobs++;
         count.begun += user.waited() == null ? 0 : 1;
--- a/src/test/java/org/gullway/ServiceCheckTest.java
+++ b/src/test/java/org/gullway/ServiceCheckTest.java
@@ -4,18 +4,18 @@
 
 import java.time.Duration;
 import java.util.List;
-import org.gullway.protocol.Rank;
+import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
 /** The check of service names just the groups that were not served. */
 class ServiceCheckTest {
     private static List<String> unservedWithMachines(int capacity) {
-        SimulatedWorld world = new SimulatedWorld(5, 0, capacity);
-        world.submit(1, "red", Rank.HIGH, 1, 4, Duration.ofSeconds(2));
-        world.submit(2, "blue", Rank.NORMAL, 1, 8, Duration.ofSeconds(2));
-        world.submit(3, "blue", Rank.IDLE, 1, 2, Duration.ofSeconds(2)).cancel();
-        world.run(Duration.ofSeconds(60));
-        return ServiceCheck.unserved(world.users());
+        SimulatedCluster cluster = new SimulatedCluster(5, 0, capacity);
+        cluster.submit(1, "red", Priority.HIGH, 1, 4, Duration.ofSeconds(2));
+        cluster.submit(2, "blue", Priority.NORMAL, 1, 8, Duration.ofSeconds(2));
+        cluster.submit(3, "blue", Priority.IDLE, 1, 2, Duration.ofSeconds(2)).cancel();
+        cluster.run(Duration.ofSeconds(60));
+        return ServiceCheck.unserved(cluster.users());
     }
 
     @Test
--- a/src/test/java/org/gullway/SimulatedWorld.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -15,7 +15,8 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.random.RandomGenerator;
-import org.gullway.coordination.Keys;
+import org.gullway.controller.Controller;
+import org.gullway.coordination.model.StoreKeys;
 import org.gullway.fake.FakeCloud;
 import org.gullway.fake.FakeStateStore;
 import org.gullway.fake.FakeWorker;
@@ -25,13 +26,13 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
 import org.gullway.protocol.OperatorSettings;
-import org.gullway.protocol.Rank;
+import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
-import org.gullway.transport.Client;
+import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpRequest;
 
 /** Three whole controllers with stand-ins in virtual time, users who submit and ask, and a check of the rules. */
-final class SimulatedWorld {
+final class SimulatedCluster {
     static final Duration LEASE = Duration.ofSeconds(20);
     static final Duration CANCEL = Duration.ofSeconds(40);
     private static final Instant MORNING = Instant.parse("2026-11-20T06:00:00Z");
@@ -43,14 +44,14 @@
     final SimulatedNetwork network;
     final FakeStateStore store;
     final FakeCloud cloud;
-    final RuleCheck rules;
+    final InvariantChecker rules;
     final StateRequests stateRequests = new StateRequests(time);
-    final AnswerLog answers = new AnswerLog(time);
+    final ResponseLog answers = new ResponseLog(time);
     final List<String> broken;
     private final SimulatedTime.Process world = time.process();
     private final Map<String, SimulatedTime.Process> running = new HashMap<>();
     private final Map<String, String> addresses = new LinkedHashMap<>();
-    private final Users users;
+    private final TestUsers users;
     private final Shape shape;
 
     /** Size of a world: machines of each type, zone and kind, teams, and how often workers report. */
@@ -63,18 +64,18 @@
         }
     }
 
-    SimulatedWorld(long seed, double trouble, int capacity) {
+    SimulatedCluster(long seed, double trouble, int capacity) {
         this(seed, Shape.small(trouble, capacity));
     }
 
-    SimulatedWorld(long seed, Shape shape) {
+    SimulatedCluster(long seed, Shape shape) {
         this(seed, shape, time -> SimulatedNetwork.TrafficListener.NONE);
     }
 
     /** @param traffic makes, for the world's time, a listener that sees all messages */
-    SimulatedWorld(long seed, Shape shape, Function<SimulatedTime, SimulatedNetwork.TrafficListener> traffic) {
+    SimulatedCluster(long seed, Shape shape, Function<SimulatedTime, SimulatedNetwork.TrafficListener> traffic) {
         this.shape = shape;
-        rules = new RuleCheck(CANCEL, shape.teams());
+        rules = new InvariantChecker(CANCEL, shape.teams());
         broken = rules.broken;
         random = new SplittableRandom(seed);
         network = new SimulatedNetwork(time, random.split(), shape.trouble());
@@ -86,7 +87,7 @@
         for (int i = 0; i < 3; i++) {
             addresses.put("perch-" + i, "10.0.0." + (i + 1) + ":8080");
         }
-        users = new Users(world, network.client("users", world), rules, random, List.copyOf(addresses.values()));
+        users = new TestUsers(world, network.client("users", world), rules, random, List.copyOf(addresses.values()));
         cloud = new FakeCloud(world, types, shape.capacity(), (name, kind) -> {
             String address = "10.1.0." + Integer.parseInt(name.substring(3)) + ":9000";
             FakeWorker worker = new FakeWorker(
@@ -104,7 +105,7 @@
             rules.machine(name, kind);
             return worker;
         });
-        network.listen(STATE, world, call -> stateRequests.handle(call, store::handle));
+        network.listen(STATE, world, exchange -> stateRequests.handle(exchange, store::handle));
         network.listen(CLOUD, world, cloud::handle);
         addresses.keySet().forEach(this::startController);
         world.every(Duration.ofSeconds(1), () -> rules.waiting(this::isUp, time.now()));
@@ -151,9 +152,9 @@
         Controller controller = new Controller(
                 settings, OperatorSettings.DEFAULTS, process, network.client(name, process), clock, random.nextLong());
         controller.onInvariantViolated(violation -> broken.add("invariant: " + violation));
-        network.listen(settings.meshAddress(), process, controller::answerPeer);
+        network.listen(settings.peerAddress(), process, controller::handlePeer);
         controller.start(() -> network.listen(
-                settings.publicAddress(), process, call -> controller.answer(answers.logged(name, call))));
+                settings.publicAddress(), process, exchange -> controller.handle(answers.logged(name, exchange))));
     }
 
     /** Two controllers are in zone a, the third in zone b. */
@@ -243,22 +244,24 @@
         }
     }
 
-    User submit(int number, String team, Rank rank, int tasks, double cpus, Duration runTime) {
-        return submit(number, team, rank, tasks, cpus, runTime, new Bounds(null, null, false, false, number % 4 != 0));
+    TestUser submit(int number, String team, Priority priority, int tasks, double cpus, Duration runTime) {
+        return submit(
+                number, team, priority, tasks, cpus, runTime, new Bounds(null, null, false, false, number % 4 != 0));
     }
 
-    User submit(int number, String team, Rank rank, int tasks, double cpus, Duration runTime, Bounds bounds) {
-        return users.submit(request(number, team, rank, tasks, cpus, runTime, bounds), runTime);
+    TestUser submit(
+            int number, String team, Priority priority, int tasks, double cpus, Duration runTime, Bounds bounds) {
+        return users.submit(request(number, team, priority, tasks, cpus, runTime, bounds), runTime);
     }
 
     private static JobRequest request(
-            int number, String team, Rank rank, int tasks, double cpus, Duration runTime, Bounds bounds) {
+            int number, String team, Priority priority, int tasks, double cpus, Duration runTime, Bounds bounds) {
         return new JobRequest(
                 String.format("run-%06d", number),
                 cpus >= 16 ? "survey" : "render",
                 team,
                 JobRequest.Shape.ARRAY,
-                rank,
+                priority,
                 tasks,
                 cpus,
                 0,
@@ -278,22 +281,22 @@
 
     /** A submission that lacks a field, and one that fits no machine; both are refused, and nobody knows them later. */
     void submitOdd(int number) {
-        ObjectNode lacking = request(number, "blue", Rank.HIGH, 2, 4, Duration.ofSeconds(5), Bounds.SPREAD)
+        ObjectNode lacking = request(number, "blue", Priority.HIGH, 2, 4, Duration.ofSeconds(5), Bounds.SPREAD)
                 .toNode();
         lacking.remove("crew");
         submitOdd(lacking, 400);
         submitOdd(
-                request(number + 1, "blue", Rank.HIGH, 2, 64, Duration.ofSeconds(5), Bounds.SPREAD)
+                request(number + 1, "blue", Priority.HIGH, 2, 64, Duration.ofSeconds(5), Bounds.SPREAD)
                         .toNode(),
                 422);
     }
 
     private void submitOdd(ObjectNode node, int expected) {
         String id = node.path("name_id").asText();
-        Client client = network.client("users", world);
+        HttpClient client = network.client("users", world);
         String address = userAddresses().get(random.nextInt(addresses.size()));
-        client.call(address, HttpRequest.post("/v2/runs", Cbor.encode(node), Duration.ofSeconds(5)), reply -> {
-            if (!rules.odd(id, expected, reply.status())) {
+        client.call(address, HttpRequest.post("/v2/runs", Cbor.encode(node), Duration.ofSeconds(5)), response -> {
+            if (!rules.odd(id, expected, response.status())) {
                 world.after(Duration.ofSeconds(1), () -> submitOdd(node, expected));
             }
         });
@@ -302,7 +305,7 @@
                 () -> client.call(
                         address,
                         HttpRequest.get("/v2/runs/" + id, Duration.ofSeconds(2)),
-                        reply -> rules.askedUnknown(id, reply.status())));
+                        response -> rules.askedUnknown(id, response.status())));
     }
 
     /** From now on users ask so many times as often. */
@@ -311,23 +314,23 @@
     }
 
     /** Is told at the very moment at which the last task of a job has completed. */
-    void whenDone(Consumer<User> told) {
+    void whenDone(Consumer<TestUser> told) {
         users.whenDone(told);
     }
 
     /** Is told at the very moment at which a user hears that its job is accepted, and that it is done or cancelled. */
-    void whenNews(Consumer<User> told) {
+    void whenNews(Consumer<TestUser> told) {
         users.whenNews(told);
     }
 
     /** The user asks at all nodes, again and again within milliseconds, and repeats the submission. */
-    void lookClosely(User user, RandomGenerator random) {
+    void lookClosely(TestUser user, RandomGenerator random) {
         users.lookClosely(user, random);
     }
 
     /** Is told the name of a new leader at the very moment at which the state service has it. */
     void whenLeaderBegins(Consumer<String> told) {
-        store.whenPut(Keys.LEADER, value -> told.accept(value.path("node").asText()));
+        store.whenPut(StoreKeys.LEADER, value -> told.accept(value.path("node").asText()));
     }
 
     /** Says of a machine and a job whether its tasks fail there. */
@@ -337,7 +340,7 @@
 
     /** The name of the controller that is the leader by the state service; null if there is none. */
     String leader() {
-        JsonNode leader = store.value(Keys.LEADER);
+        JsonNode leader = store.value(StoreKeys.LEADER);
         return leader == null ? null : leader.path("node").asText();
     }
 
@@ -366,7 +369,7 @@
         time.runUntil(time.now().plus(span));
     }
 
-    List<User> users() {
+    List<TestUser> users() {
         return users.all();
     }
 
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -15,7 +15,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.gullway.protocol.JobRequest;
-import org.gullway.protocol.Rank;
+import org.gullway.protocol.Priority;
 
 /**
  * A randomized test of faults over loopback: three controllers as processes of their own, users who ask, submit again and
@@ -84,11 +84,12 @@
     private final long seed;
     private final Length length;
     private final SplittableRandom random;
-    private final RuleCheck rules = new RuleCheck(LoopbackCluster.CANCEL, SimulatedWorld.Shape.SMALL_TEAMS);
+    private final InvariantChecker rules =
+            new InvariantChecker(LoopbackCluster.CANCEL, SimulatedCluster.Shape.SMALL_TEAMS);
     private final JobHistory history = JobHistory.recording();
     private final List<FaultSchedule.Fault> faults;
     private LoopbackCluster cluster;
-    private Users users;
+    private TestUsers users;
     private Instant lastTick;
     private Instant stalledAt = Instant.EPOCH;
     private Duration longestStall = Duration.ZERO;
@@ -148,7 +149,7 @@
     }
 
     private void begin() {
-        users = new Users(cluster.loop, cluster.userClient(), rules, random.split(), cluster.userAddresses());
+        users = new TestUsers(cluster.loop, cluster.userClient(), rules, random.split(), cluster.userAddresses());
         users.recordIn(history);
         users.whenNews(user -> {
             if (random.nextBoolean()) {
@@ -170,14 +171,14 @@
         Duration calm = START.plus(length.faults());
         cluster.loop.after(calm, this::calm);
         cluster.loop.after(calm.plus(length.afterwards()), () -> {
-            users.all().forEach(User::submitAgain);
-            users.all().forEach(User::askEverywhere);
+            users.all().forEach(TestUser::submitAgain);
+            users.all().forEach(TestUser::askEverywhere);
         });
         cluster.loop.after(calm.plus(length.afterwards()).plus(LAST_QUESTIONS), over::countDown);
     }
 
     /** Without questions, by which controllers would learn a final state. */
-    private void submitAgainAndAgain(User user) {
+    private void submitAgainAndAgain(TestUser user) {
         for (int i = 0; i < MORE_SUBMISSIONS; i++) {
             cluster.loop.after(Duration.ofMillis(random.nextInt(MORE_SUBMISSIONS_WITHIN_MS)), user::submitAgain);
         }
@@ -208,7 +209,7 @@
         }
         jobs++;
         Duration runTime = Duration.ofMillis(random.nextInt(200, 2500));
-        User user = users.submit(request(jobs, runTime), runTime);
+        TestUser user = users.submit(request(jobs, runTime), runTime);
         if (random.nextInt(10) == 0) {
             cluster.loop.after(Duration.ofMillis(random.nextInt(5000)), user::cancel);
         }
@@ -222,7 +223,7 @@
                 "render",
                 random.nextInt(3) == 0 ? "red" : "blue",
                 JobRequest.Shape.ARRAY,
-                Rank.values()[random.nextInt(4)],
+                Priority.values()[random.nextInt(4)],
                 random.nextInt(1, 5),
                 random.nextInt(1, 5),
                 0,
@@ -259,11 +260,11 @@
     /** Jobs that are not over, each with what was seen of it last. */
     private List<String> unfinished() {
         List<String> jobsLeft = new ArrayList<>();
-        for (User user : users.all()) {
+        for (TestUser user : users.all()) {
             if (!user.over()) {
                 JobRequest job = user.request;
                 List<String> seen = history.of(job.id());
-                jobsLeft.add(job.id() + " " + job.team() + " " + job.rank() + ", " + job.tasks() + " tasks of "
+                jobsLeft.add(job.id() + " " + job.team() + " " + job.priority() + ", " + job.tasks() + " tasks of "
                         + job.cpus() + ": " + (seen.isEmpty() ? "never answered" : seen.get(seen.size() - 1)));
             }
         }
--- a/src/test/java/org/gullway/StateRequests.java
+++ b/src/test/java/org/gullway/StateRequests.java
@@ -9,8 +9,8 @@
 import org.gullway.fake.SimulatedNetwork;
 import org.gullway.fake.SimulatedTime;
 import org.gullway.protocol.Cbor;
-import org.gullway.protocol.MalformedException;
-import org.gullway.transport.Call;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.transport.HttpExchange;
 
 /** Counts what each controller asks of the state service, and refuses what goes over the limit of requests. */
 final class StateRequests {
@@ -40,30 +40,30 @@
         refused = 0;
     }
 
-    void handle(Call call, Consumer<Call> store) {
-        count(call);
+    void handle(HttpExchange exchange, Consumer<HttpExchange> store) {
+        count(exchange);
         if (limited && !mayPass()) {
             refused++;
-            call.answer(429, new byte[0]);
+            exchange.respond(429, new byte[0]);
         } else {
-            store.accept(call);
+            store.accept(exchange);
         }
     }
 
-    private void count(Call call) {
-        String node = call instanceof SimulatedNetwork.Message message ? message.from() : "";
-        if (call.path().startsWith("/store/live/jobs/") || call.path().startsWith("/store/ended/")) {
+    private void count(HttpExchange exchange) {
+        String node = exchange instanceof SimulatedNetwork.Message message ? message.from() : "";
+        if (exchange.path().startsWith("/store/live/jobs/") || exchange.path().startsWith("/store/ended/")) {
             reads.merge(node, 1, Integer::sum);
-        } else if (call.path().equals("/commit") && changesNothing(call)) {
+        } else if (exchange.path().equals("/commit") && changesNothing(exchange)) {
             verifications.merge(node, 1, Integer::sum);
         }
     }
 
-    private static boolean changesNothing(Call call) {
+    private static boolean changesNothing(HttpExchange exchange) {
         try {
-            JsonNode then = Cbor.decode(call.body()).path("then");
+            JsonNode then = Cbor.decode(exchange.body()).path("then");
             return then.isEmpty();
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             return false;
         }
     }
