--- a/src/test/java/org/gullway/bookkeeping/GoldenRecordsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenRecordsTest.java
@@ -1,4 +1,4 @@
-package org.gullway.bookkeeping;
+package org.gullway.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,22 +9,22 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.stream.Stream;
-import org.gullway.coordination.AllotmentRecord;
-import org.gullway.coordination.ClosedMachines;
-import org.gullway.coordination.GroupRecord;
-import org.gullway.coordination.Incarnation;
-import org.gullway.coordination.IntegerRanges;
-import org.gullway.coordination.JobRecord;
-import org.gullway.coordination.Keys;
-import org.gullway.coordination.MachineRecord;
-import org.gullway.coordination.Placement;
-import org.gullway.coordination.Transaction;
+import org.gullway.coordination.model.CordonedMachines;
+import org.gullway.coordination.model.Incarnation;
+import org.gullway.coordination.model.IntegerRanges;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.model.MachineShard;
+import org.gullway.coordination.model.Placement;
+import org.gullway.coordination.model.QuotaPartition;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.Transaction;
 import org.gullway.golden.GoldenFile;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.JobState;
-import org.gullway.protocol.MalformedException;
-import org.gullway.protocol.Rank;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.protocol.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
@@ -42,13 +42,13 @@
         }
     }
 
-    private static JobRequest request(JobRequest.Shape shape, Rank rank, boolean optional) {
+    private static JobRequest request(JobRequest.Shape shape, Priority priority, boolean optional) {
         return new JobRequest(
                 "run-000412",
                 "render",
                 "red",
                 shape,
-                rank,
+                priority,
                 300,
                 1.5,
                 optional ? 1 : 0,
@@ -74,30 +74,31 @@
         return new JobRecord(request, owner, SUBMITTED, cancelledAt, IntegerRanges.of(0, 4, 9, 9, 20, 31), 40, 2, live);
     }
 
-    private static MachineRecord machine(String name, String address, long session, MachineRecord.Disposition fate) {
+    private static MachineRecord machine(
+            String name, String address, long agentEpoch, MachineRecord.MachineLifecycle lifecycle) {
         return new MachineRecord(
-                name, address, "small", "a", session % 2 == 0, CONTROLLER, session, 9, fate, SUBMITTED);
+                name, address, "small", "a", agentEpoch % 2 == 0, CONTROLLER, agentEpoch, 9, lifecycle, SUBMITTED);
     }
 
     private static String key() {
-        return Keys.job("run-000412");
+        return StoreKeys.job("run-000412");
     }
 
     static Stream<Sample> samples() {
         List<Sample> samples = new ArrayList<>();
         for (JobRequest.Shape shape : JobRequest.Shape.values()) {
-            for (Rank rank : Rank.values()) {
+            for (Priority priority : Priority.values()) {
                 for (boolean optional : new boolean[] {false, true}) {
-                    String name = "job-" + shape.ordinal() + "-" + rank.ordinal() + (optional ? "-all" : "-least");
+                    String name = "job-" + shape.ordinal() + "-" + priority.ordinal() + (optional ? "-all" : "-least");
                     samples.add(new Sample(
                             name,
                             key(),
                             JobRecord.accepted(
-                                    request(shape, rank, optional), optional ? "perch-0" : null, SUBMITTED)));
+                                    request(shape, priority, optional), optional ? "perch-0" : null, SUBMITTED)));
                 }
             }
         }
-        JobRequest request = request(JobRequest.Shape.ARRAY, Rank.NORMAL, true);
+        JobRequest request = request(JobRequest.Shape.ARRAY, Priority.NORMAL, true);
         List<Placement> live = List.of(
                 placement(5, 31, "vm-000001", false, 0),
                 placement(6, 32, "vm-000001", true, 0),
@@ -106,34 +107,40 @@
         samples.add(new Sample("job-placed", key(), job(request, "perch-2", null, live)));
         samples.add(new Sample("job-cancelled", key(), job(request, null, SUBMITTED.plusMillis(4321), live)));
         List<MachineRecord> machines = new ArrayList<>();
-        for (MachineRecord.Disposition fate : MachineRecord.Disposition.values()) {
-            machines.add(machine("vm-00001" + fate.ordinal(), "10.1.0.1:9000", 2 + fate.ordinal(), fate));
+        for (MachineRecord.MachineLifecycle lifecycle : MachineRecord.MachineLifecycle.values()) {
+            machines.add(
+                    machine("vm-00001" + lifecycle.ordinal(), "10.1.0.1:9000", 2 + lifecycle.ordinal(), lifecycle));
         }
-        machines.add(machine("vm-000020", null, 0, MachineRecord.Disposition.values()[0]));
-        samples.add(new Sample("group", Keys.group("g-1"), new GroupRecord("g-1", CONTROLLER, 9, machines)));
-        samples.add(new Sample("group-empty", Keys.group("g-2"), new GroupRecord("g-2", CONTROLLER, 10, List.of())));
-        AllotmentRecord share = AllotmentRecord.EMPTY
-                .with("red", new AllotmentRecord.Amount(16.5, 2))
-                .with("blue", new AllotmentRecord.Amount(0.25, 0));
-        samples.add(new Sample("share-leader", Keys.LEADERS_SHARE, share));
-        samples.add(new Sample("share-node", Keys.share("perch-0"), share));
-        samples.add(new Sample("share-empty", Keys.share("perch-1"), AllotmentRecord.EMPTY));
-        samples.add(new Sample("member", Keys.member("perch-1"), CONTROLLER));
-        samples.add(new Sample("leader", Keys.LEADER, CONTROLLER));
-        samples.add(new Sample("epoch", Keys.EPOCH, 4_294_967_300L));
+        machines.add(machine("vm-000020", null, 0, MachineRecord.MachineLifecycle.values()[0]));
+        samples.add(new Sample("group", StoreKeys.shard("g-1"), new MachineShard("g-1", CONTROLLER, 9, machines)));
+        samples.add(
+                new Sample("group-empty", StoreKeys.shard("g-2"), new MachineShard("g-2", CONTROLLER, 10, List.of())));
+        QuotaPartition share = QuotaPartition.EMPTY
+                .with("red", new QuotaPartition.Amount(16.5, 2))
+                .with("blue", new QuotaPartition.Amount(0.25, 0));
+        samples.add(new Sample("share-leader", StoreKeys.LEADER_QUOTA, share));
+        samples.add(new Sample("share-node", StoreKeys.quotaPartition("perch-0"), share));
+        samples.add(new Sample("share-empty", StoreKeys.quotaPartition("perch-1"), QuotaPartition.EMPTY));
+        samples.add(new Sample("member", StoreKeys.member("perch-1"), CONTROLLER));
+        samples.add(new Sample("leader", StoreKeys.LEADER, CONTROLLER));
+        samples.add(new Sample("epoch", StoreKeys.FENCING_TOKEN, 4_294_967_300L));
         samples.add(new Sample(
-                "closed", Keys.CLOSED, new ClosedMachines(new LinkedHashSet<>(List.of("vm-000003", "vm-000001")))));
-        samples.add(new Sample("closed-empty", Keys.CLOSED, new ClosedMachines(new LinkedHashSet<>())));
+                "closed",
+                StoreKeys.CORDONED,
+                new CordonedMachines(new LinkedHashSet<>(List.of("vm-000003", "vm-000001")))));
+        samples.add(new Sample("closed-empty", StoreKeys.CORDONED, new CordonedMachines(new LinkedHashSet<>())));
         for (JobState state : JobState.values()) {
             samples.add(new Sample(
-                    "ended-" + state.wire(), Keys.ended("run-000412"), new Transaction.Ended(state, 300, 17)));
+                    "ended-" + state.wire(),
+                    StoreKeys.finalState("run-000412"),
+                    new Transaction.FinalState(state, 300, 17)));
         }
         return samples.stream();
     }
 
-    private static Object decode(String key, byte[] stored) throws MalformedException {
+    private static Object decode(String key, byte[] stored) throws MalformedMessageException {
         JsonNode value = Cbor.decode(stored);
-        return key.startsWith(Keys.LIVE) ? RecordCodec.decode(key, value) : RecordCodec.ended(value);
+        return key.startsWith(StoreKeys.LIVE) ? RecordCodec.decode(key, value) : RecordCodec.ended(value);
     }
 
     @ParameterizedTest
@@ -145,7 +152,7 @@
 
     @ParameterizedTest
     @MethodSource("samples")
-    void aStoredRecordIsReadAndWrittenAgain(Sample sample) throws MalformedException {
+    void aStoredRecordIsReadAndWrittenAgain(Sample sample) throws MalformedMessageException {
         byte[] stored = GOLDEN.bytes(sample.name());
         Object read = decode(sample.key(), stored);
         assertThat(read).isEqualTo(sample.value());
--- a/src/test/java/org/gullway/transport/ConnectionPoolTest.java
+++ b/src/test/java/org/gullway/transport/ConnectionPoolTest.java
@@ -16,8 +16,8 @@
     private static final String STATE = "10.2.0.1:2379";
 
     private final List<String> closed = new ArrayList<>();
-    private final Sockets sockets = new Sockets(100);
-    private final ConnectionPool<String> pool = new ConnectionPool<>(sockets, Set.of(STATE), closed::add);
+    private final SocketBudget socketBudget = new SocketBudget(100);
+    private final ConnectionPool<String> pool = new ConnectionPool<>(socketBudget, Set.of(STATE), closed::add);
 
     private void use(String address, String connection) {
         assertThat(pool.mayConnect(address)).isTrue();
@@ -27,7 +27,7 @@
     /** All workers of a fleet at one controller: with a connection kept to each, sockets would run out. */
     @Test
     void closesTheConnectionThatWasIdleLongestWhenTheBudgetIsUsedUp() {
-        sockets.accepted(75);
+        socketBudget.onAcceptedChange(75);
         for (int i = 0; i < 10; i++) {
             use("10.1.0." + i + ":9000", "c" + i);
         }
@@ -36,7 +36,7 @@
         use("10.1.0.99:9000", "new");
         assertThat(closed).containsExactly("c1");
         assertThat(pool.open()).isEqualTo(10);
-        sockets.accepted(-20);
+        socketBudget.onAcceptedChange(-20);
         use("10.1.0.98:9000", "more");
         assertThat(closed).as("as others leave room").hasSize(1);
     }
@@ -52,11 +52,11 @@
         pool.connectFailed();
         assertThat(pool.isAbandoned(silent)).isFalse();
         assertThat(pool.open()).isZero();
-        sockets.accepted(80);
+        socketBudget.onAcceptedChange(80);
         for (int i = 0; i < 50; i++) {
             pool.mayConnect("10.1.1." + i + ":9000");
         }
-        assertThat(pool.open()).isEqualTo(sockets.forWorkers());
+        assertThat(pool.open()).isEqualTo(socketBudget.availableForWorkers());
         pool.abandon(STATE);
         assertThat(pool.isAbandoned(STATE)).isFalse();
         assertThat(pool.mayConnect(STATE)).isTrue();
@@ -77,12 +77,12 @@
 
     @Test
     void mostSocketsTakenMeansThatConnectionsCloseWithTheirAnswers() {
-        sockets.accepted(60);
-        assertThat(sockets.crowded()).isFalse();
-        sockets.accepted(9);
-        assertThat(sockets.crowded()).isTrue();
-        sockets.accepted(sockets.mostAccepted() - 69);
-        assertThat(sockets.mostAccepted() + sockets.forWorkers())
+        socketBudget.onAcceptedChange(60);
+        assertThat(socketBudget.isCrowded()).isFalse();
+        socketBudget.onAcceptedChange(9);
+        assertThat(socketBudget.isCrowded()).isTrue();
+        socketBudget.onAcceptedChange(socketBudget.maxAccepted() - 69);
+        assertThat(socketBudget.maxAccepted() + socketBudget.availableForWorkers())
                 .as("leaves a reserve")
                 .isLessThanOrEqualTo(86);
     }
@@ -92,7 +92,7 @@
     void countsWhatIsOpen(@ForAll @IntRange(min = 0, max = 100_000) int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Set<String> open = new HashSet<>();
-        ConnectionPool<String> generated = new ConnectionPool<>(sockets, Set.of(STATE), open::remove);
+        ConnectionPool<String> generated = new ConnectionPool<>(socketBudget, Set.of(STATE), open::remove);
         List<String[]> inCall = new ArrayList<>();
         int made = 0;
         for (int step = 0; step < 300; step++) {
@@ -128,7 +128,7 @@
                     }
                 }
             }
-            assertThat(generated.open()).isEqualTo(open.size()).isLessThanOrEqualTo(sockets.forWorkers());
+            assertThat(generated.open()).isEqualTo(open.size()).isLessThanOrEqualTo(socketBudget.availableForWorkers());
         }
     }
 }
--- a/src/test/java/org/gullway/transport/HttpServerTest.java
+++ b/src/test/java/org/gullway/transport/HttpServerTest.java
@@ -35,12 +35,13 @@
     HttpServerTest() throws IOException {
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
-        HttpServer.start(worker, new DefaultByteBufferPool(false, 8192), new Sockets(1000), address, LIMIT, call -> {
-            if (call.path().equals("/fails")) {
-                throw new IllegalStateException("on purpose");
-            }
-            call.answer(call.body() == null ? 400 : 200, new byte[0]);
-        });
+        HttpServer.start(
+                worker, new DefaultByteBufferPool(false, 8192), new SocketBudget(1000), address, LIMIT, exchange -> {
+                    if (exchange.path().equals("/fails")) {
+                        throw new IllegalStateException("on purpose");
+                    }
+                    exchange.respond(exchange.body() == null ? 400 : 200, new byte[0]);
+                });
     }
 
     @AfterEach
--- a/src/test/java/org/gullway/ReportIntakeTest.java
+++ b/src/test/java/org/gullway/worker/HeartbeatAdmissionTest.java
@@ -1,4 +1,4 @@
-package org.gullway;
+package org.gullway.worker;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,33 +8,33 @@
 import java.util.List;
 import org.gullway.fake.SimulatedNetwork;
 import org.gullway.fake.SimulatedTime;
-import org.gullway.transport.Call;
+import org.gullway.transport.HttpExchange;
 import org.junit.jupiter.api.Test;
 
-class ReportIntakeTest {
+class HeartbeatAdmissionTest {
     private final SimulatedTime time = new SimulatedTime();
     private final SimulatedTime.Process loop = time.process();
     private final List<Integer> answers = new ArrayList<>();
     private int handled;
 
-    private Call report() {
+    private HttpExchange report() {
         return new SimulatedNetwork.Message(
-                "vm-000001", "POST", "/agent/beat", "", new byte[0], reply -> answers.add(reply.status()));
+                "vm-000001", "POST", "/agent/beat", "", new byte[0], response -> answers.add(response.status()));
     }
 
-    private ReportIntake intake(Duration each) {
-        return new ReportIntake(loop, call -> {
+    private HeartbeatAdmission intake(Duration each) {
+        return new HeartbeatAdmission(loop, exchange -> {
             time.spend(each);
             handled++;
-            call.answer(200, new byte[0]);
+            exchange.respond(200, new byte[0]);
         });
     }
 
     @Test
     void handlesReportsAtOnceWhileThereIsTime() {
-        ReportIntake intake = intake(Duration.ofMillis(1));
+        HeartbeatAdmission intake = intake(Duration.ofMillis(1));
         for (int i = 0; i < 100; i++) {
-            intake.take(report());
+            intake.admit(report());
             time.spend(Duration.ofMillis(20));
             assertThat(handled).isEqualTo(i + 1);
         }
@@ -43,14 +43,14 @@
     /** A thousand reports at once: what else is due never waits for more than one turn, and all are answered in order. */
     @Test
     void aFloodOfReportsDoesNotHoldUpTheRest() {
-        ReportIntake intake = intake(Duration.ofMillis(3));
+        HeartbeatAdmission intake = intake(Duration.ofMillis(3));
         List<Duration> delays = new ArrayList<>();
         for (int i = 1; i <= 300; i++) {
             Instant due = Instant.EPOCH.plusMillis(10L * i);
             loop.after(Duration.ofMillis(10L * i), () -> delays.add(Duration.between(due, time.now())));
         }
         for (int i = 0; i < 1000; i++) {
-            intake.take(report());
+            intake.admit(report());
         }
         time.runUntil(Instant.EPOCH.plusSeconds(10));
         assertThat(delays).hasSize(300).allSatisfy(d -> assertThat(d).isLessThan(Duration.ofMillis(30)));
