--- a/src/main/java/org/gullway/api/JobLookup.java
+++ b/src/main/java/org/gullway/api/JobLookup.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.gullway.coordination.cancellation.CancellationEnforcer;
+import org.gullway.coordination.model.FinalState;
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.StoreKeys;
-import org.gullway.coordination.model.Transaction;
 import org.gullway.protocol.JobState;
 import org.gullway.protocol.JobStatus;
 import org.gullway.protocol.MalformedMessageException;
@@ -171,7 +171,7 @@
                 return;
             }
             try {
-                Transaction.FinalState state = RecordCodec.ended(end.body().path("v"));
+                FinalState state = RecordCodec.ended(end.body().path("v"));
                 JobStatus status = new JobStatus(reading.id, state.state(), state.done(), 0);
                 finalStates.remember(status);
                 tell(reading, status, end.revision());
--- a/src/main/java/org/gullway/api/UserApi.java
+++ b/src/main/java/org/gullway/api/UserApi.java
@@ -8,6 +8,7 @@
 import org.gullway.coordination.cycle.PlanningContext;
 import org.gullway.coordination.cycle.PlanningStep;
 import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.FinalState;
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
@@ -105,7 +106,7 @@
     public void onCommitted(Transaction transaction, long revision, Instant sent) {
         ReadFreshness freshness = new ReadFreshness(ReadFreshness.Source.COMMIT, revision, sent);
         transaction.changes().forEach((key, value) -> {
-            if (value instanceof Transaction.FinalState end) {
+            if (value instanceof FinalState end) {
                 String id = key.substring(StoreKeys.finalState("").length());
                 finalStates.remember(new JobStatus(id, end.state(), end.done(), 0));
             } else if (key.startsWith(StoreKeys.JOBS) && value instanceof JobRecord job) {
--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -112,7 +112,7 @@
      * watch has passed: the answer to an own commit can come after another controller's removal of the same key, and
      * once brought a finished job back for good, whose record then refused every commit (senderos-altos-grown steady).
      */
-    public boolean put(String key, Object value, long version) {
+    public boolean put(String key, StoreRecord value, long version) {
         if (version <= watchedRevision
                 || versions.getOrDefault(key, 0L) >= version
                 || removedAt.getOrDefault(key, 0L) >= version) {
@@ -123,24 +123,30 @@
             replaceJob(job.request().id(), job);
         } else if (value instanceof MachineShard shard) {
             replaceShard(shard.id(), shard, version);
-        } else if (value instanceof QuotaPartition share) {
-            quotaPartitions.put(key, share);
-        } else if (key.startsWith(StoreKeys.MEMBERS)) {
-            shardsAndMembersVersion++;
-            Incarnation before = members.put(key.substring(StoreKeys.MEMBERS.length()), (Incarnation) value);
-            if (before != null && !before.equals(value)) {
-                lastLossRevision = Math.max(lastLossRevision, version);
-            }
-        } else if (key.equals(StoreKeys.LEADER)) {
-            leader = (Incarnation) value;
-        } else if (key.equals(StoreKeys.FENCING_TOKEN)) {
-            fencingToken = (Long) value;
-        } else if (key.equals(StoreKeys.CORDONED)) {
-            cordonedMachines = ((CordonedMachines) value).names();
+        } else if (value instanceof QuotaPartition partition) {
+            quotaPartitions.put(key, partition);
+        } else if (value instanceof Incarnation incarnation) {
+            putIncarnation(key, incarnation, version);
+        } else if (value instanceof FencingToken token) {
+            fencingToken = token.value();
+        } else if (value instanceof CordonedMachines cordoned) {
+            cordonedMachines = cordoned.names();
         }
         return true;
     }
 
+    private void putIncarnation(String key, Incarnation incarnation, long version) {
+        if (key.equals(StoreKeys.LEADER)) {
+            leader = incarnation;
+            return;
+        }
+        shardsAndMembersVersion++;
+        Incarnation before = members.put(key.substring(StoreKeys.MEMBERS.length()), incarnation);
+        if (before != null && !before.equals(incarnation)) {
+            lastLossRevision = Math.max(lastLossRevision, version);
+        }
+    }
+
     /** Takes the removal of a key at a revision. */
     public boolean remove(String key, long version) {
         if (versions.getOrDefault(key, 0L) >= version) {
--- a/src/main/java/org/gullway/coordination/model/CordonedMachines.java
+++ b/src/main/java/org/gullway/coordination/model/CordonedMachines.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /** Machines on which no best-effort task starts while reserved work waits. */
-public record CordonedMachines(Set<String> names) {
+public record CordonedMachines(Set<String> names) implements StoreRecord {
     /** As many as surely fit into one value of the state store. */
     public static final int MAX_MACHINES = 200;
 }
--- a/src/main/java/org/gullway/coordination/model/Incarnation.java
+++ b/src/main/java/org/gullway/coordination/model/Incarnation.java
@@ -6,7 +6,7 @@
  * <p>It is compared for each machine in each round. Like the other records that are compared or hashed so often, it says
  * how itself: what a record does by default is put together at run time, in a start's dearest moments.
  */
-public record Incarnation(String node, long number) {
+public record Incarnation(String node, long number) implements StoreRecord {
     @Override
     public boolean equals(Object other) {
         return this == other
--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -32,7 +32,8 @@
         IntegerRanges completedTasks,
         long attemptCount,
         int consecutiveErrors,
-        List<Placement> livePlacements) {
+        List<Placement> livePlacements)
+        implements StoreRecord {
 
     /** Generous size of one placement in the record, counted as the state store counts. */
     public static final int PLACEMENT_BYTES = 36;
@@ -73,6 +74,7 @@
     }
 
     /** Upper bound of the record's size in the state store. */
+    @Override
     public int maxEncodedBytes() {
         return FIXED_BYTES + livePlacements.size() * PLACEMENT_BYTES + completedTasks.count() * RANGE_BYTES;
     }
--- a/src/main/java/org/gullway/coordination/model/MachineShard.java
+++ b/src/main/java/org/gullway/coordination/model/MachineShard.java
@@ -11,10 +11,19 @@
  * @param epoch epoch at which it took them over; commands of earlier controllers are fenced once a worker has
  *     confirmed this epoch
  */
-public record MachineShard(String id, Incarnation controller, long fencingToken, List<MachineRecord> machines) {
+public record MachineShard(String id, Incarnation controller, long fencingToken, List<MachineRecord> machines)
+        implements StoreRecord {
     /** Small enough that a change of one machine costs little, large enough that a third of a fleet is few groups. */
     public static final int MAX_MACHINES = 16;
 
+    /** Bound for one machine's part of the record. */
+    private static final int MACHINE_BYTES = 120;
+
+    @Override
+    public int maxEncodedBytes() {
+        return SMALL_RECORD_BYTES + machines.size() * MACHINE_BYTES;
+    }
+
     /** This group with the machine added, or replaced if it has one of that name. */
     public MachineShard with(MachineRecord machine) {
         List<MachineRecord> next = new ArrayList<>(machines.size() + 1);
--- a/src/main/java/org/gullway/coordination/model/QuotaPartition.java
+++ b/src/main/java/org/gullway/coordination/model/QuotaPartition.java
@@ -7,7 +7,7 @@
  * How much of each team's limit the holder of a share may use. The shares of a team never sum to more than its limit,
  * so holders place without asking each other.
  */
-public record QuotaPartition(Map<String, Amount> amountByTeam) {
+public record QuotaPartition(Map<String, Amount> amountByTeam) implements StoreRecord {
     public static final QuotaPartition EMPTY = new QuotaPartition(Map.of());
 
     /** Processors and cards. */
--- a/src/main/java/org/gullway/coordination/model/Transaction.java
+++ b/src/main/java/org/gullway/coordination/model/Transaction.java
@@ -23,9 +23,6 @@
  * places on it, and it has one commit on its way at a time.
  */
 public final class Transaction {
-    /** The final state of a job, as it is kept under {@link StoreKeys#finalState}. */
-    public record FinalState(JobState state, int tasks, int done) {}
-
     /** Limits of one commit of the state store. */
     public record Limits(int changes, int conditions, int valueBytes) {
         private static final int COMMIT_BYTES = 48 * 1024;
@@ -42,14 +39,12 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Transaction.class);
-    private static final int OTHER_BYTES = 300;
-    private static final int MACHINE_BYTES = 120;
 
     private final ClusterState clusterState;
     private final Incarnation self;
     private final Limits limits;
     private final Instant timeOfDay;
-    private final Map<String, Object> changes = new LinkedHashMap<>();
+    private final Map<String, StoreRecord> changes = new LinkedHashMap<>();
     private final Set<String> conditions = new LinkedHashSet<>();
     private final Map<String, ResourceUsage> machineDelta = new HashMap<>();
     /** By share and team. */
@@ -74,7 +69,7 @@
     }
 
     /** Keys with their new values; a null value removes the key. */
-    public Map<String, Object> changes() {
+    public Map<String, StoreRecord> changes() {
         return changes;
     }
 
@@ -94,21 +89,14 @@
         conditions.add(key);
     }
 
-    public void put(String key, Object value) {
+    public void put(String key, StoreRecord value) {
         conditions.add(key);
         bytes += size(value) - size(changes.get(key));
         changes.put(key, value);
     }
 
-    private static int size(Object value) {
-        if (value instanceof JobRecord job) {
-            return job.maxEncodedBytes();
-        }
-        return value == null
-                ? 0
-                : value instanceof MachineShard shard
-                        ? OTHER_BYTES + shard.machines().size() * MACHINE_BYTES
-                        : OTHER_BYTES;
+    private static int size(StoreRecord value) {
+        return value == null ? 0 : value.maxEncodedBytes();
     }
 
     public void remove(String key) {
@@ -191,14 +179,14 @@
     }
 
     public long fencingToken() {
-        Object drafted = changes.get(StoreKeys.FENCING_TOKEN);
-        return drafted == null ? clusterState.fencingToken() : (Long) drafted;
+        StoreRecord planned = changes.get(StoreKeys.FENCING_TOKEN);
+        return planned == null ? clusterState.fencingToken() : ((FencingToken) planned).value();
     }
 
     /** Raises the epoch, once for all that this commit does. */
     public long nextFencingToken() {
         if (!changes.containsKey(StoreKeys.FENCING_TOKEN)) {
-            put(StoreKeys.FENCING_TOKEN, clusterState.fencingToken() + 1);
+            put(StoreKeys.FENCING_TOKEN, new FencingToken(clusterState.fencingToken()).next());
         }
         return fencingToken();
     }
@@ -217,9 +205,9 @@
 
     /** A share as this commit leaves it. */
     public QuotaPartition quotaPartition(String key) {
-        Object drafted = changes.get(key);
-        return drafted != null
-                ? (QuotaPartition) drafted
+        StoreRecord planned = changes.get(key);
+        return planned != null
+                ? (QuotaPartition) planned
                 : clusterState.quotaPartitions().getOrDefault(key, QuotaPartition.EMPTY);
     }
 
--- a/src/main/java/org/gullway/storage/RecordCodec.java
+++ b/src/main/java/org/gullway/storage/RecordCodec.java
@@ -13,6 +13,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.gullway.coordination.model.CordonedMachines;
+import org.gullway.coordination.model.FencingToken;
+import org.gullway.coordination.model.FinalState;
 import org.gullway.coordination.model.Incarnation;
 import org.gullway.coordination.model.IntegerRanges;
 import org.gullway.coordination.model.JobRecord;
@@ -21,7 +23,7 @@
 import org.gullway.coordination.model.Placement;
 import org.gullway.coordination.model.QuotaPartition;
 import org.gullway.coordination.model.StoreKeys;
-import org.gullway.coordination.model.Transaction;
+import org.gullway.coordination.model.StoreRecord;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.JobState;
@@ -38,7 +40,7 @@
      * @param value a record of one of the types that {@link #decode} returns, or an ended job
      * @throws IllegalArgumentException if the value is of another type
      */
-    public static ObjectNode encode(Object value) {
+    public static ObjectNode encode(StoreRecord value) {
         if (value instanceof JobRecord job) {
             return encode(job);
         }
@@ -55,7 +57,7 @@
         if (value instanceof Incarnation incarnation) {
             return encode(incarnation);
         }
-        if (value instanceof Transaction.FinalState ended) {
+        if (value instanceof FinalState ended) {
             return Cbor.map()
                     .put("state", ended.state().wire())
                     .put("tasks", ended.tasks())
@@ -67,8 +69,8 @@
             closed.names().forEach(names::add);
             return node;
         }
-        if (value instanceof Long epoch) {
-            return Cbor.map().put("epoch", epoch);
+        if (value instanceof FencingToken token) {
+            return Cbor.map().put("epoch", token.value());
         }
         throw new IllegalArgumentException("no record: " + value);
     }
@@ -157,7 +159,7 @@
     }
 
     /** Reads a value under {@link StoreKeys#LIVE}; null for a key of no known kind. */
-    public static Object decode(String key, JsonNode value) throws MalformedMessageException {
+    public static StoreRecord decode(String key, JsonNode value) throws MalformedMessageException {
         MessageFields fields = MessageFields.of(value);
         if (key.startsWith(StoreKeys.JOBS)) {
             return job(fields, value);
@@ -172,7 +174,7 @@
             return incarnation(fields);
         }
         if (key.equals(StoreKeys.FENCING_TOKEN)) {
-            return fields.count("epoch");
+            return new FencingToken(fields.count("epoch"));
         }
         if (key.equals(StoreKeys.CORDONED)) {
             List<String> names = fields.textsOrNull("machines");
@@ -182,9 +184,9 @@
     }
 
     /** Reads the record of a job that is over, which is kept outside the watched keys. */
-    public static Transaction.FinalState ended(JsonNode value) throws MalformedMessageException {
+    public static FinalState ended(JsonNode value) throws MalformedMessageException {
         MessageFields fields = MessageFields.of(value);
-        return new Transaction.FinalState(
+        return new FinalState(
                 JobState.of(fields.text("state")),
                 fields.countUpTo("tasks", JobRequest.MAX_TASKS),
                 fields.countUpTo("done", JobRequest.MAX_TASKS));
--- a/src/main/java/org/gullway/storage/StateStoreClient.java
+++ b/src/main/java/org/gullway/storage/StateStoreClient.java
@@ -11,6 +11,7 @@
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
 import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.StoreRecord;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.transport.HttpClient;
@@ -115,7 +116,7 @@
     public void commit(
             Collection<String> guards,
             ToLongFunction<String> mark,
-            Map<String, ?> changes,
+            Map<String, ? extends StoreRecord> changes,
             long lease,
             Consumer<Outcome> callback) {
         ObjectNode node = Cbor.map();
--- a/src/main/java/org/gullway/storage/TransactionCommitter.java
+++ b/src/main/java/org/gullway/storage/TransactionCommitter.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.StoreRecord;
 import org.gullway.coordination.model.Transaction;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpResponse;
@@ -146,7 +147,7 @@
                 sent.transaction().changes().keySet());
     }
 
-    private void applyToView(String key, Object value, long revision) {
+    private void applyToView(String key, StoreRecord value, long revision) {
         if (value == null) {
             clusterState.remove(key, revision);
         } else if (key.startsWith(StoreKeys.LIVE)) {
--- a/src/main/java/org/gullway/storage/WatchStream.java
+++ b/src/main/java/org/gullway/storage/WatchStream.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.StoreRecord;
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpResponse;
@@ -157,7 +158,7 @@
 
     private void take(String key, JsonNode item) {
         try {
-            Object value = RecordCodec.decode(key, item.path("v"));
+            StoreRecord value = RecordCodec.decode(key, item.path("v"));
             if (value != null) {
                 clusterState.put(key, value, StateStoreClient.version(item));
             }
--- a/src/test/java/org/gullway/coordination/agents/AgentReconcilerTest.java
+++ b/src/test/java/org/gullway/coordination/agents/AgentReconcilerTest.java
@@ -9,6 +9,7 @@
 import org.gullway.coordination.command.CommandBatch;
 import org.gullway.coordination.command.CommandOutcome;
 import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.FencingToken;
 import org.gullway.coordination.model.Incarnation;
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.MachineRecord;
@@ -252,7 +253,7 @@
         HeartbeatResponse.Accepted first =
                 (HeartbeatResponse.Accepted) control.onHeartbeat(report(1, 1, null, ended, done), now);
         assertThat(first.commands()).containsExactly(AgentCommand.forget(done.task(), 1));
-        clusterState.put(StoreKeys.FENCING_TOKEN, 2L, ++revision);
+        clusterState.put(StoreKeys.FENCING_TOKEN, new FencingToken(2), ++revision);
         HeartbeatResponse.Accepted second =
                 (HeartbeatResponse.Accepted) control.onHeartbeat(report(1, 2, null, ended), now);
         assertThat(second.commands()).containsExactly(AgentCommand.forget(TASK, 1));
--- a/src/test/java/org/gullway/coordination/model/TestFixtures.java
+++ b/src/test/java/org/gullway/coordination/model/TestFixtures.java
@@ -89,7 +89,7 @@
         clusterState.put(StoreKeys.member(SELF.node()), SELF, 1);
         clusterState.put(StoreKeys.member(PEER.node()), PEER, 2);
         clusterState.put(StoreKeys.LEADER, SELF, 3);
-        clusterState.put(StoreKeys.FENCING_TOKEN, 1L, 4);
+        clusterState.put(StoreKeys.FENCING_TOKEN, new FencingToken(1), 4);
         QuotaPartition all = QuotaPartition.EMPTY
                 .with("red", new QuotaPartition.Amount(32, 0))
                 .with("blue", new QuotaPartition.Amount(64, 0));
--- a/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
@@ -5,6 +5,7 @@
 import java.time.Instant;
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.CordonedMachines;
+import org.gullway.coordination.model.FinalState;
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.Placement;
 import org.gullway.coordination.model.StoreKeys;
@@ -107,7 +108,7 @@
         reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
         assertThat(transaction.job("run-000001")).isNull();
         assertThat(transaction.changes().get(StoreKeys.finalState("run-000001")))
-                .isInstanceOf(Transaction.FinalState.class);
+                .isInstanceOf(FinalState.class);
     }
 
     @Test
--- a/src/test/java/org/gullway/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenRecordsTest.java
@@ -10,6 +10,8 @@
 import java.util.List;
 import java.util.stream.Stream;
 import org.gullway.coordination.model.CordonedMachines;
+import org.gullway.coordination.model.FencingToken;
+import org.gullway.coordination.model.FinalState;
 import org.gullway.coordination.model.Incarnation;
 import org.gullway.coordination.model.IntegerRanges;
 import org.gullway.coordination.model.JobRecord;
@@ -18,7 +20,7 @@
 import org.gullway.coordination.model.Placement;
 import org.gullway.coordination.model.QuotaPartition;
 import org.gullway.coordination.model.StoreKeys;
-import org.gullway.coordination.model.Transaction;
+import org.gullway.coordination.model.StoreRecord;
 import org.gullway.golden.GoldenFile;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
@@ -35,7 +37,7 @@
     private static final Incarnation CONTROLLER = new Incarnation("perch-1", 7_654_321_098_765L);
 
     /** A record under its key. */
-    record Sample(String name, String key, Object value) {
+    record Sample(String name, String key, StoreRecord value) {
         @Override
         public String toString() {
             return name;
@@ -123,7 +125,7 @@
         samples.add(new Sample("share-empty", StoreKeys.quotaPartition("perch-1"), QuotaPartition.EMPTY));
         samples.add(new Sample("member", StoreKeys.member("perch-1"), CONTROLLER));
         samples.add(new Sample("leader", StoreKeys.LEADER, CONTROLLER));
-        samples.add(new Sample("epoch", StoreKeys.FENCING_TOKEN, 4_294_967_300L));
+        samples.add(new Sample("epoch", StoreKeys.FENCING_TOKEN, new FencingToken(4_294_967_300L)));
         samples.add(new Sample(
                 "closed",
                 StoreKeys.CORDONED,
@@ -131,14 +133,12 @@
         samples.add(new Sample("closed-empty", StoreKeys.CORDONED, new CordonedMachines(new LinkedHashSet<>())));
         for (JobState state : JobState.values()) {
             samples.add(new Sample(
-                    "ended-" + state.wire(),
-                    StoreKeys.finalState("run-000412"),
-                    new Transaction.FinalState(state, 300, 17)));
+                    "ended-" + state.wire(), StoreKeys.finalState("run-000412"), new FinalState(state, 300, 17)));
         }
         return samples.stream();
     }
 
-    private static Object decode(String key, byte[] stored) throws MalformedMessageException {
+    private static StoreRecord decode(String key, byte[] stored) throws MalformedMessageException {
         JsonNode value = Cbor.decode(stored);
         return key.startsWith(StoreKeys.LIVE) ? RecordCodec.decode(key, value) : RecordCodec.ended(value);
     }
@@ -154,7 +154,7 @@
     @MethodSource("samples")
     void aStoredRecordIsReadAndWrittenAgain(Sample sample) throws MalformedMessageException {
         byte[] stored = GOLDEN.bytes(sample.name());
-        Object read = decode(sample.key(), stored);
+        StoreRecord read = decode(sample.key(), stored);
         assertThat(read).isEqualTo(sample.value());
         assertThat(Cbor.encode(RecordCodec.encode(read))).isEqualTo(stored);
     }
--- a/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
@@ -7,8 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.gullway.coordination.model.FencingToken;
 import org.gullway.coordination.model.Incarnation;
 import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.StoreRecord;
 import org.gullway.golden.GoldenFile;
 import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpRequest;
@@ -61,10 +63,10 @@
     @Test
     void commitsAreSentAsBefore() {
         Incarnation incarnation = new Incarnation("perch-0", 42);
-        Map<String, Object> changes = new LinkedHashMap<>();
+        Map<String, StoreRecord> changes = new LinkedHashMap<>();
         changes.put(StoreKeys.member("perch-0"), incarnation);
         changes.put(StoreKeys.LEADER, incarnation);
-        changes.put(StoreKeys.FENCING_TOKEN, 12L);
+        changes.put(StoreKeys.FENCING_TOKEN, new FencingToken(12));
         changes.put(StoreKeys.job("run-000412"), null);
         call("commit")
                 .commit(
--- a/src/test/java/org/gullway/storage/RecordCodecTest.java
+++ b/src/test/java/org/gullway/storage/RecordCodecTest.java
@@ -11,6 +11,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.gullway.coordination.model.CordonedMachines;
+import org.gullway.coordination.model.FencingToken;
+import org.gullway.coordination.model.FinalState;
 import org.gullway.coordination.model.Incarnation;
 import org.gullway.coordination.model.IntegerRanges;
 import org.gullway.coordination.model.JobRecord;
@@ -19,8 +21,8 @@
 import org.gullway.coordination.model.Placement;
 import org.gullway.coordination.model.QuotaPartition;
 import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.StoreRecord;
 import org.gullway.coordination.model.TestFixtures;
-import org.gullway.coordination.model.Transaction;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobState;
 import org.gullway.protocol.MalformedMessageException;
@@ -28,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 
 class RecordCodecTest {
-    private static Object through(String key, Object value) throws MalformedMessageException {
+    private static StoreRecord through(String key, StoreRecord value) throws MalformedMessageException {
         return RecordCodec.decode(key, Cbor.decode(Cbor.encode(RecordCodec.encode(value))));
     }
 
@@ -93,10 +95,10 @@
         assertThat(through(StoreKeys.LEADER_QUOTA, share)).isEqualTo(share);
         assertThat(through(StoreKeys.LEADER, incarnation)).isEqualTo(incarnation);
         assertThat(through(StoreKeys.member("perch-0"), incarnation)).isEqualTo(incarnation);
-        assertThat(through(StoreKeys.FENCING_TOKEN, 41L)).isEqualTo(41L);
+        assertThat(through(StoreKeys.FENCING_TOKEN, new FencingToken(41))).isEqualTo(new FencingToken(41));
         assertThat(through(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1"))))
                 .isEqualTo(new CordonedMachines(Set.of("vm-1")));
-        Transaction.FinalState ended = new Transaction.FinalState(JobState.DONE, 4, 4);
+        FinalState ended = new FinalState(JobState.DONE, 4, 4);
         assertThat(RecordCodec.ended(RecordCodec.encode(ended))).isEqualTo(ended);
     }
 }
