--- a/src/main/java/org/gullway/api/SubmissionHandler.java
+++ b/src/main/java/org/gullway/api/SubmissionHandler.java
@@ -12,7 +12,8 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
-import org.gullway.coordination.placement.PlacementConstraints;
+import org.gullway.coordination.placement.MachineTypeCatalog;
+import org.gullway.coordination.quota.JobFeasibility;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
@@ -33,7 +34,8 @@
     private final EventLoop loop;
     private final ClusterState clusterState;
     private final ReplicatedState replicatedState;
-    private final PlacementConstraints constraints;
+    private final MachineTypeCatalog machineTypes;
+    private final JobFeasibility feasibility;
     private final RandomGenerator random;
     private final RequestMetrics metrics;
     private final FinalStateCache finalStates;
@@ -50,7 +52,8 @@
             EventLoop loop,
             ClusterState clusterState,
             ReplicatedState replicatedState,
-            PlacementConstraints constraints,
+            MachineTypeCatalog machineTypes,
+            JobFeasibility feasibility,
             RandomGenerator random,
             RequestMetrics metrics,
             FinalStateCache finalStates,
@@ -61,7 +64,8 @@
         this.loop = loop;
         this.clusterState = clusterState;
         this.replicatedState = replicatedState;
-        this.constraints = constraints;
+        this.machineTypes = machineTypes;
+        this.feasibility = feasibility;
         this.random = random;
         this.metrics = metrics;
         this.finalStates = finalStates;
@@ -81,11 +85,11 @@
             return;
         }
         String id = request.id();
-        if (!replicatedState.holdsValidLease() || constraints.types().isEmpty()) {
+        if (!replicatedState.holdsValidLease() || machineTypes.isEmpty()) {
             UserResponses.rejectTemporarily(userRequest.exchange());
         } else if (clusterState.job(id) != null || finalStates.contains(id)) {
             statusQueries.respondToRepeatedSubmission(id, userRequest);
-        } else if (!constraints.isFeasible(request)) {
+        } else if (!feasibility.isFeasible(request)) {
             refuseUnlessAccepted(id, userRequest);
         } else if (pending.size() >= MOST_PENDING) {
             userRequest.exchange().reject(429, UserResponses.RETRY_AFTER.multipliedBy(2));
@@ -122,7 +126,7 @@
         if (r.machineTypes() == null) {
             return r;
         }
-        List<String> types = constraints.types().values().stream()
+        List<String> types = machineTypes.byName().values().stream()
                 .map(MachineType::name)
                 .filter(r.machineTypes()::contains)
                 .toList();
--- a/src/main/java/org/gullway/api/UserApi.java
+++ b/src/main/java/org/gullway/api/UserApi.java
@@ -12,7 +12,8 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
-import org.gullway.coordination.placement.PlacementConstraints;
+import org.gullway.coordination.placement.MachineTypeCatalog;
+import org.gullway.coordination.quota.JobFeasibility;
 import org.gullway.protocol.JobStatus;
 import org.gullway.storage.ReplicatedState;
 import org.gullway.transport.EventLoop;
@@ -38,7 +39,8 @@
             EventLoop loop,
             ClusterState clusterState,
             ReplicatedState replicatedState,
-            PlacementConstraints constraints,
+            MachineTypeCatalog machineTypes,
+            JobFeasibility feasibility,
             RandomGenerator random,
             RequestMetrics metrics,
             int guardsPerCommit,
@@ -58,7 +60,8 @@
                 loop,
                 clusterState,
                 replicatedState,
-                constraints,
+                machineTypes,
+                feasibility,
                 random,
                 metrics,
                 finalStates,
--- a/src/main/java/org/gullway/cloud/CloudProvisioner.java
+++ b/src/main/java/org/gullway/cloud/CloudProvisioner.java
@@ -19,7 +19,7 @@
 import org.gullway.coordination.model.Incarnation;
 import org.gullway.coordination.model.MachineRecord;
 import org.gullway.coordination.model.Transaction;
-import org.gullway.coordination.placement.PlacementConstraints;
+import org.gullway.coordination.placement.MachineTypeCatalog;
 import org.gullway.coordination.scaling.FleetAutoscaler;
 import org.gullway.protocol.CloudMessages;
 import org.gullway.protocol.CloudMessages.ListedMachine;
@@ -48,7 +48,7 @@
     private final HttpClient httpClient;
     private final String address;
     private final ClusterState clusterState;
-    private final PlacementConstraints constraints;
+    private final MachineTypeCatalog machineTypes;
     private final FleetAutoscaler autoscaler;
     private final Incarnation self;
     private final InstantSource timeOfDay;
@@ -82,7 +82,7 @@
             String address,
             double callsPerSecond,
             ClusterState clusterState,
-            PlacementConstraints constraints,
+            MachineTypeCatalog machineTypes,
             FleetAutoscaler autoscaler,
             Incarnation self,
             InstantSource timeOfDay,
@@ -92,7 +92,7 @@
         this.address = address;
         this.budget = new TokenBucket(loop, callsPerSecond);
         this.clusterState = clusterState;
-        this.constraints = constraints;
+        this.machineTypes = machineTypes;
         this.autoscaler = autoscaler;
         this.self = self;
         this.timeOfDay = timeOfDay;
@@ -110,13 +110,13 @@
     /** Asks the cloud for what is due: types, the list of machines, and as the leader machines to provision or release. */
     public void reconcile(boolean leading) {
         Instant now = loop.now();
-        if (!typesAt.plus(constraints.types().isEmpty() ? Duration.ofSeconds(1) : TYPES_EVERY)
+        if (!typesAt.plus(machineTypes.isEmpty() ? Duration.ofSeconds(1) : TYPES_EVERY)
                         .isAfter(now)
                 && spend()) {
             typesAt = now;
             askTypes();
         }
-        if (!leading || constraints.types().isEmpty()) {
+        if (!leading || machineTypes.isEmpty()) {
             return;
         }
         if (!listing && !listedAt.plus(LIST_EVERY).isAfter(now) && spend()) {
@@ -145,7 +145,7 @@
         httpClient.call(address, HttpRequest.get("/flavors", LIMIT), response -> {
             try {
                 if (response.isOk()) {
-                    constraints.updateTypes(CloudMessages.decodeTypes(response.body()));
+                    machineTypes.update(CloudMessages.decodeTypes(response.body()));
                     changed.run();
                     return;
                 }
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -25,8 +25,11 @@
 import org.gullway.coordination.model.PeerZones;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
+import org.gullway.coordination.placement.MachineTypeCatalog;
 import org.gullway.coordination.placement.PlacementConstraints;
+import org.gullway.coordination.quota.JobFeasibility;
 import org.gullway.coordination.quota.QuotaPartitioner;
+import org.gullway.coordination.quota.TeamQuotas;
 import org.gullway.coordination.scaling.FleetAutoscaler;
 import org.gullway.coordination.scheduling.BestEffortQueue;
 import org.gullway.coordination.scheduling.DeadlinePolicy;
@@ -62,7 +65,9 @@
     private final ClusterState clusterState = new ClusterState();
     private final Incarnation self;
     private final ReplicatedState replicatedState;
-    private final PlacementConstraints constraints;
+    private final MachineTypeCatalog machineTypes = new MachineTypeCatalog();
+    private final PlacementConstraints constraints = new PlacementConstraints(machineTypes);
+    private final TeamQuotas quotas;
     private final JobBackoff backoff = new JobBackoff();
     private final CompletionBuffer completionBuffer;
     private final AgentReconciler agentReconciler;
@@ -110,7 +115,7 @@
                 settings.nodeName(), (timeOfDay.millis() << 12 | random.nextInt(1 << 12)) & Long.MAX_VALUE);
         this.replicatedState =
                 newReplicatedState(settings, httpClient, new Membership(self, operator.membershipLease()));
-        this.constraints = new PlacementConstraints(settings.teams());
+        this.quotas = new TeamQuotas(settings.teams());
         Duration report = settings.heartbeatInterval();
         this.completionBuffer = new CompletionBuffer(clusterState);
         this.cancellationEnforcer = new CancellationEnforcer(clusterState, settings.cancellationLimit());
@@ -127,12 +132,13 @@
                 clusterState, self, cancellationEnforcer, settings.cancellationLimit(), settings.workerLease());
         this.cancellationWatermark = new CancellationWatermark(clusterState, zones.keySet());
         DeadlinePolicy deadlines = new DeadlinePolicy(settings.objectives());
-        this.scavengerScheduler =
-                new ScavengerScheduler(clusterState, constraints, backoff, deadlines, operator.spareCapacityShare());
-        this.reservedScheduler = new ReservedScheduler(clusterState, constraints, backoff, deadlines);
+        this.scavengerScheduler = new ScavengerScheduler(
+                clusterState, constraints, quotas, backoff, deadlines, operator.spareCapacityShare());
+        this.reservedScheduler = new ReservedScheduler(clusterState, constraints, quotas, backoff, deadlines);
         this.bestEffortQueue = new BestEffortQueue(
                 clusterState,
                 constraints,
+                quotas,
                 backoff,
                 deadlines,
                 scavengerScheduler,
@@ -141,9 +147,9 @@
                 random.split(),
                 () -> agentReconciler.schedulableMachines(loop.now()),
                 this::send);
-        this.reconciliation = new Reconciliation(clusterState, constraints, self.node(), random.split());
-        this.quotaPartitioner = new QuotaPartitioner(clusterState, constraints, self.node(), allNodes(settings));
-        this.autoscaler = new FleetAutoscaler(clusterState, constraints, scalingPolicy(operator));
+        this.reconciliation = new Reconciliation(clusterState, quotas, self.node(), random.split());
+        this.quotaPartitioner = new QuotaPartitioner(clusterState, quotas, self.node(), allNodes(settings));
+        this.autoscaler = new FleetAutoscaler(clusterState, constraints, quotas, scalingPolicy(operator));
         this.cloudProvisioner = newCloudProvisioner(settings, httpClient);
         this.userApi = newUserApi(settings, random.split());
         this.commandSender = newCommandSender(httpClient);
@@ -210,7 +216,7 @@
                 settings.cloudAddress(),
                 settings.cloudRequestsPerSecond(),
                 clusterState,
-                constraints,
+                machineTypes,
                 autoscaler,
                 self,
                 timeOfDay,
@@ -222,7 +228,8 @@
                 loop,
                 clusterState,
                 replicatedState,
-                constraints,
+                machineTypes,
+                new JobFeasibility(machineTypes, quotas),
                 random,
                 metrics,
                 4 * settings.stateChangesPerCommit(),
@@ -314,7 +321,7 @@
     /** In an outage that all controllers share it stays healthy: users get 503 and repeat their requests here. */
     private boolean isHealthy() {
         boolean serves = replicatedState.holdsValidLease() || heldLeaseBefore && peerExchange.isStoreOutageShared();
-        return serves && !constraints.types().isEmpty();
+        return serves && !machineTypes.isEmpty();
     }
 
     private void schedule() {
@@ -364,7 +371,7 @@
      * of all workers at once and lost its membership over them (senderos-altos-fleet restart, half as many machines again).
      */
     private void openListenerWithPeers(Instant now) {
-        if (openListener == null || constraints.types().isEmpty()) {
+        if (openListener == null || machineTypes.isEmpty()) {
             return;
         }
         if (readySince == null) {
--- a/src/main/java/org/gullway/coordination/failover/Reconciliation.java
+++ b/src/main/java/org/gullway/coordination/failover/Reconciliation.java
@@ -17,8 +17,8 @@
 import org.gullway.coordination.model.MachineShard;
 import org.gullway.coordination.model.Placement;
 import org.gullway.coordination.model.Transaction;
-import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.coordination.quota.QuotaPartitioner;
+import org.gullway.coordination.quota.TeamQuotas;
 
 /**
  * Puts right what the loss of a machine or a member leaves behind: attempts that are certainly gone wait again, jobs
@@ -31,17 +31,16 @@
     private static final Duration BALANCE_EVERY = Duration.ofSeconds(5);
 
     private final ClusterState clusterState;
-    private final PlacementConstraints constraints;
+    private final TeamQuotas quotas;
     private final String self;
     private final RandomGenerator random;
     private Instant proposedAt = Instant.MIN;
     private Instant balancedAt = Instant.MIN;
     private long checkedPlacements;
 
-    public Reconciliation(
-            ClusterState clusterState, PlacementConstraints constraints, String self, RandomGenerator random) {
+    public Reconciliation(ClusterState clusterState, TeamQuotas quotas, String self, RandomGenerator random) {
         this.clusterState = clusterState;
-        this.constraints = constraints;
+        this.quotas = quotas;
         this.self = self;
         this.random = random;
     }
@@ -65,7 +64,7 @@
             }
         }
         if (leading) {
-            QuotaPartitioner.releaseLostMembers(transaction, clusterState, constraints);
+            QuotaPartitioner.releaseLostMembers(transaction, clusterState, quotas);
             balance(transaction, now);
         }
     }
--- a/src/main/java/org/gullway/coordination/quota/GuaranteedQuota.java
+++ b/src/main/java/org/gullway/coordination/quota/GuaranteedQuota.java
@@ -9,7 +9,6 @@
 import java.util.Set;
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.JobRecord;
-import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.protocol.Settings;
 
 /** The jobs that fit into their team's guarantee together with the team's earlier jobs that are not finished. */
@@ -23,7 +22,7 @@
     /**
      * Determines which jobs are within the guarantees of their teams, counting jobs in the order of their submission.
      */
-    public static GuaranteedQuota of(ClusterState clusterState, PlacementConstraints constraints) {
+    public static GuaranteedQuota of(ClusterState clusterState, TeamQuotas quotas) {
         List<JobRecord> jobs = new ArrayList<>(clusterState.jobs());
         jobs.sort(Comparator.comparing(JobRecord::submittedAt)
                 .thenComparing(job -> job.request().id()));
@@ -31,7 +30,7 @@
         Map<String, Double> cards = new HashMap<>();
         Set<String> within = new HashSet<>();
         for (JobRecord job : jobs) {
-            Settings.Team team = constraints.team(job.request().team());
+            Settings.Team team = quotas.team(job.request().team());
             if (team != null && !job.isCancelled()) {
                 double usedCpus = cpus.merge(
                         team.name(), job.unfinishedTasks() * job.request().cpus(), Double::sum);
--- a/src/main/java/org/gullway/coordination/quota/QuotaHeadroom.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaHeadroom.java
@@ -6,7 +6,6 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.QuotaPartition;
 import org.gullway.coordination.model.StoreKeys;
-import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Settings;
 
@@ -18,9 +17,9 @@
     private final Map<String, Double> heldByShareAndTeam = new HashMap<>();
     private final Map<String, Double> openByTeam = new HashMap<>();
 
-    public QuotaHeadroom(ClusterState clusterState, PlacementConstraints constraints) {
+    public QuotaHeadroom(ClusterState clusterState, TeamQuotas quotas) {
         this.clusterState = clusterState;
-        for (Settings.Team team : constraints.teams()) {
+        for (Settings.Team team : quotas.teams()) {
             double shares = 0;
             for (QuotaPartition share : clusterState.quotaPartitions().values()) {
                 shares += share.of(team.name()).cpus();
--- a/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
@@ -17,7 +17,6 @@
 import org.gullway.coordination.model.QuotaPartition;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
-import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.protocol.Settings;
 
 /**
@@ -43,7 +42,7 @@
     private static final double EPSILON = 1e-6;
 
     private final ClusterState clusterState;
-    private final PlacementConstraints constraints;
+    private final TeamQuotas quotas;
     private final String own;
     private final Set<String> possible = new TreeSet<>();
     /** For each share that exists or may come into being, all others. */
@@ -57,10 +56,9 @@
     private record Unused(double used, Instant since, Instant until) {}
 
     /** @param nodes all controllers of the deployment, this one included */
-    public QuotaPartitioner(
-            ClusterState clusterState, PlacementConstraints constraints, String self, Collection<String> nodes) {
+    public QuotaPartitioner(ClusterState clusterState, TeamQuotas quotas, String self, Collection<String> nodes) {
         this.clusterState = clusterState;
-        this.constraints = constraints;
+        this.quotas = quotas;
         this.own = StoreKeys.quotaPartition(self);
         possible.add(StoreKeys.LEADER_QUOTA);
         nodes.forEach(node -> possible.add(StoreKeys.quotaPartition(node)));
@@ -79,7 +77,7 @@
         for (String share : held) {
             QuotaPartition before = transaction.quotaPartition(share);
             QuotaPartition after = before;
-            for (Settings.Team team : constraints.teams()) {
+            for (Settings.Team team : quotas.teams()) {
                 after = adjust(transaction, share, after, team, needs, mayLower, now);
             }
             if (!after.equals(before) && transaction.hasCapacityFor(1)) {
@@ -315,8 +313,7 @@
     }
 
     /** Frees what lost members hold beyond the use of the jobs they still own. */
-    public static void releaseLostMembers(
-            Transaction transaction, ClusterState clusterState, PlacementConstraints constraints) {
+    public static void releaseLostMembers(Transaction transaction, ClusterState clusterState, TeamQuotas quotas) {
         for (String key : clusterState.quotaPartitions().keySet()) {
             String node = StoreKeys.quotaHolder(key);
             if (node == null
@@ -327,7 +324,7 @@
             }
             QuotaPartition share = clusterState.quotaPartitions().get(key);
             QuotaPartition used = QuotaPartition.EMPTY;
-            for (Settings.Team team : constraints.teams()) {
+            for (Settings.Team team : quotas.teams()) {
                 ClusterState.ResourceUsage room = clusterState.quotaUsage(key, team.name());
                 QuotaPartition.Amount held = share.of(team.name());
                 used = used.with(
--- a/src/main/java/org/gullway/coordination/scaling/FleetAutoscaler.java
+++ b/src/main/java/org/gullway/coordination/scaling/FleetAutoscaler.java
@@ -17,6 +17,7 @@
 import org.gullway.coordination.model.Transaction;
 import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.coordination.quota.QuotaHeadroom;
+import org.gullway.coordination.quota.TeamQuotas;
 import org.gullway.protocol.CloudMessages;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
@@ -42,6 +43,7 @@
 
     private final ClusterState clusterState;
     private final PlacementConstraints constraints;
+    private final TeamQuotas quotas;
     private final SpareCapacityPolicy spareRoom;
     private final ScaleInPolicy reduction;
     private Instant plannedAt = Instant.MIN;
@@ -49,9 +51,11 @@
     /** Kinds of which the cloud had none, and until when they are not asked for. */
     private final Map<MachineOffering, Instant> exhausted = new HashMap<>();
 
-    public FleetAutoscaler(ClusterState clusterState, PlacementConstraints constraints, ScalingPolicy policy) {
+    public FleetAutoscaler(
+            ClusterState clusterState, PlacementConstraints constraints, TeamQuotas quotas, ScalingPolicy policy) {
         this.clusterState = clusterState;
         this.constraints = constraints;
+        this.quotas = quotas;
         this.spareRoom = new SpareCapacityPolicy(clusterState, policy.spareCapacityShare());
         this.reduction = new ScaleInPolicy(clusterState, constraints, policy);
     }
@@ -62,7 +66,7 @@
     }
 
     private Optional<MachineOffering> offering(ProvisioningRequest request) {
-        MachineType type = constraints.types().get(request.type());
+        MachineType type = constraints.machineTypes().byName().get(request.type());
         return type == null ? Optional.empty() : Optional.of(new MachineOffering(type, request.zone(), request.spot()));
     }
 
@@ -92,7 +96,7 @@
     private List<MachineOffering> offerings(Instant now) {
         exhausted.values().removeIf(until -> !now.isBefore(until));
         List<MachineOffering> offerings = new ArrayList<>();
-        for (MachineType type : constraints.types().values()) {
+        for (MachineType type : constraints.machineTypes().byName().values()) {
             for (String zone : type.zones()) {
                 offerings.add(new MachineOffering(type, zone, true));
                 offerings.add(new MachineOffering(type, zone, false));
@@ -119,7 +123,7 @@
             }
         }
         for (MachineRecord machine : clusterState.machines()) {
-            MachineType type = constraints.types().get(machine.type());
+            MachineType type = constraints.machineTypes().byName().get(machine.type());
             if (type != null && machine.lifecycle() == MachineLifecycle.ACTIVE) {
                 ClusterState.ResourceUsage used = clusterState.usageOn(machine.name());
                 if (used.cpus + smallest <= type.cpus() + EPSILON) {
@@ -132,7 +136,7 @@
     private void layOutJobs(BinPacking packing, Instant now) {
         JobRequest sample = null;
         double reservedUse = 0;
-        QuotaHeadroom headroom = new QuotaHeadroom(clusterState, constraints);
+        QuotaHeadroom headroom = new QuotaHeadroom(clusterState, quotas);
         for (JobRecord job : byNeed()) {
             JobRequest request = job.request();
             if (job.isReserved() && !job.isCancelled()) {
@@ -168,7 +172,7 @@
         proposedAt = now;
         double reservedUse = 0;
         double waiting = 0;
-        QuotaHeadroom headroom = new QuotaHeadroom(clusterState, constraints);
+        QuotaHeadroom headroom = new QuotaHeadroom(clusterState, quotas);
         for (JobRecord job : clusterState.jobs()) {
             JobRequest request = job.request();
             reservedUse += job.isReserved() ? job.unfinishedTasks() * request.cpus() : 0;
--- a/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
@@ -67,7 +67,7 @@
             if (!transaction.canPutMachine(machine.name())) {
                 continue;
             }
-            MachineType type = constraints.types().get(machine.type());
+            MachineType type = constraints.machineTypes().byName().get(machine.type());
             if (!machine.isUp()) {
                 giveUpIfOverdue(transaction, machine, type);
                 continue;
@@ -106,7 +106,7 @@
         leastExcess = Math.min(leastExcess, excess);
         if (!excessSince.plus(policy.scaleInDelay()).isAfter(now)) {
             double largest = 0;
-            for (MachineType type : constraints.types().values()) {
+            for (MachineType type : constraints.machineTypes().byName().values()) {
                 largest = Math.max(largest, type.cpus());
             }
             toDrain = leastExcess - KEPT_MACHINES * largest;
@@ -119,7 +119,7 @@
         List<Candidate> candidates = new ArrayList<>();
         Map<String, Double> busy = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
-            MachineType type = constraints.types().get(machine.type());
+            MachineType type = constraints.machineTypes().byName().get(machine.type());
             if (type == null
                     || machine.lifecycle() != MachineLifecycle.ACTIVE
                     || !mayLeave(transaction, machine, type)) {
@@ -147,7 +147,7 @@
         double used = 0;
         double cpus = 0;
         for (MachineRecord machine : clusterState.shard(group).machines()) {
-            MachineType type = constraints.types().get(machine.type());
+            MachineType type = constraints.machineTypes().byName().get(machine.type());
             used += clusterState.usageOn(machine.name()).cpus;
             cpus += type == null ? 0 : type.cpus();
         }
--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
@@ -26,9 +26,11 @@
 import org.gullway.coordination.model.QuotaPartition;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
+import org.gullway.coordination.placement.BestFit;
 import org.gullway.coordination.placement.InfeasibleRequests;
 import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.coordination.quota.GuaranteedQuota;
+import org.gullway.coordination.quota.TeamQuotas;
 import org.gullway.protocol.ResourceOffer;
 
 /**
@@ -41,6 +43,8 @@
 
     private final ClusterState clusterState;
     private final PlacementConstraints constraints;
+    private final TeamQuotas quotas;
+    private final BestFit bestFit;
     private final JobBackoff backoff;
     private final DeadlinePolicy deadlines;
     private final ScavengerScheduler scavengerScheduler;
@@ -85,17 +89,17 @@
         boolean placeOne() {
             if (left == 0
                     || planned.isEmpty() && transaction.placeableTasks(job) == 0
-                    || constraints.tasksWithinQuota(job, transaction) == 0) {
+                    || quotas.remainingTasks(job, transaction) == 0) {
                 return false;
             }
             MachineRecord last = planned.isEmpty() ? null : planned.get(planned.size() - 1);
             List<MachineRecord> taken = List.of();
             if (last != null && !job.request().singleZone() && !job.request().spreadAcrossZones()) {
                 // The machine chosen last is the fullest until it has no more room.
-                taken = constraints.reserveBestFit(job, 1, List.of(last), transaction, clusterState);
+                taken = bestFit.reserve(job, 1, List.of(last), transaction, clusterState);
             }
             if (taken.isEmpty() && !infeasibleRequests.isKnownInfeasible(job.request())) {
-                taken = constraints.reserveBestFit(job, planned, 1, room, transaction, clusterState);
+                taken = bestFit.reserve(job, planned, 1, room, transaction, clusterState);
             }
             if (taken.isEmpty()) {
                 infeasibleRequests.add(job.request());
@@ -118,6 +122,7 @@
     public BestEffortQueue(
             ClusterState clusterState,
             PlacementConstraints constraints,
+            TeamQuotas quotas,
             JobBackoff backoff,
             DeadlinePolicy deadlines,
             ScavengerScheduler scavengerScheduler,
@@ -128,6 +133,8 @@
             Consumer<OutgoingOffers> offers) {
         this.clusterState = clusterState;
         this.constraints = constraints;
+        this.quotas = quotas;
+        this.bestFit = new BestFit(constraints);
         this.backoff = backoff;
         this.deadlines = deadlines;
         this.scavengerScheduler = scavengerScheduler;
@@ -211,7 +218,7 @@
                         && !held.contains(job.request().team()))
                 .toList();
         // A team within its guarantee need not wait for others: its jobs have their turns first.
-        GuaranteedQuota guaranteedQuota = GuaranteedQuota.of(clusterState, constraints);
+        GuaranteedQuota guaranteedQuota = GuaranteedQuota.of(clusterState, quotas);
         Predicate<JobRecord> late = job -> deadlines.willMissDeadline(job, transaction.timeOfDay());
         fill(
                 transaction,
@@ -262,7 +269,7 @@
             }
             fill(transaction, withGathered, List.of(known), 1);
             JobRecord job = transaction.job(known.request().id());
-            if (job != null && job.livePlacements().isEmpty() && constraints.tasksWithinQuota(job, transaction) == 0) {
+            if (job != null && job.livePlacements().isEmpty() && quotas.remainingTasks(job, transaction) == 0) {
                 QuotaPartition.Amount cap = transaction
                         .quotaPartition(StoreKeys.quotaPartitionOf(job))
                         .of(job.request().team());
--- a/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
@@ -78,7 +78,7 @@
         this.deadlines = deadlines;
         this.transaction = transaction;
         for (MachineRecord machine : machines) {
-            MachineType type = constraints.types().get(machine.type());
+            MachineType type = constraints.machineTypes().byName().get(machine.type());
             if (type == null) {
                 continue;
             }
--- a/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
@@ -16,9 +16,11 @@
 import org.gullway.coordination.model.Placement;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
+import org.gullway.coordination.placement.BestFit;
 import org.gullway.coordination.placement.InfeasibleRequests;
 import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.coordination.quota.GuaranteedQuota;
+import org.gullway.coordination.quota.TeamQuotas;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
 import org.gullway.protocol.Priority;
@@ -41,6 +43,8 @@
 
     private final ClusterState clusterState;
     private final PlacementConstraints constraints;
+    private final TeamQuotas quotas;
+    private final BestFit bestFit;
     private final JobBackoff backoff;
     private final DeadlinePolicy deadlines;
     private int lookFrom;
@@ -48,9 +52,15 @@
     private Instant roomMadeAt = Instant.MIN;
 
     public ReservedScheduler(
-            ClusterState clusterState, PlacementConstraints constraints, JobBackoff backoff, DeadlinePolicy deadlines) {
+            ClusterState clusterState,
+            PlacementConstraints constraints,
+            TeamQuotas quotas,
+            JobBackoff backoff,
+            DeadlinePolicy deadlines) {
         this.clusterState = clusterState;
         this.constraints = constraints;
+        this.quotas = quotas;
+        this.bestFit = new BestFit(constraints);
         this.backoff = backoff;
         this.deadlines = deadlines;
     }
@@ -104,7 +114,7 @@
                 continue;
             }
             boolean hopeless = infeasibleRequests.isKnownInfeasible(current.request())
-                    && constraints.tasksWithinQuota(current, transaction) > 0;
+                    && quotas.remainingTasks(current, transaction) > 0;
             if (hopeless || !book(transaction, current, withRoom)) {
                 unfitted.add(transaction.job(job.request().id()));
                 if (!current.isGang()) {
@@ -155,7 +165,7 @@
     /** Stops best-effort tasks of lower rank for all waiting tasks that the team's limit allows; false if not enough. */
     private boolean makeRoom(
             PreemptionPlanner preemption, Transaction transaction, JobRecord job, List<MachineRecord> machines) {
-        int tasks = Math.min(job.waitingTasks(), constraints.tasksWithinQuota(job, transaction));
+        int tasks = Math.min(job.waitingTasks(), quotas.remainingTasks(job, transaction));
         return preemption.preemptFor(
                 job,
                 tasks,
@@ -166,7 +176,7 @@
 
     /** By rank, then jobs within their team's guarantee, then by age. */
     private Comparator<JobRecord> order() {
-        GuaranteedQuota guaranteedQuota = GuaranteedQuota.of(clusterState, constraints);
+        GuaranteedQuota guaranteedQuota = GuaranteedQuota.of(clusterState, quotas);
         return Comparator.<JobRecord, Priority>comparing(j -> j.request().priority())
                 .thenComparing(j -> guaranteedQuota.covers(j) ? 0 : 1)
                 .thenComparing(JobRecord::submittedAt)
@@ -179,12 +189,11 @@
             return true;
         }
         int allowed = Math.min(
-                job.waitingTasks(),
-                Math.min(constraints.tasksWithinQuota(job, transaction), transaction.placeableTasks(job)));
+                job.waitingTasks(), Math.min(quotas.remainingTasks(job, transaction), transaction.placeableTasks(job)));
         if (allowed == 0 || job.isGang() && allowed < job.waitingTasks()) {
             return true;
         }
-        List<MachineRecord> taken = constraints.reserveBestFit(job, allowed, machines, transaction, clusterState);
+        List<MachineRecord> taken = bestFit.reserve(job, allowed, machines, transaction, clusterState);
         if (job.isGang() && taken.size() < allowed) {
             taken.forEach(machine -> transaction.unreserve(job, machine));
             return false;
@@ -208,7 +217,7 @@
             JobRequest request = job.request();
             int tasks = job.waitingTasks();
             for (MachineRecord machine : candidates) {
-                MachineType type = constraints.types().get(machine.type());
+                MachineType type = constraints.machineTypes().byName().get(machine.type());
                 if (tasks <= 0 || chosen.size() >= CordonedMachines.MAX_MACHINES) {
                     break;
                 }
@@ -255,8 +264,8 @@
                     .filter(m -> m.isSchedulable()
                             && clusterState.isMember(m.controller())
                             && !chosen.contains(m.name())
-                            && constraints.types().containsKey(m.type())
-                            && constraints.types().get(m.type()).fits(job.request())
+                            && constraints.machineTypes().byName().containsKey(m.type())
+                            && constraints.machineTypes().byName().get(m.type()).fits(job.request())
                             && constraints.isAllowed(job, m, clusterState))
                     .max(Comparator.<MachineRecord>comparingDouble(m -> constraints.freeCpus(m, transaction))
                             .thenComparing(m -> clusterState.cordonedMachines().contains(m.name()))
--- a/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
@@ -13,6 +13,7 @@
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
 import org.gullway.coordination.placement.PlacementConstraints;
+import org.gullway.coordination.quota.TeamQuotas;
 import org.gullway.protocol.Priority;
 
 /**
@@ -30,6 +31,7 @@
 
     private final ClusterState clusterState;
     private final PlacementConstraints constraints;
+    private final TeamQuotas quotas;
     private final JobBackoff backoff;
     private final DeadlinePolicy deadlines;
     private final double spareShare;
@@ -40,11 +42,13 @@
     public ScavengerScheduler(
             ClusterState clusterState,
             PlacementConstraints constraints,
+            TeamQuotas quotas,
             JobBackoff backoff,
             DeadlinePolicy deadlines,
             double spareShare) {
         this.clusterState = clusterState;
         this.constraints = constraints;
+        this.quotas = quotas;
         this.backoff = backoff;
         this.deadlines = deadlines;
         this.spareShare = spareShare;
@@ -65,7 +69,7 @@
                     && job.waitingTasks() > 0
                     && !backoff.isBackedOff(job, now)
                     && job.submittedAt().plus(JUST_COME).isBefore(transaction.timeOfDay())
-                    && constraints.tasksWithinQuota(job, transaction) > 0) {
+                    && quotas.remainingTasks(job, transaction) > 0) {
                 waiting.add(job);
             }
         }
@@ -80,7 +84,7 @@
             return 0;
         }
         double urgent = 0;
-        for (var team : constraints.teams()) {
+        for (var team : quotas.teams()) {
             urgent += clusterState.quotaUsage(StoreKeys.LEADER_QUOTA, team.name()).cpus;
         }
         double free = 0;
@@ -123,7 +127,7 @@
                 .limit(MOST_JOBS)
                 .forEach(job -> preemption.preemptFor(
                         job,
-                        Math.min(job.waitingTasks(), constraints.tasksWithinQuota(job, transaction)),
+                        Math.min(job.waitingTasks(), quotas.remainingTasks(job, transaction)),
                         looked,
                         ScavengerScheduler::isScavenger));
     }
--- a/src/test/java/org/gullway/LayersTest.java
+++ b/src/test/java/org/gullway/LayersTest.java
@@ -51,9 +51,7 @@
                             "coordination.placement",
                             "coordination.quota",
                             "protocol")),
-            entry(
-                    "coordination.failover",
-                    Set.of("coordination.cycle", "coordination.model", "coordination.placement", "coordination.quota")),
+            entry("coordination.failover", Set.of("coordination.cycle", "coordination.model", "coordination.quota")),
             entry(
                     "coordination.agents",
                     Set.of(
@@ -71,6 +69,7 @@
                             "coordination.cycle",
                             "coordination.model",
                             "coordination.placement",
+                            "coordination.quota",
                             "protocol",
                             "storage",
                             "transport")),
--- a/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
+++ b/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
@@ -39,7 +39,7 @@
 
     private void repair(int seed, int rounds) {
         Reconciliation reconciliation =
-                new Reconciliation(clusterState, TestFixtures.placing(), "perch-0", new SplittableRandom(seed));
+                new Reconciliation(clusterState, TestFixtures.quotas(), "perch-0", new SplittableRandom(seed));
         Instant now = Instant.EPOCH;
         for (int i = 0; i < rounds; i++) {
             now = now.plusSeconds(1);
@@ -134,7 +134,7 @@
                     ++revision);
         }
         Reconciliation reconciliation =
-                new Reconciliation(clusterState, TestFixtures.placing(), "perch-0", new SplittableRandom(1));
+                new Reconciliation(clusterState, TestFixtures.quotas(), "perch-0", new SplittableRandom(1));
         repairAt(reconciliation, 1);
         assertThat(reconciliation.checkedPlacements()).isEqualTo(80);
         for (int second = 2; second < 50; second++) {
--- a/src/test/java/org/gullway/coordination/model/TestFixtures.java
+++ b/src/test/java/org/gullway/coordination/model/TestFixtures.java
@@ -5,7 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import org.gullway.coordination.cycle.PlanningContext;
+import org.gullway.coordination.placement.MachineTypeCatalog;
 import org.gullway.coordination.placement.PlacementConstraints;
+import org.gullway.coordination.quota.TeamQuotas;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
 import org.gullway.protocol.Priority;
@@ -48,12 +50,18 @@
                 null);
     }
 
-    public static PlacementConstraints placing() {
-        PlacementConstraints constraints = new PlacementConstraints(Map.of(
+    /** The quotas of two teams. */
+    public static TeamQuotas quotas() {
+        return new TeamQuotas(Map.of(
                 "red", new Settings.Team("red", 16, 32, 0, 0),
                 "blue", new Settings.Team("blue", 16, 64, 0, 0)));
-        constraints.updateTypes(List.of(type("small", 16), type("large", 32)));
-        return constraints;
+    }
+
+    /** Constraints by two machine types. */
+    public static PlacementConstraints constraints() {
+        MachineTypeCatalog machineTypes = new MachineTypeCatalog();
+        machineTypes.update(List.of(type("small", 16), type("large", 32)));
+        return new PlacementConstraints(machineTypes);
     }
 
     public static MachineType type(String name, double cpus) {
--- a/src/test/java/org/gullway/coordination/placement/PlacementConstraintsTest.java
+++ b/src/test/java/org/gullway/coordination/quota/TeamQuotasTest.java
@@ -1,4 +1,4 @@
-package org.gullway.coordination.placement;
+package org.gullway.coordination.quota;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,30 +12,35 @@
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.TestFixtures;
 import org.gullway.coordination.model.Transaction;
-import org.gullway.coordination.quota.QuotaPartitioner;
+import org.gullway.coordination.placement.MachineTypeCatalog;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 import org.junit.jupiter.api.Test;
 
-class PlacementConstraintsTest {
-    private final PlacementConstraints constraints = new PlacementConstraints(
+class TeamQuotasTest {
+    private final MachineTypeCatalog machineTypes = new MachineTypeCatalog();
+    private final TeamQuotas quotas = new TeamQuotas(
             Map.of("red", new Settings.Team("red", 16, 32, 0, 0), "guest", new Settings.Team("guest", 0, 0, 0, 0)));
 
-    PlacementConstraintsTest() {
-        constraints.updateTypes(List.of(TestFixtures.type("small", 16), TestFixtures.type("large", 32)));
+    TeamQuotasTest() {
+        machineTypes.update(List.of(TestFixtures.type("small", 16), TestFixtures.type("large", 32)));
     }
 
     /** On an on-call day all 814 jobs of a guest team were refused with 422 (incident inc-7065). */
     @Test
     void aTeamWithoutALimitMayRunWhatFitsAMachine() {
-        assertThat(constraints.isFeasible(TestFixtures.request("run-000001", "guest", Priority.IDLE, 25_000, 32)))
+        assertThat(new JobFeasibility(machineTypes, quotas)
+                        .isFeasible(TestFixtures.request("run-000001", "guest", Priority.IDLE, 25_000, 32)))
                 .isTrue();
-        assertThat(constraints.isFeasible(TestFixtures.request("run-000001", "guest", Priority.IDLE, 1, 33)))
+        assertThat(new JobFeasibility(machineTypes, quotas)
+                        .isFeasible(TestFixtures.request("run-000001", "guest", Priority.IDLE, 1, 33)))
                 .isFalse();
-        assertThat(constraints.isFeasible(TestFixtures.request("run-000001", "nobody", Priority.IDLE, 1, 1)))
+        assertThat(new JobFeasibility(machineTypes, quotas)
+                        .isFeasible(TestFixtures.request("run-000001", "nobody", Priority.IDLE, 1, 1)))
                 .isFalse();
-        assertThat(constraints.isFeasible(TestFixtures.request("run-000001", "red", Priority.IDLE, 1, 32)))
+        assertThat(new JobFeasibility(machineTypes, quotas)
+                        .isFeasible(TestFixtures.request("run-000001", "red", Priority.IDLE, 1, 32)))
                 .isTrue();
     }
 
@@ -62,7 +67,7 @@
             Transaction transaction = new Transaction(clusterState, each, TestFixtures.LIMITS, TestFixtures.DAY);
             new QuotaPartitioner(
                             clusterState,
-                            constraints,
+                            quotas,
                             each.node(),
                             List.of(TestFixtures.SELF.node(), TestFixtures.PEER.node()))
                     .plan(transaction, PlanningContext.of(Instant.EPOCH, false, true));
@@ -71,8 +76,7 @@
         for (String id : List.of("run-000001", "run-000002")) {
             Transaction transaction =
                     new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
-            assertThat(constraints.tasksWithinQuota(clusterState.job(id), transaction))
-                    .isGreaterThanOrEqualTo(25_000);
+            assertThat(quotas.remainingTasks(clusterState.job(id), transaction)).isGreaterThanOrEqualTo(25_000);
         }
     }
 }
--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -27,11 +27,12 @@
     private final ClusterState clusterState = TestFixtures.view();
     private final DeadlinePolicy deadlines =
             new DeadlinePolicy(List.of(new Settings.Objective("finished", "render", Duration.ofSeconds(80))));
-    private final ScavengerScheduler scavengerScheduler =
-            new ScavengerScheduler(clusterState, TestFixtures.placing(), new JobBackoff(), deadlines, 0.5);
+    private final ScavengerScheduler scavengerScheduler = new ScavengerScheduler(
+            clusterState, TestFixtures.constraints(), TestFixtures.quotas(), new JobBackoff(), deadlines, 0.5);
     private final BestEffortQueue bestEffortQueue = new BestEffortQueue(
             clusterState,
-            TestFixtures.placing(),
+            TestFixtures.constraints(),
+            TestFixtures.quotas(),
             new JobBackoff(),
             deadlines,
             scavengerScheduler,
@@ -256,7 +257,8 @@
 
         BestEffortQueue peer = new BestEffortQueue(
                 clusterState,
-                TestFixtures.placing(),
+                TestFixtures.constraints(),
+                TestFixtures.quotas(),
                 new JobBackoff(),
                 deadlines,
                 scavengerScheduler,
--- a/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
@@ -17,7 +17,11 @@
 class ReservedSchedulerTest {
     private final ClusterState clusterState = TestFixtures.view();
     private final ReservedScheduler reservedScheduler = new ReservedScheduler(
-            clusterState, TestFixtures.placing(), new JobBackoff(), new DeadlinePolicy(java.util.List.of()));
+            clusterState,
+            TestFixtures.constraints(),
+            TestFixtures.quotas(),
+            new JobBackoff(),
+            new DeadlinePolicy(java.util.List.of()));
 
     private Transaction draft() {
         return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
