--- a/src/main/java/org/gullway/protocol/AgentCommand.java
+++ b/src/main/java/org/gullway/protocol/AgentCommand.java
@@ -5,9 +5,9 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A command to a worker about one attempt of a task. */
+/** A command to the agent on a machine about one attempt of a task. */
 public record AgentCommand(Kind kind, TaskId task, long attempt, Duration grace) {
-    /** What the worker is to do: begin the attempt, end it, or drop its memory of an ended attempt. */
+    /** What the agent is to do: start the attempt, stop it, or forget an attempt that has ended. */
     public enum Kind {
         START,
         STOP,
@@ -41,7 +41,7 @@
         }
     }
 
-    /** The answer to a worker's report. */
+    /** Encodes the response to a heartbeat. */
     public static byte[] encodeResponse(long fencingToken, List<AgentCommand> commands) {
         ObjectNode node = Cbor.map().put("baton", fencingToken);
         ArrayNode list = node.putArray("calls");
@@ -49,7 +49,7 @@
         return Cbor.encode(node);
     }
 
-    /** The body of a direct command. */
+    /** Encodes commands that are sent to the agent directly. */
     public static byte[] encodeDirect(long fencingToken, long agentEpoch, List<AgentCommand> commands) {
         ObjectNode node = Cbor.map().put("baton", fencingToken).put("flight", agentEpoch);
         ArrayNode list = node.putArray("calls");
@@ -57,7 +57,7 @@
         return Cbor.encode(node);
     }
 
-    /** Sends a worker to another controller; null lets it try the next one. */
+    /** Encodes a redirect of the agent to another controller; null lets it try the next one. */
     public static byte[] encodeRedirect(String controller) {
         ObjectNode node = Cbor.map();
         if (controller != null) {
--- a/src/main/java/org/gullway/protocol/AttemptCompletion.java
+++ b/src/main/java/org/gullway/protocol/AttemptCompletion.java
@@ -1,6 +1,5 @@
 package org.gullway.protocol;
 
-import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -10,24 +9,28 @@
 import java.util.List;
 
 /**
- * An attempt that has certainly ended, on its way from the controller of its machine to the keeper of its job. Such
- * an end stays true for ever, so it may come late and more than once.
+ * An attempt that has certainly ended, reported by the controller of its machine to the record writer of its job. Such an
+ * end stays true for ever, so the message may come late and more than once.
+ *
+ * @param outcome how it ended, as the code that {@code JobRecord.AttemptOutcome} has among its constants
  */
 public record AttemptCompletion(TaskId task, long attempt, byte outcome) {
     public static final int MAX_PER_MESSAGE = 500;
     private static final int VERSION = 1;
+    private static final int EXPECTED_BYTES = 32;
+    private static final String CONTENT = "attempt completions";
 
-    /** The body of a message to a peer; it holds at most {@link #MOST_TOGETHER}, which the caller sees to. */
-    public static byte[] encode(List<AttemptCompletion> notices) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(32 * notices.size());
+    /** Encodes a message to a peer. The caller sees to it that there are at most {@link #MAX_PER_MESSAGE}. */
+    public static byte[] encode(List<AttemptCompletion> completions) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(EXPECTED_BYTES * completions.size());
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(VERSION);
-            out.writeShort(notices.size());
-            for (AttemptCompletion notice : notices) {
-                out.writeUTF(notice.task.job());
-                out.writeInt(notice.task.index());
-                out.writeLong(notice.attempt);
-                out.writeByte(notice.outcome);
+            out.writeShort(completions.size());
+            for (AttemptCompletion completion : completions) {
+                out.writeUTF(completion.task.job());
+                out.writeInt(completion.task.index());
+                out.writeLong(completion.attempt);
+                out.writeByte(completion.outcome);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -38,28 +41,20 @@
     /**
      * Reads what {@link #encode} wrote.
      *
-     * @throws MalformedMessageException if it is cut off, too long, or of another version
+     * @throws MalformedMessageException if it is truncated, too long, or of another version
      */
     public static List<AttemptCompletion> decode(byte[] body) throws MalformedMessageException {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
-            if (in.readUnsignedByte() != VERSION) {
-                throw new MalformedMessageException("unknown version of ends");
-            }
-            int count = in.readUnsignedShort();
-            if (count > MAX_PER_MESSAGE) {
-                throw new MalformedMessageException("too many ends together");
-            }
-            List<AttemptCompletion> notices = new ArrayList<>(count);
+        try (DataInputStream in = PeerMessages.open(body, VERSION, CONTENT)) {
+            int count = PeerMessages.readCount(in, MAX_PER_MESSAGE, CONTENT);
+            List<AttemptCompletion> completions = new ArrayList<>(count);
             for (int i = 0; i < count; i++) {
-                notices.add(
-                        new AttemptCompletion(new TaskId(in.readUTF(), in.readInt()), in.readLong(), in.readByte()));
-            }
-            if (in.read() >= 0) {
-                throw new MalformedMessageException("bytes after ends");
+                TaskId task = new TaskId(in.readUTF(), in.readInt());
+                completions.add(new AttemptCompletion(task, in.readLong(), in.readByte()));
             }
-            return notices;
+            PeerMessages.requireEnd(in, CONTENT);
+            return completions;
         } catch (IOException e) {
-            throw new MalformedMessageException("cut-off ends");
+            throw PeerMessages.truncated(CONTENT);
         }
     }
 }
--- a/src/main/java/org/gullway/protocol/CloudMessages.java
+++ b/src/main/java/org/gullway/protocol/CloudMessages.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is said to the cloud and what it answers. */
+/** Requests to the cloud provider and its responses. */
 public final class CloudMessages {
     public static final int MAX_PROVISIONED_PER_CALL = 50;
     public static final int MAX_RELEASED_PER_CALL = 100;
@@ -15,7 +15,7 @@
 
     private CloudMessages() {}
 
-    /** A machine as the cloud's lagging list shows it. */
+    /** A machine as the provider's list shows it, which lags behind. */
     public record ListedMachine(
             String name,
             String address,
@@ -30,7 +30,7 @@
     public record Page(List<ListedMachine> machines, boolean more) {}
 
     /**
-     * Reads the types of machines that the cloud rents out; one that names no zones is rented out in none.
+     * Reads the machine types that the provider offers; one that names no zones is offered in none.
      */
     public static List<MachineType> decodeTypes(byte[] body) throws MalformedMessageException {
         List<MachineType> types = new ArrayList<>();
@@ -52,9 +52,9 @@
     }
 
     /**
-     * The body of a request for machines.
+     * Encodes a request for machines.
      *
-     * @param request its name: the cloud carries out requests of one name only once
+     * @param request its name: the provider carries out requests of one name only once
      */
     public static byte[] encodeProvisionRequest(String request, String type, String zone, boolean spot, int count) {
         return Cbor.encode(Cbor.map()
@@ -70,7 +70,7 @@
         return names == null ? List.of() : names;
     }
 
-    /** The body of a request that ends the rental of these machines. */
+    /** Encodes a request to release these machines. */
     public static byte[] encodeRelease(List<String> machines) {
         ObjectNode node = Cbor.map();
         ArrayNode list = node.putArray("perches");
@@ -78,7 +78,7 @@
         return Cbor.encode(node);
     }
 
-    /** Reads one page of the list of rented machines. */
+    /** Reads one page of the list of provisioned machines. */
     public static Page decodePage(byte[] body) throws MalformedMessageException {
         JsonNode map = Cbor.decode(body);
         List<ListedMachine> machines = new ArrayList<>();
--- a/src/main/java/org/gullway/protocol/Heartbeat.java
+++ b/src/main/java/org/gullway/protocol/Heartbeat.java
@@ -4,7 +4,14 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** A worker's account of itself, from a report or from the answer to a direct command. */
+/**
+ * An agent's status: its tasks, its epoch and the fencing token that it has confirmed. It comes as a heartbeat, or as the response
+ * to a direct command.
+ *
+ * @param address where the agent takes commands
+ * @param sequence rises with each message of the agent
+ * @param spotNotice time until the cloud provider takes the machine back; null if none was announced
+ */
 public record Heartbeat(
         String machine,
         String address,
@@ -18,7 +25,7 @@
         List<TaskStatus> tasks) {
 
     /**
-     * Reads a report.
+     * Reads a status from its CBOR form.
      *
      * @param lastMessages the last message of the machine with a name, or null if none is known; what has not changed
      *     since then is shared with it
@@ -28,7 +35,7 @@
         return HeartbeatReader.read(body, lastMessages);
     }
 
-    /** Newer in the order of the worker's own messages. */
+    /** Whether it is newer in the order of the agent's own messages. */
     public boolean isNewerThan(long otherAgentEpoch, long otherSequence) {
         return agentEpoch > otherAgentEpoch || agentEpoch == otherAgentEpoch && sequence > otherSequence;
     }
--- a/src/main/java/org/gullway/protocol/HeartbeatReader.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatReader.java
@@ -10,17 +10,17 @@
 import java.util.function.Function;
 
 /**
- * Reads a worker's report from its CBOR body in one pass. Values that equal those of the worker's last message are
- * taken from there, so a report in which only counters have changed allocates little, however many tasks it lists.
+ * Reads an agent's status from its CBOR form in one pass. Values that equal those of the agent's last message are
+ * taken from there, so a heartbeat in which only counters have changed allocates little, however many tasks it lists.
  */
 final class HeartbeatReader {
-    private static final BigInteger LARGEST_COUNT = BigInteger.valueOf(Long.MAX_VALUE);
+    private static final BigInteger MAX_COUNT = BigInteger.valueOf(Long.MAX_VALUE);
 
-    private static final String TEXT = "a text of 1 to " + MessageFields.LONGEST_TEXT + " characters";
+    private static final String TEXT = "a text of 1 to " + MessageFields.MAX_TEXT_LENGTH + " characters";
 
     private final JsonParser parser;
     private final Function<String, Heartbeat> lastMessages;
-    /** The last message of the worker that the report names; null if there is none or the name is still to come. */
+    /** The last message of the agent that this one names; null if there is none or the name is still to come. */
     private Heartbeat last;
 
     private String machine;
@@ -118,7 +118,7 @@
         return read == before.size() ? before : List.copyOf(before.subList(0, read));
     }
 
-    /** The known report of the task at the same place of the last message, if it is the same. */
+    /** The status of the task at the same place of the last message, if it is the same. */
     private TaskStatus readTask(TaskStatus known) throws IOException, MalformedMessageException {
         TaskId task = null;
         long attempt = -1;
@@ -193,7 +193,7 @@
     private boolean isText() throws IOException {
         return parser.currentToken() == JsonToken.VALUE_STRING
                 && parser.getTextLength() > 0
-                && parser.getTextLength() <= MessageFields.LONGEST_TEXT;
+                && parser.getTextLength() <= MessageFields.MAX_TEXT_LENGTH;
     }
 
     private boolean equalsText(String expected) throws IOException {
@@ -219,7 +219,7 @@
                     return value;
                 }
             } else if (parser.getBigIntegerValue().signum() >= 0
-                    && parser.getBigIntegerValue().compareTo(LARGEST_COUNT) <= 0) {
+                    && parser.getBigIntegerValue().compareTo(MAX_COUNT) <= 0) {
                 return parser.getBigIntegerValue().longValue();
             }
         }
--- a/src/main/java/org/gullway/protocol/JobRequest.java
+++ b/src/main/java/org/gullway/protocol/JobRequest.java
@@ -8,7 +8,17 @@
 import java.util.Locale;
 import java.util.regex.Pattern;
 
-/** A job as its user submits it. */
+/**
+ * A job as its user submits it.
+ *
+ * @param machineTypes the only types on which its tasks may run; null if all are allowed
+ * @param zone the only zone in which its tasks may run; null if all are allowed
+ * @param singleZone whether all tasks have to be in the same zone
+ * @param spreadAcrossZones whether no zone may have more than half of the tasks
+ * @param checkpointInterval zero if the tasks save nothing
+ * @param checkpointTime how long saving takes
+ * @param deadline time after the submission; null if there is none
+ */
 public record JobRequest(
         String id,
         String jobClass,
@@ -101,6 +111,31 @@
                 fields.secondsOrNull("landfall_s"));
     }
 
+    /** This request with other allowed machine types. */
+    public JobRequest withMachineTypes(List<String> types) {
+        return new JobRequest(
+                id,
+                jobClass,
+                team,
+                shape,
+                priority,
+                tasks,
+                cpus,
+                gpus,
+                memoryGb,
+                image,
+                imageGb,
+                types,
+                zone,
+                singleZone,
+                spreadAcrossZones,
+                spotAllowed,
+                estimatedRunTime,
+                checkpointInterval,
+                checkpointTime,
+                deadline);
+    }
+
     /** The form that {@link #parse} reads. */
     public ObjectNode toNode() {
         ObjectNode node = Cbor.map();
@@ -134,7 +169,7 @@
         return node;
     }
 
-    /** Whether stopping a task keeps its work. */
+    /** Whether a task that is stopped keeps its progress. */
     public boolean hasCheckpoints() {
         return !checkpointInterval.isZero();
     }
--- a/src/main/java/org/gullway/protocol/JobStatus.java
+++ b/src/main/java/org/gullway/protocol/JobStatus.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** What a user is told about a job. */
+/** The status of a job as users see it: its state, and how many of its tasks are done and running. */
 public record JobStatus(String id, JobState state, int done, int running) {
-    /** The body of the answer to a poll. */
+    /** The form in which a query is answered. */
     public ObjectNode toNode() {
         return Cbor.map()
                 .put("name_id", id)
--- a/src/main/java/org/gullway/protocol/MachineType.java
+++ b/src/main/java/org/gullway/protocol/MachineType.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A kind of machine that the cloud rents out. */
+/** A type of machine that the cloud provider offers. */
 public record MachineType(
         String name,
         double cpus,
--- a/src/main/java/org/gullway/protocol/MessageFields.java
+++ b/src/main/java/org/gullway/protocol/MessageFields.java
@@ -6,11 +6,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checked access to the fields of a map; every complaint names the field. */
+/** Checked access to the fields of a map; every error names the field. */
 public final class MessageFields {
-    private static final double LARGEST_AMOUNT = 1e9;
-    /** Characters of a text at most. */
-    static final int LONGEST_TEXT = 200;
+    private static final double MAX_AMOUNT = 1e9;
+    /** In characters. */
+    static final int MAX_TEXT_LENGTH = 200;
 
     private final JsonNode map;
     private final String where;
@@ -43,8 +43,8 @@
     /** A text that is not empty and not longer than the protocol allows. */
     public String text(String name) throws MalformedMessageException {
         JsonNode node = required(name);
-        if (!node.isTextual() || node.textValue().isEmpty() || node.textValue().length() > LONGEST_TEXT) {
-            throw wrong(name, "a text of 1 to " + LONGEST_TEXT + " characters");
+        if (!node.isTextual() || node.textValue().isEmpty() || node.textValue().length() > MAX_TEXT_LENGTH) {
+            throw wrong(name, "a text of 1 to " + MAX_TEXT_LENGTH + " characters");
         }
         return node.textValue();
     }
@@ -65,7 +65,7 @@
 
     /** Whether the number is finite, zero or more, and not absurdly large. */
     static boolean isAmount(double value) {
-        return value >= 0 && value <= LARGEST_AMOUNT;
+        return value >= 0 && value <= MAX_AMOUNT;
     }
 
     static Duration toDuration(double seconds) {
--- a/src/main/java/org/gullway/protocol/OperatorSettings.java
+++ b/src/main/java/org/gullway/protocol/OperatorSettings.java
@@ -12,11 +12,11 @@
 /**
  * Operators' own settings, beyond the platform's file. All have defaults.
  *
- * @param membershipLease how long a controller that is not heard of stays a member
- * @param spareShare room kept free for urgent work, as a share of what urgent work uses now
- * @param idleReturn how long a machine stays without tasks before it is returned
- * @param bootPatience how many times its usual boot time a machine may take
- * @param logInterval pause between two lines of figures in the log
+ * @param membershipLease how long a controller stays a member without renewing its lease
+ * @param spareCapacityShare resources kept free for urgent work, as a fraction of what urgent work uses now
+ * @param scaleInDelay how long a machine stays without tasks before it is released
+ * @param bootTimeoutFactor how many times its usual boot time a machine may take
+ * @param logInterval pause between two lines of metrics in the log
  */
 public record OperatorSettings(
         Duration membershipLease,
@@ -62,31 +62,35 @@
     }
 
     static OperatorSettings of(JsonNode tree) throws MalformedMessageException {
-        OperatorSettings s = DEFAULTS;
+        OperatorSettings settings = DEFAULTS;
         for (Map.Entry<String, JsonNode> entry : tree.properties()) {
             String name = entry.getKey();
             try {
-                double value = Double.parseDouble(entry.getValue().asText().trim());
-                Duration span = Double.isFinite(value) ? Duration.ofMillis(Math.round(value * 1000)) : Duration.ZERO;
-                s = switch (name) {
-                    case "membership-lease-s" -> new OperatorSettings(
-                            span, s.spareCapacityShare, s.scaleInDelay, s.bootTimeoutFactor, s.logInterval);
-                    case "spare-share" -> new OperatorSettings(
-                            s.membershipLease, value, s.scaleInDelay, s.bootTimeoutFactor, s.logInterval);
-                    case "idle-return-s" -> new OperatorSettings(
-                            s.membershipLease, s.spareCapacityShare, span, s.bootTimeoutFactor, s.logInterval);
-                    case "boot-patience" -> new OperatorSettings(
-                            s.membershipLease, s.spareCapacityShare, s.scaleInDelay, (int) value, s.logInterval);
-                    case "log-interval-s" -> new OperatorSettings(
-                            s.membershipLease, s.spareCapacityShare, s.scaleInDelay, s.bootTimeoutFactor, span);
-                    default -> throw new MalformedMessageException("operator setting " + name + " is unknown");
-                };
+                settings = settings.with(
+                        name, Double.parseDouble(entry.getValue().asText().trim()));
             } catch (NumberFormatException e) {
                 throw new MalformedMessageException("operator setting " + name + " is not a number");
             } catch (IllegalArgumentException e) {
                 throw new MalformedMessageException("operator setting " + e.getMessage());
             }
         }
-        return s;
+        return settings;
+    }
+
+    private OperatorSettings with(String name, double value) throws MalformedMessageException {
+        Duration span = Double.isFinite(value) ? Duration.ofMillis(Math.round(value * 1000)) : Duration.ZERO;
+        return switch (name) {
+            case "membership-lease-s" -> new OperatorSettings(
+                    span, spareCapacityShare, scaleInDelay, bootTimeoutFactor, logInterval);
+            case "spare-share" -> new OperatorSettings(
+                    membershipLease, value, scaleInDelay, bootTimeoutFactor, logInterval);
+            case "idle-return-s" -> new OperatorSettings(
+                    membershipLease, spareCapacityShare, span, bootTimeoutFactor, logInterval);
+            case "boot-patience" -> new OperatorSettings(
+                    membershipLease, spareCapacityShare, scaleInDelay, (int) value, logInterval);
+            case "log-interval-s" -> new OperatorSettings(
+                    membershipLease, spareCapacityShare, scaleInDelay, bootTimeoutFactor, span);
+            default -> throw new MalformedMessageException("operator setting " + name + " is unknown");
+        };
     }
 }
--- a/src/main/java/org/gullway/protocol/PeerCancellations.java
+++ b/src/main/java/org/gullway/protocol/PeerCancellations.java
@@ -1,6 +1,5 @@
 package org.gullway.protocol;
 
-import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -13,26 +12,34 @@
 import java.util.Set;
 
 /**
- * What a controller knows of cancelled jobs whose tasks may still be on machines, for a peer that has lost the state
- * service. The peer names the jobs that it knows already.
+ * The cancelled jobs known to a controller whose tasks may still be on machines, for a peer that cannot reach the state store.
+ * The peer names the jobs that it knows already.
  *
  * @param node the controller that answers
- * @param number of its process, which no other process has
+ * @param number the number of its incarnation
  * @param complete whether nothing was left out for its size
  */
 public record PeerCancellations(String node, long number, boolean complete, List<CancelledJob> jobs) {
     private static final int VERSION = 1;
     private static final int MAX_KNOWN_JOBS = 4000;
     private static final int MAX_BYTES = 40 * 1024;
+    private static final int HEADER_BYTES = 64;
     private static final int MAX_ATTEMPTS = 10_000;
+    private static final String CONTENT = "cancellations";
+    private static final String KNOWN_CONTENT = "names of cancelled jobs";
 
-    /** A cancelled job: when that was, as the time of day in milliseconds, and its attempts that may still be live. */
+    /**
+     * A cancelled job.
+     *
+     * @param cancelledAt wall-clock time in milliseconds
+     * @param attempts those that may still be live
+     */
     public record CancelledJob(String id, long cancelledAt, List<CancelledAttempt> attempts) {}
 
-    /** One attempt of a task in a session of a machine. */
+    /** One attempt of a task, in an epoch of its machine's agent. */
     public record CancelledAttempt(int task, long attempt, String machine, long agentEpoch) {}
 
-    /** The body of a request: the names of the cancelled jobs that the asker knows, 4000 at most. */
+    /** Encodes a request: the names of the cancelled jobs that the asker knows, {@link #MAX_KNOWN_JOBS} at most. */
     public static byte[] encodeKnown(Collection<String> jobs) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(16 * jobs.size());
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -52,47 +59,51 @@
 
     /** Reads the names that {@link #encodeKnown} wrote. */
     public static Set<String> decodeKnown(byte[] body) throws MalformedMessageException {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
-            checkVersion(in);
+        try (DataInputStream in = PeerMessages.open(body, VERSION, KNOWN_CONTENT)) {
             int count = in.readUnsignedShort();
             Set<String> jobs = new HashSet<>();
             for (int i = 0; i < count; i++) {
                 jobs.add(in.readUTF());
             }
-            checkEnd(in);
+            PeerMessages.requireEnd(in, KNOWN_CONTENT);
             return jobs;
         } catch (IOException e) {
-            throw new MalformedMessageException("cut-off names of cancelled jobs");
+            throw PeerMessages.truncated(KNOWN_CONTENT);
         }
     }
 
-    /** As many of the jobs as fit into one message. */
+    /** Encodes as many of the jobs as fit into one message. */
     public static byte[] encode(String node, long number, Collection<CancelledJob> jobs) {
-        ByteArrayOutputStream list = new ByteArrayOutputStream();
-        int written = 0;
-        try (DataOutputStream out = new DataOutputStream(list)) {
+        ByteArrayOutputStream content = new ByteArrayOutputStream();
+        try (DataOutputStream out = new DataOutputStream(content)) {
+            int written = 0;
             for (CancelledJob job : jobs) {
-                if (list.size() > MAX_BYTES) {
+                if (content.size() > MAX_BYTES) {
                     break;
                 }
                 write(job, out);
                 written++;
             }
-            ByteArrayOutputStream bytes = new ByteArrayOutputStream(list.size() + 64);
-            try (DataOutputStream whole = new DataOutputStream(bytes)) {
-                whole.writeByte(VERSION);
-                whole.writeUTF(node);
-                whole.writeLong(number);
-                whole.writeBoolean(written == jobs.size());
-                whole.writeShort(written);
-                list.writeTo(whole);
-            }
-            return bytes.toByteArray();
+            return withHeader(node, number, written == jobs.size(), written, content);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
+    private static byte[] withHeader(
+            String node, long number, boolean complete, int count, ByteArrayOutputStream content) throws IOException {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(content.size() + HEADER_BYTES);
+        try (DataOutputStream out = new DataOutputStream(bytes)) {
+            out.writeByte(VERSION);
+            out.writeUTF(node);
+            out.writeLong(number);
+            out.writeBoolean(complete);
+            out.writeShort(count);
+            content.writeTo(out);
+        }
+        return bytes.toByteArray();
+    }
+
     private static void write(CancelledJob job, DataOutputStream out) throws IOException {
         out.writeUTF(job.id);
         out.writeLong(job.cancelledAt);
@@ -106,13 +117,12 @@
     }
 
     /**
-     * Reads an answer as the peer encoded it.
+     * Reads what {@link #encode} wrote.
      *
-     * @throws MalformedMessageException if it is cut off, has bytes left over, or is of another version
+     * @throws MalformedMessageException if it is truncated, has bytes left over, or is of another version
      */
     public static PeerCancellations decode(byte[] body) throws MalformedMessageException {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
-            checkVersion(in);
+        try (DataInputStream in = PeerMessages.open(body, VERSION, CONTENT)) {
             String node = in.readUTF();
             long number = in.readLong();
             boolean complete = in.readBoolean();
@@ -121,10 +131,10 @@
             for (int i = 0; i < count; i++) {
                 jobs.add(readJob(in));
             }
-            checkEnd(in);
+            PeerMessages.requireEnd(in, CONTENT);
             return new PeerCancellations(node, number, complete, List.copyOf(jobs));
         } catch (IOException e) {
-            throw new MalformedMessageException("cut-off cancellations");
+            throw PeerMessages.truncated(CONTENT);
         }
     }
 
@@ -141,16 +151,4 @@
         }
         return new CancelledJob(id, cancelledAt, List.copyOf(attempts));
     }
-
-    private static void checkVersion(DataInputStream in) throws IOException, MalformedMessageException {
-        if (in.readUnsignedByte() != VERSION) {
-            throw new MalformedMessageException("unknown version of cancellations");
-        }
-    }
-
-    private static void checkEnd(DataInputStream in) throws IOException, MalformedMessageException {
-        if (in.read() >= 0) {
-            throw new MalformedMessageException("bytes after cancellations");
-        }
-    }
 }
--- a/src/main/java/org/gullway/protocol/Priority.java
+++ b/src/main/java/org/gullway/protocol/Priority.java
@@ -1,5 +1,7 @@
 package org.gullway.protocol;
 
+import java.util.Locale;
+
 /** Priority of a job, highest first. */
 public enum Priority {
     PROD,
@@ -18,6 +20,6 @@
     }
 
     String wire() {
-        return name().toLowerCase(java.util.Locale.ROOT);
+        return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/org/gullway/protocol/ResourceOffer.java
+++ b/src/main/java/org/gullway/protocol/ResourceOffer.java
@@ -1,6 +1,5 @@
 package org.gullway.protocol;
 
-import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -9,25 +8,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Spare room that fitted nothing in one controller's queue, on its way to a peer, together with others. */
+/**
+ * Free resources of a machine that fit nothing in one controller's queue, offered to a peer.
+ *
+ * @param agentEpoch the epoch of the machine's agent in which the offer is valid
+ * @param askedPeers controllers whose queues had no use for them
+ */
 public record ResourceOffer(String machine, long agentEpoch, List<String> askedPeers) {
     public static final int MAX_PER_MESSAGE = 128;
     private static final int VERSION = 2;
     private static final int MAX_ASKED_PEERS = 64;
+    private static final int EXPECTED_BYTES = 64;
+    private static final String CONTENT = "resource offers";
 
-    /** The body of a message to a peer; it holds at most {@link #MOST_TOGETHER}, which the caller sees to. */
+    /** Encodes a message to a peer. The caller sees to it that there are at most {@link #MAX_PER_MESSAGE}. */
     public static byte[] encode(List<ResourceOffer> offers) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 * offers.size());
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(EXPECTED_BYTES * offers.size());
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(VERSION);
             out.writeShort(offers.size());
             for (ResourceOffer offer : offers) {
-                out.writeUTF(offer.machine);
-                out.writeLong(offer.agentEpoch);
-                out.writeByte(offer.askedPeers.size());
-                for (String name : offer.askedPeers) {
-                    out.writeUTF(name);
-                }
+                offer.writeTo(out);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -35,30 +36,31 @@
         return bytes.toByteArray();
     }
 
+    private void writeTo(DataOutputStream out) throws IOException {
+        out.writeUTF(machine);
+        out.writeLong(agentEpoch);
+        out.writeByte(askedPeers.size());
+        for (String name : askedPeers) {
+            out.writeUTF(name);
+        }
+    }
+
     /**
      * Reads what {@link #encode} wrote.
      *
-     * @throws MalformedMessageException if it is cut off, too long, or of another version
+     * @throws MalformedMessageException if it is truncated, too long, or of another version
      */
     public static List<ResourceOffer> decode(byte[] body) throws MalformedMessageException {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
-            if (in.readUnsignedByte() != VERSION) {
-                throw new MalformedMessageException("unknown version of offers");
-            }
-            int count = in.readUnsignedShort();
-            if (count > MAX_PER_MESSAGE) {
-                throw new MalformedMessageException("too many offers together");
-            }
+        try (DataInputStream in = PeerMessages.open(body, VERSION, CONTENT)) {
+            int count = PeerMessages.readCount(in, MAX_PER_MESSAGE, CONTENT);
             List<ResourceOffer> offers = new ArrayList<>(count);
             for (int i = 0; i < count; i++) {
                 offers.add(read(in));
             }
-            if (in.read() >= 0) {
-                throw new MalformedMessageException("bytes after offers");
-            }
+            PeerMessages.requireEnd(in, CONTENT);
             return offers;
         } catch (IOException e) {
-            throw new MalformedMessageException("cut-off offers");
+            throw PeerMessages.truncated(CONTENT);
         }
     }
 
@@ -67,7 +69,7 @@
         long agentEpoch = in.readLong();
         int asked = in.readUnsignedByte();
         if (asked > MAX_ASKED_PEERS) {
-            throw new MalformedMessageException("an offer that was passed on too often");
+            throw new MalformedMessageException("an offer that was passed on more than " + MAX_ASKED_PEERS + " times");
         }
         List<String> names = new ArrayList<>(asked);
         for (int i = 0; i < asked; i++) {
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -1,5 +1,6 @@
 package org.gullway.protocol;
 
+import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlFactory;
@@ -41,9 +42,14 @@
     /** Another controller: its name, its zone, and the address at which it takes requests of its peers. */
     public record Peer(String name, String zone, String address) {}
 
-    /** A team with its guarantee and its limit; 0 means none: a team may be without a guarantee, and without a limit. */
+    /**
+     * A team with its guaranteed quota and its limit; 0 means none: a team may be without a guarantee, and without a limit.
+     *
+     * @param cpus guaranteed processors
+     * @param cpusMax processors at most
+     */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-        /** More than any fleet has, and still a number that shares can be reckoned with. */
+        /** More than any fleet has, and small enough that sums of quota partitions stay exact enough. */
         private static final double UNLIMITED = 1e7;
 
         public double cpusLimit() {
@@ -55,7 +61,7 @@
         }
     }
 
-    /** An aim for one class of jobs; {@code within} is null where the aim has none. */
+    /** A service-level objective for one class of jobs; {@code within} is null where it has none. */
     public record Objective(String kind, String jobClass, Duration within) {}
 
     /**
@@ -68,7 +74,7 @@
         try (InputStream in = Files.newInputStream(file);
                 JsonParser parser = new TomlFactory().createParser(in)) {
             tree = JsonTrees.readNext(parser);
-        } catch (com.fasterxml.jackson.core.JacksonException e) {
+        } catch (JacksonException e) {
             throw new MalformedMessageException(
                     file + " is not TOML: " + MalformedMessageException.inOneLine(e.getOriginalMessage()));
         } catch (IOException e) {
@@ -79,32 +85,11 @@
 
     static Settings of(JsonNode tree) throws MalformedMessageException {
         MessageFields top = MessageFields.of(tree);
-        List<Peer> peers = new ArrayList<>();
-        for (MessageFields seed : top.list("seeds")) {
-            peers.add(new Peer(seed.text("node_name"), seed.text("site"), address(seed, "addr")));
-        }
+        List<Peer> peers = peers(top);
         MessageFields external = top.inner("external");
         MessageFields facts = top.inner("facts");
-        Map<String, Team> teams = new LinkedHashMap<>();
-        for (MessageFields team : facts.list("teams")) {
-            Team read = new Team(
-                    team.text("name"),
-                    team.amount("cpus"),
-                    team.amount("cpus_max"),
-                    team.has("gpus") ? team.amount("gpus") : 0,
-                    team.has("gpus_max") ? team.amount("gpus_max") : 0);
-            if (teams.put(read.name(), read) != null) {
-                throw new MalformedMessageException("facts.teams names " + read.name() + " twice");
-            }
-        }
-        List<Objective> objectives = new ArrayList<>();
-        for (MessageFields objective : facts.list("objectives")) {
-            // Aims of kinds that are not known yet, or of another form, must not keep a controller from starting.
-            if (objective.has("kind") && objective.has("class")) {
-                objectives.add(new Objective(
-                        objective.text("kind"), objective.text("class"), objective.secondsOrNull("within_s")));
-            }
-        }
+        Map<String, Team> teams = teams(facts);
+        List<Objective> objectives = objectives(facts);
         MessageFields workers = facts.inner("workers");
         MessageFields state = facts.inner("state");
         MessageFields cloud = facts.inner("cloud");
@@ -113,11 +98,11 @@
                 top.text("site"),
                 address(top, "public_addr"),
                 address(top, "mesh_addr"),
-                List.copyOf(peers),
+                peers,
                 address(external, "cloud"),
                 address(external, "state"),
-                Map.copyOf(teams),
-                List.copyOf(objectives),
+                teams,
+                objectives,
                 span(workers, "report_s"),
                 span(workers, "lease_s"),
                 span(workers, "cancel_s"),
@@ -130,6 +115,42 @@
                 atLeastOne(facts.inner("quota"), "sockets"));
     }
 
+    private static List<Peer> peers(MessageFields top) throws MalformedMessageException {
+        List<Peer> peers = new ArrayList<>();
+        for (MessageFields seed : top.list("seeds")) {
+            peers.add(new Peer(seed.text("node_name"), seed.text("site"), address(seed, "addr")));
+        }
+        return List.copyOf(peers);
+    }
+
+    private static Map<String, Team> teams(MessageFields facts) throws MalformedMessageException {
+        Map<String, Team> teams = new LinkedHashMap<>();
+        for (MessageFields fields : facts.list("teams")) {
+            Team team = new Team(
+                    fields.text("name"),
+                    fields.amount("cpus"),
+                    fields.amount("cpus_max"),
+                    fields.has("gpus") ? fields.amount("gpus") : 0,
+                    fields.has("gpus_max") ? fields.amount("gpus_max") : 0);
+            if (teams.put(team.name(), team) != null) {
+                throw new MalformedMessageException("facts.teams names " + team.name() + " twice");
+            }
+        }
+        return Map.copyOf(teams);
+    }
+
+    private static List<Objective> objectives(MessageFields facts) throws MalformedMessageException {
+        List<Objective> objectives = new ArrayList<>();
+        for (MessageFields fields : facts.list("objectives")) {
+            // Objectives of kinds that are not known yet, or of another form, must not keep a controller from starting.
+            if (fields.has("kind") && fields.has("class")) {
+                objectives.add(
+                        new Objective(fields.text("kind"), fields.text("class"), fields.secondsOrNull("within_s")));
+            }
+        }
+        return List.copyOf(objectives);
+    }
+
     private static String address(MessageFields fields, String name) throws MalformedMessageException {
         String text = fields.text(name);
         if (!ADDRESS.matcher(text).matches()) {
--- a/src/main/java/org/gullway/protocol/TaskStatus.java
+++ b/src/main/java/org/gullway/protocol/TaskStatus.java
@@ -1,8 +1,8 @@
 package org.gullway.protocol;
 
-/** One task as its worker sees it; {@code cause} is null until the task has ended. */
+/** One attempt of a task as its agent sees it; {@code cause} is null until the attempt has ended. */
 public record TaskStatus(TaskId task, long attempt, Phase phase, Cause cause, boolean checkpointed) {
-    /** How far the attempt has come; in all phases but {@code ENDED} it occupies its room. */
+    /** How far the attempt has come; in all phases but {@code ENDED} it uses its resources. */
     public enum Phase {
         FETCHING,
         RUNNING,
@@ -14,7 +14,7 @@
                 case "fetching", "gathering" -> FETCHING;
                 case "saving" -> SAVING;
                 case "ended" -> ENDED;
-                    // A live state of a later protocol occupies room like a running task.
+                    // A live state of a later protocol uses resources like a running task.
                 default -> RUNNING;
             };
         }
--- a/src/main/java/org/gullway/transport/ConnectionPool.java
+++ b/src/main/java/org/gullway/transport/ConnectionPool.java
@@ -10,16 +10,16 @@
 import java.util.function.Predicate;
 
 /**
- * Outgoing connections within a budget of sockets: idle ones are kept for the next call, and when the budget is used
- * up the one that was idle longest is closed for a new one. A connect that was given up stays open until the system
+ * Outgoing connections within a budget of sockets: idle ones are kept for the next request, and when the budget is used
+ * up the one that was idle longest is closed for a new one. A connect that timed out stays open until the system
  * ends it (the client library has no way to end it), so it counts, and there is one at a time to an address.
  *
- * <p>Essential addresses (state service, cloud, peers) are few and their calls are paced, so they are never refused:
- * the budget leaves a reserve for them. Without it, workers that are cut off by the hundred would take the sockets by
+ * <p>Essential addresses (state store, cloud, peers) are few and their requests are limited, so they are never refused:
+ * the budget leaves a reserve for them. Without it, unreachable agents by the hundred would take the sockets by
  * which this controller stays a member.
  */
 final class ConnectionPool<C> {
-    private static final int IDLE_PER_ADDRESS = 4;
+    private static final int MAX_IDLE_PER_ADDRESS = 4;
 
     private final SocketBudget socketBudget;
     private final Set<String> essential;
@@ -28,7 +28,7 @@
     private final Map<C, String> idle = new LinkedHashMap<>();
 
     private final Map<String, Deque<C>> byAddress = new HashMap<>();
-    /** Connects that no call waits for any more. */
+    /** Connects that no request waits for any more. */
     private final Map<String, Integer> abandoned = new HashMap<>();
 
     private int open;
@@ -52,7 +52,7 @@
         return null;
     }
 
-    /** Whether a connect to the address is still under way although its call has given up; no other is begun then. */
+    /** Whether a connect to the address is still under way although its request has timed out; no other is begun then. */
     boolean isAbandoned(String address) {
         return abandoned.containsKey(address) && !essential.contains(address);
     }
@@ -82,12 +82,12 @@
         }
     }
 
-    /** The call has given up although its connect is still under way. */
+    /** The request has timed out although its connect is still under way. */
     void abandon(String address) {
         abandoned.merge(address, 1, Integer::sum);
     }
 
-    /** A connect that was given up has ended after all, with or without a connection. */
+    /** A connect that had been abandoned has ended after all, with or without a connection. */
     void abandonedEnded(String address) {
         abandoned.computeIfPresent(address, (a, n) -> n == 1 ? null : n - 1);
     }
@@ -96,10 +96,10 @@
         open--;
     }
 
-    /** Keeps a connection for the next call. */
+    /** Keeps a connection for the next request. */
     void keep(String address, C connection) {
         Deque<C> there = byAddress.computeIfAbsent(address, a -> new ArrayDeque<>());
-        if (there.size() >= IDLE_PER_ADDRESS
+        if (there.size() >= MAX_IDLE_PER_ADDRESS
                 || open > socketBudget.availableForWorkers() && !essential.contains(address)) {
             if (there.isEmpty()) {
                 byAddress.remove(address);
@@ -111,13 +111,13 @@
         idle.put(connection, address);
     }
 
-    /** Closes a connection that is in no call any more. */
+    /** Closes a connection that serves no request any more. */
     void discard(C connection) {
         open--;
         close.accept(connection);
     }
 
-    /** The other side has closed a connection; one that is in a call is discarded by the call. */
+    /** The other side has closed a connection; one that serves a request is discarded by it. */
     void closedByPeer(C connection) {
         if (idle.containsKey(connection)) {
             forget(connection);
--- a/src/main/java/org/gullway/transport/DisabledMBeanServerBuilder.java
+++ b/src/main/java/org/gullway/transport/DisabledMBeanServerBuilder.java
@@ -5,8 +5,8 @@
 import javax.management.MBeanServerDelegate;
 
 /**
- * Keeps the platform's management server from being set up, which XNIO does for each of its workers: on a small machine
- * that was a fifth of the time until a controller listens, and nothing can connect to it. XNIO goes on without.
+ * Keeps the platform's management server from being set up, as XNIO would for each of its workers: that takes much of a start
+ * on a small machine, and nothing can connect to it. XNIO goes on without.
  */
 public final class DisabledMBeanServerBuilder extends MBeanServerBuilder {
     private static final String BUILDER_PROPERTY = "javax.management.builder.initial";
--- a/src/main/java/org/gullway/transport/EventLoop.java
+++ b/src/main/java/org/gullway/transport/EventLoop.java
@@ -3,9 +3,12 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The single thread on which everything in a controller runs. */
+/**
+ * The single thread on which everything in a controller runs. No task may block it. State that is reached from the loop is
+ * reached from nowhere else, so nothing of it is synchronized.
+ */
 public interface EventLoop {
-    /** The steady clock; it has no relation to the time of day. */
+    /** The monotonic clock; it has no relation to wall-clock time, which is passed as an {@code InstantSource}. */
     Instant now();
 
     void execute(Runnable task);
--- a/src/main/java/org/gullway/transport/HttpClient.java
+++ b/src/main/java/org/gullway/transport/HttpClient.java
@@ -2,9 +2,9 @@
 
 import java.util.function.Consumer;
 
-/** Calls other processes. */
+/** Sends requests to other processes. */
 @FunctionalInterface
 public interface HttpClient {
-    /** Makes the call; the callback gets exactly one reply, on the event loop, within the request's time limit. */
+    /** Sends the request; the callback gets exactly one response, on the event loop, within the request's timeout. */
     void call(String address, HttpRequest request, Consumer<HttpResponse> callback);
 }
--- a/src/main/java/org/gullway/transport/HttpExchange.java
+++ b/src/main/java/org/gullway/transport/HttpExchange.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** One request with the means to answer it, at once or later, always exactly once. */
+/** One request that was received, with the means to respond, at once or later, always exactly once. */
 public interface HttpExchange {
     String method();
 
@@ -17,6 +17,6 @@
 
     void respond(int status, byte[] content);
 
-    /** Refuses for now and says when to come back. */
+    /** Rejects the request for now, with {@code Retry-After}. */
     void reject(int status, Duration retryAfter);
 }
--- a/src/main/java/org/gullway/transport/HttpResponse.java
+++ b/src/main/java/org/gullway/transport/HttpResponse.java
@@ -1,10 +1,15 @@
 package org.gullway.transport;
 
-/** What a caller of {@link UndertowHttpClient} gets: an answer, or the knowledge of how far the request came. */
+/**
+ * What became of a request to another process.
+ *
+ * @param status 0 unless it was answered
+ * @param body empty unless it was answered with one
+ */
 public record HttpResponse(Outcome outcome, int status, byte[] body) {
     private static final byte[] EMPTY = new byte[0];
 
-    /** What is known of a request: whether it was answered, and if not, whether it may have been carried out. */
+    /** Whether the request was answered, and if not, whether it may have been carried out. */
     public enum Outcome {
         ANSWERED,
         /** The connection was never made, so the request was certainly not carried out. */
@@ -32,6 +37,6 @@
     }
 
     public boolean isOk() {
-        return status == 200;
+        return status == HttpStatus.OK;
     }
 }
--- a/src/main/java/org/gullway/transport/HttpServer.java
+++ b/src/main/java/org/gullway/transport/HttpServer.java
@@ -28,18 +28,18 @@
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-    /** Handles one request; the answer may be given at once or later, always exactly once. */
+    /** Handles one request; the response may be given at once or later, always exactly once. */
     @FunctionalInterface
     public interface Handler {
         void handle(HttpExchange exchange);
     }
 
-    private static final class ExchangeCall implements HttpExchange {
+    private static final class UndertowExchange implements HttpExchange {
         private final HttpServerExchange exchange;
         private final byte[] body;
         private final SocketBudget socketBudget;
 
-        private ExchangeCall(HttpServerExchange exchange, byte[] body, SocketBudget socketBudget) {
+        private UndertowExchange(HttpServerExchange exchange, byte[] body, SocketBudget socketBudget) {
             this.exchange = exchange;
             this.body = body;
             this.socketBudget = socketBudget;
@@ -161,26 +161,26 @@
     private static void receive(HttpServerExchange exchange, SocketBudget socketBudget, int limit, Handler handler) {
         if (exchange.getRequestContentLength() > limit) {
             exchange.setPersistent(false);
-            hand(exchange, null, socketBudget, handler);
+            dispatch(exchange, null, socketBudget, handler);
             return;
         }
         if (exchange.getRequestContentLength() < 0) {
             exchange.getRequestReceiver()
                     .receivePartialBytes(
                             new BodyOfUnknownLength(socketBudget, limit, handler),
-                            (ex, error) -> refuseBody(ex, socketBudget, handler));
+                            (ex, error) -> rejectBody(ex, socketBudget, handler));
             return;
         }
         exchange.setMaxEntitySize(limit);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (ex, bytes) -> hand(ex, bytes, socketBudget, handler),
-                        (ex, error) -> refuseBody(ex, socketBudget, handler));
+                        (ex, bytes) -> dispatch(ex, bytes, socketBudget, handler),
+                        (ex, error) -> rejectBody(ex, socketBudget, handler));
     }
 
-    private static void refuseBody(HttpServerExchange exchange, SocketBudget socketBudget, Handler handler) {
+    private static void rejectBody(HttpServerExchange exchange, SocketBudget socketBudget, Handler handler) {
         exchange.setPersistent(false);
-        hand(exchange, null, socketBudget, handler);
+        dispatch(exchange, null, socketBudget, handler);
     }
 
     /**
@@ -189,14 +189,14 @@
      */
     private static final class BodyOfUnknownLength implements Receiver.PartialBytesCallback {
         /** Multiple of the limit beyond which the rest of a body is not read any more. */
-        private static final int MOST_READ = 16;
+        private static final int MAX_READ_FACTOR = 16;
 
         private final SocketBudget socketBudget;
         private final int limit;
         private final Handler handler;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private long read;
-        private boolean handed;
+        private boolean dispatched;
 
         BodyOfUnknownLength(SocketBudget socketBudget, int limit, Handler handler) {
             this.socketBudget = socketBudget;
@@ -206,28 +206,30 @@
 
         @Override
         public void handle(HttpServerExchange exchange, byte[] message, boolean last) {
-            if (handed) {
+            if (dispatched) {
                 return;
             }
             read += message.length;
             if (read <= limit) {
                 body.write(message, 0, message.length);
             }
-            if (last || read > (long) limit * MOST_READ) {
-                handed = true;
+            if (last || read > (long) limit * MAX_READ_FACTOR) {
+                dispatched = true;
                 exchange.setPersistent(last && exchange.isPersistent());
-                hand(exchange, read <= limit ? body.toByteArray() : null, socketBudget, handler);
+                dispatch(exchange, read <= limit ? body.toByteArray() : null, socketBudget, handler);
             }
         }
     }
 
-    private static void hand(HttpServerExchange exchange, byte[] body, SocketBudget socketBudget, Handler handler) {
+    private static void dispatch(HttpServerExchange exchange, byte[] body, SocketBudget socketBudget, Handler handler) {
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
             try {
-                handler.handle(new ExchangeCall(exchange, body, socketBudget));
+                handler.handle(new UndertowExchange(exchange, body, socketBudget));
             } catch (RuntimeException e) {
-                LOG.error("{} {} failed", exchange.getRequestMethod(), exchange.getRequestPath(), e);
-                new ExchangeCall(exchange, body, socketBudget).reject(503, Duration.ofSeconds(2));
+                LOG.error(
+                        "request failed method={} path={}", exchange.getRequestMethod(), exchange.getRequestPath(), e);
+                new UndertowExchange(exchange, body, socketBudget)
+                        .reject(HttpStatus.SERVICE_UNAVAILABLE, Duration.ofSeconds(2));
             }
         });
     }
--- a/src/main/java/org/gullway/transport/SocketBudget.java
+++ b/src/main/java/org/gullway/transport/SocketBudget.java
@@ -1,20 +1,19 @@
 package org.gullway.transport;
 
 /**
- * The sockets that the platform allows this process, and how they are divided: a reserve for the state service, the
- * cloud, the other controllers and connections that are closed but linger since the other side is cut off; the rest goes to connections that others open to us and, as far as these leave
- * any, to those that we open to workers.
+ * Divides the sockets that the platform allows this process. A reserve is for the state store, the cloud, the other
+ * controllers, and connections that linger after they were closed since the other side is unreachable. The rest goes to
+ * connections that were accepted and, as far as these leave any, to those that are opened to agents.
  *
- * <p>Once a large part is taken, connections of workers are closed with each answer, so that new ones of users and of
- * health checks are always taken: beyond the limit they would fail, and with them the service (a controller alone with
- * all workers of the fleet deployments has two connections for each). With a reserve of 7% the limit was still reached in
- * a cut zone (dong-xanh-fleet zone, half as many machines again).
+ * <p>Once a large part is accepted, connections are closed with each response, so that new ones of users and of health checks are
+ * always accepted: beyond the limit they would fail, and with them the service. A controller alone with all agents of a
+ * fleet has two connections for each.
  */
 public final class SocketBudget {
-    private static final double ACCEPTED_PART = 0.78;
-    private static final double CROWDED_PART = 0.68;
-    private static final double WORKERS_PART = 0.85;
-    private static final int LEAST_FOR_WORKERS = 8;
+    private static final double MAX_ACCEPTED_SHARE = 0.78;
+    private static final double CROWDED_SHARE = 0.68;
+    private static final double UNRESERVED_SHARE = 0.85;
+    private static final int MIN_FOR_AGENTS = 8;
 
     private final int limit;
     private int accepted;
@@ -26,21 +25,21 @@
 
     /** Connections that may be accepted at a time. */
     int maxAccepted() {
-        return Math.max(1, (int) (limit * ACCEPTED_PART));
+        return Math.max(1, (int) (limit * MAX_ACCEPTED_SHARE));
     }
 
-    /** To be told of every connection that was accepted, and of its end. */
+    /** Counts connections that were accepted, and their ends. */
     void onAcceptedChange(int change) {
         accepted += change;
     }
 
-    /** Whether connections should be closed with the answer, so that others can come. */
+    /** Whether connections should be closed with the response, so that others can be accepted. */
     public boolean isCrowded() {
-        return accepted > limit * CROWDED_PART;
+        return accepted > limit * CROWDED_SHARE;
     }
 
     /** How many connections we may have open, apart from the reserve. */
     int availableForWorkers() {
-        return Math.max(LEAST_FOR_WORKERS, (int) (limit * WORKERS_PART) - accepted);
+        return Math.max(MIN_FOR_AGENTS, (int) (limit * UNRESERVED_SHARE) - accepted);
     }
 }
--- a/src/main/java/org/gullway/transport/TokenBucket.java
+++ b/src/main/java/org/gullway/transport/TokenBucket.java
@@ -4,11 +4,14 @@
 import java.time.Instant;
 
 /**
- * What this controller may ask of a service that limits all controllers together: a part of the limit, with as much
- * saved up as a second brings. The rest of the sharing is left to the service's refusals.
+ * Limits the rate at which this controller uses a service that limits all controllers together. Tokens accrue at a share of the
+ * limit and are saved up for a second at most. What the controllers exceed together the service rejects.
  */
 public final class TokenBucket {
     private static final double DEFAULT_SHARE = 0.6;
+    private static final int SURPLUS_DIVISOR = 2;
+    private static final int BATCH_DIVISOR = 4;
+    private static final int BATCHING_MS = 10;
 
     private final EventLoop loop;
     private final double limitPerSecond;
@@ -20,37 +23,37 @@
         this(loop, limitPerSecond, DEFAULT_SHARE);
     }
 
-    public TokenBucket(EventLoop loop, double limitPerSecond, double part) {
+    public TokenBucket(EventLoop loop, double limitPerSecond, double share) {
         this.loop = loop;
         this.limitPerSecond = limitPerSecond;
-        setShare(part);
+        setShare(share);
         this.tokens = tokensPerSecond;
         this.refilledAt = loop.now();
     }
 
-    /** Changes the part of the limit that this controller may use. */
-    public void setShare(double part) {
-        tokensPerSecond = Math.max(1, limitPerSecond * part);
+    /** Changes the share of the limit that this controller may use. */
+    public void setShare(double share) {
+        tokensPerSecond = Math.max(1, limitPerSecond * share);
     }
 
-    /** How much may be asked now without going below zero. */
+    /** How many whole tokens there are now. */
     public int availableTokens() {
         return (int) Math.max(0, refill());
     }
 
-    /** Whether much of what a second brings is unused. */
+    /** Whether at least half of the tokens of a second are unused. */
     public boolean hasSurplus() {
-        return refill() >= tokensPerSecond / 2;
+        return refill() >= tokensPerSecond / SURPLUS_DIVISOR;
     }
 
-    /** Whether anything may be asked now; spending may go below zero and is earned back. */
+    /** Whether there is a token; consumption may go below zero, which later tokens make up for. */
     public boolean hasToken() {
         return refill() >= 1;
     }
 
-    /** Whether enough is left that several things can be asked for together. */
+    /** Whether there are tokens for several requests together: a quarter of those of a second. */
     public boolean hasBatch() {
-        return refill() >= Math.max(1, tokensPerSecond / 4);
+        return refill() >= Math.max(1, tokensPerSecond / BATCH_DIVISOR);
     }
 
     private double refill() {
@@ -61,13 +64,13 @@
         return tokens;
     }
 
-    /** How long to wait until something may be asked; a little time gathers what comes together. */
+    /** How long to wait for a token, and a little more, so that requests that arrive together are sent together. */
     public Duration batchingDelay() {
         double missing = 1 - refill();
-        return Duration.ofMillis(missing <= 0 ? 10 : 10 + (long) (1000 * missing / tokensPerSecond));
+        return Duration.ofMillis(missing <= 0 ? BATCHING_MS : BATCHING_MS + (long) (1000 * missing / tokensPerSecond));
     }
 
-    /** How long it takes until so much has been earned; zero if it is there. */
+    /** How long it takes until so many tokens have accrued; zero if they are there. */
     public Duration timeUntilAvailable(int count) {
         double missing = count - refill();
         return missing <= 0 ? Duration.ZERO : Duration.ofMillis((long) Math.ceil(1000 * missing / tokensPerSecond));
--- a/src/main/java/org/gullway/transport/UndertowHttpClient.java
+++ b/src/main/java/org/gullway/transport/UndertowHttpClient.java
@@ -22,7 +22,7 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Calls over kept connections, each with a time limit, all on the event loop. */
+/** Sends requests over pooled connections, each with a timeout, all on the event loop. */
 public final class UndertowHttpClient implements HttpClient {
     private final XnioEventLoop loop;
     private final ByteBufferPool buffers;
@@ -41,6 +41,7 @@
 
     @Override
     public void call(String address, HttpRequest request, Consumer<HttpResponse> callback) {
+        assert loop.isCurrent() : "a request that is not sent from the event loop";
         new PendingCall(address, request, callback).begin();
     }
 
@@ -58,7 +59,7 @@
             this.address = address;
             this.request = request;
             this.callback = callback;
-            this.cancelTimer = loop.after(request.timeout(), () -> finish(unfinished()));
+            this.cancelTimer = loop.after(request.timeout(), () -> finish(outcomeSoFar()));
         }
 
         void begin() {
@@ -111,7 +112,7 @@
         }
 
         /** Until a connection stands nothing was sent; from then on the outcome is open. */
-        private HttpResponse unfinished() {
+        private HttpResponse outcomeSoFar() {
             return connection == null ? HttpResponse.notSent() : HttpResponse.unknown();
         }
 
@@ -200,10 +201,10 @@
                                 .equalsIgnoreCase(exchange.getResponse()
                                         .getResponseHeaders()
                                         .getFirst(Headers.CONNECTION));
-                        ClientConnection mine = connection;
+                        ClientConnection reusable = connection;
                         if (!finished && !close) {
                             connection = null;
-                            connections.keep(address, mine);
+                            connections.keep(address, reusable);
                         }
                         finish(response);
                         return;
--- a/src/main/java/org/gullway/transport/XnioEventLoop.java
+++ b/src/main/java/org/gullway/transport/XnioEventLoop.java
@@ -19,6 +19,11 @@
         this.thread = thread;
     }
 
+    /** Whether the caller runs on this loop, as everything that reaches a controller's state has to. */
+    boolean isCurrent() {
+        return Thread.currentThread() == thread;
+    }
+
     XnioIoThread thread() {
         return thread;
     }
@@ -39,7 +44,7 @@
         return key::remove;
     }
 
-    /** A task that fails must not end the loop: the fault is logged and the next task runs. */
+    /** A task that fails must not end the loop: the error is logged and the next task runs. */
     private static void guarded(Runnable task) {
         try {
             task.run();
