--- a/src/test/java/org/gullway/BadInputTest.java
+++ b/src/test/java/org/gullway/BadInputTest.java
@@ -226,12 +226,12 @@
             assertThat(ask(cluster, id)).as("asked: " + id).isEqualTo(404);
             assertThat(cancel(cluster, id)).as("cancelled: " + id).isEqualTo(404);
         }
-        assertThat(cluster.answers.of(Kind.QUESTION)).noneMatch(entry -> entry.status() == 200);
+        assertThat(cluster.responses.of(Kind.QUESTION)).noneMatch(entry -> entry.status() == 200);
     }
 
     /** The same id with other contents, also such as could not run, is answered with the state of the job. */
     @Test
-    void oddRepeatsGetTheStateOfTheJobWhetherItRunsIsDoneOrCancelled() throws MalformedMessageException {
+    void malformedResubmissionsGetTheStateOfTheJob() throws MalformedMessageException {
         cluster.run(Duration.ofSeconds(15));
         TestUser runs = cluster.submit(1, "blue", Priority.HIGH, 1, 4, Duration.ofSeconds(300));
         TestUser done = cluster.submit(2, "blue", Priority.HIGH, 1, 4, Duration.ofSeconds(2));
@@ -239,7 +239,7 @@
         cluster.run(Duration.ofSeconds(30));
         cancelled.cancel();
         cluster.run(Duration.ofSeconds(10));
-        assertThat(cluster.rules.told(done.request.id())).isEqualTo("done");
+        assertThat(cluster.invariants.reportedState(done.request.id())).isEqualTo("done");
         for (TestUser user : List.of(runs, done, cancelled)) {
             String state = user == runs ? "running" : user == done ? "done" : "aborted";
             ObjectNode node = user.request.toNode();
@@ -264,12 +264,12 @@
                 }
             }
         }
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
     }
 
     /** Reports with spoilt bytes or odd fields are answered, and the machine's work and all other requests go on. */
     @Property(tries = 200, seed = "32")
-    void oddReportsAreAnsweredAndEndNothing(@ForAll long seed) {
+    void malformedHeartbeatsAreAnsweredAndEndNothing(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ObjectNode report = Cbor.map()
                 .put("perch", "vm-900000")
--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -96,12 +96,12 @@
         byte[] hash = recorder[0].digest.digest();
         whole.update(hash);
         System.out.println(name + " " + HexFormat.of().formatHex(hash, 0, SCENARIO_BYTES) + " " + recorder[0].messages
-                + " messages, " + cluster.started() + " starts");
+                + " messages, " + cluster.startedTasks() + " starts");
     }
 
     private void playAll() {
         play("quiet", 1, 0, 4, cluster -> {
-            SimulatedScenariosTest.work(cluster, new SplittableRandom(2), 30, Duration.ofSeconds(100));
+            SimulatedScenariosTest.submitJobs(cluster, new SplittableRandom(2), 30, Duration.ofSeconds(100));
             cluster.run(Duration.ofSeconds(240));
         });
         play("crowded", 7, 0, 1, cluster -> {
@@ -122,16 +122,16 @@
         for (int seed = 1; seed <= ROUGH_SCENARIOS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             play("rough-" + seed, random.nextLong(), 0.01, 3, cluster -> {
-                SimulatedScenariosTest.work(cluster, random.split(), 25, Duration.ofSeconds(120));
-                SimulatedScenariosTest.playRoughDay(cluster, random);
+                SimulatedScenariosTest.submitJobs(cluster, random.split(), 25, Duration.ofSeconds(120));
+                SimulatedScenariosTest.playFaults(cluster, random);
             });
         }
         for (int seed = 101; seed <= 100 + BOUND_SCENARIOS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             play("bound-" + seed, random.nextLong(), 0.01, 3, cluster -> {
-                SimulatedScenariosTest.work(cluster, random.split(), 10, Duration.ofSeconds(120));
-                SimulatedScenariosTest.boundWork(cluster, random.split(), 11, 15, Duration.ofSeconds(120));
-                SimulatedScenariosTest.playRoughDay(cluster, random);
+                SimulatedScenariosTest.submitJobs(cluster, random.split(), 10, Duration.ofSeconds(120));
+                SimulatedScenariosTest.submitZoneBoundJobs(cluster, random.split(), 11, 15, Duration.ofSeconds(120));
+                SimulatedScenariosTest.playFaults(cluster, random);
             });
         }
     }
--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
+import org.gullway.fake.FakeAgent;
 import org.gullway.fake.FakeCloud;
 import org.gullway.fake.FakeStateStore;
-import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
@@ -81,11 +81,11 @@
                 job("run-000002", Priority.NORMAL),
                 "run-000003",
                 job("run-000003", Priority.IDLE));
-        FakeWorker.World world = new Moments(jobs);
+        FakeAgent.Environment environment = new Moments(jobs);
         Path settings = Files.createTempFile("gullway", ".toml");
         Files.writeString(settings, settings(node, state, cloudAddress));
-        loop.execute(() ->
-                listen(worker, buffers, socketBudget, loop, client, world, new Addresses(node, state, cloudAddress)));
+        loop.execute(() -> listen(
+                worker, buffers, socketBudget, loop, client, environment, new Addresses(node, state, cloudAddress)));
         List<String> whole = new ArrayList<>(command);
         whole.addAll(List.of("--config", settings.toString()));
         Process process = new ProcessBuilder(whole).inheritIO().start();
@@ -116,7 +116,7 @@
             SocketBudget socketBudget,
             XnioEventLoop loop,
             UndertowHttpClient client,
-            FakeWorker.World world,
+            FakeAgent.Environment environment,
             Addresses addresses) {
         FakeStateStore store = new FakeStateStore(loop);
         FakeCloud cloud = new FakeCloud(
@@ -125,10 +125,10 @@
                 2,
                 (name, kind) -> {
                     String address = freeAddress();
-                    FakeWorker machine = new FakeWorker(
+                    FakeAgent machine = new FakeAgent(
                             loop,
                             client,
-                            world,
+                            environment,
                             new SplittableRandom(1),
                             name,
                             address,
@@ -254,9 +254,9 @@
     }
 
     /** Tasks that take a moment and never fail. */
-    private record Moments(Map<String, JobRequest> jobs) implements FakeWorker.World {
+    private record Moments(Map<String, JobRequest> jobs) implements FakeAgent.Environment {
         @Override
-        public JobRequest describe(String job) {
+        public JobRequest jobOf(String job) {
             return jobs.get(job);
         }
 
@@ -266,9 +266,9 @@
         }
 
         @Override
-        public void began(String machine, String task) {}
+        public void onTaskStarted(String machine, String task) {}
 
         @Override
-        public void ended(String machine, String task, boolean done) {}
+        public void onTaskEnded(String machine, String task, boolean done) {}
     }
 }
--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -24,10 +24,10 @@
      * final state of the job: it would be accepted a second time.
      */
     @Property(tries = 4, seed = "201")
-    void answersOfTransactionsAreLostWhileOthersReadWhatTheyWrote(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void commitResponsesAreLostWhileOthersReadTheChanges(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(30));
-        cluster.store.loseAnswers(0.3, cluster.random.split());
-        cluster.whenNews(user -> cluster.lookClosely(user, cluster.random));
+        cluster.store.dropResponses(0.3, cluster.random.split());
+        cluster.onStateChange(user -> cluster.queryInBursts(user, cluster.random));
         moreWork(cluster, 9, 8);
         for (int i = 0; i < 20; i++) {
             int number = 30 + i;
@@ -49,14 +49,14 @@
      * commit: the second booking changes no key that the first one relies on.
      */
     @Property(tries = 6, seed = "202")
-    void aBookingArrivesAfterAnotherHasTakenItsRoom(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aLatePlacementArrivesAfterAnotherTookItsResources(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         // Afterwards there are idle machines, and the leader holds all of the team's limit.
         cluster.submit(1, "red", Priority.HIGH, 2, 12, Duration.ofSeconds(5), ANYWHERE);
         cluster.submit(2, "blue", Priority.HIGH, 3, 20, Duration.ofSeconds(5), ANYWHERE);
         cluster.run(Duration.ofSeconds(25));
         String first = StoreKeys.job("run-000003");
-        cluster.store.holdUpNext(
+        cluster.store.delayNextCommit(
                 change -> change.path("put").asText().equals(first) && cluster.store.value(first) != null,
                 seconds(5 + seed % 7));
         cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(40), ANYWHERE);
@@ -71,11 +71,11 @@
      * would neither be used nor returned.
      */
     @Property(tries = 6, seed = "203")
-    void newMachinesReportBeforeTheyAreOnRecordAndTheLeaderEnds(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void heartbeatsBeforeTheRecordAndALeaderCrash(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        cluster.cloud.bootWithin(seconds(0.2 + seed % 18 / 10.0));
+        cluster.cloud.setBootTime(seconds(0.2 + seed % 18 / 10.0));
         cluster.run(Duration.ofSeconds(5));
-        cluster.store.lateWrites(0.4, cluster.random.split());
+        cluster.store.applyLate(0.4, cluster.random.split());
         moreWork(cluster, 1, 20);
         for (int i = 0; i < 4; i++) {
             cluster.after(seconds(2 + 9 * i + seed % 8 / 2.0), () -> {
--- a/src/test/java/org/gullway/ControllerProfile.java
+++ b/src/test/java/org/gullway/ControllerProfile.java
@@ -42,7 +42,7 @@
     private static final int SYSTEM_TICKS = 12;
 
     private final LoopbackCluster cluster;
-    private final InvariantChecker rules = new InvariantChecker(CANCEL_LIMIT, TEAMS);
+    private final InvariantChecker invariants = new InvariantChecker(CANCEL_LIMIT, TEAMS);
     private final SplittableRandom random = new SplittableRandom(1);
     private TestUsers users;
     private int jobs;
@@ -61,7 +61,7 @@
                 command,
                 "info");
         cluster = new LoopbackCluster(1, setup, System.out::println, (name, kind) -> {
-            rules.machine(name, kind);
+            invariants.onMachineUp(name, kind);
             return users;
         });
     }
@@ -93,7 +93,8 @@
 
     private void play() throws InterruptedException {
         onLoop(() -> {
-            users = new TestUsers(cluster.loop, cluster.userClient(), rules, random.split(), cluster.userAddresses());
+            users = new TestUsers(
+                    cluster.loop, cluster.userClient(), invariants, random.split(), cluster.userAddresses());
             cluster.start();
         });
         phase("start of all", Duration.ofSeconds(6));
@@ -113,7 +114,7 @@
         phase("calm again", Duration.ofSeconds(30));
         cluster.nodes().forEach(cluster::terminate);
         Thread.sleep(3000);
-        System.out.println("rules broken: " + rules.broken);
+        System.out.println("rules broken: " + invariants.violations);
         cluster.close();
     }
 
@@ -160,12 +161,16 @@
 
     /** Lets time pass and prints what the controllers' threads used meanwhile. */
     private void phase(String name, Duration length) throws InterruptedException {
-        int startedBefore = rules.starts();
+        int startedBefore = invariants.startedTasks();
         Thread.sleep(length.toMillis());
         Map<String, Long> now = processorTimes();
         System.out.printf(
                 "%n%s, %d s: %d machines up, %d jobs so far, %d tasks started%n",
-                name, length.toSeconds(), cluster.cloud.workers().size(), jobs, rules.starts() - startedBefore);
+                name,
+                length.toSeconds(),
+                cluster.cloud.agents().size(),
+                jobs,
+                invariants.startedTasks() - startedBefore);
         Map<String, Long> byThread = new TreeMap<>();
         now.forEach((key, ticks) ->
                 byThread.merge(key.substring(key.indexOf(' ') + 1), ticks - before.getOrDefault(key, 0L), Long::sum));
--- a/src/test/java/org/gullway/HandoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -19,19 +19,19 @@
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.SimulatedCluster.Bounds;
 import org.gullway.coordination.model.StoreKeys;
-import org.gullway.fake.FakeWorker;
+import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.Priority;
 import org.gullway.transport.HttpRequest;
 
 /** The work of a controller changes hands while old messages are on their way, jobs are cancelled or machines are silent. */
-class HandoverFaultsTest {
+class FailoverFaultsTest {
     private static Bounds only(String type) {
         return new Bounds(List.of(type), null, false, false, true);
     }
 
-    private static FakeWorker workerOf(SimulatedCluster cluster, String type) {
-        return cluster.cloud.workers().stream()
-                .filter(worker -> worker.kind().type().equals(type))
+    private static FakeAgent workerOf(SimulatedCluster cluster, String type) {
+        return cluster.cloud.agents().stream()
+                .filter(agent -> agent.kind().type().equals(type))
                 .findFirst()
                 .orElseThrow();
     }
@@ -52,25 +52,25 @@
      * the epoch of the takeover; where only the leader ended, that a report older than the newest one is dropped.
      */
     @Property(tries = 6, seed = "211")
-    void oldReportsReachEveryControllerAsALeaderBegins(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void oldHeartbeatsReachEveryControllerAsALeaderBegins(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = twoIdleMachines(seed);
-        FakeWorker worker = workerOf(cluster, "large");
-        for (int i = 0; i < 5 && worker.reportsTo().equals(cluster.leader()); i++) {
+        FakeAgent agent = workerOf(cluster, "large");
+        for (int i = 0; i < 5 && agent.heartbeatTarget().equals(cluster.leader()); i++) {
             // Its process is back at once and keeps its machines, while another takes the leadership.
             cluster.crash(cluster.leader(), Duration.ofMillis(30));
             cluster.run(Duration.ofSeconds(3));
         }
-        cluster.network.keepCopies(1, "/agent/beat");
+        cluster.network.recordCopies(1, "/agent/beat");
         cluster.run(Duration.ofSeconds(4));
-        cluster.network.keepCopies(0, "/agent/beat");
+        cluster.network.recordCopies(0, "/agent/beat");
         TestUser silent = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
         cluster.run(seconds(1.5));
-        assertThat(cluster.rules.running()).isEqualTo(1);
-        cluster.network.mute(worker.name(), true);
-        cluster.network.cut("*", worker.address());
+        assertThat(cluster.invariants.running()).isEqualTo(1);
+        cluster.network.blockOutbound(agent.name(), true);
+        cluster.network.cut("*", agent.address());
         silent.cancel();
         cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
-        cluster.whenLeaderBegins(leader -> cluster.network.releaseCopies(cluster.userAddresses()));
+        cluster.onNewLeader(leader -> cluster.network.replayCopies(cluster.userAddresses()));
         cluster.run(seconds(0.5));
         if (seed % 2 == 0) {
             cluster.nodes().forEach(node -> cluster.crash(node, Duration.ofMillis(300)));
@@ -85,7 +85,7 @@
      * late. Guards the mark of a job's record in the commit that hands it over: it would undo a cancellation.
      */
     @Property(tries = 6, seed = "212")
-    void jobsAreCancelledWhileTheyGetAnotherOwner(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void jobsAreCancelledDuringFailoverOfTheirOwner(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 36; i++) {
             cluster.submit(i, i % 4 == 0 ? "red" : "blue", Priority.NORMAL, 1, 2, Duration.ofSeconds(150));
@@ -93,7 +93,7 @@
         cluster.run(Duration.ofSeconds(25));
         String ending = cluster.nodes().get(seed % 3);
         cluster.crash(ending, Duration.ofSeconds(30));
-        cluster.network.slow("/watch", seconds(0.6));
+        cluster.network.delayResponses("/watch", seconds(0.6));
         List<TestUser> users = cluster.users();
         for (int i = 0; i < 36; i++) {
             cluster.after(seconds(4.7 + 0.08 * i + seed % 80 / 1000.0), users.get(i)::cancel);
@@ -107,7 +107,7 @@
      * certainly ended.
      */
     @Property(tries = 6, seed = "213")
-    void everyTeamAtItsLimitCancellationsOnSilentMachinesAndAnotherLeader(
+    void allTeamsAtQuotaWithCancellationsOnUnresponsiveMachinesAndFailover(
             @ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 11; i++) {
@@ -115,20 +115,20 @@
                     i, i <= 3 ? "red" : "blue", i % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 2, 4, seconds(120));
         }
         cluster.run(Duration.ofSeconds(25));
-        assertThat(cluster.rules.running()).as("both limits are used up").isEqualTo(22);
+        assertThat(cluster.invariants.running()).as("both limits are used up").isEqualTo(22);
         for (int i = 12; i <= 23; i++) {
             cluster.submit(
                     i, i % 3 == 0 ? "red" : "blue", i % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 2, 4, seconds(20));
         }
         cluster.run(Duration.ofSeconds(2));
         Duration span = seconds(6 + seed % 26);
-        List<FakeWorker> workers = cluster.cloud.workers();
+        List<FakeAgent> workers = cluster.cloud.agents();
         for (int i = 0; i < workers.size(); i += 2) {
-            FakeWorker worker = workers.get(i);
+            FakeAgent agent = workers.get(i);
             if (i % 4 == 0) {
-                cutOff(cluster, worker, span);
+                cutOff(cluster, agent, span);
             } else {
-                worker.hang(span);
+                agent.hang(span);
             }
         }
         cluster.users().subList(0, 8).forEach(TestUser::cancel);
@@ -142,13 +142,13 @@
      * once the worker has confirmed that epoch.
      */
     @Property(tries = 9, seed = "214")
-    void aStartOfAnEarlierCommanderArrivesAfterTheNewOnesCommands(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aStartOfAFormerControllerArrivesAfterCommandsOfTheNewOne(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = twoIdleMachines(seed);
-        cluster.network.holdUp(1, "/do");
+        cluster.network.delayRequests(1, "/do");
         TestUser late = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
         cluster.run(seconds(1));
-        cluster.network.holdUp(0, "/do");
-        String commander = workerOf(cluster, "large").reportsTo();
+        cluster.network.delayRequests(0, "/do");
+        String commander = workerOf(cluster, "large").heartbeatTarget();
         if (seed % 3 == 0) {
             cutFromState(cluster, commander, Duration.ofSeconds(30));
         } else {
@@ -164,12 +164,12 @@
      * the raise of the epoch after a start without an answer.
      */
     @Property(tries = 6, seed = "218")
-    void aStartArrivesAfterItsSenderHasGivenUp(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aStartArrivesAfterItsSenderTimedOut(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = twoIdleMachines(seed);
-        cluster.network.holdUp(1, "/do");
+        cluster.network.delayRequests(1, "/do");
         TestUser late = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
         cluster.run(seconds(1));
-        cluster.network.holdUp(0, "/do");
+        cluster.network.delayRequests(0, "/do");
         late.cancel();
         cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
         endsWell(cluster, Duration.ofSeconds(40));
@@ -180,7 +180,7 @@
      * that commands without an answer count as silence: it would never be returned, and the job would wait for ever.
      */
     @Property(tries = 4, seed = "215")
-    void theOnlyMachineOfItsKindReportsAndDoesNotHear(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void theOnlyMachineOfItsTypeHasAnInboundPartition(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 1);
         Bounds one = new Bounds(List.of("large"), "a", false, false, false);
         cluster.submit(1, "blue", Priority.HIGH, 1, 20, Duration.ofSeconds(400), one);
@@ -189,7 +189,7 @@
         cluster.after(seconds(seed % 30), () -> cluster.users().forEach(TestUser::cancel));
         cluster.after(Duration.ofSeconds(31), () -> cluster.submit(2, "blue", Priority.HIGH, 1, 20, seconds(10), one));
         cluster.run(Duration.ofSeconds(110));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 
@@ -198,7 +198,7 @@
      * clock: by then it must have stopped to count itself entitled, although nobody can tell it.
      */
     @Property(tries = 4, seed = "216")
-    void aControllerIsNotReadyOnceItsMembershipHasEnded(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aControllerIsUnhealthyOnceItsMembershipExpired(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(60));
         String node = cluster.nodes().get(seed % 3);
         var prober = cluster.network.client("prober", cluster.time.process());
@@ -228,23 +228,23 @@
      * nothing else ends their tasks in time.
      */
     @Property(tries = 4, seed = "219")
-    void aLeaderIsLeftWithWorkersThatNobodyElseReaches(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aLeaderAloneReachesSomeAgents(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(200));
         String leader = cluster.leader();
         Duration span = SimulatedCluster.CANCEL.plusSeconds(20);
         cutFromState(cluster, leader, span);
-        cluster.cutMesh(leader, true);
+        cluster.partitionPeers(leader, true);
         for (String other : cluster.nodes()) {
             if (!other.equals(leader)) {
                 cluster.network.cut(other, SimulatedCluster.cloudAddress());
-                cluster.cloud.workers().forEach(worker -> cluster.network.cut(other, worker.address()));
-                cluster.cloud.workers().forEach(worker -> cluster.network.cut(worker.name(), cluster.address(other)));
+                cluster.cloud.agents().forEach(agent -> cluster.network.cut(other, agent.address()));
+                cluster.cloud.agents().forEach(agent -> cluster.network.cut(agent.name(), cluster.address(other)));
             }
         }
         cluster.after(
                 seconds(1 + seed % 8),
                 () -> cancelThrough(
-                        cluster, cluster.otherThan(leader), cluster.users().subList(0, 6)));
+                        cluster, cluster.otherNode(leader), cluster.users().subList(0, 6)));
         endsWell(cluster, span);
     }
 
@@ -253,18 +253,18 @@
      * which its workers turn: they would be given up with all that runs on them.
      */
     @Property(tries = 4, seed = "220")
-    void noWorkerReachesACommanderThatIsWellOtherwise(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void noAgentReachesAnOtherwiseHealthyController(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(60));
-        int started = cluster.started();
-        String commander = cluster.cloud.workers().get(0).reportsTo();
-        cluster.cloud.workers().forEach(worker -> {
-            cluster.network.cut(worker.name(), cluster.address(commander));
-            cluster.network.cut(commander, worker.address());
+        int started = cluster.startedTasks();
+        String commander = cluster.cloud.agents().get(0).heartbeatTarget();
+        cluster.cloud.agents().forEach(agent -> {
+            cluster.network.cut(agent.name(), cluster.address(commander));
+            cluster.network.cut(commander, agent.address());
         });
         cluster.run(Duration.ofSeconds(80));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
-        assertThat(cluster.started()).as("none began anew").isEqualTo(started);
+        assertThat(cluster.startedTasks()).as("none began anew").isEqualTo(started);
     }
 
     /**
@@ -273,7 +273,7 @@
      * machines of its former process would never be commanded again.
      */
     @Property(tries = 6, seed = "217")
-    void processesAndMachinesAreBackWithinAFractionOfASecond(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void controllersAndMachinesRestartWithinAFractionOfASecond(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(50));
         moreWork(cluster, 9, 8);
         cluster.after(seconds(1), () -> cluster.crash(cluster.leader(), seconds(5 + seed % 6)));
@@ -281,7 +281,7 @@
             int number = i;
             cluster.after(seconds(0.7 * i + seed % 60 / 100.0), () -> {
                 cluster.crash(cluster.nodes().get((seed + number) % 3), Duration.ofMillis(20 + 61L * number));
-                List<FakeWorker> workers = cluster.cloud.workers();
+                List<FakeAgent> workers = cluster.cloud.agents();
                 workers.get((seed + number) % workers.size()).hang(Duration.ofMillis(100 + 70L * number));
                 cutOff(
                         cluster,
--- a/src/test/java/org/gullway/FaultCombinationsTest.java
+++ b/src/test/java/org/gullway/FaultCombinationsTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.SimulatedCluster.Bounds;
-import org.gullway.fake.FakeWorker;
+import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.Priority;
 
 /**
@@ -30,7 +30,7 @@
             cluster.submit(i, i < 4 ? "red" : "blue", i % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 2, 4, runTime);
         }
         cluster.run(Duration.ofSeconds(25));
-        assertThat(cluster.rules.running())
+        assertThat(cluster.invariants.running())
                 .as("tasks that run when the troubles begin")
                 .isEqualTo(16);
         return cluster;
@@ -62,21 +62,21 @@
         cluster.after(span, () -> cluster.network.heal(node, SimulatedCluster.stateAddress()));
     }
 
-    static void cutOff(SimulatedCluster cluster, FakeWorker worker, Duration span) {
-        cluster.network.cut(worker.name(), "*");
-        cluster.network.cut("*", worker.address());
+    static void cutOff(SimulatedCluster cluster, FakeAgent agent, Duration span) {
+        cluster.network.cut(agent.name(), "*");
+        cluster.network.cut("*", agent.address());
         cluster.after(span, () -> {
-            cluster.network.heal(worker.name(), "*");
-            cluster.network.heal("*", worker.address());
+            cluster.network.heal(agent.name(), "*");
+            cluster.network.heal("*", agent.address());
         });
     }
 
-    static void deafen(SimulatedCluster cluster, FakeWorker worker, Duration span) {
-        cluster.network.unanswered(worker.name(), true);
-        cluster.network.cut("*", worker.address());
+    static void deafen(SimulatedCluster cluster, FakeAgent agent, Duration span) {
+        cluster.network.dropResponses(agent.name(), true);
+        cluster.network.cut("*", agent.address());
         cluster.after(span, () -> {
-            cluster.network.unanswered(worker.name(), false);
-            cluster.network.heal("*", worker.address());
+            cluster.network.dropResponses(agent.name(), false);
+            cluster.network.heal("*", agent.address());
         });
     }
 
@@ -88,12 +88,12 @@
     /** The troubles end after this span; then all work gets done and every controller says the same of it. */
     static void endsWell(SimulatedCluster cluster, Duration troubles) {
         cluster.run(troubles);
-        cluster.calm();
+        cluster.endFaults();
         cluster.run(Duration.ofSeconds(330));
-        cluster.users().forEach(TestUser::submitAgain);
-        cluster.users().forEach(TestUser::askEverywhere);
+        cluster.users().forEach(TestUser::resubmit);
+        cluster.users().forEach(TestUser::queryAllControllers);
         cluster.run(Duration.ofSeconds(10));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 
@@ -101,16 +101,15 @@
     // jobs are cancelled through the new one.
 
     @Property(tries = 4, seed = "101")
-    void aLeaderLeftWithWorkersAndUsersAndCancellationsThroughTheNewOne(
-            @ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void leaderReachesOnlyAgentsAndUsersWhileTheNewOneCancels(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, LONG);
         String leader = cluster.leader();
         cutFromState(cluster, leader, Duration.ofSeconds(70));
-        cluster.cutMesh(leader, true);
+        cluster.partitionPeers(leader, true);
         cluster.after(
                 seconds(1 + seed % 12),
                 () -> cancelThrough(
-                        cluster, cluster.otherThan(leader), cluster.users().subList(0, 6)));
+                        cluster, cluster.otherNode(leader), cluster.users().subList(0, 6)));
         moreWork(cluster, 9, 10);
         endsWell(cluster, Duration.ofSeconds(70));
     }
@@ -118,7 +117,7 @@
     // All controllers are away for longer than a lease.
 
     @Property(tries = 4, seed = "102")
-    void allControllersAwayForLongerThanALease(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void allControllersDownForLongerThanALease(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, LONG);
         cluster.users().subList(0, 2).forEach(TestUser::cancel);
         cluster.run(seconds(0.2 + seed % 5));
@@ -133,9 +132,9 @@
     // A transaction without an answer is carried out late, after newer ones of the same controller.
 
     @Property(tries = 6, seed = "103")
-    void transactionsAreCarriedOutAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void transactionsAreAppliedAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(45));
-        cluster.store.lateWrites(0.3, cluster.random.split());
+        cluster.store.applyLate(0.3, cluster.random.split());
         moreWork(cluster, 9, 12);
         for (int i = 0; i < 5; i++) {
             int number = i;
@@ -152,18 +151,18 @@
     // A report is held back until a new leader has acted, and then arrives there.
 
     @Property(tries = 6, seed = "104")
-    void reportsHeldBackUntilANewLeaderHasActed(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void heartbeatsHeldUntilANewLeaderHasActed(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(60));
         String leader = cluster.leader();
-        List<FakeWorker> held = cluster.cloud.workers().stream().limit(4).toList();
-        held.forEach(worker -> cluster.network.holdBack(worker.name()));
+        List<FakeAgent> held = cluster.cloud.agents().stream().limit(4).toList();
+        held.forEach(agent -> cluster.network.holdRequests(agent.name()));
         cluster.after(seconds(3.5), () -> cluster.crash(leader, Duration.ofSeconds(30)));
         cluster.after(Duration.ofSeconds(5), () -> cluster.users().subList(0, 4).forEach(TestUser::cancel));
         moreWork(cluster, 9, 6);
         cluster.after(
                 Duration.ofSeconds(13 + seed % 20),
-                () -> held.forEach(worker -> cluster.network.release(
-                        worker.name(), cluster.address(cluster.leader() == null ? "perch-0" : cluster.leader()))));
+                () -> held.forEach(agent -> cluster.network.release(
+                        agent.name(), cluster.address(cluster.leader() == null ? "perch-0" : cluster.leader()))));
         endsWell(cluster, Duration.ofSeconds(50));
     }
 
@@ -182,20 +181,20 @@
                     i, i % 3 == 0 ? "red" : "blue", ranks.get(i % 2), 5, 4, Duration.ofSeconds(25), bounds.get(i % 5));
         }
         cluster.run(Duration.ofSeconds(25));
-        assertThat(cluster.rules.running()).isPositive();
+        assertThat(cluster.invariants.running()).isPositive();
         String zone = seed % 2 == 0 ? "a" : "b";
-        cluster.cloud.workers().stream()
+        cluster.cloud.agents().stream()
                 .filter(w -> w.kind().zone().equals(zone))
                 .limit(2)
-                .forEach(FakeWorker::die);
-        cluster.after(Duration.ofSeconds(4), () -> cluster.cloud.workers().stream()
+                .forEach(FakeAgent::terminate);
+        cluster.after(Duration.ofSeconds(4), () -> cluster.cloud.agents().stream()
                 .filter(w -> w.kind().zone().equals(zone))
                 .limit(2)
                 .forEach(w -> cutOff(cluster, w, Duration.ofSeconds(30))));
-        cluster.after(Duration.ofSeconds(6), () -> cluster.cloud.workers().stream()
+        cluster.after(Duration.ofSeconds(6), () -> cluster.cloud.agents().stream()
                 .filter(w -> w.kind().spot())
                 .limit(2)
-                .forEach(cluster.cloud::take));
+                .forEach(cluster.cloud::reclaimSpot));
         cluster.after(Duration.ofSeconds(9), () -> cluster.crash(cluster.leader(), Duration.ofSeconds(1)));
         endsWell(cluster, Duration.ofSeconds(45));
     }
@@ -215,17 +214,18 @@
     // that spell.
 
     @Property(tries = 6, seed = "106")
-    void aTeamAtItsLimitAChangeOfLeaderSilentMachinesAndACancellation(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void teamAtItsQuotaWithFailoverUnresponsiveMachinesAndCancellation(
+            @ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(100));
         for (int i = 9; i < 15; i++) {
             cluster.submit(i, "red", i % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 2, 4, Duration.ofSeconds(10));
         }
         cluster.run(Duration.ofSeconds(3));
-        cluster.cloud.workers().stream().limit(4).forEach(worker -> {
-            if (worker.name().hashCode() % 2 == seed % 2) {
-                cutOff(cluster, worker, Duration.ofSeconds(30));
+        cluster.cloud.agents().stream().limit(4).forEach(agent -> {
+            if (agent.name().hashCode() % 2 == seed % 2) {
+                cutOff(cluster, agent, Duration.ofSeconds(30));
             } else {
-                deafen(cluster, worker, Duration.ofSeconds(30));
+                deafen(cluster, agent, Duration.ofSeconds(30));
             }
         });
         cluster.run(seconds(0.5 + seed % 4));
@@ -239,16 +239,16 @@
     // while users cancel and ask.
 
     @Property(tries = 6, seed = "107")
-    void aSlowStateServiceThatRefusesTheLeaderAndThenEverybody(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void slowStoreRejectsTheLeaderAndThenEverybody(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, LONG);
         String leader = cluster.leader();
-        cluster.store.slow(700, cluster.random.split());
-        cluster.after(Duration.ofSeconds(5), () -> cluster.store.refuseFrom(leader, true));
+        cluster.store.addLatency(700, cluster.random.split());
+        cluster.after(Duration.ofSeconds(5), () -> cluster.store.rejectFrom(leader, true));
         outage(cluster, Duration.ofSeconds(9 + seed % 6), SimulatedCluster.CANCEL.plusSeconds(15));
         for (int i = 0; i < 8; i++) {
             TestUser user = cluster.users().get(i);
             cluster.after(seconds(2.5 * i), user::cancel);
-            cluster.after(seconds(2.5 * i + 0.3), user::askEverywhere);
+            cluster.after(seconds(2.5 * i + 0.3), user::queryAllControllers);
         }
         endsWell(cluster, Duration.ofSeconds(75));
     }
@@ -256,14 +256,15 @@
     // An old report arrives after newer ones, also from an earlier session or attempt.
 
     @Property(tries = 6, seed = "108")
-    void oldReportsOfEarlierSessionsAndAttemptsArriveAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void heartbeatsOfEarlierAgentEpochsArriveAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(50));
-        cluster.network.copyLate(0.9, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(2), cluster.userAddresses());
-        cluster.cloud.workers().stream().limit(3).forEach(worker -> {
-            cluster.after(Duration.ofSeconds(4), () -> cluster.network.mute(worker.name(), true));
+        cluster.network.duplicateLate(
+                0.9, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(2), cluster.userAddresses());
+        cluster.cloud.agents().stream().limit(3).forEach(agent -> {
+            cluster.after(Duration.ofSeconds(4), () -> cluster.network.blockOutbound(agent.name(), true));
             cluster.after(
                     Duration.ofSeconds(4).plus(SimulatedCluster.LEASE).plusMillis(500),
-                    () -> cluster.network.mute(worker.name(), false));
+                    () -> cluster.network.blockOutbound(agent.name(), false));
         });
         // Urgent work that has others stopped, so that attempts follow each other on one machine.
         moreWork(cluster, 9, 12);
@@ -274,7 +275,7 @@
     // Controllers hand over and back, all end, and one returns, also within a second.
 
     @Property(tries = 6, seed = "109")
-    void controllersHandOverAndBackAllEndAndOneReturns(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void failoverBackAndForthThenAllCrashAndOneReturns(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(60));
         moreWork(cluster, 9, 10);
         for (int i = 0; i < 3; i++) {
@@ -311,18 +312,18 @@
     // A command or its answer is held up for seconds, and the machine then goes on.
 
     @Property(tries = 6, seed = "111")
-    void aMachineHangsWithItsCommandsAndGoesOn(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void machineHangsWithPendingCommandsAndResumes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(60));
         for (int round = 0; round < 3; round++) {
             moreWork(cluster, 9 + 3 * round, 3);
             cluster.run(seconds(0.1 + seed % 10 / 20.0));
             int first = 2 * round;
-            List<FakeWorker> workers = cluster.cloud.workers();
+            List<FakeAgent> workers = cluster.cloud.agents();
             workers.stream()
                     .skip((seed + round) % 3)
                     .limit(5)
-                    .forEach(worker ->
-                            worker.hang(seconds(3 + (seed + worker.name().hashCode()) % 9)));
+                    .forEach(
+                            agent -> agent.hang(seconds(3 + (seed + agent.name().hashCode()) % 9)));
             cluster.after(
                     Duration.ofMillis(200),
                     () -> cluster.users().subList(first, first + 2).forEach(TestUser::cancel));
@@ -332,11 +333,11 @@
     }
 
     @Property(tries = 6, seed = "112")
-    void aMachineHangsBeyondItsLeaseWithCancelledTasks(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void machineHangsBeyondItsLeaseWithCancelledTasks(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, LONG);
         cluster.users().subList(0, 6).forEach(TestUser::cancel);
         cluster.run(Duration.ofMillis(seed % 20));
-        cluster.cloud.workers().forEach(worker -> worker.hang(SimulatedCluster.CANCEL.plusSeconds(30)));
+        cluster.cloud.agents().forEach(agent -> agent.hang(SimulatedCluster.CANCEL.plusSeconds(30)));
         moreWork(cluster, 9, 8);
         endsWell(cluster, Duration.ofSeconds(80));
     }
@@ -344,11 +345,11 @@
     // Workers can't open connections to any controller, while direct commands still reach them.
 
     @Property(tries = 6, seed = "113")
-    void machinesThatReachNobodyAndCanBeCommanded(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void machinesWithAnOutboundPartition(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(70));
-        cluster.cloud.workers().stream().limit(4).forEach(worker -> {
-            cluster.network.mute(worker.name(), true);
-            cluster.after(Duration.ofSeconds(15 + seed % 40), () -> cluster.network.mute(worker.name(), false));
+        cluster.cloud.agents().stream().limit(4).forEach(agent -> {
+            cluster.network.blockOutbound(agent.name(), true);
+            cluster.after(Duration.ofSeconds(15 + seed % 40), () -> cluster.network.blockOutbound(agent.name(), false));
         });
         moreWork(cluster, 9, 8);
         cluster.after(Duration.ofSeconds(2), () -> cluster.users().subList(0, 4).forEach(TestUser::cancel));
@@ -359,9 +360,9 @@
     // There is more work than room, urgent and not, over slow links.
 
     @Property(tries = 3, seed = "114")
-    void moreWorkThanRoomOverSlowLinks(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void moreWorkThanCapacityOverSlowLinks(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0.08, 1);
-        cluster.store.slow(400, cluster.random.split());
+        cluster.store.addLatency(400, cluster.random.split());
         for (int i = 1; i <= 40; i++) {
             int number = i;
             cluster.after(
@@ -385,8 +386,8 @@
     private static void gap(int seed, BiConsumer<SimulatedCluster, String> meanwhile) {
         SimulatedCluster cluster = working(seed, LONG);
         String leader = cluster.leader();
-        String confirming = cluster.otherThan(leader);
-        cluster.store.refuseFrom(leader, true);
+        String confirming = cluster.otherNode(leader);
+        cluster.store.rejectFrom(leader, true);
         meanwhile.accept(cluster, leader);
         cluster.after(
                 Duration.ofMillis(100),
@@ -400,66 +401,64 @@
     }
 
     @Property(tries = 6, seed = "115")
-    void aLeaderRefusedAloneCancellationsAndAnOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void leaderRejectedAloneThenCancellationsAndOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         gap(seed, (cluster, leader) -> {});
     }
 
     @Property(tries = 6, seed = "116")
-    void aLeaderRefusedAloneAndCutFromTheOthersCancellationsAndAnOutage(
-            @ForAll @IntRange(min = 1, max = 1000) int seed) {
-        gap(seed, (cluster, leader) -> cluster.cutMesh(leader, true));
+    void leaderRejectedAndPartitionedThenCancellationsAndOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        gap(seed, (cluster, leader) -> cluster.partitionPeers(leader, true));
     }
 
     @Property(tries = 6, seed = "117")
-    void aLeaderRefusedAloneAndTheConfirmingControllerEnds(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void leaderRejectedAloneAndTheConfirmingControllerCrashes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         gap(
                 seed,
                 (cluster, leader) -> cluster.after(
                         Duration.ofMillis(110 + seed % 400),
-                        () -> cluster.crash(cluster.otherThan(leader), Duration.ofSeconds(seed % 60))));
+                        () -> cluster.crash(cluster.otherNode(leader), Duration.ofSeconds(seed % 60))));
     }
 
     /** Only the cloud can end what is on them, and whoever knows of the cancellations returns them in time. */
     @Property(tries = 6, seed = "126")
-    void aLeaderRefusedAloneCancellationsAnOutageAndMachinesThatHangBeyondTheLimit(
-            @ForAll @IntRange(min = 1, max = 1000) int seed) {
-        gap(seed, (cluster, leader) -> cluster.cloud.workers().stream()
+    void leaderRejectedThenOutageAndMachinesHangBeyondTheLimit(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        gap(seed, (cluster, leader) -> cluster.cloud.agents().stream()
                 .limit(4)
-                .forEach(worker -> cluster.after(
+                .forEach(agent -> cluster.after(
                         Duration.ofMillis(150 + seed % 300),
-                        () -> worker.hang(SimulatedCluster.CANCEL.plusSeconds(20)))));
+                        () -> agent.hang(SimulatedCluster.CANCEL.plusSeconds(20)))));
     }
 
     /** They go on within the limit: what is on them ends with their leases, or is stopped. */
     @Property(tries = 6, seed = "118")
-    void aLeaderRefusedAloneCancellationsAnOutageAndMachinesThatHang(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        gap(seed, (cluster, leader) -> cluster.cloud.workers().stream()
+    void leaderRejectedThenOutageAndMachinesHang(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        gap(seed, (cluster, leader) -> cluster.cloud.agents().stream()
                 .limit(4)
-                .forEach(worker -> cluster.after(
-                        Duration.ofMillis(50 + seed % 300), () -> worker.hang(Duration.ofSeconds(5 + seed % 30)))));
+                .forEach(agent -> cluster.after(
+                        Duration.ofMillis(50 + seed % 300), () -> agent.hang(Duration.ofSeconds(5 + seed % 30)))));
     }
 
     @Property(tries = 6, seed = "119")
-    void aLeaderRefusedAloneCancellationsAnOutageAndDeafMachines(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        gap(seed, (cluster, leader) -> cluster.cloud.workers().stream()
+    void leaderRejectedThenOutageAndInboundPartitions(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        gap(seed, (cluster, leader) -> cluster.cloud.agents().stream()
                 .limit(4)
-                .forEach(worker -> deafen(cluster, worker, Duration.ofSeconds(10 + seed % 50))));
+                .forEach(agent -> deafen(cluster, agent, Duration.ofSeconds(10 + seed % 50))));
     }
 
     @Property(tries = 6, seed = "120")
-    void aLeaderRefusedAloneCancellationsAnOutageAndStartsOnTheirWay(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void leaderRejectedThenOutageAndStartsInFlight(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, LONG);
         String leader = cluster.leader();
-        cluster.cloud.workers().forEach(worker -> {
-            cluster.network.cut(leader, worker.address());
-            cluster.after(Duration.ofSeconds(5 + seed % 45), () -> cluster.network.heal(leader, worker.address()));
+        cluster.cloud.agents().forEach(agent -> {
+            cluster.network.cut(leader, agent.address());
+            cluster.after(Duration.ofSeconds(5 + seed % 45), () -> cluster.network.heal(leader, agent.address()));
         });
         for (int i = 9; i < 12; i++) {
             cluster.submit(i, "blue", Priority.HIGH, 1, 4, LONG);
         }
         cluster.run(seconds(0.8));
-        cluster.store.refuseFrom(leader, true);
-        cancelThrough(cluster, cluster.otherThan(leader), cluster.users().subList(3, 11));
+        cluster.store.rejectFrom(leader, true);
+        cancelThrough(cluster, cluster.otherNode(leader), cluster.users().subList(3, 11));
         cluster.run(seconds(1 + seed % 10 / 10.0));
         assertThat(cluster.unfinished().size())
                 .as("some are cancelled")
@@ -471,13 +470,13 @@
     // A leader ends while machines with long tasks can't be reached, or don't hear the new leader's answer.
 
     @Property(tries = 6, seed = "121")
-    void aLeaderEndsWhileMachinesWithLongTasksAreOutOfReachOrDeaf(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void leaderCrashesWhileMachinesWithLongTasksArePartitioned(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, LONG);
         String leader = cluster.leader();
         Duration span = Duration.ofSeconds(8 + seed % 45);
-        List<FakeWorker> workers = cluster.cloud.workers();
-        workers.stream().limit(2).forEach(worker -> cutOff(cluster, worker, span));
-        workers.stream().skip(2).limit(2).forEach(worker -> deafen(cluster, worker, span));
+        List<FakeAgent> workers = cluster.cloud.agents();
+        workers.stream().limit(2).forEach(agent -> cutOff(cluster, agent, span));
+        workers.stream().skip(2).limit(2).forEach(agent -> deafen(cluster, agent, span));
         cluster.run(seconds(seed % 4));
         cluster.crash(leader, Duration.ofSeconds(1 + seed % 50));
         moreWork(cluster, 9, 6);
@@ -490,11 +489,11 @@
     // A cancellation, a question or a repeated submission meets the end of a job's last task, with no other trouble.
 
     @Property(tries = 6, seed = "122")
-    void requestsMeetTheEndOfAJobsLastTask(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void requestsRaceWithTheLastCompletion(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        cluster.whenDone(user -> {
-            cluster.after(Duration.ofMillis(cluster.random.nextInt(700)), user::askEverywhere);
-            cluster.after(Duration.ofMillis(cluster.random.nextInt(700)), user::submitAgain);
+        cluster.onDone(user -> {
+            cluster.after(Duration.ofMillis(cluster.random.nextInt(700)), user::queryAllControllers);
+            cluster.after(Duration.ofMillis(cluster.random.nextInt(700)), user::resubmit);
             if (user.request.id().hashCode() % 2 == 0) {
                 cluster.after(Duration.ofMillis(cluster.random.nextInt(700)), user::cancel);
             } else {
@@ -505,8 +504,8 @@
                         Duration.ofMillis(cluster.random.nextInt(12_000)),
                         () -> user.cancelOnce(
                                 cluster.address(cluster.nodes().get(cluster.random.nextInt(3))), () -> {}));
-                cluster.after(Duration.ofMillis(cluster.random.nextInt(12_000)), user::askEverywhere);
-                cluster.after(Duration.ofMillis(cluster.random.nextInt(12_000)), user::submitAgain);
+                cluster.after(Duration.ofMillis(cluster.random.nextInt(12_000)), user::queryAllControllers);
+                cluster.after(Duration.ofMillis(cluster.random.nextInt(12_000)), user::resubmit);
             }
         });
         for (int i = 1; i <= 30; i++) {
@@ -515,7 +514,7 @@
         }
         for (int i = 0; i < 6; i++) {
             int number = 100 + 2 * i;
-            cluster.after(Duration.ofSeconds(i), () -> cluster.submitOdd(number));
+            cluster.after(Duration.ofSeconds(i), () -> cluster.submitInvalid(number));
         }
         endsWell(cluster, Duration.ofSeconds(60));
     }
@@ -523,12 +522,12 @@
     // A zone with workers and a controller is cut off for longer than a lease.
 
     @Property(tries = 6, seed = "123")
-    void aZoneIsCutOffForLongerThanALeaseAndJobsAreCancelled(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void zonePartitionLongerThanALeaseWithCancellations(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, LONG);
         String zone = seed % 2 == 0 ? "a" : "b";
         Duration span = SimulatedCluster.LEASE.plusSeconds(2 + seed % 40);
-        cluster.cutZone(zone, true);
-        cluster.after(span, () -> cluster.cutZone(zone, false));
+        cluster.partitionZone(zone, true);
+        cluster.after(span, () -> cluster.partitionZone(zone, false));
         moreWork(cluster, 9, 6);
         cluster.after(seconds(seed % 20), () -> cluster.users().subList(0, 4).forEach(TestUser::cancel));
         cluster.after(span, () -> cluster.crash(cluster.nodes().get(seed % 3), Duration.ofSeconds(1)));
@@ -538,7 +537,7 @@
     // Leaders change ten times in two minutes, also inside an outage.
 
     @Property(tries = 6, seed = "124")
-    void leadersChangeTenTimesInTwoMinutesAlsoInAnOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void tenFailoversInTwoMinutesAlsoInAnOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = working(seed, Duration.ofSeconds(70));
         moreWork(cluster, 9, 20);
         outage(cluster, Duration.ofSeconds(30), Duration.ofSeconds(15 + seed % 12));
--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -134,7 +134,7 @@
                 count + " machines are" + (mute ? " mute" : "") + (deaf ? " deaf" : "") + " for " + span.toMillis()
                         + " ms",
                 cluster -> {
-                    List<String> names = cluster.cloud.workers().stream()
+                    List<String> names = cluster.cloud.agents().stream()
                             .limit(count)
                             .flatMap(machine -> Stream.of(
                                     mute ? machine.name() + ">controllers" : null,
@@ -182,8 +182,8 @@
 
     private void refused(Duration at, String node, Duration span) {
         add(at, "the state service refuses " + node + " for " + span.toMillis() + " ms", cluster -> {
-            cluster.store.refuseFrom(node, true);
-            cluster.loop.after(span, () -> cluster.store.refuseFrom(node, false));
+            cluster.store.rejectFrom(node, true);
+            cluster.loop.after(span, () -> cluster.store.rejectFrom(node, false));
         });
     }
 
@@ -192,9 +192,9 @@
         add(
                 at,
                 count + " machines " + (dies ? "die" : "hang for " + span.toMillis() + " ms"),
-                cluster -> cluster.cloud.workers().stream().limit(count).forEach(machine -> {
+                cluster -> cluster.cloud.agents().stream().limit(count).forEach(machine -> {
                     if (dies) {
-                        machine.die();
+                        machine.terminate();
                     } else {
                         machine.hang(span);
                     }
--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.gullway.fake.FakeWorker;
+import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 
@@ -30,38 +30,39 @@
                             Duration.ofSeconds(12 + number)));
         }
         cluster.run(Duration.ofSeconds(18));
-        assertThat(cluster.started()).isPositive();
+        assertThat(cluster.startedTasks()).isPositive();
         return cluster;
     }
 
     private static void finishes(SimulatedCluster cluster, Duration within) {
         cluster.run(within);
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 
     /** It never hears again: its reports go on, its sessions move on, and it has to be returned all the same. */
     @Property(tries = 6, seed = "21")
-    void aMachineThatReportsAndDoesNotHearIsGivenUp(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aMachineWithAnInboundPartitionIsDeclaredLost(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = busy(seed);
-        FakeWorker deaf = cluster.cloud.workers().get(0);
-        cluster.network.unanswered(deaf.name(), true);
+        FakeAgent deaf = cluster.cloud.agents().get(0);
+        cluster.network.dropResponses(deaf.name(), true);
         cluster.network.cut("*", deaf.address());
         cluster.after(
                 Duration.ofSeconds(1), () -> cluster.submit(9, "blue", Priority.HIGH, 16, 4, Duration.ofSeconds(20)));
         finishes(cluster, Duration.ofSeconds(150));
-        assertThat(cluster.cloud.worker(deaf.name())).as("returned").isNull();
+        assertThat(cluster.cloud.agent(deaf.name())).as("returned").isNull();
     }
 
     /** Copies come up to three leases late, to controllers that have all been started anew and know nothing newer. */
     @Property(tries = 6, seed = "22")
-    void lateCopiesOfReportsToControllersThatKnowNothing(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void lateHeartbeatCopiesReachRestartedControllers(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = busy(seed);
-        cluster.network.copyLate(0.8, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(3), cluster.userAddresses());
+        cluster.network.duplicateLate(
+                0.8, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(3), cluster.userAddresses());
         for (int at : List.of(4, 15, 40)) {
             cluster.after(Duration.ofSeconds(at), () -> {
                 cluster.nodes().forEach(node -> cluster.crash(node, Duration.ofMillis(300)));
-                cluster.cloud.workers().stream().limit(1).forEach(FakeWorker::die);
+                cluster.cloud.agents().stream().limit(1).forEach(FakeAgent::terminate);
             });
         }
         for (int i = 9; i < 15; i++) {
@@ -79,17 +80,17 @@
 
     /** It keeps its workers and loses all else: it must stop by its own clock, and its workers turn to the others. */
     @Property(tries = 6, seed = "23")
-    void aControllerIsLeftWithItsWorkersAlone(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aControllerReachesOnlyItsAgents(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = busy(seed);
         String alone = cluster.nodes().get(seed % 3);
         cluster.network.cut(alone, SimulatedCluster.stateAddress());
         for (String other : cluster.nodes()) {
-            cluster.network.cut(alone, cluster.meshAddress(other));
-            cluster.network.cut(other, cluster.meshAddress(alone));
+            cluster.network.cut(alone, cluster.peerAddress(other));
+            cluster.network.cut(other, cluster.peerAddress(alone));
         }
         cluster.after(
                 Duration.ofSeconds(3), () -> cluster.submit(9, "blue", Priority.HIGH, 8, 4, Duration.ofSeconds(10)));
-        cluster.after(Duration.ofSeconds(70), cluster::calm);
+        cluster.after(Duration.ofSeconds(70), cluster::endFaults);
         finishes(cluster, Duration.ofSeconds(200));
     }
 
@@ -100,31 +101,31 @@
      * the time in which a worker that is refused at last asks around (6 s).
      */
     @Property(tries = 6, seed = "26")
-    void theWorkOfAZoneThatIsCutOffGoesOn(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void tasksInAPartitionedZoneKeepRunning(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 6; i++) {
             cluster.submit(i, i % 2 == 0 ? "red" : "blue", Priority.NORMAL, 2, 4, Duration.ofSeconds(55 + i));
         }
         cluster.run(Duration.ofSeconds(25));
-        assertThat(cluster.started()).isEqualTo(12);
-        cluster.cutZone("b", true);
+        assertThat(cluster.startedTasks()).isEqualTo(12);
+        cluster.partitionZone("b", true);
         cluster.run(SimulatedCluster.CANCEL.minusSeconds(12));
-        cluster.cutZone("b", false);
+        cluster.partitionZone("b", false);
         finishes(cluster, Duration.ofSeconds(100));
-        assertThat(cluster.started()).as("none began anew").isEqualTo(12);
+        assertThat(cluster.startedTasks()).as("none began anew").isEqualTo(12);
     }
 
     /** The same with a cancellation: nobody can stop those tasks, but the cloud ends them in time. */
     @Property(tries = 6, seed = "27")
-    void cancelledTasksInAZoneThatIsCutOffAreGoneInTime(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void cancelledTasksInAPartitionedZoneEndInTime(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 6; i++) {
             cluster.submit(i, i % 2 == 0 ? "red" : "blue", Priority.NORMAL, 2, 4, Duration.ofSeconds(200));
         }
         cluster.run(Duration.ofSeconds(25));
-        cluster.cutZone("b", true);
+        cluster.partitionZone("b", true);
         cluster.after(Duration.ofSeconds(9), () -> cluster.users().forEach(TestUser::cancel));
-        cluster.after(Duration.ofSeconds(70), () -> cluster.cutZone("b", false));
+        cluster.after(Duration.ofSeconds(70), () -> cluster.partitionZone("b", false));
         finishes(cluster, Duration.ofSeconds(150));
     }
 
@@ -138,13 +139,13 @@
         }
         cluster.after(
                 Duration.ofSeconds(1), () -> cluster.submit(9, "blue", Priority.HIGH, 8, 4, Duration.ofSeconds(10)));
-        cluster.after(Duration.ofSeconds(5), cluster::calm);
+        cluster.after(Duration.ofSeconds(5), cluster::endFaults);
         finishes(cluster, Duration.ofSeconds(150));
     }
 
     /** Small tasks press all day long: at least half of all are served, and the largest begin within four minutes. */
     @Property(tries = 4, seed = "25")
-    void largeJobsBeginUnderSteadyPressureOfSmallOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void largeJobsStartUnderSteadyLoadOfSmallOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 1);
         for (int i = 1; i <= 180; i++) {
             int number = i;
@@ -160,23 +161,23 @@
                             Duration.ofSeconds(large ? 20 : 18)));
         }
         cluster.run(Duration.ofMinutes(13));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         List<TestUser> large =
                 cluster.users().stream().filter(u -> u.request.cpus() == 16).toList();
-        assertThat(large)
-                .hasSize(6)
-                .allSatisfy(user -> assertThat(user.waited()).isNotNull().isLessThan(Duration.ofMinutes(4)));
+        assertThat(large).hasSize(6).allSatisfy(user -> assertThat(user.timeToFirstStart())
+                .isNotNull()
+                .isLessThan(Duration.ofMinutes(4)));
         for (String group : List.of("red", "blue", "render", "survey")) {
             List<TestUser> all = cluster.users().stream()
                     .filter(u -> u.request.team().equals(group)
                             || u.request.jobClass().equals(group))
                     .toList();
-            assertThat(2 * all.stream().filter(TestUser::over).count())
+            assertThat(2 * all.stream().filter(TestUser::isFinished).count())
                     .as("served of %s", group)
                     .isGreaterThanOrEqualTo(all.size())
                     .isPositive();
         }
-        assertThat(large.stream().filter(TestUser::over).count()).isGreaterThanOrEqualTo(3);
+        assertThat(large.stream().filter(TestUser::isFinished).count()).isGreaterThanOrEqualTo(3);
     }
 
     /**
@@ -184,7 +185,7 @@
      * gets done, and the others' jobs are served beside it.
      */
     @Property(tries = 3, seed = "28")
-    void aGuestTeamNeitherStarvesOthersNorIsStarved(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aTeamWithoutQuotaNeitherStarvesOthersNorIsStarved(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         Map<String, Settings.Team> teams = new HashMap<>(SimulatedCluster.Shape.SMALL_TEAMS);
         teams.put("guest", new Settings.Team("guest", 0, 0, 0, 0));
         SimulatedCluster cluster =
@@ -215,8 +216,9 @@
                 .toList();
         assertThat(residents).hasSize(30);
         assertThat(residents)
-                .allSatisfy(user -> assertThat(user.waited()).isNotNull().isLessThan(Duration.ofSeconds(40)));
-        cluster.calm();
+                .allSatisfy(
+                        user -> assertThat(user.timeToFirstStart()).isNotNull().isLessThan(Duration.ofSeconds(40)));
+        cluster.endFaults();
         finishes(cluster, Duration.ofSeconds(300));
     }
 
@@ -225,11 +227,11 @@
      * cancelled and submitted; then it does at once all that was due, with what it knew before.
      */
     @Property(tries = 12, seed = "29")
-    void aControllerThatStoodStillGoesOn(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aFrozenControllerResumes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = busy(seed);
         String leader = cluster.leader();
         Duration still = Duration.ofMillis(1500 + seed * 37 % 40_000);
-        cluster.after(Duration.ofMillis(seed % 700), () -> cluster.standStill(leader, still));
+        cluster.after(Duration.ofMillis(seed % 700), () -> cluster.freeze(leader, still));
         for (int i = 9; i < 15; i++) {
             int number = i;
             cluster.after(Duration.ofSeconds(3L * (i - 9)), () -> {
@@ -244,9 +246,9 @@
             });
         }
         for (int i = 0; i < 40; i++) {
-            cluster.after(Duration.ofMillis(1100L * i), () -> cluster.users().forEach(TestUser::askEverywhere));
+            cluster.after(Duration.ofMillis(1100L * i), () -> cluster.users().forEach(TestUser::queryAllControllers));
         }
-        cluster.after(still.plusSeconds(2), cluster::calm);
+        cluster.after(still.plusSeconds(2), cluster::endFaults);
         finishes(cluster, Duration.ofSeconds(220));
     }
 }
--- a/src/test/java/org/gullway/InvariantChecker.java
+++ b/src/test/java/org/gullway/InvariantChecker.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.gullway.fake.FakeWorker;
+import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Settings;
 
@@ -49,11 +49,11 @@
 
     private record Asked(Instant at, String job, boolean answered) {}
 
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     private final Duration cancelLimit;
     private final Map<String, Settings.Team> teams;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, FakeWorker.Kind> machines = new HashMap<>();
+    private final Map<String, FakeAgent.Kind> machines = new HashMap<>();
     /** Machines on which a task is now, by job and task. */
     private final Map<String, Map<String, Set<String>>> places = new HashMap<>();
 
@@ -69,7 +69,7 @@
         this.teams = teams;
     }
 
-    Duration cancelLimit() {
+    Duration cancellationLimit() {
         return cancelLimit;
     }
 
@@ -79,11 +79,11 @@
 
     // Machines
 
-    void machine(String name, FakeWorker.Kind kind) {
+    void onMachineUp(String name, FakeAgent.Kind kind) {
         machines.put(name, kind);
     }
 
-    void began(String machine, String task, Instant now) {
+    void onTaskStarted(String machine, String task, Instant now) {
         starts++;
         Job job = jobs.get(job(task));
         JobRequest request = job.request;
@@ -92,27 +92,27 @@
         Set<String> on =
                 places.computeIfAbsent(request.id(), j -> new HashMap<>()).computeIfAbsent(task, t -> new HashSet<>());
         if (!on.isEmpty()) {
-            broken.add("ran_twice: " + task + " starts on " + machine + " while on " + on + " at " + now);
+            violations.add("ran_twice: " + task + " starts on " + machine + " while on " + on + " at " + now);
         }
         String wrong = wrong(request, machines.get(machine));
         if (wrong != null) {
-            broken.add("wrong_place: " + task + " on " + machine + ": " + wrong + " at " + now);
+            violations.add("wrong_place: " + task + " on " + machine + ": " + wrong + " at " + now);
         }
         on.add(machine);
         if (job.cancelTold != null) {
             startsAfterCancellation++;
             if (now.isAfter(job.cancelTold.plus(cancelLimit))) {
-                broken.add("ran_cancelled: " + task + " starts on " + machine + " at " + now);
+                violations.add("ran_cancelled: " + task + " starts on " + machine + " at " + now);
             }
         }
         usedOn.merge(machine, request.cpus(), Double::sum);
         double use = usedBy.merge(request.team(), request.cpus(), Double::sum);
         if (use > teams.get(request.team()).cpusLimit() + 1e-6) {
-            broken.add("quota: " + request.team() + " uses " + use + " at " + now);
+            violations.add("quota: " + request.team() + " uses " + use + " at " + now);
         }
     }
 
-    void ended(String machine, String task, boolean done) {
+    void onTaskEnded(String machine, String task, boolean done) {
         Job job = jobs.get(job(task));
         if (places.getOrDefault(job.request.id(), Map.of())
                 .getOrDefault(task, Set.of())
@@ -126,7 +126,7 @@
     }
 
     /** Why no task of the job may start on such a machine, given where its others are; null if one may. */
-    private String wrong(JobRequest request, FakeWorker.Kind kind) {
+    private String wrong(JobRequest request, FakeAgent.Kind kind) {
         if (kind.spot() && !request.spotAllowed()) {
             return "a spot machine";
         }
@@ -156,7 +156,7 @@
         return null;
     }
 
-    boolean completed(String task) {
+    boolean isCompleted(String task) {
         return jobs.get(job(task)).completed.contains(Integer.parseInt(task.substring(task.indexOf('/') + 1)));
     }
 
@@ -167,51 +167,51 @@
 
     // Users
 
-    void submitted(JobRequest request) {
+    void onSubmitted(JobRequest request) {
         jobs.put(request.id(), new Job(request));
     }
 
-    void accepted(String id, Instant now) {
+    void onAccepted(String id, Instant now) {
         Job job = jobs.get(id);
         job.accepted = job.accepted == null ? now : job.accepted;
     }
 
-    void cancelAsked(String id) {
+    void onCancellationRequested(String id) {
         jobs.get(id).cancelAsked = true;
     }
 
-    boolean isCancelAsked(String id) {
+    boolean isCancellationRequested(String id) {
         return jobs.get(id).cancelAsked;
     }
 
-    boolean over(String id) {
+    boolean isFinished(String id) {
         return jobs.get(id).over();
     }
 
-    String told(String id) {
+    String reportedState(String id) {
         return jobs.get(id).told;
     }
 
     /** When a task of the job began first; null if none has. */
-    Instant firstStart(String id) {
+    Instant firstStartOf(String id) {
         return jobs.get(id).began;
     }
 
     /** A user has heard this state; whether it is the first time that it hears of the job's cancellation. */
-    boolean heard(String id, String state, Instant asked, Instant now) {
+    boolean onStateReported(String id, String state, Instant asked, Instant now) {
         Job job = jobs.get(id);
         // A question may have been answered before the final state was told, but two final states are never both true.
         boolean last = state.equals("done") || state.equals("aborted");
         if (job.over() && !state.equals(job.told) && (last || asked.isAfter(job.toldAt))) {
-            broken.add("went_back: " + id + " was " + job.told + ", then " + state + " at " + now);
+            violations.add("went_back: " + id + " was " + job.told + ", then " + state + " at " + now);
         }
         if (state.equals("aborted") && !job.cancelAsked) {
-            broken.add("went_back: " + id + " is cancelled by nobody at " + now);
+            violations.add("went_back: " + id + " is cancelled by nobody at " + now);
         }
         if (state.equals("done")) {
             for (int i = 0; i < job.request.tasks(); i++) {
                 if (!job.completed.contains(i)) {
-                    broken.add("not_done: " + id + "/" + i + " at " + now);
+                    violations.add("not_done: " + id + "/" + i + " at " + now);
                 }
             }
         }
@@ -227,26 +227,26 @@
     }
 
     /** A request to cancel was answered with 200 and this state. */
-    void cancelAnswered(String id, String state, Instant now) {
+    void onCancellationAnswered(String id, String state, Instant now) {
         if (!state.equals("done") && !state.equals("aborted")) {
-            broken.add("went_back: the cancellation of " + id + " is answered with " + state + " at " + now);
+            violations.add("went_back: the cancellation of " + id + " is answered with " + state + " at " + now);
         }
     }
 
     /** At the limit; what is on no machine then can only come by a start, of which {@link #began} takes care. */
-    void atCancelLimit(String id, Instant now) {
+    void checkCancellationLimit(String id, Instant now) {
         places.getOrDefault(id, Map.of()).forEach((task, on) -> {
             if (!on.isEmpty()) {
-                broken.add("ran_cancelled: " + task + " is on " + on + " at " + now);
+                violations.add("ran_cancelled: " + task + " is on " + on + " at " + now);
             }
         });
     }
 
     /** A question about an accepted job has ended, with an answer or without; 404 is no answer. */
-    void asked(String id, int status, Instant asked, Instant now) {
+    void onQueried(String id, int status, Instant asked, Instant now) {
         Job job = jobs.get(id);
         if (status == 404) {
-            broken.add("forgotten: " + id + " gets 404 at " + now);
+            violations.add("forgotten: " + id + " gets 404 at " + now);
         }
         if (status == 200) {
             job.answered = asked;
@@ -261,7 +261,7 @@
             return;
         }
         if (quietSince != null && later(heard, quietSince).plus(FORGOTTEN).isBefore(asked)) {
-            broken.add("forgotten: nothing is answered about " + id + " at " + now);
+            violations.add("forgotten: nothing is answered about " + id + " at " + now);
             job.reported = true;
         } else if (!heard.isAfter(oldest)) {
             long others = questions.stream().filter(q -> !q.job().equals(id)).count();
@@ -269,7 +269,7 @@
                     .filter(q -> !q.job().equals(id) && q.answered())
                     .count();
             if (2 * answered > others) {
-                broken.add("forgotten: " + id + " alone is not answered at " + now);
+                violations.add("forgotten: " + id + " alone is not answered at " + now);
                 job.reported = true;
             }
         }
@@ -280,37 +280,37 @@
     }
 
     /** A submission again of a job that is known was answered so. */
-    void submittedAgain(String id, int status, Instant now) {
+    void onResubmitted(String id, int status, Instant now) {
         if (status == 201 || status == 400 || status == 422) {
-            broken.add("forgotten: " + id + " submitted again gets " + status + " at " + now);
+            violations.add("forgotten: " + id + " submitted again gets " + status + " at " + now);
         }
     }
 
     /** A submission that has to be refused with a certain status was answered; whether that is an end of it. */
-    boolean odd(String id, int expected, int status) {
+    boolean onInvalidSubmission(String id, int expected, int status) {
         if (status == 200 || status == 201) {
-            broken.add("accepted: " + id + " gets " + status + " instead of " + expected);
+            violations.add("accepted: " + id + " gets " + status + " instead of " + expected);
         } else if ((status == 400 || status == 422) && status != expected) {
-            broken.add("wrong_refusal: " + id + " gets " + status + " instead of " + expected);
+            violations.add("wrong_refusal: " + id + " gets " + status + " instead of " + expected);
         }
         return status == 200 || status == 201 || status == 400 || status == 422;
     }
 
     /** A question about a job that no one submitted was answered so. */
-    void askedUnknown(String id, int status) {
+    void onUnknownJobQueried(String id, int status) {
         if (status == 200) {
-            broken.add("invented: " + id);
+            violations.add("invented: " + id);
         }
     }
 
     // Afterwards
 
-    void calm(Instant now) {
+    void onFaultsEnded(Instant now) {
         quietSince = now;
     }
 
     /** Once all troubles are over: no job waits long while a machine that fits has room and its team is below its limit. */
-    void waiting(Predicate<String> isUp, Instant now) {
+    void checkWaitingJobs(Predicate<String> isUp, Instant now) {
         if (quietSince == null) {
             return;
         }
@@ -331,18 +331,18 @@
             } else if (job.waitingSince == null) {
                 job.waitingSince = now;
             } else if (job.waitingSince.plus(LEFT_WAITING).isBefore(now)) {
-                broken.add("left_waiting: " + request.id() + " since " + job.waitingSince);
+                violations.add("left_waiting: " + request.id() + " since " + job.waitingSince);
                 job.waitingSince = now;
             }
         }
     }
 
     private boolean fits(JobRequest request, String machine) {
-        FakeWorker.Kind kind = machines.get(machine);
+        FakeAgent.Kind kind = machines.get(machine);
         return usedOn.getOrDefault(machine, 0.0) + request.cpus() <= kind.cpus() + 1e-6 && wrong(request, kind) == null;
     }
 
-    int starts() {
+    int startedTasks() {
         return starts;
     }
 
--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -5,8 +5,8 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
+import org.gullway.fake.FakeAgent;
 import org.gullway.fake.FakeStateStore;
-import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 import org.junit.jupiter.api.Test;
@@ -42,9 +42,9 @@
         work(cluster, 70, Duration.ofMillis(700), 15);
         cluster.run(Duration.ofSeconds(150));
         int tasks = cluster.users().stream().mapToInt(u -> u.request.tasks()).sum();
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
-        assertThat(cluster.started())
+        assertThat(cluster.startedTasks())
                 .as("starts, with those stopped for urgent work")
                 .isLessThan(tasks * 3 / 2);
         assertThat(cluster.cloud.rentedEver()).isGreaterThan(1000);
@@ -61,20 +61,20 @@
 
     /** All at 2,000 machines: a fifth silent for long, a controller alone with all workers, then all restarted. */
     @Test
-    void muchFailsAtOnceOnTwoThousandMachines() {
+    void manyFaultsAtOnceOnTwoThousandMachines() {
         SimulatedCluster cluster = world(2, 250);
         work(cluster, 60, Duration.ofMillis(500), 40);
         cluster.run(Duration.ofSeconds(70));
         int rented = cluster.cloud.rentedEver();
         assertThat(rented).isGreaterThanOrEqualTo(2000);
         int before = cluster.store.changes("live/groups");
-        List<FakeWorker> silent = cluster.cloud.workers().stream().limit(400).toList();
-        for (FakeWorker worker : silent) {
-            cluster.network.cut(worker.name(), "*");
-            cluster.network.cut("*", worker.address());
+        List<FakeAgent> silent = cluster.cloud.agents().stream().limit(400).toList();
+        for (FakeAgent agent : silent) {
+            cluster.network.cut(agent.name(), "*");
+            cluster.network.cut("*", agent.address());
             cluster.after(Duration.ofSeconds(40), () -> {
-                cluster.network.heal(worker.name(), "*");
-                cluster.network.heal("*", worker.address());
+                cluster.network.heal(agent.name(), "*");
+                cluster.network.heal("*", agent.address());
             });
         }
         cluster.run(Duration.ofSeconds(60));
@@ -89,7 +89,7 @@
         cluster.run(Duration.ofSeconds(10));
         cluster.nodes().forEach(node -> cluster.crash(node, Duration.ofSeconds(5)));
         cluster.run(Duration.ofSeconds(180));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
         assertThat(cluster.cloud.rentedEver() - rented)
                 .as("no machine is replaced for restarts")
--- a/src/test/java/org/gullway/LateCommitAnswerTest.java
+++ b/src/test/java/org/gullway/LateCommitResponseTest.java
@@ -25,7 +25,7 @@
  * The answer to a controller's own commit of a job's first record comes only after the job has been cancelled through
  * another controller, and its user has submitted it again meanwhile (incident went-back-384079).
  */
-class LateCommitAnswerTest {
+class LateCommitResponseTest {
     private static final String JOB = "run-384079";
     private static final Duration COMMIT_ANSWERED_AFTER = Duration.ofMillis(400);
     private static final Duration WATCH_LAGS = Duration.ofMillis(1700);
@@ -122,7 +122,7 @@
         user.run(COMMIT_ANSWERED_AFTER.plus(Duration.ofSeconds(8)));
         assertThat(user.submissionsAfterCancellation).contains("200 aborted");
         assertThat(user.submissionsAfterCancellation).allMatch(answer -> isOneOf(answer, "200 aborted", "503 "));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
     }
 
     /**
@@ -130,12 +130,12 @@
      * when the answer to the commit of the first one comes. Guards that a commit answers only the requests it was made for.
      */
     @Property(tries = 8, seed = "231")
-    void aSecondSubmissionIsNotAnsweredByTheCommitOfTheFirst(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aResubmissionIsNotAnsweredByTheFirstCommit(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = started(seed);
-        String slow = cluster.otherThan(cluster.leader());
+        String slow = cluster.otherNode(cluster.leader());
         String other = cluster.leader();
         Submitter user = new Submitter(cluster);
-        cluster.store.answerLate(
+        cluster.store.delayResponses(
                 (client, exchange) -> client.equals(slow) && commitsTheJob(exchange), COMMIT_ANSWERED_AFTER);
         user.submit(cluster.address(slow), first -> {
             assertThat(first).isEqualTo("200 pending");
@@ -149,12 +149,12 @@
      * same commit. Guards that a request is answered only by what was read, or committed, after it had come.
      */
     @Property(tries = 8, seed = "232")
-    void aSubmissionThatCameAfterTheCommitWasSentIsNotAnsweredByIt(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aSubmissionThatArrivedAfterTheCommitWasSentIsNotAnsweredByIt(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = started(seed);
-        String slow = cluster.otherThan(cluster.leader());
+        String slow = cluster.otherNode(cluster.leader());
         String other = cluster.leader();
         Submitter user = new Submitter(cluster);
-        cluster.store.answerLate(
+        cluster.store.delayResponses(
                 (client, exchange) -> client.equals(slow)
                         && (commitsTheJob(exchange) || exchange.path().equals("/watch")),
                 COMMIT_ANSWERED_AFTER);
@@ -172,11 +172,11 @@
      * once and waits for the watch: it read it again and again, with what is meant for submissions.
      */
     @Property(tries = 4, seed = "234")
-    void aCancelledJobThatTheViewLacksIsNotReadAgainAndAgain(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aCancelledJobMissingFromTheClusterStateIsReadOnce(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = started(seed);
-        String slow = cluster.otherThan(cluster.leader());
+        String slow = cluster.otherNode(cluster.leader());
         Submitter user = new Submitter(cluster);
-        cluster.store.answerLate(
+        cluster.store.delayResponses(
                 (client, exchange) -> client.equals(slow) && exchange.path().equals("/watch"), WATCH_LAGS);
         // A watch that is open already would be answered in time.
         cluster.run(Duration.ofSeconds(3));
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -23,9 +23,9 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import org.gullway.coordination.model.StoreKeys;
+import org.gullway.fake.FakeAgent;
 import org.gullway.fake.FakeCloud;
 import org.gullway.fake.FakeStateStore;
-import org.gullway.fake.FakeWorker;
 import org.gullway.fake.FaultyLink;
 import org.gullway.protocol.MachineType;
 import org.gullway.protocol.Settings;
@@ -61,7 +61,7 @@
      * @param command starts a controller, up to its options
      */
     record Setup(
-            Duration report,
+            Duration heartbeatInterval,
             Duration lease,
             Duration cancel,
             Duration membership,
@@ -161,7 +161,7 @@
 
     /** Is told of every machine that is up, and says what its worker knows of the world. */
     interface MachineListener {
-        FakeWorker.World up(String name, FakeWorker.Kind kind);
+        FakeAgent.Environment up(String name, FakeAgent.Kind kind);
     }
 
     private static List<MachineType> types() {
@@ -170,9 +170,9 @@
                 new MachineType("large", 32, 0, 256, 50, 1, 2.5, 0.9, Duration.ofMillis(400), List.of("a", "b")));
     }
 
-    private FakeWorker boot(String name, FakeWorker.Kind kind, MachineListener machines) {
+    private FakeAgent boot(String name, FakeAgent.Kind kind, MachineListener machines) {
         SpareServer server = spareServers.isEmpty() ? newServer() : spareServers.remove();
-        FakeWorker machine = new FakeWorker(
+        FakeAgent machine = new FakeAgent(
                 loop,
                 link(name + ">controllers").client(client),
                 machines.up(name, kind),
@@ -181,7 +181,7 @@
                 server.address,
                 kind,
                 publicAddresses,
-                setup.report(),
+                setup.heartbeatInterval(),
                 setup.lease());
         server.handler = link("controllers>" + name).server("", machine::handle);
         return machine;
@@ -299,7 +299,7 @@
                         cloudAddress,
                         state,
                         teams,
-                        seconds(setup.report()),
+                        seconds(setup.heartbeatInterval()),
                         seconds(setup.lease()),
                         seconds(setup.cancel()),
                         (double) FakeStateStore.CHANGES_PER_SECOND,
@@ -411,12 +411,12 @@
     }
 
     /** All links are good, all controllers run, and the state service serves everybody. */
-    void calm() {
+    void endFaults() {
         links.values().forEach(link -> {
             link.set(FaultyLink.Conditions.GOOD);
             link.cut(false);
         });
-        store.calm();
+        store.restore();
         nodes().forEach(name -> {
             pause(name, false);
             startController(name);
--- a/src/test/java/org/gullway/ProfileRun.java
+++ b/src/test/java/org/gullway/ProfileRun.java
@@ -83,7 +83,7 @@
                 new SimulatedCluster(1, new SimulatedCluster.Shape(MACHINES_OF_A_KIND, TEAMS, REPORT_INTERVAL, 0.0005));
         submitJobs(cluster);
         cluster.run(WARM_UP);
-        int startedBefore = cluster.started();
+        int startedBefore = cluster.startedTasks();
         long began = System.nanoTime();
         try (Recording recording = new Recording()) {
             recording.enable(CPU_EVENT).withPeriod(Duration.ofMillis(10));
@@ -97,11 +97,11 @@
         Duration took = Duration.ofNanos(System.nanoTime() - began);
         System.out.printf(
                 "%d machines up, %d tasks started in %d s of virtual time, played in %.1f s; rules broken: %d%n%n",
-                cluster.cloud.workers().size(),
-                cluster.started() - startedBefore,
+                cluster.cloud.agents().size(),
+                cluster.startedTasks() - startedBefore,
                 MEASURED.toSeconds(),
                 took.toMillis() / 1000.0,
-                cluster.broken.size());
+                cluster.violations.size());
         print(file);
         if (args.length == 0) {
             Files.delete(file);
--- a/src/test/java/org/gullway/ScavengerClassTest.java
+++ b/src/test/java/org/gullway/ScavengerClassTest.java
@@ -13,8 +13,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import org.gullway.fake.FakeAgent;
 import org.gullway.fake.FakeStateStore;
-import org.gullway.fake.FakeWorker;
 import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 
@@ -30,16 +30,16 @@
     }
 
     private static void assertServed(List<TestUser> users, Duration longestWait) {
-        assertThat(users)
-                .isNotEmpty()
-                .allSatisfy(user -> assertThat(user.waited()).isNotNull().isLessThan(longestWait));
+        assertThat(users).isNotEmpty().allSatisfy(user -> assertThat(user.timeToFirstStart())
+                .isNotNull()
+                .isLessThan(longestWait));
     }
 
     /**
      * One huge array, a job of large tasks, and four tiny jobs a second, all of a guest, beside steady work of others.
      */
     @Property(tries = 1, seed = "41")
-    void aHugeArrayAndASwarmOfAGuest(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aHugeArrayAndManyTinyJobsOfATeamWithoutQuota(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = worldWithGuest(seed, 12);
         cluster.submit(GUEST_ARRAY, "guest", Priority.IDLE, 25_000, 0.25, Duration.ofSeconds(45));
         cluster.submit(GUEST_LARGEST, "guest", Priority.IDLE, 8, 16, Duration.ofSeconds(20));
@@ -62,7 +62,7 @@
                             Duration.ofSeconds(8)));
         }
         cluster.run(Duration.ofSeconds(240));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         List<TestUser> guests = cluster.users().stream()
                 .filter(u -> u.request.team().equals("guest"))
                 .toList();
@@ -71,14 +71,14 @@
                 .toList();
         assertServed(residents, Duration.ofSeconds(40));
         assertServed(guests, Duration.ofMinutes(4));
-        assertThat(residents).allMatch(TestUser::over);
+        assertThat(residents).allMatch(TestUser::isFinished);
         assertThat(guests.stream()
                         .filter(u -> u.request.tasks() == 1)
-                        .filter(TestUser::over)
+                        .filter(TestUser::isFinished)
                         .count())
                 .as("tiny jobs done")
                 .isGreaterThanOrEqualTo(700);
-        assertThat(cluster.started()).as("the array's tasks as well").isGreaterThan(2000);
+        assertThat(cluster.startedTasks()).as("the array's tasks as well").isGreaterThan(2000);
         assertThat(cluster.store.largestValue()).isLessThanOrEqualTo(FakeStateStore.VALUE_BYTES);
         assertThat(cluster.store.changes("live/jobs"))
                 .as("changes for %s jobs", cluster.users().size())
@@ -106,11 +106,11 @@
         }
         cluster.run(Duration.ofSeconds(180));
         long late = cluster.users().subList(0, 560).stream()
-                .filter(user -> !user.over())
+                .filter(user -> !user.isFinished())
                 .count();
         assertThat(late).as("not over after 40 s").isZero();
         cluster.run(Duration.ofSeconds(30));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 
@@ -124,7 +124,7 @@
         SimulatedCluster cluster = worldWithGuest(seed, 4);
         Set<String> failing = new HashSet<>();
         Map<String, List<Instant>> failures = new HashMap<>();
-        cluster.failing((machine, job) -> {
+        cluster.failTasks((machine, job) -> {
             if (failing.contains(job)) {
                 failures.computeIfAbsent(job, j -> new ArrayList<>()).add(cluster.time.now());
             }
@@ -147,12 +147,12 @@
                     .isLessThanOrEqualTo(18);
         });
         int failed = failures.values().stream().mapToInt(List::size).sum();
-        assertThat(cluster.started() - failed)
+        assertThat(cluster.startedTasks() - failed)
                 .as("starts of others, and at most all tasks of the failing jobs that run now")
                 .isLessThanOrEqualTo(2 * 90 + 3 * 6);
         cluster.users().stream().filter(u -> failing.contains(u.request.id())).forEach(TestUser::cancel);
         cluster.run(Duration.ofSeconds(60));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 
@@ -161,20 +161,20 @@
      * {@code AgentReconciler.isFaulty}.
      */
     @Property(tries = 3, seed = "44")
-    void aMachineOnWhichEverythingFailsIsReturned(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aMachineOnWhichEverythingFailsIsReleased(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = worldWithGuest(seed, 4);
         steadyWork(cluster, 100, 60);
         cluster.run(Duration.ofSeconds(20));
-        String faulty = cluster.cloud.workers().stream()
-                .filter(FakeWorker::alive)
-                .map(FakeWorker::name)
+        String faulty = cluster.cloud.agents().stream()
+                .filter(FakeAgent::alive)
+                .map(FakeAgent::name)
                 .findFirst()
                 .orElseThrow();
-        cluster.failing((machine, job) -> machine.equals(faulty));
+        cluster.failTasks((machine, job) -> machine.equals(faulty));
         cluster.run(Duration.ofSeconds(60));
         assertThat(names(cluster)).doesNotContain(faulty);
         cluster.run(Duration.ofSeconds(90));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 
@@ -191,7 +191,7 @@
 
     private static Set<String> names(SimulatedCluster cluster) {
         Set<String> names = new HashSet<>();
-        cluster.cloud.workers().stream().map(FakeWorker::name).forEach(names::add);
+        cluster.cloud.agents().stream().map(FakeAgent::name).forEach(names::add);
         return names;
     }
 }
--- a/src/test/java/org/gullway/ServiceCheck.java
+++ b/src/test/java/org/gullway/ServiceCheck.java
@@ -23,7 +23,7 @@
                 users.stream().mapToDouble(user -> user.request.cpus()).max().orElse(0);
         Map<String, Count> groups = new LinkedHashMap<>();
         for (TestUser user : users) {
-            if (user.acceptedAfter() != null && !user.cancelAsked()) {
+            if (user.timeToAcceptance() != null && !user.isCancellationRequested()) {
                 JobRequest job = user.request;
                 count(groups, "rank " + job.priority(), user);
                 count(groups, "team " + job.team(), user);
@@ -44,6 +44,6 @@
     private static void count(Map<String, Count> groups, String name, TestUser user) {
         Count count = groups.computeIfAbsent(name, n -> new Count());
         count.jobs++;
-        count.begun += user.waited() == null ? 0 : 1;
+        count.begun += user.timeToFirstStart() == null ? 0 : 1;
     }
 }
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -17,9 +17,9 @@
 import java.util.random.RandomGenerator;
 import org.gullway.controller.Controller;
 import org.gullway.coordination.model.StoreKeys;
+import org.gullway.fake.FakeAgent;
 import org.gullway.fake.FakeCloud;
 import org.gullway.fake.FakeStateStore;
-import org.gullway.fake.FakeWorker;
 import org.gullway.fake.SimulatedNetwork;
 import org.gullway.fake.SimulatedTime;
 import org.gullway.protocol.Cbor;
@@ -35,7 +35,7 @@
 final class SimulatedCluster {
     static final Duration LEASE = Duration.ofSeconds(20);
     static final Duration CANCEL = Duration.ofSeconds(40);
-    private static final Instant MORNING = Instant.parse("2026-11-20T06:00:00Z");
+    private static final Instant START_TIME = Instant.parse("2026-11-20T06:00:00Z");
     private static final String STATE = "10.2.0.1:2379";
     private static final String CLOUD = "10.2.0.2:8443";
 
@@ -44,18 +44,18 @@
     final SimulatedNetwork network;
     final FakeStateStore store;
     final FakeCloud cloud;
-    final InvariantChecker rules;
-    final StateRequests stateRequests = new StateRequests(time);
-    final ResponseLog answers = new ResponseLog(time);
-    final List<String> broken;
-    private final SimulatedTime.Process world = time.process();
+    final InvariantChecker invariants;
+    final StoreRequestLog stateRequests = new StoreRequestLog(time);
+    final ResponseLog responses = new ResponseLog(time);
+    final List<String> violations;
+    private final SimulatedTime.Process loop = time.process();
     private final Map<String, SimulatedTime.Process> running = new HashMap<>();
     private final Map<String, String> addresses = new LinkedHashMap<>();
     private final TestUsers users;
     private final Shape shape;
 
     /** Size of a world: machines of each type, zone and kind, teams, and how often workers report. */
-    record Shape(int capacity, Map<String, Settings.Team> teams, Duration report, double trouble) {
+    record Shape(int capacity, Map<String, Settings.Team> teams, Duration heartbeatInterval, double faultShare) {
         static final Map<String, Settings.Team> SMALL_TEAMS =
                 Map.of("red", new Settings.Team("red", 16, 24, 0, 0), "blue", new Settings.Team("blue", 16, 64, 0, 0));
 
@@ -75,45 +75,45 @@
     /** @param traffic makes, for the world's time, a listener that sees all messages */
     SimulatedCluster(long seed, Shape shape, Function<SimulatedTime, SimulatedNetwork.TrafficListener> traffic) {
         this.shape = shape;
-        rules = new InvariantChecker(CANCEL, shape.teams());
-        broken = rules.broken;
+        invariants = new InvariantChecker(CANCEL, shape.teams());
+        violations = invariants.violations;
         random = new SplittableRandom(seed);
-        network = new SimulatedNetwork(time, random.split(), shape.trouble());
+        network = new SimulatedNetwork(time, random.split(), shape.faultShare());
         network.observe(traffic.apply(time));
-        store = new FakeStateStore(world);
+        store = new FakeStateStore(loop);
         List<MachineType> types = List.of(
                 new MachineType("small", 16, 0, 64, 50, 1, 1.0, 0.3, Duration.ofSeconds(6), List.of("a", "b")),
                 new MachineType("large", 32, 0, 256, 50, 1, 2.5, 0.9, Duration.ofSeconds(4), List.of("a", "b")));
         for (int i = 0; i < 3; i++) {
             addresses.put("perch-" + i, "10.0.0." + (i + 1) + ":8080");
         }
-        users = new TestUsers(world, network.client("users", world), rules, random, List.copyOf(addresses.values()));
-        cloud = new FakeCloud(world, types, shape.capacity(), (name, kind) -> {
+        users = new TestUsers(loop, network.client("users", loop), invariants, random, List.copyOf(addresses.values()));
+        cloud = new FakeCloud(loop, types, shape.capacity(), (name, kind) -> {
             String address = "10.1.0." + Integer.parseInt(name.substring(3)) + ":9000";
-            FakeWorker worker = new FakeWorker(
-                    world,
-                    network.client(name, world),
+            FakeAgent agent = new FakeAgent(
+                    loop,
+                    network.client(name, loop),
                     users,
                     random.split(),
                     name,
                     address,
                     kind,
                     addresses,
-                    shape.report(),
+                    shape.heartbeatInterval(),
                     LEASE);
-            network.listen(address, world, worker::handle);
-            rules.machine(name, kind);
-            return worker;
+            network.listen(address, loop, agent::handle);
+            invariants.onMachineUp(name, kind);
+            return agent;
         });
-        network.listen(STATE, world, exchange -> stateRequests.handle(exchange, store::handle));
-        network.listen(CLOUD, world, cloud::handle);
+        network.listen(STATE, loop, exchange -> stateRequests.handle(exchange, store::handle));
+        network.listen(CLOUD, loop, cloud::handle);
         addresses.keySet().forEach(this::startController);
-        world.every(Duration.ofSeconds(1), () -> rules.waiting(this::isUp, time.now()));
+        loop.every(Duration.ofSeconds(1), () -> invariants.checkWaitingJobs(this::isUp, time.now()));
     }
 
     private boolean isUp(String machine) {
-        FakeWorker worker = cloud.worker(machine);
-        return worker != null && worker.alive() && !worker.hung();
+        FakeAgent agent = cloud.agent(machine);
+        return agent != null && agent.alive() && !agent.hung();
     }
 
     void startController(String name) {
@@ -137,7 +137,7 @@
                 STATE,
                 shape.teams(),
                 List.of(),
-                shape.report(),
+                shape.heartbeatInterval(),
                 LEASE,
                 CANCEL,
                 150,
@@ -148,13 +148,13 @@
                 Duration.ofSeconds(3),
                 1000);
         long skew = random.nextInt(2000) - 1000;
-        InstantSource clock = () -> MORNING.plusMillis(skew).plus(Duration.between(Instant.EPOCH, time.now()));
+        InstantSource clock = () -> START_TIME.plusMillis(skew).plus(Duration.between(Instant.EPOCH, time.now()));
         Controller controller = new Controller(
                 settings, OperatorSettings.DEFAULTS, process, network.client(name, process), clock, random.nextLong());
-        controller.onInvariantViolated(violation -> broken.add("invariant: " + violation));
+        controller.onInvariantViolated(violation -> violations.add("invariant: " + violation));
         network.listen(settings.peerAddress(), process, controller::handlePeer);
         controller.start(() -> network.listen(
-                settings.publicAddress(), process, exchange -> controller.handle(answers.logged(name, exchange))));
+                settings.publicAddress(), process, exchange -> controller.handle(responses.logged(name, exchange))));
     }
 
     /** Two controllers are in zone a, the third in zone b. */
@@ -163,14 +163,14 @@
     }
 
     /** Cuts a zone off from everything, or ends that; inside it all goes on. */
-    void cutZone(String zone, boolean cut) {
+    void partitionZone(String zone, boolean cut) {
         List<String> inside = new ArrayList<>();
         List<String> outside = new ArrayList<>(List.of("users", STATE, CLOUD));
         for (String node : addresses.keySet()) {
-            (zone(node).equals(zone) ? inside : outside).addAll(List.of(node, address(node), meshAddress(node)));
+            (zone(node).equals(zone) ? inside : outside).addAll(List.of(node, address(node), peerAddress(node)));
         }
-        for (FakeWorker worker : cloud.workers()) {
-            (worker.kind().zone().equals(zone) ? inside : outside).addAll(List.of(worker.name(), worker.address()));
+        for (FakeAgent agent : cloud.agents()) {
+            (agent.kind().zone().equals(zone) ? inside : outside).addAll(List.of(agent.name(), agent.address()));
         }
         for (String in : inside) {
             for (String out : outside) {
@@ -191,23 +191,23 @@
             process.kill();
             network.close(addresses.get(name));
             network.close(addresses.get(name).replace("8080", "8081"));
-            world.after(back, () -> startController(name));
+            loop.after(back, () -> startController(name));
         }
     }
 
     /** The controller runs nothing for so long, while clocks and network go on; then it does all that was due. */
-    void standStill(String name, Duration span) {
+    void freeze(String name, Duration span) {
         SimulatedTime.Process process = running.get(name);
         if (process != null) {
-            process.standStill(span);
+            process.freeze(span);
         }
     }
 
     /** All troubles are over: from now on every job is known and nothing is forgotten. */
-    void calm() {
+    void endFaults() {
         network.heal();
-        store.calm();
-        rules.calm(time.now());
+        store.restore();
+        invariants.onFaultsEnded(time.now());
     }
 
     List<String> nodes() {
@@ -222,7 +222,7 @@
         return addresses.get(node);
     }
 
-    String meshAddress(String node) {
+    String peerAddress(String node) {
         return addresses.get(node).replace("8080", "8081");
     }
 
@@ -280,62 +280,62 @@
     }
 
     /** A submission that lacks a field, and one that fits no machine; both are refused, and nobody knows them later. */
-    void submitOdd(int number) {
+    void submitInvalid(int number) {
         ObjectNode lacking = request(number, "blue", Priority.HIGH, 2, 4, Duration.ofSeconds(5), Bounds.SPREAD)
                 .toNode();
         lacking.remove("crew");
-        submitOdd(lacking, 400);
-        submitOdd(
+        submitInvalid(lacking, 400);
+        submitInvalid(
                 request(number + 1, "blue", Priority.HIGH, 2, 64, Duration.ofSeconds(5), Bounds.SPREAD)
                         .toNode(),
                 422);
     }
 
-    private void submitOdd(ObjectNode node, int expected) {
+    private void submitInvalid(ObjectNode node, int expected) {
         String id = node.path("name_id").asText();
-        HttpClient client = network.client("users", world);
+        HttpClient client = network.client("users", loop);
         String address = userAddresses().get(random.nextInt(addresses.size()));
         client.call(address, HttpRequest.post("/v2/runs", Cbor.encode(node), Duration.ofSeconds(5)), response -> {
-            if (!rules.odd(id, expected, response.status())) {
-                world.after(Duration.ofSeconds(1), () -> submitOdd(node, expected));
+            if (!invariants.onInvalidSubmission(id, expected, response.status())) {
+                loop.after(Duration.ofSeconds(1), () -> submitInvalid(node, expected));
             }
         });
-        world.after(
+        loop.after(
                 Duration.ofSeconds(8),
                 () -> client.call(
                         address,
                         HttpRequest.get("/v2/runs/" + id, Duration.ofSeconds(2)),
-                        response -> rules.askedUnknown(id, response.status())));
+                        response -> invariants.onUnknownJobQueried(id, response.status())));
     }
 
     /** From now on users ask so many times as often. */
-    void askTimesAsOften(int times) {
-        users.askTimesAsOften(times);
+    void multiplyQueryRate(int times) {
+        users.multiplyQueryRate(times);
     }
 
     /** Is told at the very moment at which the last task of a job has completed. */
-    void whenDone(Consumer<TestUser> told) {
-        users.whenDone(told);
+    void onDone(Consumer<TestUser> told) {
+        users.onDone(told);
     }
 
     /** Is told at the very moment at which a user hears that its job is accepted, and that it is done or cancelled. */
-    void whenNews(Consumer<TestUser> told) {
-        users.whenNews(told);
+    void onStateChange(Consumer<TestUser> told) {
+        users.onStateChange(told);
     }
 
     /** The user asks at all nodes, again and again within milliseconds, and repeats the submission. */
-    void lookClosely(TestUser user, RandomGenerator random) {
-        users.lookClosely(user, random);
+    void queryInBursts(TestUser user, RandomGenerator random) {
+        users.queryInBursts(user, random);
     }
 
     /** Is told the name of a new leader at the very moment at which the state service has it. */
-    void whenLeaderBegins(Consumer<String> told) {
-        store.whenPut(StoreKeys.LEADER, value -> told.accept(value.path("node").asText()));
+    void onNewLeader(Consumer<String> told) {
+        store.onPut(StoreKeys.LEADER, value -> told.accept(value.path("node").asText()));
     }
 
     /** Says of a machine and a job whether its tasks fail there. */
-    void failing(BiPredicate<String, String> fails) {
-        users.failing(fails);
+    void failTasks(BiPredicate<String, String> fails) {
+        users.failTasks(fails);
     }
 
     /** The name of the controller that is the leader by the state service; null if there is none. */
@@ -344,25 +344,25 @@
         return leader == null ? null : leader.path("node").asText();
     }
 
-    String otherThan(String node) {
+    String otherNode(String node) {
         return nodes().stream().filter(n -> !n.equals(node)).findFirst().orElseThrow();
     }
 
     /** Cuts the connections of this controller to the others, both ways, or ends that. */
-    void cutMesh(String node, boolean cut) {
+    void partitionPeers(String node, boolean cut) {
         for (String other : nodes()) {
             if (cut) {
-                network.cut(node, meshAddress(other));
-                network.cut(other, meshAddress(node));
+                network.cut(node, peerAddress(other));
+                network.cut(other, peerAddress(node));
             } else {
-                network.heal(node, meshAddress(other));
-                network.heal(other, meshAddress(node));
+                network.heal(node, peerAddress(other));
+                network.heal(other, peerAddress(node));
             }
         }
     }
 
     void after(Duration delay, Runnable task) {
-        world.after(delay, task);
+        loop.after(delay, task);
     }
 
     void run(Duration span) {
@@ -377,7 +377,7 @@
         return users.unfinished();
     }
 
-    int started() {
-        return rules.starts();
+    int startedTasks() {
+        return invariants.startedTasks();
     }
 }
--- a/src/test/java/org/gullway/SimulatedScenariosTest.java
+++ b/src/test/java/org/gullway/SimulatedScenariosTest.java
@@ -23,7 +23,8 @@
             new Bounds(List.of("small"), null, false, true, true));
 
     /** Jobs that may be in one zone only, or spread over both. */
-    static void boundWork(SimulatedCluster cluster, SplittableRandom random, int first, int jobs, Duration span) {
+    static void submitZoneBoundJobs(
+            SimulatedCluster cluster, SplittableRandom random, int first, int jobs, Duration span) {
         for (int i = first; i < first + jobs; i++) {
             int number = i;
             cluster.after(
@@ -39,7 +40,7 @@
         }
     }
 
-    static void work(SimulatedCluster cluster, SplittableRandom random, int jobs, Duration span) {
+    static void submitJobs(SimulatedCluster cluster, SplittableRandom random, int jobs, Duration span) {
         for (int i = 1; i <= jobs; i++) {
             int number = i;
             cluster.after(Duration.ofMillis(random.nextLong(span.toMillis())), () -> {
@@ -60,19 +61,19 @@
     }
 
     @Test
-    void aQuietDayIsServed() {
+    void allJobsFinishWithoutFaults() {
         SimulatedCluster cluster = new SimulatedCluster(1, 0, 4);
-        work(cluster, new SplittableRandom(2), 30, Duration.ofSeconds(100));
+        submitJobs(cluster, new SplittableRandom(2), 30, Duration.ofSeconds(100));
         cluster.run(Duration.ofSeconds(240));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
-        assertThat(cluster.started()).isGreaterThan(60);
+        assertThat(cluster.startedTasks()).isGreaterThan(60);
     }
 
     @Test
-    void machinesWithNothingToDoAreGivenBack() {
+    void idleMachinesAreReleased() {
         SimulatedCluster cluster = new SimulatedCluster(3, 0, 4);
-        work(cluster, new SplittableRandom(4), 5, Duration.ofSeconds(20));
+        submitJobs(cluster, new SplittableRandom(4), 5, Duration.ofSeconds(20));
         cluster.run(Duration.ofSeconds(300));
         assertThat(cluster.unfinished()).isEmpty();
         assertThat(cluster.cloud.rented()).isZero();
@@ -80,58 +81,58 @@
 
     /** Once, after an outage that was longer than the silence allowed, all machines were given up (simulated day 99336). */
     @Test
-    void noMachineIsGivenUpAfterAnOutage() {
+    void noMachineIsDeclaredLostAfterAStoreOutage() {
         SimulatedCluster cluster = new SimulatedCluster(5, 0, 4);
         cluster.submit(1, "blue", Priority.NORMAL, 6, 8, Duration.ofSeconds(70));
         cluster.run(Duration.ofSeconds(25));
-        int before = cluster.started();
+        int before = cluster.startedTasks();
         cluster.store.setDown(true);
         cluster.run(Duration.ofSeconds(14));
         cluster.store.setDown(false);
         cluster.run(Duration.ofSeconds(100));
         assertThat(cluster.unfinished()).isEmpty();
-        assertThat(cluster.started()).isEqualTo(before).isEqualTo(6);
+        assertThat(cluster.startedTasks()).isEqualTo(before).isEqualTo(6);
     }
 
-    private static void roughDay(long seed, SimulatedCluster cluster, SplittableRandom random) {
-        playRoughDay(cluster, random);
-        assertThat(cluster.broken).as("seed %d", seed).isEmpty();
+    private static void playFaultsAndCheck(long seed, SimulatedCluster cluster, SplittableRandom random) {
+        playFaults(cluster, random);
+        assertThat(cluster.violations).as("seed %d", seed).isEmpty();
         assertThat(cluster.unfinished()).as("seed %d", seed).isEmpty();
     }
 
     /** Several troubles at random moments, a calm end, and submissions that are repeated all along. */
-    static void playRoughDay(SimulatedCluster cluster, SplittableRandom random) {
+    static void playFaults(SimulatedCluster cluster, SplittableRandom random) {
         int troubles = 2 + random.nextInt(5);
         for (int i = 0; i < troubles; i++) {
             Duration span = Duration.ofMillis(500 + random.nextInt(30_000));
             Fault trouble = Fault.values()[random.nextInt(Fault.values().length)];
             SplittableRandom own = random.split();
             cluster.after(
-                    Duration.ofMillis(10_000 + random.nextInt(120_000)), () -> trouble.strike(cluster, own, span));
+                    Duration.ofMillis(10_000 + random.nextInt(120_000)), () -> trouble.inject(cluster, own, span));
         }
         for (int i = 0; i < 10; i++) {
             cluster.after(Duration.ofSeconds(20 + random.nextInt(500)), () -> cluster.users()
-                    .forEach(TestUser::submitAgain));
+                    .forEach(TestUser::resubmit));
         }
         cluster.run(Duration.ofSeconds(200));
-        cluster.calm();
+        cluster.endFaults();
         cluster.run(Duration.ofSeconds(600));
     }
 
     @Property(tries = 40, seed = "20261120")
-    void theRulesHoldOnRoughDays(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
+    void invariantsHoldUnderRandomFaults(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SimulatedCluster cluster = new SimulatedCluster(random.nextLong(), 0.01, 3);
-        work(cluster, random.split(), 25, Duration.ofSeconds(120));
-        roughDay(seed, cluster, random);
+        submitJobs(cluster, random.split(), 25, Duration.ofSeconds(120));
+        playFaultsAndCheck(seed, cluster, random);
     }
 
     @Property(tries = 20, seed = "20261202")
-    void theRulesHoldForBoundJobsOnRoughDays(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
+    void invariantsHoldForZoneBoundJobsUnderRandomFaults(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SimulatedCluster cluster = new SimulatedCluster(random.nextLong(), 0.01, 3);
-        work(cluster, random.split(), 10, Duration.ofSeconds(120));
-        boundWork(cluster, random.split(), 11, 15, Duration.ofSeconds(120));
-        roughDay(seed, cluster, random);
+        submitJobs(cluster, random.split(), 10, Duration.ofSeconds(120));
+        submitZoneBoundJobs(cluster, random.split(), 11, 15, Duration.ofSeconds(120));
+        playFaultsAndCheck(seed, cluster, random);
     }
 }
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -50,7 +50,7 @@
      */
     record Outcome(
             long seed,
-            List<String> broken,
+            List<String> violations,
             List<String> unfinished,
             int jobs,
             int starts,
@@ -62,8 +62,8 @@
         }
 
         /** Rules of machines' leases depend on this process being punctual; all others hold whatever it does. */
-        List<String> brokenForSure() {
-            return broken.stream()
+        List<String> certainViolations() {
+            return violations.stream()
                     .filter(rule -> conclusive()
                             || !(rule.startsWith("ran_twice")
                                     || rule.startsWith("quota")
@@ -74,7 +74,8 @@
 
         @Override
         public String toString() {
-            return "seed " + seed + ": " + (broken.isEmpty() ? "no rule broken" : "BROKEN " + broken) + ", " + jobs
+            return "seed " + seed + ": " + (violations.isEmpty() ? "no rule broken" : "BROKEN " + violations) + ", "
+                    + jobs
                     + " jobs, " + starts + " starts, unfinished " + unfinished.size() + ", longest stall "
                     + stall.toMillis() + " ms at " + JobHistory.text(stalledAt).strip()
                     + (conclusive() ? "" : " (leases inconclusive)");
@@ -84,7 +85,7 @@
     private final long seed;
     private final Length length;
     private final SplittableRandom random;
-    private final InvariantChecker rules =
+    private final InvariantChecker invariants =
             new InvariantChecker(LoopbackCluster.CANCEL, SimulatedCluster.Shape.SMALL_TEAMS);
     private final JobHistory history = JobHistory.recording();
     private final List<FaultSchedule.Fault> faults;
@@ -120,7 +121,7 @@
     private Outcome play() throws IOException, InterruptedException {
         try (LoopbackCluster played = new LoopbackCluster(
                 seed, LoopbackCluster.Setup.small(), end -> endWith("process: " + end), (name, kind) -> {
-                    rules.machine(name, kind);
+                    invariants.onMachineUp(name, kind);
                     return users;
                 })) {
             cluster = played;
@@ -128,7 +129,7 @@
             Duration whole =
                     START.plus(length.faults()).plus(length.afterwards()).plus(LAST_QUESTIONS);
             if (!over.await(whole.plusSeconds(60).toSeconds(), TimeUnit.SECONDS)) {
-                rules.broken.add("the run did not end");
+                invariants.violations.add("the run did not end");
             }
             return outcome();
         }
@@ -136,7 +137,7 @@
 
     /** What can no longer go well ends at once, with its cause. */
     private void endWith(String cause) {
-        rules.broken.add(cause);
+        invariants.violations.add(cause);
         over.countDown();
     }
 
@@ -149,15 +150,15 @@
     }
 
     private void begin() {
-        users = new TestUsers(cluster.loop, cluster.userClient(), rules, random.split(), cluster.userAddresses());
+        users = new TestUsers(cluster.loop, cluster.userClient(), invariants, random.split(), cluster.userAddresses());
         users.recordIn(history);
-        users.whenNews(user -> {
+        users.onStateChange(user -> {
             if (random.nextBoolean()) {
-                users.lookClosely(user, random);
+                users.queryInBursts(user, random);
             } else {
                 submitAgainAndAgain(user);
             }
-            if (!user.over() && random.nextInt(4) == 0) {
+            if (!user.isFinished() && random.nextInt(4) == 0) {
                 user.cancel();
             }
         });
@@ -169,10 +170,10 @@
         faults.forEach(
                 fault -> cluster.loop.after(fault.at(), () -> fault.action().run(cluster)));
         Duration calm = START.plus(length.faults());
-        cluster.loop.after(calm, this::calm);
+        cluster.loop.after(calm, this::endFaults);
         cluster.loop.after(calm.plus(length.afterwards()), () -> {
-            users.all().forEach(TestUser::submitAgain);
-            users.all().forEach(TestUser::askEverywhere);
+            users.all().forEach(TestUser::resubmit);
+            users.all().forEach(TestUser::queryAllControllers);
         });
         cluster.loop.after(calm.plus(length.afterwards()).plus(LAST_QUESTIONS), over::countDown);
     }
@@ -180,7 +181,7 @@
     /** Without questions, by which controllers would learn a final state. */
     private void submitAgainAndAgain(TestUser user) {
         for (int i = 0; i < MORE_SUBMISSIONS; i++) {
-            cluster.loop.after(Duration.ofMillis(random.nextInt(MORE_SUBMISSIONS_WITHIN_MS)), user::submitAgain);
+            cluster.loop.after(Duration.ofMillis(random.nextInt(MORE_SUBMISSIONS_WITHIN_MS)), user::resubmit);
         }
     }
 
@@ -197,10 +198,10 @@
         cluster.loop.after(TICK, this::tick);
     }
 
-    private void calm() {
+    private void endFaults() {
         submitting = false;
-        cluster.calm();
-        rules.calm(cluster.loop.now());
+        cluster.endFaults();
+        invariants.onFaultsEnded(cluster.loop.now());
     }
 
     private void submitNext() {
@@ -243,25 +244,25 @@
 
     private Outcome outcome() {
         if (length.afterwards().compareTo(SERVICE_WITHIN) >= 0) {
-            rules.broken.addAll(ServiceCheck.unserved(users.all()));
+            invariants.violations.addAll(ServiceCheck.unserved(users.all()));
         }
-        rules.broken.addAll(cluster.logLines(List.of("invariant violated")));
+        invariants.violations.addAll(cluster.logLines(List.of("invariant violated")));
         return new Outcome(
                 seed,
-                List.copyOf(rules.broken),
+                List.copyOf(invariants.violations),
                 unfinished(),
                 jobs,
-                rules.starts(),
+                invariants.startedTasks(),
                 longestStall,
                 stalledAt,
-                rules.broken.isEmpty() ? "" : report());
+                invariants.violations.isEmpty() ? "" : report());
     }
 
     /** Jobs that are not over, each with what was seen of it last. */
     private List<String> unfinished() {
         List<String> jobsLeft = new ArrayList<>();
         for (TestUser user : users.all()) {
-            if (!user.over()) {
+            if (!user.isFinished()) {
                 JobRequest job = user.request;
                 List<String> seen = history.of(job.id());
                 jobsLeft.add(job.id() + " " + job.team() + " " + job.priority() + ", " + job.tasks() + " tasks of "
@@ -277,7 +278,7 @@
         lines.add("seed " + seed);
         faults.forEach(fault -> lines.add(fault.toString()));
         TreeSet<String> concerned = new TreeSet<>();
-        for (String rule : rules.broken) {
+        for (String rule : invariants.violations) {
             lines.add(rule);
             Matcher matcher = JOB.matcher(rule);
             while (matcher.find()) {
@@ -302,7 +303,7 @@
             Outcome outcome = play(seed, length);
             System.out.println(outcome);
             outcome.unfinished().forEach(job -> System.out.println("  unfinished: " + job));
-            if (!outcome.broken().isEmpty()) {
+            if (!outcome.violations().isEmpty()) {
                 broken++;
                 System.out.println(outcome.report());
             }
--- a/src/test/java/org/gullway/SoakStartTest.java
+++ b/src/test/java/org/gullway/SoakStartTest.java
@@ -42,7 +42,7 @@
     private static void assertEndsAtOnce(String cause, Consumer<LoopbackCluster> before) throws Exception {
         long began = System.nanoTime();
         SoakRun.Outcome outcome = SoakRun.play(1, LONG, before);
-        assertThat(outcome.broken()).anySatisfy(broken -> assertThat(broken).contains(cause));
+        assertThat(outcome.violations()).anySatisfy(broken -> assertThat(broken).contains(cause));
         assertThat(Duration.ofNanos(System.nanoTime() - began)).isLessThan(AT_ONCE);
     }
 
--- a/src/test/java/org/gullway/SoakTest.java
+++ b/src/test/java/org/gullway/SoakTest.java
@@ -12,10 +12,10 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void noRuleIsBrokenByProcessesUnderFaults(long seed) throws Exception {
+    void invariantsHoldForProcessesUnderFaults(long seed) throws Exception {
         SoakRun.Outcome outcome = SoakRun.play(seed, SHORT);
         System.out.println(outcome);
-        assertThat(outcome.brokenForSure()).as(outcome.report()).isEmpty();
+        assertThat(outcome.certainViolations()).as(outcome.report()).isEmpty();
         assertThat(ProcessHandle.current().children().filter(ProcessHandle::isAlive))
                 .as("processes left behind")
                 .isEmpty();
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aStartOnRecordIsSent() {
+    void aRecordedStartIsSent() {
         send(1, 1, START);
         sentBoth(true);
         assertThat(violations).isEmpty();
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void aStartInAnotherSessionOrEpochOrOnAMachineOfAnotherIsNotSent() {
+    void aStartWithAnotherAgentEpochFencingTokenOrControllerIsNotSent() {
         send(1, 2, START);
         send(2, 1, START);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 12);
@@ -135,7 +135,7 @@
 
     /** Its right may lapse while a long round sends commands; that is no defect. */
     @Test
-    void aControllerThatIsNotEntitledAnyMoreSendsNoStart() {
+    void aControllerWithoutAValidLeaseSendsNoStart() {
         holdsValidLease = false;
         send(1, 1, START);
         sentBoth(false);
--- a/src/test/java/org/gullway/StatusQueryLoadTest.java
+++ b/src/test/java/org/gullway/StatusQueryLoadTest.java
@@ -29,7 +29,7 @@
  */
 class StatusQueryLoadTest {
     /** What one of three controllers may ask of the state service. */
-    private static final double OWN_REQUESTS = StateRequests.PER_SECOND / 3.0;
+    private static final double OWN_REQUESTS = StoreRequestLog.PER_SECOND / 3.0;
 
     private static final double VERIFICATIONS_PART = 0.075;
     private static final double QUESTION_READS_PART = 0.12;
@@ -46,13 +46,13 @@
         SLOW {
             @Override
             void begin(SimulatedCluster cluster) {
-                cluster.store.slow(600, cluster.random.split());
+                cluster.store.addLatency(600, cluster.random.split());
             }
         },
         REFUSES_ONE {
             @Override
             void begin(SimulatedCluster cluster) {
-                cluster.store.refuseFrom("perch-1", true);
+                cluster.store.rejectFrom("perch-1", true);
             }
         },
         OUT {
@@ -100,11 +100,11 @@
 
     private static Duration longest(SimulatedCluster cluster, Kind kind) {
         Instant now = cluster.time.now();
-        return longest(cluster.answers.of(kind).stream().map(entry -> entry.took(now)));
+        return longest(cluster.responses.of(kind).stream().map(entry -> entry.took(now)));
     }
 
     private static long count(SimulatedCluster cluster, Kind kind, int status) {
-        return cluster.answers.of(kind).stream()
+        return cluster.responses.of(kind).stream()
                 .filter(entry -> entry.status() == status)
                 .count();
     }
@@ -128,15 +128,15 @@
     private static void assertQuestionsAnsweredInTime(SimulatedCluster cluster) {
         assertThat(longest(cluster, Kind.QUESTION)).isLessThan(QUESTION_LIMIT);
         // What came at the very end has no answer yet, which is 0 here; the time above holds for it too.
-        assertThat(cluster.answers.of(Kind.QUESTION).stream().map(ResponseLog.Entry::status))
+        assertThat(cluster.responses.of(Kind.QUESTION).stream().map(ResponseLog.Entry::status))
                 .isSubsetOf(0, 200, 503);
-        assertThat(cluster.answers.of(Kind.QUESTION).stream()
+        assertThat(cluster.responses.of(Kind.QUESTION).stream()
                         .filter(entry -> entry.saysWhenToComeBack() != (entry.status() == 503)))
                 .isEmpty();
     }
 
     private static void assertReportsAnsweredAtOnce(SimulatedCluster cluster) {
-        assertThat(cluster.answers.of(Kind.REPORT)).isNotEmpty();
+        assertThat(cluster.responses.of(Kind.REPORT)).isNotEmpty();
         assertThat(longest(cluster, Kind.REPORT)).isLessThan(Duration.ofMillis(50));
     }
 
@@ -147,11 +147,11 @@
 
     @ParameterizedTest
     @MethodSource("loads")
-    void questionsStayCorrectAndCheap(int times, StateService state) {
+    void queriesStayCorrectAndCheap(int times, StateService state) {
         SimulatedCluster calm = day(1, state);
         SimulatedCluster cluster = day(times, state);
-        Duration usual = longest(calm.users().stream().map(TestUser::acceptedAfter));
-        Duration now = longest(cluster.users().stream().map(TestUser::acceptedAfter));
+        Duration usual = longest(calm.users().stream().map(TestUser::timeToAcceptance));
+        Duration now = longest(cluster.users().stream().map(TestUser::timeToAcceptance));
         // A user whose submission meets a commit that fails submits again a second later, and perhaps a second time.
         assertThat(now).isLessThanOrEqualTo(usual.plusMillis(2200));
         if (state == StateService.NORMAL) {
@@ -170,25 +170,25 @@
 
     private static Duration mean(SimulatedCluster cluster) {
         List<Duration> all =
-                cluster.users().stream().map(TestUser::acceptedAfter).toList();
+                cluster.users().stream().map(TestUser::timeToAcceptance).toList();
         return all.stream().reduce(Duration.ZERO, Duration::plus).dividedBy(all.size());
     }
 
     /** A day with so many times as many questions; what holds for every such day is checked here. */
     private static SimulatedCluster day(int times, StateService state) {
         SimulatedCluster cluster = world(7, 12, Duration.ofSeconds(40));
-        cluster.answers.clear();
+        cluster.responses.clear();
         cluster.stateRequests.clear();
-        cluster.askTimesAsOften(times);
+        cluster.multiplyQueryRate(times);
         moreWork(cluster, 100, 30);
         state.begin(cluster);
         cluster.run(TROUBLE);
         assertQuestionsAnsweredInTime(cluster);
         assertReportsAnsweredAtOnce(cluster);
         assertWithinPart(cluster, TROUBLE);
-        cluster.calm();
+        cluster.endFaults();
         cluster.run(Duration.ofSeconds(120));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
         return cluster;
     }
@@ -208,14 +208,14 @@
     private static SimulatedCluster quietWorld(int jobs) {
         SimulatedCluster cluster = world(11, jobs, Duration.ofSeconds(200));
         cluster.run(Duration.ofMillis(500));
-        cluster.answers.clear();
+        cluster.responses.clear();
         cluster.stateRequests.clear();
         return cluster;
     }
 
     /** Without the joining of questions about one job, many of them are refused: the queue seems to be too long. */
     @Test
-    void aThousandQuestionsAboutOneJobCostOneVerification() {
+    void aThousandQueriesOfOneJobCostOneConfirmation() {
         SimulatedCluster cluster = quietWorld(1);
         for (int i = 0; i < 1000; i++) {
             ask(cluster, "perch-0", "run-000001");
@@ -228,7 +228,7 @@
 
     /** Without the estimate of the wait, questions are held for more than a second and then refused. */
     @Test
-    void questionsThatCannotBeVerifiedInTimeAreRefusedAtOnce() {
+    void queriesThatCannotBeConfirmedInTimeAreRejectedAtOnce() {
         SimulatedCluster cluster = quietWorld(1);
         for (int i = 0; i < 5000; i++) {
             ask(cluster, "perch-0", "run-" + (500_000 + i));
@@ -236,7 +236,7 @@
         cluster.run(Duration.ofSeconds(2));
         assertThat(count(cluster, Kind.QUESTION, 404)).isGreaterThan(150);
         assertThat(longest(cluster, Kind.QUESTION)).isLessThan(QUESTION_LIMIT);
-        Duration refusedWithin = longest(cluster.answers.of(Kind.QUESTION).stream()
+        Duration refusedWithin = longest(cluster.responses.of(Kind.QUESTION).stream()
                 .filter(entry -> entry.status() == 503)
                 .map(entry -> entry.took(cluster.time.now())));
         assertThat(count(cluster, Kind.QUESTION, 503)).isGreaterThan(3000);
@@ -249,7 +249,7 @@
 
     /** Without the limit of time of a query they wait for the 3 s of a request to the state service. */
     @Test
-    void questionsAreRefusedInTimeWhenTheStateServiceKeepsSilent() {
+    void queriesAreRejectedInTimeWhenTheStoreDoesNotAnswer() {
         SimulatedCluster cluster = quietWorld(1);
         cluster.network.cut("perch-0", SimulatedCluster.stateAddress());
         for (int i = 0; i < 20; i++) {
@@ -262,7 +262,7 @@
 
     /** If a refusal of the state service were taken for a busy moment, they would be asked again for 1.2 s. */
     @Test
-    void questionsAreRefusedAsSoonAsTheStateServiceHasRefused() {
+    void queriesAreRejectedAsSoonAsTheStoreRejects() {
         SimulatedCluster cluster = quietWorld(1);
         cluster.store.setDown(true);
         ask(cluster, "perch-0", "run-000001");
@@ -276,13 +276,13 @@
      * a job that is over would wait behind them.
      */
     @Test
-    void controllersThatForgotWhichJobsAreOverReadThemWithinTheirPart() {
+    void restartedControllersReadFinishedJobsWithinTheirRateLimit() {
         SimulatedCluster cluster = world(13, 40, Duration.ofSeconds(3));
         cluster.run(Duration.ofSeconds(60));
         assertThat(cluster.unfinished()).isEmpty();
         cluster.nodes().forEach(node -> cluster.crash(node, Duration.ofMillis(100)));
         cluster.run(Duration.ofSeconds(10));
-        cluster.answers.clear();
+        cluster.responses.clear();
         cluster.stateRequests.clear();
         for (int i = 0; i < 150; i++) {
             cluster.after(Duration.ofMillis(100L * i), () -> cluster.users()
@@ -302,12 +302,12 @@
         assertThat(cluster.stateRequests.reads("perch-0")).as("each once").isLessThanOrEqualTo(42);
         assertThat(count(cluster, Kind.QUESTION, 200)).isGreaterThan(2000);
         assertQuestionsAnsweredInTime(cluster);
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
     }
 
     /** Without their own queue, repeated submissions are refused with the questions, or wait behind them. */
     @Test
-    void submissionsAndCancellationsDoNotWaitBehindQuestions() {
+    void submissionsAndCancellationsDoNotWaitBehindQueries() {
         SimulatedCluster cluster = quietWorld(2);
         for (int i = 0; i < 3000; i++) {
             ask(cluster, "perch-0", "run-" + (500_000 + i));
@@ -328,7 +328,7 @@
         cluster.users().get(1).cancelOnce(cluster.address("perch-0"), () -> statuses.add(0));
         cluster.run(Duration.ofMillis(600));
         assertThat(statuses).containsExactlyInAnyOrder(200, 422);
-        assertThat(cluster.rules.told("run-000002")).isEqualTo("aborted");
+        assertThat(cluster.invariants.reportedState("run-000002")).isEqualTo("aborted");
         assertThat(longest(cluster, Kind.SUBMISSION)).isLessThan(Duration.ofMillis(400));
         assertThat(longest(cluster, Kind.CANCELLATION)).isLessThan(Duration.ofMillis(400));
     }
@@ -339,9 +339,9 @@
      * an older state than another controller has told.
      */
     @Test
-    void closeQuestionsToAllControllersAreNeverAnsweredWithAnOlderState() {
+    void burstsOfQueriesAreNeverAnsweredWithAnOlderState() {
         SimulatedCluster cluster = new SimulatedCluster(17, 0, 3);
-        cluster.store.slow(500, cluster.random.split());
+        cluster.store.addLatency(500, cluster.random.split());
         for (int i = 1; i <= 24; i++) {
             int number = i;
             TestUser user = cluster.submit(
@@ -350,13 +350,13 @@
                 cluster.after(Duration.ofSeconds(10 + i), user::cancel);
             }
             for (int j = 0; j < 1200; j++) {
-                cluster.after(Duration.ofMillis(9000 + 20L * j + number), user::askEverywhere);
+                cluster.after(Duration.ofMillis(9000 + 20L * j + number), user::queryAllControllers);
             }
         }
         cluster.run(Duration.ofSeconds(60));
-        cluster.calm();
+        cluster.endFaults();
         cluster.run(Duration.ofSeconds(120));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 }
--- a/src/test/java/org/gullway/StoreOutageDetectorTest.java
+++ b/src/test/java/org/gullway/StoreOutageDetectorTest.java
@@ -62,7 +62,7 @@
 
     /** Without the state service nobody serves users better, so no node may lose its place for the time afterwards. */
     @Property(tries = 6, seed = "41")
-    void allStayHealthyInOutagesOfTheStateService(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void allStayHealthyInStoreOutages(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = busy(seed);
         HealthChecks checks = new HealthChecks(cluster);
         for (int i = 0; i < 4; i++) {
@@ -72,15 +72,15 @@
             cluster.run(Duration.ofSeconds(16));
         }
         assertThat(cluster.nodes()).allMatch(node -> checks.mostFailuresInARow(node) < REMOVED_AFTER);
-        cluster.calm();
+        cluster.endFaults();
         cluster.run(Duration.ofSeconds(200));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 
     /** A node that alone is refused must go on failing its checks: the others can serve its users. */
     @Property(tries = 6, seed = "42")
-    void aNodeThatAloneIsWithoutStateBecomesUnhealthy(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aNodeThatAloneCannotReachTheStoreBecomesUnhealthy(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = busy(seed);
         HealthChecks checks = new HealthChecks(cluster);
         String alone = cluster.nodes().get(seed % 3);
@@ -91,9 +91,9 @@
                 .filter(node -> !node.equals(alone))
                 .forEach(node -> assertThat(checks.mostFailuresInARow(node)).isLessThan(REMOVED_AFTER));
         cluster.network.heal(alone, SimulatedCluster.stateAddress());
-        cluster.calm();
+        cluster.endFaults();
         cluster.run(Duration.ofSeconds(120));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 }
--- a/src/test/java/org/gullway/StateRequests.java
+++ b/src/test/java/org/gullway/StoreRequestLog.java
@@ -13,7 +13,7 @@
 import org.gullway.transport.HttpExchange;
 
 /** Counts what each controller asks of the state service, and refuses what goes over the limit of requests. */
-final class StateRequests {
+final class StoreRequestLog {
     /** The limit of the settings, with bursts of one second's worth. */
     static final int PER_SECOND = 150;
 
@@ -25,7 +25,7 @@
     private Instant tokensAt = Instant.EPOCH;
     private int refused;
 
-    StateRequests(SimulatedTime time) {
+    StoreRequestLog(SimulatedTime time) {
         this.time = time;
     }
 
--- a/src/test/java/org/gullway/TestUser.java
+++ b/src/test/java/org/gullway/TestUser.java
@@ -21,7 +21,7 @@
     final JobRequest request;
     final Duration runTime;
     private final TestUsers users;
-    private final InvariantChecker rules;
+    private final InvariantChecker invariants;
     private final HttpClient client;
     private final EventLoop loop;
     private final Instant submitted;
@@ -32,7 +32,7 @@
         this.users = users;
         this.request = request;
         this.runTime = runTime;
-        this.rules = users.rules();
+        this.invariants = users.rules();
         this.client = users.client();
         this.loop = users.loop();
         this.submitted = loop.now();
@@ -54,12 +54,12 @@
                 + JobHistory.text(asked).strip() + " -> " + answer;
     }
 
-    boolean cancelAsked() {
-        return rules.isCancelAsked(request.id());
+    boolean isCancellationRequested() {
+        return invariants.isCancellationRequested(request.id());
     }
 
-    boolean over() {
-        return rules.over(request.id());
+    boolean isFinished() {
+        return invariants.isFinished(request.id());
     }
 
     private String node() {
@@ -73,14 +73,14 @@
                 boolean news = !accepted;
                 accepted = true;
                 acceptedAt = loop.now();
-                rules.accepted(request.id(), loop.now());
-                hear(response, asked);
+                invariants.onAccepted(request.id(), loop.now());
+                onState(response, asked);
                 if (news) {
-                    users.news(this);
+                    users.stateChanged(this);
                 }
                 poll();
             } else if (response.status() == 400 || response.status() == 422) {
-                rules.broken.add("forgotten: " + request.id() + " was refused with " + response.status());
+                invariants.violations.add("forgotten: " + request.id() + " was refused with " + response.status());
             } else {
                 loop.after(Duration.ofSeconds(1), this::submit);
             }
@@ -89,14 +89,14 @@
 
     /** Asks for the cancellation until it is answered. */
     void cancel() {
-        if (!over()) {
+        if (!isFinished()) {
             cancelOnce(node(), () -> loop.after(Duration.ofSeconds(1), this::cancel));
         }
     }
 
     /** One request, also for a job that is over; it must be answered with the state that was told. */
     void cancelOnce(String address, Runnable unanswered) {
-        rules.cancelAsked(request.id());
+        invariants.onCancellationRequested(request.id());
         boolean known = accepted;
         Instant asked = loop.now();
         call(
@@ -104,10 +104,10 @@
                 HttpRequest.post("/v2/runs/" + request.id() + "/withdraw", Cbor.encode(Cbor.map()), REQUEST_LIMIT),
                 response -> {
                     if (response.status() == 200) {
-                        hear(response, asked);
-                        rules.cancelAnswered(request.id(), state(response), loop.now());
+                        onState(response, asked);
+                        invariants.onCancellationAnswered(request.id(), state(response), loop.now());
                     } else if (response.status() == 404 && known) {
-                        rules.broken.add("forgotten: cancellation of " + request.id());
+                        invariants.violations.add("forgotten: cancellation of " + request.id());
                     } else {
                         unanswered.run();
                     }
@@ -115,53 +115,53 @@
     }
 
     private void poll() {
-        if (over()) {
-            askEverywhere();
+        if (isFinished()) {
+            queryAllControllers();
         } else {
-            ask(node());
+            query(node());
         }
-        loop.after(Duration.ofSeconds(over() ? 25 : 5).dividedBy(users.timesAsOften()), this::poll);
+        loop.after(Duration.ofSeconds(isFinished() ? 25 : 5).dividedBy(users.timesAsOften()), this::poll);
     }
 
-    private void ask(String address) {
+    private void query(String address) {
         Instant asked = loop.now();
         call(address, HttpRequest.get("/v2/runs/" + request.id(), QUESTION_LIMIT), response -> {
             if (response.status() == 200) {
-                hear(response, asked);
+                onState(response, asked);
             }
-            rules.asked(request.id(), response.status(), asked, loop.now());
+            invariants.onQueried(request.id(), response.status(), asked, loop.now());
         });
     }
 
     /** All controllers must say the same of a job that is over. */
-    void askEverywhere() {
+    void queryAllControllers() {
         if (accepted) {
-            users.addresses().forEach(this::ask);
+            users.addresses().forEach(this::query);
         }
     }
 
     /** A submission that is repeated at any later time is answered with the job's state. */
-    void submitAgain() {
+    void resubmit() {
         if (!accepted) {
             return;
         }
         Instant asked = loop.now();
         call(node(), HttpRequest.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_LIMIT), response -> {
-            rules.submittedAgain(request.id(), response.status(), loop.now());
+            invariants.onResubmitted(request.id(), response.status(), loop.now());
             if (response.status() == 200) {
-                hear(response, asked);
+                onState(response, asked);
             }
         });
     }
 
     /** Time from the submission until the first task began; null if none has. */
-    Duration waited() {
-        Instant first = rules.firstStart(request.id());
+    Duration timeToFirstStart() {
+        Instant first = invariants.firstStartOf(request.id());
         return first == null ? null : Duration.between(submitted, first);
     }
 
     /** Time from the submission until it was accepted; null if it was not. */
-    Duration acceptedAfter() {
+    Duration timeToAcceptance() {
         return acceptedAt == null ? null : Duration.between(submitted, acceptedAt);
     }
 
@@ -169,18 +169,19 @@
         try {
             return Cbor.decode(response.body()).path("tide").asText();
         } catch (MalformedMessageException e) {
-            rules.broken.add("unreadable answer: " + e.getMessage());
+            invariants.violations.add("unreadable answer: " + e.getMessage());
             return "";
         }
     }
 
-    private void hear(HttpResponse response, Instant asked) {
-        boolean wasOver = over();
-        if (rules.heard(request.id(), state(response), asked, loop.now())) {
-            loop.after(rules.cancelLimit(), () -> rules.atCancelLimit(request.id(), loop.now()));
+    private void onState(HttpResponse response, Instant asked) {
+        boolean wasOver = isFinished();
+        if (invariants.onStateReported(request.id(), state(response), asked, loop.now())) {
+            loop.after(
+                    invariants.cancellationLimit(), () -> invariants.checkCancellationLimit(request.id(), loop.now()));
         }
-        if (over() && !wasOver) {
-            users.news(this);
+        if (isFinished() && !wasOver) {
+            users.stateChanged(this);
         }
     }
 }
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -8,31 +8,35 @@
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import org.gullway.fake.FakeWorker;
+import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.JobRequest;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpClient;
 
 /** All users with their jobs, which are also what workers know of the world. */
-final class TestUsers implements FakeWorker.World {
+final class TestUsers implements FakeAgent.Environment {
     private final EventLoop loop;
     private final HttpClient client;
-    private final InvariantChecker rules;
+    private final InvariantChecker invariants;
     private final RandomGenerator random;
     private final List<String> addresses;
     private final Map<String, TestUser> users = new LinkedHashMap<>();
-    private Consumer<TestUser> whenDone = user -> {};
-    private Consumer<TestUser> whenNews = user -> {};
+    private Consumer<TestUser> onDone = user -> {};
+    private Consumer<TestUser> onStateChange = user -> {};
     private int timesAsOften = 1;
     private JobHistory history = JobHistory.none();
-    private BiPredicate<String, String> failing = (machine, job) -> false;
+    private BiPredicate<String, String> taskFails = (machine, job) -> false;
 
     /** @param addresses the public addresses of all controllers */
     TestUsers(
-            EventLoop loop, HttpClient client, InvariantChecker rules, RandomGenerator random, List<String> addresses) {
+            EventLoop loop,
+            HttpClient client,
+            InvariantChecker invariants,
+            RandomGenerator random,
+            List<String> addresses) {
         this.loop = loop;
         this.client = client;
-        this.rules = rules;
+        this.invariants = invariants;
         this.random = random;
         this.addresses = new ArrayList<>(addresses);
     }
@@ -41,7 +45,7 @@
     TestUser submit(JobRequest request, Duration runTime) {
         TestUser user = new TestUser(this, request, runTime);
         users.put(request.id(), user);
-        rules.submitted(request);
+        invariants.onSubmitted(request);
         user.submit();
         return user;
     }
@@ -52,24 +56,24 @@
 
     List<String> unfinished() {
         return users.values().stream()
-                .filter(user -> !user.over())
-                .map(user -> user.request.id() + " " + rules.told(user.request.id()))
+                .filter(user -> !user.isFinished())
+                .map(user -> user.request.id() + " " + invariants.reportedState(user.request.id()))
                 .toList();
     }
 
     /** From now on users ask so many times as often. */
-    void askTimesAsOften(int times) {
+    void multiplyQueryRate(int times) {
         timesAsOften = times;
     }
 
     /** Is told at the very moment at which the last task of a job has completed. */
-    void whenDone(Consumer<TestUser> told) {
-        whenDone = told;
+    void onDone(Consumer<TestUser> told) {
+        onDone = told;
     }
 
     /** Is told at the very moment at which a user hears that its job is accepted, and that it is done or cancelled. */
-    void whenNews(Consumer<TestUser> told) {
-        whenNews = told;
+    void onStateChange(Consumer<TestUser> told) {
+        onStateChange = told;
     }
 
     /** From now on what users and machines see is recorded here. */
@@ -78,16 +82,16 @@
     }
 
     /** Says of a machine and a job whether its tasks fail there. */
-    void failing(BiPredicate<String, String> fails) {
-        failing = fails;
+    void failTasks(BiPredicate<String, String> fails) {
+        taskFails = fails;
     }
 
     /** The user asks at all nodes, again and again within milliseconds, and repeats the submission. */
-    void lookClosely(TestUser user, RandomGenerator moments) {
+    void queryInBursts(TestUser user, RandomGenerator moments) {
         for (int look = 0; look < 4; look++) {
-            loop.after(Duration.ofNanos(moments.nextInt(6_000_000)), user::askEverywhere);
+            loop.after(Duration.ofNanos(moments.nextInt(6_000_000)), user::queryAllControllers);
         }
-        loop.after(Duration.ofNanos(moments.nextInt(6_000_000)), user::submitAgain);
+        loop.after(Duration.ofNanos(moments.nextInt(6_000_000)), user::resubmit);
     }
 
     // What a user needs
@@ -101,7 +105,7 @@
     }
 
     InvariantChecker rules() {
-        return rules;
+        return invariants;
     }
 
     List<String> addresses() {
@@ -116,8 +120,8 @@
         return timesAsOften;
     }
 
-    void news(TestUser user) {
-        whenNews.accept(user);
+    void stateChanged(TestUser user) {
+        onStateChange.accept(user);
     }
 
     JobHistory history() {
@@ -131,7 +135,7 @@
     }
 
     @Override
-    public JobRequest describe(String job) {
+    public JobRequest jobOf(String job) {
         TestUser user = users.get(job);
         return user == null ? null : user.request;
     }
@@ -143,27 +147,27 @@
 
     @Override
     public boolean fails(String machine, String job) {
-        return failing.test(machine, job);
+        return taskFails.test(machine, job);
     }
 
     @Override
-    public boolean completed(String task) {
-        return rules.completed(task);
+    public boolean isCompleted(String task) {
+        return invariants.isCompleted(task);
     }
 
     @Override
-    public void began(String machine, String task) {
+    public void onTaskStarted(String machine, String task) {
         history.add(job(task), loop.now(), () -> task + " begins on " + machine);
-        rules.began(machine, task, loop.now());
+        invariants.onTaskStarted(machine, task, loop.now());
     }
 
     @Override
-    public void ended(String machine, String task, boolean done) {
+    public void onTaskEnded(String machine, String task, boolean done) {
         history.add(job(task), loop.now(), () -> task + (done ? " is done on " : " is ended on ") + machine);
-        rules.ended(machine, task, done);
+        invariants.onTaskEnded(machine, task, done);
         TestUser user = users.get(job(task));
-        if (done && rules.allCompleted(user.request.id())) {
-            whenDone.accept(user);
+        if (done && invariants.allCompleted(user.request.id())) {
+            onDone.accept(user);
         }
     }
 }
--- a/src/test/java/org/gullway/UserRequestFaultsTest.java
+++ b/src/test/java/org/gullway/UserRequestFaultsTest.java
@@ -19,13 +19,13 @@
      * commander of a machine tells the keeper of a job at once of its end: a user expects "done" 3 s after it.
      */
     @Property(tries = 2, seed = "221")
-    void oneTaskJobsComeFourASecondAndAQuarterIsCancelled(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void fourSingleTaskJobsASecondWithAQuarterCancelled(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 4);
         int jobs = 480;
         int[] late = new int[1];
-        cluster.whenDone(user -> cluster.after(DONE_IS_EXPECTED_AFTER.minusMillis(200), () -> {
-            user.askEverywhere();
-            cluster.after(Duration.ofMillis(200), () -> late[0] += user.over() ? 0 : 1);
+        cluster.onDone(user -> cluster.after(DONE_IS_EXPECTED_AFTER.minusMillis(200), () -> {
+            user.queryAllControllers();
+            cluster.after(Duration.ofMillis(200), () -> late[0] += user.isFinished() ? 0 : 1);
         }));
         for (int i = 1; i <= jobs; i++) {
             int number = i;
@@ -43,11 +43,11 @@
             });
         }
         cluster.run(seconds(jobs / 4 + 10));
-        assertThat(cluster.broken).isEmpty();
+        assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
         assertThat(late[0]).as("jobs that users saw done too late").isLessThan(jobs / 100);
         assertThat(cluster.users().stream()
-                        .filter(user -> user.waited() != null)
+                        .filter(user -> user.timeToFirstStart() != null)
                         .count())
                 .as("jobs that began")
                 .isGreaterThan(jobs * 3 / 4);
@@ -59,11 +59,11 @@
      * job that is not known here is looked up there.
      */
     @Property(tries = 4, seed = "222")
-    void questionsWithinMillisecondsAfterEachNews(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void queriesWithinMillisecondsOfEachStateChange(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        cluster.whenNews(user -> {
-            cluster.lookClosely(user, cluster.random);
-            if (!user.over() && user.request.tasks() == 2) {
+        cluster.onStateChange(user -> {
+            cluster.queryInBursts(user, cluster.random);
+            if (!user.isFinished() && user.request.tasks() == 2) {
                 user.cancel();
             }
         });
--- a/src/test/java/org/gullway/fake/FakeWorker.java
+++ b/src/test/java/org/gullway/fake/FakeAgent.java
@@ -20,11 +20,11 @@
 import org.gullway.transport.HttpResponse;
 
 /** A worker as its protocol describes it; its tasks only let time pass. */
-public final class FakeWorker {
+public final class FakeAgent {
     /** What the world around tells a worker and wants to know from it. */
-    public interface World {
+    public interface Environment {
         /** The description that users have uploaded, or null. */
-        JobRequest describe(String job);
+        JobRequest jobOf(String job);
 
         /** How long a task of the job really runs. */
         Duration runTime(String job);
@@ -34,13 +34,13 @@
             return false;
         }
 
-        default boolean completed(String task) {
+        default boolean isCompleted(String task) {
             return false;
         }
 
-        void began(String machine, String task);
+        void onTaskStarted(String machine, String task);
 
-        void ended(String machine, String task, boolean done);
+        void onTaskEnded(String machine, String task, boolean done);
     }
 
     /** What a machine is, apart from its name. */
@@ -65,11 +65,11 @@
         }
     }
 
-    private static final Duration PATIENCE = Duration.ofSeconds(4);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(4);
 
     private final EventLoop loop;
     private final HttpClient client;
-    private final World world;
+    private final Environment environment;
     private final RandomGenerator random;
     private final String name;
     private final String address;
@@ -83,18 +83,18 @@
     private long agentEpoch = 1;
     private long sequence;
     private long fencingToken;
-    private Instant renewed;
-    private Instant lastReport = Instant.MIN;
-    private boolean reporting;
+    private Instant leaseRenewedAt;
+    private Instant lastHeartbeat = Instant.MIN;
+    private boolean heartbeatInFlight;
     private boolean alive = true;
     private boolean hung;
-    private final List<Runnable> whenItGoesOn = new ArrayList<>();
-    private Runnable nextReport = () -> {};
+    private final List<Runnable> deferred = new ArrayList<>();
+    private Runnable nextHeartbeat = () -> {};
 
-    public FakeWorker(
+    public FakeAgent(
             EventLoop loop,
             HttpClient client,
-            World world,
+            Environment environment,
             RandomGenerator random,
             String name,
             String address,
@@ -104,7 +104,7 @@
             Duration lease) {
         this.loop = loop;
         this.client = client;
-        this.world = world;
+        this.environment = environment;
         this.random = random;
         this.name = name;
         this.address = address;
@@ -114,8 +114,8 @@
         this.controller = random.nextInt(controllers.size());
         this.interval = interval;
         this.lease = lease;
-        this.renewed = loop.now();
-        reportIn(Duration.ZERO);
+        this.leaseRenewedAt = loop.now();
+        scheduleHeartbeat(Duration.ZERO);
         checkLease();
     }
 
@@ -136,7 +136,7 @@
     }
 
     /** The machine is gone, with all that is on it. */
-    public void die() {
+    public void terminate() {
         if (alive) {
             alive = false;
             killAll();
@@ -163,16 +163,16 @@
             if (!alive) {
                 return;
             }
-            endSessionIfOver();
-            tasks.values().stream().filter(task -> !task.state.equals("ended")).forEach(this::goOn);
-            List<Runnable> missed = List.copyOf(whenItGoesOn);
-            whenItGoesOn.clear();
+            endEpochIfLeaseExpired();
+            tasks.values().stream().filter(task -> !task.state.equals("ended")).forEach(this::resume);
+            List<Runnable> missed = List.copyOf(deferred);
+            deferred.clear();
             missed.forEach(Runnable::run);
         });
     }
 
     /** The name of the controller to which it reports at present. */
-    public String reportsTo() {
+    public String heartbeatTarget() {
         return controllers.get(controller);
     }
 
@@ -182,12 +182,12 @@
 
     /** The machine's own timers: what comes due while it hangs runs when it goes on. */
     private Runnable later(Duration delay, Runnable task) {
-        return loop.after(delay, () -> unlessHung(task));
+        return loop.after(delay, () -> runUnlessHung(task));
     }
 
-    private void unlessHung(Runnable task) {
+    private void runUnlessHung(Runnable task) {
         if (hung) {
-            whenItGoesOn.add(task);
+            deferred.add(task);
         } else {
             task.run();
         }
@@ -197,7 +197,7 @@
         for (Task task : tasks.values()) {
             if (!task.state.equals("ended")) {
                 task.timer.run();
-                world.ended(name, task.id, false);
+                environment.onTaskEnded(name, task.id, false);
             }
         }
         tasks.clear();
@@ -207,62 +207,64 @@
         if (!alive) {
             return;
         }
-        endSessionIfOver();
+        endEpochIfLeaseExpired();
         later(Duration.ofMillis(200), this::checkLease);
     }
 
-    private void endSessionIfOver() {
-        if (renewed.plus(lease).isBefore(loop.now())) {
+    private void endEpochIfLeaseExpired() {
+        if (leaseRenewedAt.plus(lease).isBefore(loop.now())) {
             killAll();
             agentEpoch++;
-            renewed = loop.now();
-            changed();
+            leaseRenewedAt = loop.now();
+            sendHeartbeatSoon();
         }
     }
 
-    private void changed() {
-        if (!reporting) {
-            Duration since = lastReport.equals(Instant.MIN) ? interval : Duration.between(lastReport, loop.now());
+    private void sendHeartbeatSoon() {
+        if (!heartbeatInFlight) {
+            Duration since = lastHeartbeat.equals(Instant.MIN) ? interval : Duration.between(lastHeartbeat, loop.now());
             Duration wait = Duration.ofMillis(500).minus(since);
-            reportIn(wait.isNegative() ? Duration.ZERO : wait);
+            scheduleHeartbeat(wait.isNegative() ? Duration.ZERO : wait);
         }
     }
 
-    private void reportIn(Duration delay) {
-        nextReport.run();
-        nextReport = later(delay, this::report);
+    private void scheduleHeartbeat(Duration delay) {
+        nextHeartbeat.run();
+        nextHeartbeat = later(delay, this::sendHeartbeat);
     }
 
-    private void report() {
-        if (!alive || reporting) {
+    private void sendHeartbeat() {
+        if (!alive || heartbeatInFlight) {
             return;
         }
-        reporting = true;
-        lastReport = loop.now();
+        heartbeatInFlight = true;
+        lastHeartbeat = loop.now();
         Instant sent = loop.now();
         long inAgentEpoch = agentEpoch;
         String to = controllers.get(controller);
         client.call(
                 controllerAddresses.get(to),
-                HttpRequest.post("/agent/beat", Cbor.encode(account()), PATIENCE),
-                answer -> unlessHung(() -> {
+                HttpRequest.post("/agent/beat", Cbor.encode(status()), RESPONSE_TIMEOUT),
+                answer -> runUnlessHung(() -> {
                     // A machine that hung reads answers only now; it drops those that are older than its patience.
-                    HttpResponse response = loop.now().isAfter(sent.plus(PATIENCE)) ? HttpResponse.unknown() : answer;
-                    reporting = false;
+                    HttpResponse response =
+                            loop.now().isAfter(sent.plus(RESPONSE_TIMEOUT)) ? HttpResponse.unknown() : answer;
+                    heartbeatInFlight = false;
                     if (!alive) {
                         return;
                     }
                     if (response.outcome() == HttpResponse.Outcome.ANSWERED && response.status() == 200) {
-                        accept(response.body(), sent, inAgentEpoch);
-                        reportIn(Duration.ofMillis((long) (interval.toMillis() * (0.75 + random.nextDouble() / 2))));
+                        onHeartbeatResponse(response.body(), sent, inAgentEpoch);
+                        scheduleHeartbeat(
+                                Duration.ofMillis((long) (interval.toMillis() * (0.75 + random.nextDouble() / 2))));
                     } else {
                         String next = response.status() == 421 ? redirect(response.body()) : null;
                         if (next != null && !next.equals(to) && controllers.contains(next)) {
                             controller = controllers.indexOf(next);
-                            reportIn(Duration.ofMillis(random.nextInt(500)));
+                            scheduleHeartbeat(Duration.ofMillis(random.nextInt(500)));
                         } else {
                             controller = (controller + 1) % controllers.size();
-                            reportIn(Duration.ofSeconds(1));
+                            scheduleHeartbeat(Duration.ofSeconds(1));
                         }
                     }
                 }));
@@ -276,7 +278,7 @@
         }
     }
 
-    private void accept(byte[] body, Instant sent, long inAgentEpoch) {
+    private void onHeartbeatResponse(byte[] body, Instant sent, long inAgentEpoch) {
         try {
             ObjectNode node = Cbor.decode(body);
             if (inAgentEpoch != agentEpoch
@@ -285,7 +287,7 @@
                 return;
             }
             fencingToken = node.path("baton").asLong();
-            renewed = sent;
+            leaseRenewedAt = sent;
             execute(node.path("calls"));
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
@@ -294,7 +296,7 @@
 
     /** Answers a direct command or a question, when the machine goes on if it hangs. */
     public void handle(HttpExchange exchange) {
-        unlessHung(() -> serve(exchange));
+        runUnlessHung(() -> serve(exchange));
     }
 
     private void serve(HttpExchange exchange) {
@@ -302,7 +304,7 @@
             return;
         }
         if (exchange.path().equals("/inspect")) {
-            exchange.respond(200, Cbor.encode(account()));
+            exchange.respond(200, Cbor.encode(status()));
             return;
         }
         try {
@@ -311,18 +313,18 @@
                 exchange.respond(400, new byte[0]);
             } else if (node.path("baton").asLong() < fencingToken
                     || node.path("flight").asLong() != agentEpoch) {
-                exchange.respond(409, Cbor.encode(account()));
+                exchange.respond(409, Cbor.encode(status()));
             } else {
                 fencingToken = node.path("baton").asLong();
                 execute(node.path("calls"));
-                exchange.respond(200, Cbor.encode(account()));
+                exchange.respond(200, Cbor.encode(status()));
             }
         } catch (MalformedMessageException e) {
             exchange.respond(400, new byte[0]);
         }
     }
 
-    private ObjectNode account() {
+    private ObjectNode status() {
         ObjectNode node = Cbor.map()
                 .put("perch", name)
                 .put("endpoint", address)
@@ -372,13 +374,13 @@
             }
         }
         if (!commands.isEmpty()) {
-            changed();
+            sendHeartbeatSoon();
         }
     }
 
     private void start(String key, Task task) {
         tasks.put(key, task);
-        JobRequest job = world.describe(task.job());
+        JobRequest job = environment.jobOf(task.job());
         if (job == null) {
             refuse(task, "no_such");
             return;
@@ -390,28 +392,28 @@
                     refuse(task, "busy");
                     return;
                 }
-                used += world.describe(other.job()).cpus();
+                used += environment.jobOf(other.job()).cpus();
             }
         }
         if (used + job.cpus() > kind.cpus() + 1e-6) {
             refuse(task, "full");
             return;
         }
-        if (world.completed(task.id)) {
+        if (environment.isCompleted(task.id)) {
             // The result is kept: the task exits as soon as it has its image.
             refuse(task, "done");
             return;
         }
-        world.began(name, task.id);
-        task.left = world.runTime(task.job());
-        goOn(task);
+        environment.onTaskStarted(name, task.id);
+        task.left = environment.runTime(task.job());
+        resume(task);
     }
 
-    private void goOn(Task task) {
+    private void resume(Task task) {
         task.since = loop.now();
         task.timer = later(task.left, () -> {
             if (alive && !task.state.equals("ended")) {
-                end(task, world.fails(name, task.job()) ? "error" : "done");
+                end(task, environment.fails(name, task.job()) ? "error" : "done");
             }
         });
     }
@@ -425,7 +427,7 @@
         task.timer.run();
         task.state = "ended";
         task.cause = cause;
-        world.ended(name, task.id, cause.equals("done"));
-        changed();
+        environment.onTaskEnded(name, task.id, cause.equals("done"));
+        sendHeartbeatSoon();
     }
 }
--- a/src/test/java/org/gullway/fake/FakeCloud.java
+++ b/src/test/java/org/gullway/fake/FakeCloud.java
@@ -21,15 +21,15 @@
     /** Brings up the worker of a machine. */
     @FunctionalInterface
     public interface Boot {
-        FakeWorker start(String name, FakeWorker.Kind kind);
+        FakeAgent start(String name, FakeAgent.Kind kind);
     }
 
     private static final class Machine {
-        private final FakeWorker.Kind kind;
+        private final FakeAgent.Kind kind;
         private final Instant rented;
-        private FakeWorker worker;
+        private FakeAgent agent;
 
-        Machine(FakeWorker.Kind kind, Instant rented) {
+        Machine(FakeAgent.Kind kind, Instant rented) {
             this.kind = kind;
             this.rented = rented;
         }
@@ -52,21 +52,21 @@
         this.boot = boot;
     }
 
-    public List<FakeWorker> workers() {
+    public List<FakeAgent> agents() {
         return machines.values().stream()
-                .map(m -> m.worker)
+                .map(m -> m.agent)
                 .filter(w -> w != null && w.alive())
                 .toList();
     }
 
     /** The worker of this machine, or null. */
-    public FakeWorker worker(String name) {
+    public FakeAgent agent(String name) {
         Machine machine = machines.get(name);
-        return machine == null ? null : machine.worker;
+        return machine == null ? null : machine.agent;
     }
 
     /** From now on machines are up within this time, however long their type usually takes. */
-    public void bootWithin(Duration longest) {
+    public void setBootTime(Duration longest) {
         longestBoot = longest;
     }
 
@@ -79,9 +79,9 @@
     }
 
     /** The cloud takes a spot machine back. */
-    public void take(FakeWorker worker) {
-        worker.die();
-        machines.remove(worker.name());
+    public void reclaimSpot(FakeAgent agent) {
+        agent.terminate();
+        machines.remove(agent.name());
     }
 
     public void handle(HttpExchange exchange) {
@@ -131,7 +131,7 @@
                     .filter(t -> t.name().equals(body.path("breed").asText()))
                     .findFirst()
                     .orElseThrow();
-            FakeWorker.Kind kind = new FakeWorker.Kind(
+            FakeAgent.Kind kind = new FakeAgent.Kind(
                     type.name(),
                     body.path("shore").asText(),
                     body.path("driftwood").asBoolean(),
@@ -147,7 +147,7 @@
                 Duration boots = type.bootTime().compareTo(longestBoot) < 0 ? type.bootTime() : longestBoot;
                 loop.after(boots, () -> {
                     if (machines.get(name) == machine) {
-                        machine.worker = boot.start(name, kind);
+                        machine.agent = boot.start(name, kind);
                     }
                 });
             }
@@ -170,8 +170,8 @@
     private void giveBack(HttpExchange exchange, JsonNode body) {
         for (JsonNode name : body.path("perches")) {
             Machine machine = machines.remove(name.asText());
-            if (machine != null && machine.worker != null) {
-                machine.worker.die();
+            if (machine != null && machine.agent != null) {
+                machine.agent.terminate();
             }
         }
         exchange.respond(200, Cbor.encode(Cbor.map()));
@@ -194,7 +194,7 @@
                 .put("breed", machine.kind.type())
                 .put("shore", machine.kind.zone())
                 .put("driftwood", machine.kind.spot())
-                .put("tide", machine.worker == null ? "booting" : machine.worker.alive() ? "running" : "failed")
+                .put("tide", machine.agent == null ? "booting" : machine.agent.alive() ? "running" : "failed")
                 .put("held_s", Duration.between(machine.rented, loop.now()).toMillis() / 1000.0);
     }
 }
--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -131,7 +131,7 @@
     }
 
     /** This client alone gets 503 to everything; its open watches wait, and its leases run out. */
-    public void refuseFrom(String client, boolean on) {
+    public void rejectFrom(String client, boolean on) {
         if (on) {
             refused.add(client);
         } else {
@@ -141,42 +141,42 @@
     }
 
     /** This share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
-    public void lateWrites(double share, RandomGenerator random) {
+    public void applyLate(double share, RandomGenerator random) {
         lateShare = share;
         lateRandom = random;
     }
 
     /** This share of transactions is carried out at once, and only its answer is lost. */
-    public void loseAnswers(double share, RandomGenerator random) {
+    public void dropResponses(double share, RandomGenerator random) {
         lostShare = share;
         lostRandom = random;
     }
 
     /** The next transaction with a change of which this holds gets no answer and is carried out so much later. */
-    public void holdUpNext(Predicate<JsonNode> change, Duration by) {
+    public void delayNextCommit(Predicate<JsonNode> change, Duration by) {
         heldUp = change;
         heldUpBy = by;
     }
 
     /** From now on the answers to these calls, by client and call, come so much later; what they ask for is done at once. */
-    public void answerLate(BiPredicate<String, HttpExchange> which, Duration by) {
+    public void delayResponses(BiPredicate<String, HttpExchange> which, Duration by) {
         answeredLate = which;
         answeredLateBy = by;
     }
 
     /** Is told of every value that is put under this key, at that very moment. */
-    public void whenPut(String key, Consumer<JsonNode> listener) {
+    public void onPut(String key, Consumer<JsonNode> listener) {
         listeners.put(key, listener);
     }
 
     /** Answers come up to so many milliseconds late, each by another time. */
-    public void slow(int mostMillis, RandomGenerator random) {
+    public void addLatency(int mostMillis, RandomGenerator random) {
         slowMillis = mostMillis;
         slowRandom = random;
     }
 
     /** Everything is served as usual again. */
-    public void calm() {
+    public void restore() {
         refused.clear();
         lateShare = 0;
         lostShare = 0;
@@ -427,10 +427,10 @@
         }
         exchange.respond(200, Cbor.encode(Cbor.map().put("logline", revision)));
         wake();
-        tellListeners(body);
+        notifyListeners(body);
     }
 
-    private void tellListeners(ObjectNode body) {
+    private void notifyListeners(ObjectNode body) {
         for (JsonNode change : body.path("then")) {
             Consumer<JsonNode> listener = listeners.get(change.path("put").asText());
             if (listener != null) {
--- a/src/test/java/org/gullway/fake/FakesTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -58,11 +58,11 @@
     }
 
     @Test
-    void oneClientIsRefusedAndItsWatchesWaitEvenBeyondTheirTime() {
+    void oneClientIsRejectedAndItsWatchesWaitBeyondTheirTime() {
         List<Integer> own = watch(one, 0, 5000);
         List<Integer> others = watch(two, 0, 5000);
         run(0.1);
-        store.refuseFrom("perch-0", true);
+        store.rejectFrom("perch-0", true);
         assertThat(call(one, HttpRequest.get("/store/a/b", Duration.ofSeconds(2))))
                 .isEmpty();
         List<Integer> put = put(two, 1);
@@ -72,18 +72,18 @@
         assertThat(refused).containsExactly(503);
         assertThat(others).containsExactly(200);
         assertThat(own).isEmpty();
-        store.refuseFrom("perch-0", false);
+        store.rejectFrom("perch-0", false);
         run(0.1);
         assertThat(own).containsExactly(200);
     }
 
     @Test
-    void theLeaseOfTheRefusedClientRunsOut() {
+    void theLeaseOfTheRejectedClientExpires() {
         call(one, HttpRequest.post("/grants", Cbor.encode(Cbor.map().put("life_ms", 3000)), Duration.ofSeconds(2)));
         run(0.1);
-        store.refuseFrom("perch-0", true);
+        store.rejectFrom("perch-0", true);
         run(4);
-        store.refuseFrom("perch-0", false);
+        store.rejectFrom("perch-0", false);
         List<Integer> renewed =
                 call(one, HttpRequest.post("/grants/1/renew", Cbor.encode(Cbor.map()), Duration.ofSeconds(2)));
         run(0.1);
@@ -103,11 +103,11 @@
     }
 
     @Test
-    void aLateTransactionIsCarriedOutAfterANewerOne() {
-        store.lateWrites(1, new SplittableRandom(5));
+    void aLateTransactionIsAppliedAfterANewerOne() {
+        store.applyLate(1, new SplittableRandom(5));
         List<Integer> late = put(one, 1);
         run(0.1);
-        store.lateWrites(0, new SplittableRandom(5));
+        store.applyLate(0, new SplittableRandom(5));
         List<Integer> newer = put(one, 2);
         run(1);
         assertThat(newer).containsExactly(200);
@@ -119,7 +119,7 @@
 
     @Test
     void aSlowStoreAnswersLate() {
-        store.slow(800, new SplittableRandom(5));
+        store.addLatency(800, new SplittableRandom(5));
         List<Integer> statuses = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             two.call(
@@ -134,9 +134,9 @@
     }
 
     /** Every job has tasks of a minute, whose begin and end are noted. */
-    private final class MinuteTasks implements FakeWorker.World {
+    private final class MinuteTasks implements FakeAgent.Environment {
         @Override
-        public JobRequest describe(String job) {
+        public JobRequest jobOf(String job) {
             return new JobRequest(
                     job,
                     "render",
@@ -166,39 +166,39 @@
         }
 
         @Override
-        public void began(String machine, String task) {
+        public void onTaskStarted(String machine, String task) {
             events.add(task + " began");
         }
 
         @Override
-        public void ended(String machine, String task, boolean done) {
+        public void onTaskEnded(String machine, String task, boolean done) {
             events.add(
                     task + (done ? " done" : " stopped") + " at " + time.now().getEpochSecond());
         }
     }
 
     /** A worker with one task of a minute, whose reports are answered under the present token. */
-    private FakeWorker working() {
+    private FakeAgent working() {
         network.listen(CONTROLLER, loop, exchange -> {
             reports++;
             exchange.respond(200, Cbor.encode(Cbor.map().put("baton", fencingToken)));
         });
-        FakeWorker worker = new FakeWorker(
+        FakeAgent agent = new FakeAgent(
                 loop,
                 network.client("vm-000007", loop),
                 new MinuteTasks(),
                 new SplittableRandom(1),
                 "vm-000007",
                 MACHINE,
-                new FakeWorker.Kind("small", "a", true, 16),
+                new FakeAgent.Kind("small", "a", true, 16),
                 Map.of("perch-0", CONTROLLER),
                 Duration.ofSeconds(3),
                 LEASE);
-        network.listen(MACHINE, loop, worker::handle);
+        network.listen(MACHINE, loop, agent::handle);
         command(1, "start", "run-000001/0");
         run(1);
         assertThat(events).containsExactly("run-000001/0 began");
-        return worker;
+        return agent;
     }
 
     private List<Integer> command(long agentEpoch, String verb, String task) {
@@ -213,9 +213,9 @@
     }
 
     @Test
-    void aMachineThatHangsWithinItsLeaseGoesOnWithItsTasksAndThenWithItsCommands() {
-        FakeWorker worker = working();
-        worker.hang(Duration.ofSeconds(12));
+    void aMachineThatHangsWithinItsLeaseResumesTasksThenCommands() {
+        FakeAgent agent = working();
+        agent.hang(Duration.ofSeconds(12));
         int before = reports;
         List<Integer> start = command(1, "start", "run-000001/1");
         run(11);
@@ -236,8 +236,8 @@
 
     @Test
     void aMachineThatHangsBeyondItsLeaseFirstEndsItsTasks() {
-        FakeWorker worker = working();
-        worker.hang(Duration.ofSeconds(25));
+        FakeAgent agent = working();
+        agent.hang(Duration.ofSeconds(25));
         List<Integer> start = command(1, "start", "run-000001/1");
         run(24);
         assertThat(events).as("the task is still there").hasSize(1);
@@ -250,9 +250,9 @@
     }
 
     @Test
-    void aMuteMachineReachesNobodyAndCanBeCommanded() {
+    void aMachineWithAnOutboundPartitionCanBeCommanded() {
         working();
-        network.mute("vm-000007", true);
+        network.blockOutbound("vm-000007", true);
         int before = reports;
         List<Integer> stop = command(1, "halt", "run-000001/0");
         run(8);
@@ -268,11 +268,11 @@
     }
 
     @Test
-    void reportsThatWereHeldBackArriveElsewhere() {
+    void heldHeartbeatsArriveElsewhere() {
         working();
         int[] arrived = new int[1];
         network.listen(OTHER, loop, exchange -> arrived[0]++);
-        network.holdBack("vm-000007");
+        network.holdRequests("vm-000007");
         int before = reports;
         run(15);
         assertThat(reports).isEqualTo(before);
--- a/src/test/java/org/gullway/fake/FaultyLinkTest.java
+++ b/src/test/java/org/gullway/fake/FaultyLinkTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void unansweredRequestsAreCarriedOut() {
+    void unansweredRequestsAreApplied() {
         link.set(new Conditions(0, 1, 0, SECOND, 0, 0, Duration.ZERO));
         send("/a");
         run(SECOND.multipliedBy(10));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void lateRequestsAreCarriedOutLaterAndUnanswered() {
+    void lateRequestsAreAppliedLaterAndUnanswered() {
         link.set(new Conditions(0, 0, 1, SECOND, 0, 0, Duration.ZERO));
         send("/a");
         assertThat(arrived).isEmpty();
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aClientHearsOfALostRequestThatItsTimeIsOver() {
+    void aClientTimesOutOnALostRequest() {
         link.set(new Conditions(1, 0, 0, SECOND, 0, 0, Duration.ZERO));
         List<HttpResponse.Outcome> kinds = new ArrayList<>();
         link.client((address, request, callback) -> callback.accept(HttpResponse.answered(200, new byte[0])))
--- a/src/test/java/org/gullway/fake/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/fake/SimulatedNetwork.java
@@ -106,13 +106,13 @@
     }
 
     /** Answers to requests for exactly this path, apart from its query, come so much later. */
-    public void slow(String path, Duration by) {
+    public void delayResponses(String path, Duration by) {
         slowPath = path;
         slowBy = by;
     }
 
     /** Requests of this client arrive, but no answer reaches it. */
-    public void unanswered(String client, boolean on) {
+    public void dropResponses(String client, boolean on) {
         if (on) {
             unanswered.add(client);
         } else {
@@ -121,7 +121,7 @@
     }
 
     /** This client cannot open a connection to anybody, while requests to it are served and answered. */
-    public void mute(String client, boolean on) {
+    public void blockOutbound(String client, boolean on) {
         if (on) {
             mute.add(client);
         } else {
@@ -130,7 +130,7 @@
     }
 
     /** Requests of this client are kept back until {@link #release}; it hears nothing of them. */
-    public void holdBack(String client) {
+    public void holdRequests(String client) {
         heldBack.add(client);
     }
 
@@ -146,7 +146,7 @@
     }
 
     /** From now on this share of the requests for a path is delivered again, up to so much later, to any of these. */
-    public void copyLate(double share, String path, Duration most, List<String> addresses) {
+    public void duplicateLate(double share, String path, Duration most, List<String> addresses) {
         copied = share;
         copiedPath = path;
         copiedLater = most;
@@ -154,13 +154,13 @@
     }
 
     /** From now on a copy of this share of the requests for a path is kept until {@link #releaseCopies}. */
-    public void keepCopies(double share, String path) {
+    public void recordCopies(double share, String path) {
         keptShare = share;
         keptPath = path;
     }
 
     /** All copies that were kept arrive at each of these addresses; nobody hears the answers. */
-    public void releaseCopies(List<String> addresses) {
+    public void replayCopies(List<String> addresses) {
         for (Held copy : keptCopies) {
             addresses.forEach(address ->
                     deliver(copy.from(), copy.process(), address, copy.request(), response -> {}, latency()));
@@ -172,7 +172,7 @@
      * From now on this share of the requests for a path is held up on its way for 2 to 16 s: the sender hears nothing,
      * and the request arrives once.
      */
-    public void holdUp(double share, String path) {
+    public void delayRequests(double share, String path) {
         heldUpShare = share;
         heldUpPath = path;
     }
@@ -275,7 +275,7 @@
                     response -> wires.after(
                             request.path().split("\\?")[0].equals(slowPath) ? slowBy : Duration.ZERO,
                             () -> answer(from, sender, address, finish, response)));
-            if (host.process().standsStill()) {
+            if (host.process().isFrozen()) {
                 host.process().execute(() -> host.handler().accept(message));
             } else {
                 host.handler().accept(message);
@@ -294,7 +294,7 @@
             if (isCut(from, address) || unanswered.contains(from) || sender.killed()) {
                 return;
             }
-            if (sender.standsStill()) {
+            if (sender.isFrozen()) {
                 sender.execute(() -> finish.accept(response));
             } else {
                 finish.accept(response);
--- a/src/test/java/org/gullway/fake/SimulatedTime.java
+++ b/src/test/java/org/gullway/fake/SimulatedTime.java
@@ -22,7 +22,7 @@
     /** The loop of one process; after {@link #kill()} nothing of it runs any more. */
     public final class Process implements EventLoop {
         private boolean killed;
-        private Instant stillUntil = Instant.EPOCH;
+        private Instant frozenUntil = Instant.EPOCH;
 
         @Override
         public Instant now() {
@@ -46,20 +46,20 @@
             if (killed || cancelled[0]) {
                 return;
             }
-            if (standsStill()) {
-                queue.add(new Due(stillUntil, order++, () -> runOrWait(task, cancelled)));
+            if (isFrozen()) {
+                queue.add(new Due(frozenUntil, order++, () -> runOrWait(task, cancelled)));
             } else {
                 task.run();
             }
         }
 
         /** It runs nothing for so long while the clocks go on; then all that was due meanwhile, in order. */
-        public void standStill(Duration span) {
-            stillUntil = now.plus(span);
+        public void freeze(Duration span) {
+            frozenUntil = now.plus(span);
         }
 
-        public boolean standsStill() {
-            return now.isBefore(stillUntil);
+        public boolean isFrozen() {
+            return now.isBefore(frozenUntil);
         }
 
         public void kill() {
@@ -89,7 +89,7 @@
     }
 
     /** The present task takes so long; what is due meanwhile runs after it. */
-    public void spend(Duration span) {
+    public void advance(Duration span) {
         now = now.plus(span);
     }
 }
--- a/src/test/java/org/gullway/protocol/FormatsTest.java
+++ b/src/test/java/org/gullway/protocol/FormatsTest.java
@@ -71,7 +71,7 @@
     }
 
     @Property(tries = 2000, seed = "2")
-    void spoiltBodiesAreRefusedInOrder(@ForAll("requests") JobRequest request, @ForAll long seed) {
+    void corruptedBodiesAreRejected(@ForAll("requests") JobRequest request, @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] body = Cbor.encode(request.toNode());
         for (int i = 1 + random.nextInt(4); i > 0; i--) {
@@ -146,7 +146,7 @@
     }
 
     @Property(tries = 300, seed = "3")
-    void offersSurviveTheMesh(
+    void offersSurviveTheirEncoding(
             @ForAll @IntRange(min = 0) int machine, @ForAll long agentEpoch, @ForAll @Size(max = 5) List<String> asked)
             throws MalformedMessageException {
         List<String> names = new ArrayList<>();
@@ -162,7 +162,7 @@
     }
 
     @Property(tries = 50, seed = "8")
-    void endsSurviveTheMeshAndCutOnesAreRefused(
+    void completionsSurviveTheirEncodingAndTruncatedOnesAreRejected(
             @ForAll @IntRange(min = 0, max = 99_999) int task, @ForAll long attempt, @ForAll byte end)
             throws MalformedMessageException {
         List<AttemptCompletion> ends = List.of(
@@ -177,7 +177,7 @@
     }
 
     @Property(tries = 50, seed = "9")
-    void cancellationsSurviveTheMeshAndCutOnesAreRefused(
+    void cancellationsSurviveTheirEncodingAndTruncatedOnesAreRejected(
             @ForAll @IntRange(min = 0, max = 99_999) int task,
             @ForAll long attempt,
             @ForAll @IntRange(max = 60) int jobs)
--- a/src/test/java/org/gullway/storage/ReplicatedStateTest.java
+++ b/src/test/java/org/gullway/storage/ReplicatedStateTest.java
@@ -91,7 +91,7 @@
         ClusterState another = new ClusterState();
         Incarnation next = new Incarnation(TestFixtures.SELF.node(), 99);
         test.time.runUntil(test.time.now().plusMillis(millis));
-        test.network.slow("/store", Duration.ofMillis(700));
+        test.network.delayResponses("/store", Duration.ofMillis(700));
         test.own.kill();
         SimulatedTime.Process process = test.time.process();
         ReplicatedState restarted = new ReplicatedState(
@@ -194,7 +194,7 @@
     @Test
     void isNotEntitledBeforeItKnowsWhatWasCommittedUntilItJoined() {
         run(2);
-        network.slow("/watch", Duration.ofMillis(900));
+        network.delayResponses("/watch", Duration.ofMillis(900));
         new StateStoreClient(network.client("other", process), STATE).end(1, outcome -> {});
         int entitled = 0;
         int behind = 0;
@@ -214,11 +214,11 @@
     @Test
     void oneCommitIsOnItsWayThoughAnOlderOneIsAnsweredLate() {
         run(2);
-        network.slow("/commit", Duration.ofMillis(2500));
+        network.delayResponses("/commit", Duration.ofMillis(2500));
         List<ReplicatedState.CommitResult> results = new ArrayList<>();
         replicatedState.commit(draft(), results::add);
         time.runUntil(time.now().plusMillis(50));
-        network.slow("", Duration.ZERO);
+        network.delayResponses("", Duration.ZERO);
         new StateStoreClient(network.client("other", process), STATE).end(1, outcome -> {});
         for (int i = 0;
                 i < 2500
@@ -229,7 +229,7 @@
         }
         assertThat(replicatedState.canCommit()).as("joined anew").isTrue();
         assertThat(results).as("the first is still open").isEmpty();
-        network.slow("/commit", Duration.ofMillis(2900));
+        network.delayResponses("/commit", Duration.ofMillis(2900));
         replicatedState.commit(draft(), results::add);
         for (int i = 0; i < 2800; i++) {
             time.runUntil(time.now().plusMillis(1));
--- a/src/test/java/org/gullway/transport/ConnectionPoolTest.java
+++ b/src/test/java/org/gullway/transport/ConnectionPoolTest.java
@@ -43,7 +43,7 @@
 
     /** Machines that are cut off take one socket each at most, and never those of the state service. */
     @Test
-    void aConnectThatWasGivenUpIsNotRepeatedUntilItEnds() {
+    void anAbandonedConnectIsNotRepeatedUntilItEnds() {
         String silent = "10.1.0.7:9000";
         assertThat(pool.mayConnect(silent)).isTrue();
         pool.abandon(silent);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void mostSocketsTakenMeansThatConnectionsCloseWithTheirAnswers() {
+    void connectionsCloseWithTheirResponseWhenSocketsRunShort() {
         socketBudget.onAcceptedChange(60);
         assertThat(socketBudget.isCrowded()).isFalse();
         socketBudget.onAcceptedChange(9);
--- a/src/test/java/org/gullway/worker/HeartbeatAdmissionTest.java
+++ b/src/test/java/org/gullway/worker/HeartbeatAdmissionTest.java
@@ -24,7 +24,7 @@
 
     private HeartbeatAdmission intake(Duration each) {
         return new HeartbeatAdmission(loop, exchange -> {
-            time.spend(each);
+            time.advance(each);
             handled++;
             exchange.respond(200, new byte[0]);
         });
@@ -35,7 +35,7 @@
         HeartbeatAdmission intake = intake(Duration.ofMillis(1));
         for (int i = 0; i < 100; i++) {
             intake.admit(report());
-            time.spend(Duration.ofMillis(20));
+            time.advance(Duration.ofMillis(20));
             assertThat(handled).isEqualTo(i + 1);
         }
     }
