--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -16,10 +16,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.concurrent.ConcurrentSkipListMap;
-import java.util.concurrent.ExecutorService;
-import java.util.concurrent.Executors;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import org.gullway.coordination.model.StoreKeys;
@@ -48,7 +44,6 @@
     static final Duration LEASE = Duration.ofSeconds(4);
     static final Duration CANCEL = Duration.ofSeconds(12);
     private static final Duration PEER_LIMIT = Duration.ofSeconds(4);
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
     private static final String OPERATOR_SETTINGS = "operator.xml";
     private static final int BODY_LIMIT = 64 * 1024;
     private static final int SOCKETS = 10_000;
@@ -114,16 +109,9 @@
     private final List<HeldAddress> held = new ArrayList<>();
     private final Map<String, String> publicAddresses = new LinkedHashMap<>();
     private final Map<String, String> meshAddresses = new LinkedHashMap<>();
-    private final Map<String, Process> processes = new ConcurrentSkipListMap<>();
+    private final ControllerProcesses processes;
     private final Deque<SpareServer> spareServers = new ArrayDeque<>();
-    /** Starts and signals processes, which takes long beside what the event loop does. */
-    private final ExecutorService starter = Executors.newSingleThreadExecutor();
-
     private final Path directory;
-    private final Consumer<String> ended;
-    /** Ends the processes also when this one is ended from outside. */
-    private final Thread atShutdown = new Thread(this::killAll);
-
     /**
      * @param machines is told of every machine that is up
      * @param ended is told of controllers that end by themselves
@@ -131,19 +119,19 @@
     LoopbackCluster(long seed, Setup setup, Consumer<String> ended, MachineListener machines) throws IOException {
         this.setup = setup;
         this.random = new SplittableRandom(seed);
-        this.ended = ended;
         this.directory = Files.createTempDirectory("gullway-soak");
         this.worker = Xnio.getInstance()
                 .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
         XnioEventLoop ioLoop = new XnioEventLoop(worker.getIoThread());
         this.loop = new StoppableEventLoop(ioLoop);
         this.client = new UndertowHttpClient(ioLoop, buffers, socketBudget, Set.of());
+        this.processes = new ControllerProcesses(
+                setup.command(), setup.logLevel(), directory, cause -> loop.execute(() -> ended.accept(cause)));
         this.store = new FakeStateStore(loop);
         for (int i = 0; i < 3; i++) {
             publicAddresses.put("perch-" + i, hold());
             meshAddresses.put("perch-" + i, hold());
         }
-        Runtime.getRuntime().addShutdownHook(atShutdown);
         this.cloud = new FakeCloud(loop, types(), setup.capacity(), (name, kind) -> boot(name, kind, machines));
     }
 
@@ -220,15 +208,25 @@
         for (String name : nodes()) {
             String state = listen(link(name + ">state").server(name, store::handle));
             String cloudAddress = listen(link(name + ">cloud").server(name, cloud::handle));
-            List<String> seeds = new ArrayList<>();
+            List<Settings.Peer> seeds = new ArrayList<>();
             for (String peer : nodes()) {
                 if (!peer.equals(name)) {
                     String address =
                             listen(link(name + ">" + peer).forwarder(meshAddresses.get(peer), client, PEER_LIMIT));
-                    seeds.add(seed(peer, address));
+                    seeds.add(new Settings.Peer(peer, zone(peer), address));
                 }
             }
-            write(name + ".toml", settings(name, state, cloudAddress, seeds));
+            write(
+                    name + ".toml",
+                    new NodeSettings(
+                                    name,
+                                    zone(name),
+                                    publicAddresses.get(name),
+                                    meshAddresses.get(name),
+                                    seeds,
+                                    cloudAddress,
+                                    state)
+                            .toToml(setup));
             startController(name);
         }
     }
@@ -237,79 +235,6 @@
         return node.equals("perch-2") ? "b" : "a";
     }
 
-    private static String seed(String peer, String address) {
-        return """
-                [[seeds]]
-                node_name = "%s"
-                site = "%s"
-                addr = "%s"
-                """
-                .formatted(peer, zone(peer), address);
-    }
-
-    private String settings(String name, String state, String cloudAddress, List<String> seeds) {
-        StringBuilder teams = new StringBuilder();
-        setup.teams()
-                .values()
-                .forEach(team -> teams.append(
-                        """
-                [[facts.teams]]
-                name = "%s"
-                cpus = %s
-                cpus_max = %s
-                """
-                                .formatted(team.name(), team.cpus(), team.cpusMax())));
-        return """
-                node_name = "%s"
-                site = "%s"
-                public_addr = "%s"
-                mesh_addr = "%s"
-                %s
-                [external]
-                cloud = "%s"
-                state = "%s"
-                [facts]
-                count = 3
-                zones = ["a", "b"]
-                clock_off_ms = 25.0
-                %s
-                [facts.workers]
-                report_s = %s
-                lease_s = %s
-                cancel_s = %s
-                [facts.state]
-                rps = 150.0
-                write_rps = %s
-                value_kb = 16.0
-                txn_ops = %s
-                [facts.cloud]
-                rps = 10.0
-                list_lag_s = 0.5
-                [facts.quota]
-                cpu = 1.0
-                mem_mb = 320.0
-                sockets = 1000
-                """
-                .formatted(
-                        name,
-                        zone(name),
-                        publicAddresses.get(name),
-                        meshAddresses.get(name),
-                        String.join("", seeds),
-                        cloudAddress,
-                        state,
-                        teams,
-                        seconds(setup.heartbeatInterval()),
-                        seconds(setup.lease()),
-                        seconds(setup.cancel()),
-                        (double) FakeStateStore.CHANGES_PER_SECOND,
-                        FakeStateStore.CHANGES_PER_COMMIT);
-    }
-
-    private static double seconds(Duration duration) {
-        return duration.toMillis() / 1000.0;
-    }
-
     private Path write(String file, String text) {
         try {
             return Files.writeString(directory.resolve(file), text);
@@ -335,79 +260,32 @@
     // Processes
 
     void startController(String name) {
-        starter.execute(() -> processes.computeIfAbsent(name, this::startProcess));
-    }
-
-    private Process startProcess(String name) {
-        List<String> command = new ArrayList<>(setup.command());
-        command.addAll(List.of(
-                "--config",
-                directory.resolve(name + ".toml").toString(),
-                "--operator-settings",
-                directory.resolve(OPERATOR_SETTINGS).toString()));
-        ProcessBuilder builder = new ProcessBuilder(command);
-        builder.environment().put("LOG_LEVEL", setup.logLevel());
-        builder.redirectErrorStream(true);
-        builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log(name).toFile()));
-        try {
-            Process process = builder.start();
-            process.onExit().thenAccept(exited -> loop.execute(() -> exited(name, exited)));
-            return process;
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-    }
-
-    private void exited(String name, Process process) {
-        if (processes.remove(name, process)) {
-            ended.accept(
-                    name + " ended by itself, with code " + process.exitValue() + ", its last line: " + lastLine(name));
-        }
+        processes.start(name, directory.resolve(name + ".toml"), directory.resolve(OPERATOR_SETTINGS));
     }
 
     /** Ends the process at once, as a crash does. */
     void kill(String name) {
-        starter.execute(() -> {
-            Process process = processes.remove(name);
-            if (process != null) {
-                process.destroyForcibly();
-            }
-        });
+        processes.kill(name);
     }
 
     /** Asks the process to end, which lets it write what it has recorded. */
     void terminate(String name) {
-        starter.execute(() -> {
-            Process process = processes.remove(name);
-            if (process != null) {
-                process.destroy();
-            }
-        });
-    }
-
-    /** Ids of the controllers' processes that run now, by controller. */
-    Map<String, Long> processIds() {
-        Map<String, Long> ids = new TreeMap<>();
-        processes.forEach((name, process) -> ids.put(name, process.pid()));
-        return ids;
+        processes.terminate(name);
     }
 
     /** Stops the process where it is, or lets it go on. */
     void pause(String name, boolean on) {
-        starter.execute(() -> {
-            Process process = processes.get(name);
-            if (process != null) {
-                signal(process, on ? "-STOP" : "-CONT");
-            }
-        });
+        processes.pause(name, on);
     }
 
-    private static void signal(Process process, String signal) {
-        try {
-            new ProcessBuilder("kill", signal, Long.toString(process.pid())).start();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+    /** Ids of the controllers' processes that run now, by controller. */
+    Map<String, Long> processIds() {
+        return processes.ids();
+    }
+
+    /** Lines of the controllers' logs that contain any of these texts. */
+    List<String> logLines(List<String> texts) {
+        return processes.logLines(nodes(), texts);
     }
 
     /** All links are good, all controllers run, and the state service serves everybody. */
@@ -423,72 +301,24 @@
         });
     }
 
-    private String lastLine(String name) {
-        try {
-            List<String> lines = Files.readAllLines(log(name));
-            return lines.isEmpty() ? "none" : lines.get(lines.size() - 1);
-        } catch (IOException e) {
-            return "unreadable: " + e.getMessage();
-        }
-    }
-
     /** The address at which peers reach the controller of this name. */
     String meshAddress(String name) {
         return meshAddresses.get(name);
     }
 
-    private Path log(String name) {
-        return directory.resolve(name + ".log");
-    }
-
-    /** Lines of the controllers' logs that contain any of these texts. */
-    List<String> logLines(List<String> texts) {
-        List<String> found = new ArrayList<>();
-        for (String name : nodes()) {
-            if (!Files.exists(log(name))) {
-                continue;
-            }
-            try (Stream<String> lines = Files.lines(log(name))) {
-                lines.filter(line -> texts.stream().anyMatch(line::contains))
-                        .forEach(line -> found.add(name + ": " + line));
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-        }
-        return found;
-    }
-
-    private List<Process> killAll() {
-        List<Process> all = List.copyOf(processes.values());
-        processes.clear();
-        all.forEach(Process::destroyForcibly);
-        return all;
-    }
-
-    /** Ends all processes and forgets their files. */
+    /** Ends all processes and removes their files. */
     @Override
     public void close() {
         loop.stop();
-        starter.shutdown();
-        try {
-            // A process that is just being started must not be left behind.
-            starter.awaitTermination(PATIENCE.toSeconds(), TimeUnit.SECONDS);
-            List<Process> all = killAll();
-            Runtime.getRuntime().removeShutdownHook(atShutdown);
-            for (Process process : all) {
-                process.waitFor(PATIENCE.toSeconds(), TimeUnit.SECONDS);
-            }
-            worker.shutdownNow();
-            held.forEach(HeldAddress::close);
-            try (Stream<Path> files = Files.walk(directory)) {
-                for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(file);
-                }
+        processes.close();
+        worker.shutdownNow();
+        held.forEach(HeldAddress::close);
+        try (Stream<Path> files = Files.walk(directory)) {
+            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(file);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
         }
     }
 }
--- /dev/null
+++ b/src/test/java/org/gullway/NodeSettings.java
@@ -0,0 +1,94 @@
+package org.gullway;
+
+import java.time.Duration;
+import java.util.List;
+import org.gullway.fake.FakeStateStore;
+import org.gullway.protocol.Settings;
+
+/** The settings file of one controller on loopback. */
+record NodeSettings(
+        String name,
+        String zone,
+        String publicAddress,
+        String peerAddress,
+        List<Settings.Peer> peers,
+        String cloudAddress,
+        String stateAddress) {
+
+    private static double seconds(Duration duration) {
+        return duration.toMillis() / 1000.0;
+    }
+
+    private static String toToml(Settings.Peer peer) {
+        return """
+                [[seeds]]
+                node_name = "%s"
+                site = "%s"
+                addr = "%s"
+                """
+                .formatted(peer.name(), peer.zone(), peer.address());
+    }
+
+    private static String toToml(Settings.Team team) {
+        return """
+                [[facts.teams]]
+                name = "%s"
+                cpus = %s
+                cpus_max = %s
+                """
+                .formatted(team.name(), team.cpus(), team.cpusMax());
+    }
+
+    /** The file as the platform would write it. */
+    String toToml(LoopbackCluster.Setup setup) {
+        StringBuilder seeds = new StringBuilder();
+        peers.forEach(peer -> seeds.append(toToml(peer)));
+        StringBuilder teams = new StringBuilder();
+        setup.teams().values().forEach(team -> teams.append(toToml(team)));
+        return """
+                node_name = "%s"
+                site = "%s"
+                public_addr = "%s"
+                mesh_addr = "%s"
+                %s
+                [external]
+                cloud = "%s"
+                state = "%s"
+                [facts]
+                count = 3
+                zones = ["a", "b"]
+                clock_off_ms = 25.0
+                %s
+                [facts.workers]
+                report_s = %s
+                lease_s = %s
+                cancel_s = %s
+                [facts.state]
+                rps = 150.0
+                write_rps = %s
+                value_kb = 16.0
+                txn_ops = %s
+                [facts.cloud]
+                rps = 10.0
+                list_lag_s = 0.5
+                [facts.quota]
+                cpu = 1.0
+                mem_mb = 320.0
+                sockets = 1000
+                """
+                .formatted(
+                        name,
+                        zone,
+                        publicAddress,
+                        peerAddress,
+                        seeds,
+                        cloudAddress,
+                        stateAddress,
+                        teams,
+                        seconds(setup.heartbeatInterval()),
+                        seconds(setup.lease()),
+                        seconds(setup.cancel()),
+                        (double) FakeStateStore.CHANGES_PER_SECOND,
+                        FakeStateStore.CHANGES_PER_COMMIT);
+    }
+}
--- a/src/test/java/org/gullway/ResponseLog.java
+++ b/src/test/java/org/gullway/ResponseLog.java
@@ -4,6 +4,7 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
+import org.gullway.fake.ForwardingExchange;
 import org.gullway.fake.SimulatedTime;
 import org.gullway.transport.HttpExchange;
 
@@ -61,30 +62,19 @@
         }
     }
 
-    private record LoggedCall(HttpExchange exchange, Entry entry, SimulatedTime time) implements HttpExchange {
-        @Override
-        public String method() {
-            return exchange.method();
-        }
-
-        @Override
-        public String path() {
-            return exchange.path();
-        }
+    private static final class LoggedExchange extends ForwardingExchange {
+        private final Entry entry;
+        private final SimulatedTime time;
 
-        @Override
-        public String query() {
-            return exchange.query();
-        }
-
-        @Override
-        public byte[] body() {
-            return exchange.body();
+        LoggedExchange(HttpExchange exchange, Entry entry, SimulatedTime time) {
+            super(exchange);
+            this.entry = entry;
+            this.time = time;
         }
 
-        private void note(int status) {
+        private void record(int status) {
             if (entry.answered != null) {
-                throw new IllegalStateException(exchange.path() + " is answered a second time");
+                throw new IllegalStateException(path() + " is answered a second time");
             }
             entry.answered = time.now();
             entry.status = status;
@@ -92,15 +82,15 @@
 
         @Override
         public void respond(int status, byte[] content) {
-            note(status);
-            exchange.respond(status, content);
+            record(status);
+            super.respond(status, content);
         }
 
         @Override
         public void reject(int status, Duration retryAfter) {
-            note(status);
+            record(status);
             entry.comeBack = retryAfter.compareTo(Duration.ofSeconds(1)) >= 0;
-            exchange.reject(status, retryAfter);
+            super.reject(status, retryAfter);
         }
     }
 
@@ -114,7 +104,7 @@
     HttpExchange logged(String node, HttpExchange exchange) {
         Entry entry = new Entry(node, Kind.of(exchange), time.now());
         entries.add(entry);
-        return new LoggedCall(exchange, entry, time);
+        return new LoggedExchange(exchange, entry, time);
     }
 
     void clear() {
--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -43,36 +43,25 @@
         }
     }
 
-    /** A call whose answer comes so much later; what it asks for is done at once. */
-    private record LateCall(EventLoop loop, HttpExchange exchange, Duration by) implements HttpExchange {
-        @Override
-        public String method() {
-            return exchange.method();
-        }
-
-        @Override
-        public String path() {
-            return exchange.path();
-        }
+    /** An exchange whose response comes later; what it asks for is done at once. */
+    private static final class LateExchange extends ForwardingExchange {
+        private final EventLoop loop;
+        private final Duration delay;
 
-        @Override
-        public String query() {
-            return exchange.query();
-        }
-
-        @Override
-        public byte[] body() {
-            return exchange.body();
+        LateExchange(EventLoop loop, HttpExchange exchange, Duration delay) {
+            super(exchange);
+            this.loop = loop;
+            this.delay = delay;
         }
 
         @Override
         public void respond(int status, byte[] content) {
-            loop.after(by, () -> exchange.respond(status, content));
+            loop.after(delay, () -> super.respond(status, content));
         }
 
         @Override
         public void reject(int status, Duration retryAfter) {
-            loop.after(by, () -> exchange.reject(status, retryAfter));
+            loop.after(delay, () -> super.reject(status, retryAfter));
         }
     }
 
@@ -296,11 +285,11 @@
 
     private HttpExchange delayed(String client, HttpExchange received) {
         if (answeredLate.test(client, received)) {
-            return new LateCall(loop, received, answeredLateBy);
+            return new LateExchange(loop, received, answeredLateBy);
         }
         return slowMillis == 0
                 ? received
-                : new LateCall(loop, received, Duration.ofMillis(slowRandom.nextInt(slowMillis)));
+                : new LateExchange(loop, received, Duration.ofMillis(slowRandom.nextInt(slowMillis)));
     }
 
     private void receiveCommit(HttpExchange exchange, ObjectNode body) {
