--- /dev/null
+++ b/src/test/java/org/gullway/ArchitecturePageTest.java
@@ -0,0 +1,62 @@
+package org.gullway;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** The pages for newcomers name classes and methods that exist. */
+class ArchitecturePageTest {
+    private static final Path SOURCES = Path.of("src/main/java/org/gullway");
+    /** A class, alone or with one of its members, such as {@code Transaction.putJob}. */
+    private static final Pattern NAME = Pattern.compile("`([A-Z][A-Za-z]+)(?:\\.([A-Za-z_]+))?`");
+    /** Names in the same form that are no classes of this project. */
+    private static final List<String> OTHERS = List.of("InstantSource");
+
+    private static Map<String, String> sourcesByClass() throws IOException {
+        Map<String, String> sources = new TreeMap<>();
+        try (Stream<Path> files = Files.walk(SOURCES)) {
+            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
+                sources.put(file.getFileName().toString().replace(".java", ""), Files.readString(file));
+            }
+        }
+        sources.put("LayersTest", "");
+        return sources;
+    }
+
+    private static List<String> missing(String page) throws IOException {
+        Map<String, String> sources = sourcesByClass();
+        List<String> missing = new ArrayList<>();
+        Matcher names = NAME.matcher(Files.readString(Path.of("docs", page)));
+        while (names.find()) {
+            String type = names.group(1);
+            String member = names.group(2);
+            if (OTHERS.contains(type)) {
+                continue;
+            }
+            String source = sources.get(type);
+            if (source == null
+                    || member != null
+                            && !Pattern.compile("\\b" + member + "\\b")
+                                    .matcher(source)
+                                    .find()) {
+                missing.add(names.group());
+            }
+        }
+        return missing;
+    }
+
+    @Test
+    void namesOfTheArchitecturePageExist() throws IOException {
+        assertThat(missing("architecture.md")).isEmpty();
+    }
+}
