--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -7,10 +7,8 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
@@ -20,8 +18,9 @@
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpExchange;
+import org.gullway.transport.HttpStatus;
 
-/** The state service as its protocol describes it, in memory. */
+/** The state store as its protocol describes it, in memory. */
 public final class FakeStateStore {
     private record Entry(JsonNode value, long version, long lease) {}
 
@@ -43,28 +42,6 @@
         }
     }
 
-    /** An exchange whose response comes later; what it asks for is done at once. */
-    private static final class LateExchange extends ForwardingExchange {
-        private final EventLoop loop;
-        private final Duration delay;
-
-        LateExchange(EventLoop loop, HttpExchange exchange, Duration delay) {
-            super(exchange);
-            this.loop = loop;
-            this.delay = delay;
-        }
-
-        @Override
-        public void respond(int status, byte[] content) {
-            loop.after(delay, () -> super.respond(status, content));
-        }
-
-        @Override
-        public void reject(int status, Duration retryAfter) {
-            loop.after(delay, () -> super.reject(status, retryAfter));
-        }
-    }
-
     private static final class Lease {
         private Duration life;
         private Instant end;
@@ -77,25 +54,9 @@
     private final List<Watch> watches = new ArrayList<>();
     private long revision;
     private long nextLease;
-    private boolean down;
-    private final Set<String> refused = new HashSet<>();
-    private double lateShare;
-    private RandomGenerator lateRandom;
-    private double lostShare;
-    private RandomGenerator lostRandom;
-    private Predicate<JsonNode> heldUp;
-    private Duration heldUpBy;
-    private BiPredicate<String, HttpExchange> answeredLate = (client, exchange) -> false;
-    private Duration answeredLateBy = Duration.ZERO;
+    private final StoreFaults faults;
+    private final CommitLimits limits;
     private final Map<String, Consumer<JsonNode>> listeners = new HashMap<>();
-    private int slowMillis;
-    private RandomGenerator slowRandom;
-    /** Changes by the first two parts of their keys, such as live/jobs. */
-    private final Map<String, Integer> changes = new TreeMap<>();
-
-    private int largestValue;
-    private double tokens;
-    private Instant tokensAt;
 
     /** Limits of the settings; what goes over them is refused. */
     public static final int CHANGES_PER_SECOND = 30;
@@ -105,78 +66,62 @@
 
     public FakeStateStore(EventLoop loop) {
         this.loop = loop;
-        this.tokens = CHANGES_PER_SECOND;
-        this.tokensAt = loop.now();
+        this.faults = new StoreFaults(loop);
+        this.limits = new CommitLimits(loop);
         loop.every(Duration.ofMillis(20), this::expire);
     }
 
-    /** In an outage everything is refused, open watches stay open; afterwards leases have their full time again. */
+    /** In an outage everything is rejected, open watches stay open; afterwards leases have their full time again. */
     public void setDown(boolean value) {
-        down = value;
+        faults.setDown(value);
         if (!value) {
             leases.values().forEach(lease -> lease.end = loop.now().plus(lease.life));
             wake();
         }
     }
 
-    /** This client alone gets 503 to everything; its open watches wait, and its leases run out. */
+    /** This client alone gets 503 to everything; its open watches wait, and its leases expire. */
     public void rejectFrom(String client, boolean on) {
-        if (on) {
-            refused.add(client);
-        } else {
-            refused.remove(client);
+        faults.rejectFrom(client, on);
+        if (!on) {
             wake();
         }
     }
 
-    /** This share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
+    /** This share of transactions gets no response and is applied 2 to 12 s later, after newer ones. */
     public void applyLate(double share, RandomGenerator random) {
-        lateShare = share;
-        lateRandom = random;
+        faults.applyLate(share, random);
     }
 
-    /** This share of transactions is carried out at once, and only its answer is lost. */
+    /** This share of transactions is applied at once, and only its response is lost. */
     public void dropResponses(double share, RandomGenerator random) {
-        lostShare = share;
-        lostRandom = random;
-    }
-
-    /** The next transaction with a change of which this holds gets no answer and is carried out so much later. */
-    public void delayNextCommit(Predicate<JsonNode> change, Duration by) {
-        heldUp = change;
-        heldUpBy = by;
+        faults.dropResponses(share, random);
     }
 
-    /** From now on the answers to these calls, by client and call, come so much later; what they ask for is done at once. */
-    public void delayResponses(BiPredicate<String, HttpExchange> which, Duration by) {
-        answeredLate = which;
-        answeredLateBy = by;
+    /** The next transaction with a change of which this holds gets no response and is applied after the delay. */
+    public void delayNextCommit(Predicate<JsonNode> change, Duration delay) {
+        faults.delayNextCommit(change, delay);
     }
 
-    /** Is told of every value that is put under this key, at that very moment. */
-    public void onPut(String key, Consumer<JsonNode> listener) {
-        listeners.put(key, listener);
+    /** From now on the responses to these requests, by client and exchange, are delayed; what they ask for is done at once. */
+    public void delayResponses(BiPredicate<String, HttpExchange> which, Duration delay) {
+        faults.delayResponses(which, delay);
     }
 
-    /** Answers come up to so many milliseconds late, each by another time. */
+    /** Responses come up to so many milliseconds late, each by another time. */
     public void addLatency(int mostMillis, RandomGenerator random) {
-        slowMillis = mostMillis;
-        slowRandom = random;
+        faults.addLatency(mostMillis, random);
     }
 
     /** Everything is served as usual again. */
     public void restore() {
-        refused.clear();
-        lateShare = 0;
-        lostShare = 0;
-        heldUp = null;
-        slowMillis = 0;
-        answeredLate = (client, exchange) -> false;
+        faults.clear();
         setDown(false);
     }
 
-    private boolean serves(String client) {
-        return !down && !refused.contains(client);
+    /** Is given every value that is put under this key, at that very moment. */
+    public void onPut(String key, Consumer<JsonNode> listener) {
+        listeners.put(key, listener);
     }
 
     public JsonNode value(String key) {
@@ -186,44 +131,15 @@
 
     /** How often keys of this prefix were put or removed. */
     public int changes(String prefix) {
-        return changes.entrySet().stream()
-                .filter(e -> e.getKey().startsWith(prefix))
-                .mapToInt(Map.Entry::getValue)
-                .sum();
+        return limits.changes(prefix);
     }
 
     public int largestValue() {
-        return largestValue;
-    }
-
-    /** Whether the commit keeps the limits of the protocol; if not it is answered here. */
-    private boolean keepsLimits(HttpExchange exchange, ObjectNode body) {
-        boolean valid = body.path("then").size() <= CHANGES_PER_COMMIT
-                && body.path("guards").size() <= 4 * CHANGES_PER_COMMIT
-                && body.toString().length() <= 64 * 1024;
-        for (JsonNode change : body.path("then")) {
-            int bytes = change.path("v").toString().length();
-            largestValue = Math.max(largestValue, bytes);
-            valid &= bytes <= VALUE_BYTES;
-        }
-        if (!valid) {
-            exchange.respond(400, Cbor.encode(Cbor.map().put("error", "over a limit")));
-            return false;
-        }
-        tokens = Math.min(
-                CHANGES_PER_SECOND,
-                tokens + Duration.between(tokensAt, loop.now()).toMillis() / 1000.0 * CHANGES_PER_SECOND);
-        tokensAt = loop.now();
-        if (tokens < body.path("then").size()) {
-            exchange.respond(429, new byte[0]);
-            return false;
-        }
-        tokens -= body.path("then").size();
-        return true;
+        return limits.largestValue();
     }
 
     private void expire() {
-        if (down) {
+        if (faults.isDown()) {
             return;
         }
         List<Long> over = leases.entrySet().stream()
@@ -251,19 +167,13 @@
 
     public void handle(HttpExchange received) {
         String client = received instanceof SimulatedNetwork.Message message ? message.from() : "";
-        HttpExchange exchange = delayed(client, received);
-        if (!serves(client)) {
-            exchange.respond(503, new byte[0]);
+        HttpExchange exchange = faults.delayed(client, received);
+        if (!faults.serves(client)) {
+            exchange.respond(HttpStatus.SERVICE_UNAVAILABLE, new byte[0]);
             return;
         }
         String path = exchange.path();
-        Map<String, String> query = new HashMap<>();
-        for (String part : exchange.query().split("&")) {
-            int equals = part.indexOf('=');
-            if (equals > 0) {
-                query.put(part.substring(0, equals), part.substring(equals + 1));
-            }
-        }
+        Map<String, String> query = parse(exchange.query());
         try {
             if (path.equals("/store")) {
                 list(exchange, query);
@@ -276,45 +186,34 @@
             } else if (path.startsWith("/grants")) {
                 lease(exchange, path.split("/"));
             } else {
-                exchange.respond(404, new byte[0]);
+                exchange.respond(HttpStatus.NOT_FOUND, new byte[0]);
             }
         } catch (MalformedMessageException e) {
-            exchange.respond(400, new byte[0]);
+            exchange.respond(HttpStatus.BAD_REQUEST, new byte[0]);
         }
     }
 
-    private HttpExchange delayed(String client, HttpExchange received) {
-        if (answeredLate.test(client, received)) {
-            return new LateExchange(loop, received, answeredLateBy);
+    private static Map<String, String> parse(String query) {
+        Map<String, String> values = new HashMap<>();
+        for (String part : query.split("&")) {
+            int equals = part.indexOf('=');
+            if (equals > 0) {
+                values.put(part.substring(0, equals), part.substring(equals + 1));
+            }
         }
-        return slowMillis == 0
-                ? received
-                : new LateExchange(loop, received, Duration.ofMillis(slowRandom.nextInt(slowMillis)));
+        return values;
     }
 
     private void receiveCommit(HttpExchange exchange, ObjectNode body) {
-        if (heldUp != null && anyChange(body, heldUp)) {
-            heldUp = null;
-            loop.after(heldUpBy, () -> commitLate(exchange, body));
-        } else if (lateShare > 0 && lateRandom.nextDouble() < lateShare) {
-            loop.after(Duration.ofMillis(2000 + lateRandom.nextInt(10_000)), () -> commitLate(exchange, body));
-        } else if (lostShare > 0 && lostRandom.nextDouble() < lostShare) {
-            commit(unanswered(exchange), body);
+        StoreFaults.CommitFate fate = faults.fateOf(body);
+        if (fate.isLate()) {
+            loop.after(fate.delay(), () -> commitLate(exchange, body));
         } else {
-            commit(exchange, body);
-        }
-    }
-
-    private static boolean anyChange(ObjectNode body, Predicate<JsonNode> which) {
-        for (JsonNode change : body.path("then")) {
-            if (which.test(change)) {
-                return true;
-            }
+            commit(fate.answered() ? exchange : unanswered(exchange), body);
         }
-        return false;
     }
 
-    /** The same call, of which no answer reaches its sender. */
+    /** The same exchange, of which no response reaches the sender. */
     private static HttpExchange unanswered(HttpExchange exchange) {
         return new SimulatedNetwork.Message(
                 "", exchange.method(), exchange.path(), exchange.query(), exchange.body(), response -> {});
@@ -332,9 +231,9 @@
     private void get(HttpExchange exchange, String key) {
         Entry entry = entries.get(key);
         if (entry == null) {
-            exchange.respond(404, Cbor.encode(Cbor.map().put("logline", revision)));
+            exchange.respond(HttpStatus.NOT_FOUND, Cbor.encode(Cbor.map().put("logline", revision)));
         } else {
-            exchange.respond(200, Cbor.encode(item(key, entry)));
+            exchange.respond(HttpStatus.OK, Cbor.encode(item(key, entry)));
         }
     }
 
@@ -356,12 +255,12 @@
             }
             items.add(item(e.getKey(), e.getValue()));
         }
-        exchange.respond(200, Cbor.encode(node.put("more", more)));
+        exchange.respond(HttpStatus.OK, Cbor.encode(node.put("more", more)));
     }
 
-    /** Carries out a transaction that nobody waits for any more; an outage holds it up further. */
+    /** Applies a transaction that nobody waits for any more; an outage delays it further. */
     private void commitLate(HttpExchange exchange, ObjectNode body) {
-        if (down) {
+        if (faults.isDown()) {
             loop.after(Duration.ofMillis(500), () -> commitLate(exchange, body));
         } else {
             commit(unanswered(exchange), body);
@@ -369,56 +268,70 @@
     }
 
     private void commit(HttpExchange exchange, ObjectNode body) {
-        if (!keepsLimits(exchange, body)) {
-            return;
-        }
-        ObjectNode failure = Cbor.map();
-        ArrayNode failed = failure.putArray("failed");
-        for (JsonNode guard : body.path("guards")) {
-            Entry entry = entries.get(guard.path("k").asText());
-            if ((entry == null ? 0 : entry.version()) != guard.path("mark").asLong()) {
-                failed.add(guard.path("k").asText());
-            }
+        int status = limits.check(body);
+        if (status == HttpStatus.BAD_REQUEST) {
+            reject(exchange, "over a limit");
+        } else if (status != HttpStatus.OK) {
+            exchange.respond(status, new byte[0]);
+        } else if (namesUnknownLease(body)) {
+            reject(exchange, "no such lease");
+        } else {
+            commitIfUnchanged(exchange, body);
         }
+    }
+
+    private static void reject(HttpExchange exchange, String reason) {
+        exchange.respond(HttpStatus.BAD_REQUEST, Cbor.encode(Cbor.map().put("error", reason)));
+    }
+
+    private boolean namesUnknownLease(ObjectNode body) {
         for (JsonNode change : body.path("then")) {
             if (change.has("tether")
                     && !leases.containsKey(change.path("tether").asLong())) {
-                exchange.respond(400, Cbor.encode(Cbor.map().put("error", "no such lease")));
-                return;
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private void commitIfUnchanged(HttpExchange exchange, ObjectNode body) {
+        ObjectNode failure = Cbor.map();
+        ArrayNode failed = failure.putArray("failed");
+        for (JsonNode condition : body.path("guards")) {
+            Entry entry = entries.get(condition.path("k").asText());
+            if ((entry == null ? 0 : entry.version()) != condition.path("mark").asLong()) {
+                failed.add(condition.path("k").asText());
             }
         }
         if (!failed.isEmpty()) {
-            exchange.respond(409, Cbor.encode(failure.put("logline", revision)));
+            exchange.respond(HttpStatus.CONFLICT, Cbor.encode(failure.put("logline", revision)));
             return;
         }
         if (!body.path("then").isEmpty()) {
             revision++;
-            for (JsonNode change : body.path("then")) {
-                String[] parts = (change.has("remove") ? change.path("remove") : change.path("put"))
-                        .asText()
-                        .split("/");
-                changes.merge(parts.length > 1 ? parts[0] + "/" + parts[1] : parts[0], 1, Integer::sum);
-                if (change.has("remove")) {
-                    if (entries.remove(change.path("remove").asText()) != null) {
-                        history.add(new Event(change.path("remove").asText(), null, revision));
-                    }
-                } else {
-                    String key = change.path("put").asText();
-                    entries.put(
-                            key,
-                            new Entry(
-                                    change.path("v"),
-                                    revision,
-                                    change.path("tether").asLong()));
-                    history.add(new Event(key, change.path("v"), revision));
-                }
-            }
+            body.path("then").forEach(this::apply);
         }
-        exchange.respond(200, Cbor.encode(Cbor.map().put("logline", revision)));
+        exchange.respond(HttpStatus.OK, Cbor.encode(Cbor.map().put("logline", revision)));
         wake();
         notifyListeners(body);
     }
 
+    private void apply(JsonNode change) {
+        if (change.has("remove")) {
+            String key = change.path("remove").asText();
+            limits.count(key);
+            if (entries.remove(key) != null) {
+                history.add(new Event(key, null, revision));
+            }
+            return;
+        }
+        String key = change.path("put").asText();
+        limits.count(key);
+        JsonNode value = change.path("v");
+        entries.put(key, new Entry(value, revision, change.path("tether").asLong()));
+        history.add(new Event(key, value, revision));
+    }
+
     private void notifyListeners(ObjectNode body) {
         for (JsonNode change : body.path("then")) {
             Consumer<JsonNode> listener = listeners.get(change.path("put").asText());
@@ -467,12 +380,12 @@
                 }
             }
         }
-        watch.exchange.respond(200, Cbor.encode(node));
+        watch.exchange.respond(HttpStatus.OK, Cbor.encode(node));
     }
 
     private void wake() {
         for (Watch watch : List.copyOf(watches)) {
-            if (serves(watch.client) && (watch.timedOut || pending(watch))) {
+            if (faults.serves(watch.client) && (watch.timedOut || pending(watch))) {
                 watches.remove(watch);
                 watch.cancelTimer.run();
                 answer(watch);
@@ -487,18 +400,18 @@
                     Cbor.decode(exchange.body()).path("life_ms").asLong());
             lease.end = loop.now().plus(lease.life);
             leases.put(++nextLease, lease);
-            exchange.respond(200, Cbor.encode(Cbor.map().put("tether", nextLease)));
+            exchange.respond(HttpStatus.OK, Cbor.encode(Cbor.map().put("tether", nextLease)));
             return;
         }
         Lease lease = leases.get(Long.parseLong(parts[2]));
         if (lease == null) {
-            exchange.respond(404, new byte[0]);
+            exchange.respond(HttpStatus.NOT_FOUND, new byte[0]);
         } else if (parts.length == 4) {
             lease.end = loop.now().plus(lease.life);
-            exchange.respond(200, Cbor.encode(Cbor.map().put("tether", Long.parseLong(parts[2]))));
+            exchange.respond(HttpStatus.OK, Cbor.encode(Cbor.map().put("tether", Long.parseLong(parts[2]))));
         } else {
             endLease(Long.parseLong(parts[2]));
-            exchange.respond(200, new byte[0]);
+            exchange.respond(HttpStatus.OK, new byte[0]);
         }
     }
 }
