--- a/src/test/java/org/gullway/BadInputTest.java
+++ b/src/test/java/org/gullway/BadInputTest.java
@@ -267,7 +267,7 @@
         assertThat(cluster.violations).isEmpty();
     }
 
-    /** Reports with spoilt bytes or odd fields are answered, and the machine's work and all other requests go on. */
+    /** Heartbeats with spoilt bytes or odd fields are answered, and the machine's work and all other requests go on. */
     @Property(tries = 200, seed = "32")
     void malformedHeartbeatsAreAnsweredAndEndNothing(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -17,7 +17,7 @@
 
 /**
  * Plays a fixed list of simulated scenarios with fixed seeds and prints one hash over all messages on the simulated
- * network, those to the state service among them, with their times. A change that leaves behaviour as it is leaves the
+ * network, those to the state store among them, with their times. A change that leaves behaviour as it is leaves the
  * hash as it is. Names of classes and texts of the log are not in it.
  */
 public final class BehaviourFingerprint {
--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -109,7 +109,7 @@
     /** Where the daemon and the stand-ins of the services listen. */
     private record Addresses(String node, String state, String cloud) {}
 
-    /** Starts the stand-ins of the state service and of the cloud, whose machines listen as soon as they are rented. */
+    /** Starts the stand-ins of the state store and of the cloud, whose machines listen as soon as they are provisioned. */
     private static void listen(
             XnioWorker worker,
             DefaultByteBufferPool buffers,
--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -14,7 +14,7 @@
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.protocol.Priority;
 
-/** Transactions of which the answer is lost or that are carried out late, each with a second trouble. */
+/** Transactions of which the answer is lost or that are applied late, each with a second fault. */
 class CommitFaultsTest {
     private static final Bounds ANYWHERE = new Bounds(null, null, false, false, true);
 
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Machines are up and report within two seconds, before the transaction that puts them on record is carried out, and
-     * the leader that rented them ends. Guards the taking on record of machines that only the cloud's list shows: they
+     * Machines are up and report within two seconds, before the transaction that puts them on record is applied, and
+     * the leader that provisioned them ends. Guards the taking on record of machines that only the cloud's list shows: they
      * would neither be used nor returned.
      */
     @Property(tries = 6, seed = "203")
--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -23,7 +23,7 @@
 import org.gullway.protocol.Priority;
 import org.gullway.transport.HttpRequest;
 
-/** The work of a controller changes hands while old messages are on their way, jobs are cancelled or machines are silent. */
+/** The work of a controller changes hands while old messages are on their way, jobs are cancelled or machines are unresponsive. */
 class FailoverFaultsTest {
     private static Bounds only(String type) {
         return new Bounds(List.of(type), null, false, false, true);
@@ -46,10 +46,10 @@
     }
 
     /**
-     * A task runs on a machine that falls silent, its job is cancelled, and other work of the team waits for its room.
-     * Then a leader begins, and every controller gets reports from before the start of the task, in which it is missing.
-     * Where all were started anew, this guards that a task is believed to be absent only once the worker has confirmed
-     * the epoch of the takeover; where only the leader ended, that a report older than the newest one is dropped.
+     * A task runs on a machine that falls unresponsive, its job is cancelled, and other work of the team waits for its room.
+     * Then a leader begins, and every controller gets heartbeats from before the start of the task, in which it is missing.
+     * Where all were started anew, this guards that a task is believed to be absent only once the agent has confirmed
+     * the fencing token of the takeover; where only the leader ended, that a heartbeat older than the newest one is dropped.
      */
     @Property(tries = 6, seed = "211")
     void oldHeartbeatsReachEveryControllerAsALeaderBegins(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Both teams use all of their limits, more of their work waits, and jobs are cancelled whose machines are cut off or
+     * Both teams use all of their limits, more of their work waits, and jobs are cancelled whose machines are partitioned or
      * hang, while the leader changes. Guards that a cancelled job counts against the limit until each of its tasks has
      * certainly ended.
      */
@@ -137,9 +137,9 @@
     }
 
     /**
-     * The start of a task is held up, its commander ends or is deposed, the job is cancelled, and other work takes its
+     * The start of a task is held up, its controller ends or is deposed, the job is cancelled, and other work takes its
      * room; then the start arrives. Guards the raised epoch of a takeover, and that a task is believed to be absent only
-     * once the worker has confirmed that epoch.
+     * once the agent has confirmed that epoch.
      */
     @Property(tries = 9, seed = "214")
     void aStartOfAFormerControllerArrivesAfterCommandsOfTheNewOne(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -160,8 +160,8 @@
     }
 
     /**
-     * The same without a change of the commander: it gives up waiting for the answer, and the start arrives later. Guards
-     * the raise of the epoch after a start without an answer.
+     * The same without a change of the controller: it gives up waiting for the answer, and the start arrives later. Guards
+     * the raise of the fencing token after a start without an answer.
      */
     @Property(tries = 6, seed = "218")
     void aStartArrivesAfterItsSenderTimedOut(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -176,7 +176,7 @@
     }
 
     /**
-     * The one machine of its type, zone and kind reports but does not hear, and no other can be rented beside it. Guards
+     * The one machine of its type, zone and kind reports but does not hear, and no other can be provisioned beside it. Guards
      * that commands without an answer count as silence: it would never be returned, and the job would wait for ever.
      */
     @Property(tries = 4, seed = "215")
@@ -194,7 +194,7 @@
     }
 
     /**
-     * A controller loses the state service, which takes its membership away. Guards the trust in the membership by the own
+     * A controller loses the state store, which takes its membership away. Guards the trust in the membership by the own
      * clock: by then it must have stopped to count itself entitled, although nobody can tell it.
      */
     @Property(tries = 4, seed = "216")
@@ -223,7 +223,7 @@
     }
 
     /**
-     * The leader keeps its workers and loses the state service and the others, which reach neither those workers nor the
+     * The leader keeps its agents and loses the state store and the others, which reach neither those agents nor the
      * cloud; jobs are cancelled through them. Guards the bound of the renewal of leases by what is known of cancellations:
      * nothing else ends their tasks in time.
      */
@@ -249,8 +249,8 @@
     }
 
     /**
-     * No worker reaches its commander any more, which is well otherwise. Guards the claim of a group by the controller to
-     * which its workers turn: they would be given up with all that runs on them.
+     * No agent reaches its controller any more, which is well otherwise. Guards the claim of a group by the controller to
+     * which its agents turn: they would be declared lost with all that runs on them.
      */
     @Property(tries = 4, seed = "220")
     void noAgentReachesAnOtherwiseHealthyController(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import org.gullway.fake.FakeAgent;
 
-/** Troubles of simulated days, each for a span and at random places. */
+/** Faults of simulated scenarios, each for a span and at random places. */
 enum Fault {
     CRASH {
         @Override
@@ -51,7 +51,7 @@
             cut(cluster, node(cluster, random), SimulatedCluster.stateAddress(), span);
         }
     },
-    /** The state service and the other controllers are out of reach, the workers are not. */
+    /** The state store and the other controllers are out of reach, the agents are not. */
     ONLY_AGENTS_REACHABLE {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -107,7 +107,7 @@
             });
         }
     },
-    /** Reports of machines arrive, but neither answers nor commands reach them. */
+    /** Heartbeats of machines arrive, but neither answers nor commands reach them. */
     INBOUND_PARTITION {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -122,7 +122,7 @@
                     });
         }
     },
-    /** Copies of reports come from seconds to well over a lease late, to any controller. */
+    /** Copies of heartbeats come from seconds to well over a lease late, to any controller. */
     LATE_HEARTBEAT_COPIES {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -130,7 +130,7 @@
                     0.3, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(3), cluster.userAddresses());
         }
     },
-    /** Transactions get no answer and are carried out after newer ones. */
+    /** Transactions get no answer and are applied after newer ones. */
     LATE_WRITES {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -138,7 +138,7 @@
             cluster.after(span, () -> cluster.store.applyLate(0, random));
         }
     },
-    /** Transactions are carried out at once, and only their answers are lost. */
+    /** Transactions are applied at once, and only their answers are lost. */
     LOST_COMMIT_RESPONSES {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -153,7 +153,7 @@
             cluster.after(span, () -> cluster.store.addLatency(0, random));
         }
     },
-    /** The state service refuses one controller alone. */
+    /** The state store refuses one controller alone. */
     REJECTED_ALONE {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -203,7 +203,7 @@
                     .forEach(agent -> cluster.after(Duration.ofMillis(random.nextInt(200)), () -> agent.hang(span)));
         }
     },
-    /** Reports are held back and arrive at a leader that has acted meanwhile. */
+    /** Heartbeats are held back and arrive at a leader that has acted meanwhile. */
     HEARTBEATS_HELD {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -227,7 +227,7 @@
             cluster.after(span, () -> cluster.network.delayRequests(0, "/do"));
         }
     },
-    /** Copies of reports are kept, and reach every controller as the next leader begins. */
+    /** Copies of heartbeats are kept, and reach every controller as the next leader begins. */
     HEARTBEATS_FOR_NEXT_LEADER {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
--- a/src/test/java/org/gullway/FaultCombinationsTest.java
+++ b/src/test/java/org/gullway/FaultCombinationsTest.java
@@ -13,7 +13,7 @@
 import org.gullway.protocol.Priority;
 
 /**
- * Two troubles that meet, each in its hard sequence: one schedule or more for every meeting that users have named, since
+ * Two faults that meet, each in its hard sequence: one schedule or more for every meeting that users have named, since
  * most rules that were broken broke there. The order of the tests is theirs.
  */
 class FaultCombinationsTest {
@@ -85,7 +85,7 @@
         cluster.after(from.plus(span), () -> cluster.store.setDown(false));
     }
 
-    /** The troubles end after this span; then all work gets done and every controller says the same of it. */
+    /** The faults end after this span; then all work gets done and every controller says the same of it. */
     static void endsWell(SimulatedCluster cluster, Duration troubles) {
         cluster.run(troubles);
         cluster.endFaults();
@@ -97,7 +97,7 @@
         assertThat(cluster.unfinished()).isEmpty();
     }
 
-    // A leader is cut from the state service and from the other controllers while workers and users still reach it, and
+    // A leader is cut from the state store and from the other controllers while agents and users still reach it, and
     // jobs are cancelled through the new one.
 
     @Property(tries = 4, seed = "101")
@@ -129,7 +129,7 @@
         endsWell(cluster, Duration.ofSeconds(40));
     }
 
-    // A transaction without an answer is carried out late, after newer ones of the same controller.
+    // A transaction without an answer is applied late, after newer ones of the same controller.
 
     @Property(tries = 6, seed = "103")
     void transactionsAreAppliedAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -234,7 +234,7 @@
         endsWell(cluster, Duration.ofSeconds(45));
     }
 
-    // The state service answers slowly, or refuses the leader alone and then everybody for longer than the cancel
+    // The state store answers slowly, or refuses the leader alone and then everybody for longer than the cancel
     // limit,
     // while users cancel and ask.
 
@@ -253,7 +253,7 @@
         endsWell(cluster, Duration.ofSeconds(75));
     }
 
-    // An old report arrives after newer ones, also from an earlier session or attempt.
+    // An old report arrives after newer ones, also from an earlier agent epoch or attempt.
 
     @Property(tries = 6, seed = "108")
     void heartbeatsOfEarlierAgentEpochsArriveAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -342,7 +342,7 @@
         endsWell(cluster, Duration.ofSeconds(80));
     }
 
-    // Workers can't open connections to any controller, while direct commands still reach them.
+    // Agents can't open connections to any controller, while direct commands still reach them.
 
     @Property(tries = 6, seed = "113")
     void machinesWithAnOutboundPartition(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -378,11 +378,11 @@
         endsWell(cluster, Duration.ofSeconds(200));
     }
 
-    // Jobs are cancelled at the very moment at which the state service refuses the leader alone, and a second later it
+    // Jobs are cancelled at the very moment at which the state store refuses the leader alone, and a second later it
     // is
     // out for longer than the cancel limit.
 
-    /** Workers report on to the leader, which alone has not heard of the cancellations. */
+    /** Agents report on to the leader, which alone has not heard of the cancellations. */
     private static void gap(int seed, BiConsumer<SimulatedCluster, String> meanwhile) {
         SimulatedCluster cluster = working(seed, LONG);
         String leader = cluster.leader();
@@ -486,7 +486,7 @@
         endsWell(cluster, Duration.ofSeconds(60));
     }
 
-    // A cancellation, a question or a repeated submission meets the end of a job's last task, with no other trouble.
+    // A cancellation, a query or a repeated submission meets the end of a job's last task, with no other fault.
 
     @Property(tries = 6, seed = "122")
     void requestsRaceWithTheLastCompletion(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -519,7 +519,7 @@
         endsWell(cluster, Duration.ofSeconds(60));
     }
 
-    // A zone with workers and a controller is cut off for longer than a lease.
+    // A zone with agents and a controller is partitioned for longer than a lease.
 
     @Property(tries = 6, seed = "123")
     void zonePartitionLongerThanALeaseWithCancellations(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -11,14 +11,14 @@
 
 /** Faults at random moments, which follow from a seed. */
 final class FaultSchedule {
-    /** Beyond the lease of workers. */
+    /** Beyond the lease of agents. */
     private static final Duration LATEST = LoopbackCluster.LEASE.plusSeconds(1);
 
     private static final Conditions LOSSY_STATE =
             new Conditions(0.02, 0.1, 0.1, LATEST, 0, 0.5, Duration.ofMillis(400));
     private static final Conditions SLOW_STATE =
             new Conditions(0, 0, 0, Duration.ZERO, 0, 0.25, Duration.ofMillis(800));
-    /** Workers and users: their requests are lost, late or repeated. */
+    /** Agents and users: their requests are lost, late or repeated. */
     private static final Conditions LOSSY_CLIENTS =
             new Conditions(0.05, 0.05, 0.1, LATEST, 0.3, 0.5, Duration.ofMillis(200));
 
--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -13,7 +13,7 @@
 import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 
-/** One trouble each in its hard sequence, with fixed seeds; the generated days mix them. */
+/** One fault each in its hard sequence, with fixed seeds; the generated scenarios mix them. */
 class FaultsTest {
     private static SimulatedCluster busy(int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
@@ -40,7 +40,7 @@
         assertThat(cluster.unfinished()).isEmpty();
     }
 
-    /** It never hears again: its reports go on, its sessions move on, and it has to be returned all the same. */
+    /** It never hears again: its reports go on, its agent epochs move on, and it has to be returned all the same. */
     @Property(tries = 6, seed = "21")
     void aMachineWithAnInboundPartitionIsDeclaredLost(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = busy(seed);
@@ -78,7 +78,7 @@
         finishes(cluster, Duration.ofSeconds(240));
     }
 
-    /** It keeps its workers and loses all else: it must stop by its own clock, and its workers turn to the others. */
+    /** It keeps its agents and loses all else: it must stop by its own clock, and its agents turn to the others. */
     @Property(tries = 6, seed = "23")
     void aControllerReachesOnlyItsAgents(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = busy(seed);
@@ -97,8 +97,8 @@
     /**
      * Its controller keeps the leases there and the others wait for it: no task is lost, also well beyond a lease. It
      * can't be for the whole cancel limit, which it once was: by then a task that was cancelled meanwhile, without the
-     * zone hearing of it, has to be gone. The other 12 s are the age of what is known (2 s), a report interval (4 s) and
-     * the time in which a worker that is refused at last asks around (6 s).
+     * zone hearing of it, has to be gone. The other 12 s are the age of what is known (2 s), a heartbeat interval (4 s) and
+     * the time in which an agent that is refused at last asks around (6 s).
      */
     @Property(tries = 6, seed = "26")
     void tasksInAPartitionedZoneKeepRunning(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/InvariantChecker.java
+++ b/src/test/java/org/gullway/InvariantChecker.java
@@ -18,11 +18,11 @@
 
 /** The rules of the protocol, seen from outside: by what is on the machines and by what users are told. */
 final class InvariantChecker {
-    /** A job about which no question is answered for so long after all troubles is forgotten. */
+    /** A job about which no query is answered for so long after all faults is forgotten. */
     private static final Duration FORGOTTEN = Duration.ofSeconds(75);
-    /** The same while most other questions are answered, whatever troubles there are. */
+    /** The same while most other queries are answered, whatever faults there are. */
     private static final Duration FORGOTTEN_ALONE = Duration.ofSeconds(90);
-    /** After all troubles no job waits so long beside a machine with room. */
+    /** After all faults no job waits so long beside a machine with room. */
     private static final Duration LEFT_WAITING = Duration.ofSeconds(90);
 
     private static final class Job {
@@ -200,7 +200,7 @@
     /** A user has heard this state; whether it is the first time that it hears of the job's cancellation. */
     boolean onStateReported(String id, String state, Instant asked, Instant now) {
         Job job = jobs.get(id);
-        // A question may have been answered before the final state was told, but two final states are never both true.
+        // A query may have been answered before the final state was told, but two final states are never both true.
         boolean last = state.equals("done") || state.equals("aborted");
         if (job.over() && !state.equals(job.told) && (last || asked.isAfter(job.toldAt))) {
             violations.add("went_back: " + id + " was " + job.told + ", then " + state + " at " + now);
@@ -242,7 +242,7 @@
         });
     }
 
-    /** A question about an accepted job has ended, with an answer or without; 404 is no answer. */
+    /** A query about an accepted job has ended, with an answer or without; 404 is no answer. */
     void onQueried(String id, int status, Instant asked, Instant now) {
         Job job = jobs.get(id);
         if (status == 404) {
@@ -296,7 +296,7 @@
         return status == 200 || status == 201 || status == 400 || status == 422;
     }
 
-    /** A question about a job that no one submitted was answered so. */
+    /** A query about a job that no one submitted was answered so. */
     void onUnknownJobQueried(String id, int status) {
         if (status == 200) {
             violations.add("invented: " + id);
@@ -309,7 +309,7 @@
         quietSince = now;
     }
 
-    /** Once all troubles are over: no job waits long while a machine that fits has room and its team is below its limit. */
+    /** Once all faults are over: no job waits long while a machine that fits has room and its team is below its limit. */
     void checkWaitingJobs(Predicate<String> isUp, Instant now) {
         if (quietSince == null) {
             return;
--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -59,7 +59,7 @@
                 .isLessThanOrEqualTo(FakeStateStore.VALUE_BYTES);
     }
 
-    /** All at 2,000 machines: a fifth silent for long, a controller alone with all workers, then all restarted. */
+    /** All at 2,000 machines: a fifth unresponsive for long, a controller alone with all agents, then all restarted. */
     @Test
     void manyFaultsAtOnceOnTwoThousandMachines() {
         SimulatedCluster cluster = world(2, 250);
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -37,7 +37,7 @@
 import org.xnio.XnioWorker;
 
 /**
- * Three controllers as processes of their own on loopback, with the stand-ins of state service, cloud and workers behind
+ * Three controllers as processes of their own on loopback, with the stand-ins of state store, cloud and agents behind
  * real sockets in this process. Everything except starting and ending it runs on its event loop.
  */
 final class LoopbackCluster implements AutoCloseable {
@@ -99,7 +99,7 @@
     private final UndertowHttpClient client;
     final FakeStateStore store;
     final FakeCloud cloud;
-    /** By the names of both parties, "from>to"; workers have one link to all controllers and one from them. */
+    /** By the names of both parties, "from>to"; agents have one link to all controllers and one from them. */
     final Map<String, FaultyLink> links = new TreeMap<>();
 
     private final XnioWorker worker;
@@ -113,8 +113,8 @@
     private final Deque<SpareServer> spareServers = new ArrayDeque<>();
     private final Path directory;
     /**
-     * @param machines is told of every machine that is up
-     * @param ended is told of controllers that end by themselves
+     * @param machines is notified of every machine that is up
+     * @param ended is notified of controllers that end by themselves
      */
     LoopbackCluster(long seed, Setup setup, Consumer<String> ended, MachineListener machines) throws IOException {
         this.setup = setup;
@@ -147,7 +147,7 @@
         return address.toString();
     }
 
-    /** Is told of every machine that is up, and says what its worker knows of the world. */
+    /** Is notified of every machine that is up, and says what its agent knows of the world. */
     interface MachineListener {
         FakeAgent.Environment up(String name, FakeAgent.Kind kind);
     }
@@ -251,7 +251,7 @@
         return List.copyOf(publicAddresses.values());
     }
 
-    /** The name of the controller that leads by the state service; null if there is none. */
+    /** The name of the controller that leads by the state store; null if there is none. */
     String leader() {
         var leader = store.value(StoreKeys.LEADER);
         return leader == null ? null : leader.path("node").asText();
@@ -288,7 +288,7 @@
         return processes.logLines(nodes(), texts);
     }
 
-    /** All links are good, all controllers run, and the state service serves everybody. */
+    /** All links are good, all controllers run, and the state store serves everybody. */
     void endFaults() {
         links.values().forEach(link -> {
             link.set(FaultyLink.Conditions.GOOD);
--- a/src/test/java/org/gullway/ScavengerClassTest.java
+++ b/src/test/java/org/gullway/ScavengerClassTest.java
@@ -36,7 +36,7 @@
     }
 
     /**
-     * One huge array, a job of large tasks, and four tiny jobs a second, all of a guest, beside steady work of others.
+     * One huge array, a job of large tasks, and four tiny jobs a second, all of a team without quota, beside steady work of others.
      */
     @Property(tries = 1, seed = "41")
     void aHugeArrayAndManyTinyJobsOfATeamWithoutQuota(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -54,7 +54,7 @@
     private final TestUsers users;
     private final Shape shape;
 
-    /** Size of a world: machines of each type, zone and kind, teams, and how often workers report. */
+    /** Size of a world: machines of each type, zone and kind, teams, and how often agents report. */
     record Shape(int capacity, Map<String, Settings.Team> teams, Duration heartbeatInterval, double faultShare) {
         static final Map<String, Settings.Team> SMALL_TEAMS =
                 Map.of("red", new Settings.Team("red", 16, 24, 0, 0), "blue", new Settings.Team("blue", 16, 64, 0, 0));
@@ -203,7 +203,7 @@
         }
     }
 
-    /** All troubles are over: from now on every job is known and nothing is forgotten. */
+    /** All faults are over: from now on every job is known and nothing is forgotten. */
     void endFaults() {
         network.heal();
         store.restore();
@@ -328,7 +328,7 @@
         users.queryInBursts(user, random);
     }
 
-    /** Is told the name of a new leader at the very moment at which the state service has it. */
+    /** Is given the name of a new leader at the very moment at which the state store has it. */
     void onNewLeader(Consumer<String> told) {
         store.onPut(StoreKeys.LEADER, value -> told.accept(value.path("node").asText()));
     }
@@ -338,7 +338,7 @@
         users.failTasks(fails);
     }
 
-    /** The name of the controller that is the leader by the state service; null if there is none. */
+    /** The name of the controller that is the leader by the state store; null if there is none. */
     String leader() {
         JsonNode leader = store.value(StoreKeys.LEADER);
         return leader == null ? null : leader.path("node").asText();
--- a/src/test/java/org/gullway/SimulatedScenariosTest.java
+++ b/src/test/java/org/gullway/SimulatedScenariosTest.java
@@ -12,7 +12,7 @@
 import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Whole days in virtual time: whatever fails, the rules hold, and afterwards all work gets done. */
+/** Whole scenarios in virtual time: whatever fails, the rules hold, and afterwards all work gets done. */
 class SimulatedScenariosTest {
     private static final List<Bounds> BOUNDS = List.of(
             Bounds.in("a"),
@@ -79,7 +79,7 @@
         assertThat(cluster.cloud.rented()).isZero();
     }
 
-    /** Once, after an outage that was longer than the silence allowed, all machines were given up (simulated day 99336). */
+    /** Once, after an outage that was longer than the silence allowed, all machines were declared lost (simulated day 99336). */
     @Test
     void noMachineIsDeclaredLostAfterAStoreOutage() {
         SimulatedCluster cluster = new SimulatedCluster(5, 0, 4);
@@ -100,7 +100,7 @@
         assertThat(cluster.unfinished()).as("seed %d", seed).isEmpty();
     }
 
-    /** Several troubles at random moments, a calm end, and submissions that are repeated all along. */
+    /** Several faults at random moments, a calm end, and submissions that are repeated all along. */
     static void playFaults(SimulatedCluster cluster, SplittableRandom random) {
         int troubles = 2 + random.nextInt(5);
         for (int i = 0; i < troubles; i++) {
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -27,7 +27,7 @@
     private static final Duration BETWEEN_JOBS = Duration.ofMillis(220);
     private static final Duration LAST_QUESTIONS = Duration.ofSeconds(3);
     private static final Duration TICK = Duration.ofMillis(20);
-    /** A longer pause of this process makes workers look late, which no controller can know. */
+    /** A longer pause of this process makes agents look late, which no controller can know. */
     private static final Duration LONGEST_STALL = Duration.ofMillis(250);
 
     /** Longer than a job may go without an answer; until then half of all kinds of jobs must have begun. */
@@ -178,7 +178,7 @@
         cluster.loop.after(calm.plus(length.afterwards()).plus(LAST_QUESTIONS), over::countDown);
     }
 
-    /** Without questions, by which controllers would learn a final state. */
+    /** Without queries, by which controllers would learn a final state. */
     private void submitAgainAndAgain(TestUser user) {
         for (int i = 0; i < MORE_SUBMISSIONS; i++) {
             cluster.loop.after(Duration.ofMillis(random.nextInt(MORE_SUBMISSIONS_WITHIN_MS)), user::resubmit);
--- a/src/test/java/org/gullway/StatusQueryLoadTest.java
+++ b/src/test/java/org/gullway/StatusQueryLoadTest.java
@@ -21,14 +21,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Users ask many times as often: answers stay correct, cost the state service no more than the part of questions, hold
+ * Users ask many times as often: answers stay correct, cost the state store no more than the part of queries, hold
  * up neither submissions nor cancellations nor reports, and what cannot be answered is refused as soon as that is clear.
  *
  * <p>Each test has been seen to fail without the mechanism that its comment names; the first one without the budget of
  * verifications.
  */
 class StatusQueryLoadTest {
-    /** What one of three controllers may ask of the state service. */
+    /** What one of three controllers may ask of the state store. */
     private static final double OWN_REQUESTS = StoreRequestLog.PER_SECOND / 3.0;
 
     private static final double VERIFICATIONS_PART = 0.075;
@@ -37,7 +37,7 @@
     /** A user waits 2 s for an answer. */
     private static final Duration QUESTION_LIMIT = Duration.ofMillis(1300);
 
-    /** How the state service is while the users ask. */
+    /** How the state store is while the users ask. */
     private enum StateService {
         NORMAL {
             @Override
@@ -77,7 +77,7 @@
         return cluster;
     }
 
-    /** Work that comes in the middle of the questions: a job each second, and some cancellations. */
+    /** Work that comes in the middle of the queries: a job each second, and some cancellations. */
     private static List<TestUser> moreWork(SimulatedCluster cluster, int first, int jobs) {
         List<TestUser> users = new ArrayList<>();
         for (int i = 0; i < jobs; i++) {
@@ -109,7 +109,7 @@
                 .count();
     }
 
-    /** Each controller keeps to the part of its requests that questions have, for the time since the counts began. */
+    /** Each controller keeps to the part of its requests that queries have, for the time since the counts began. */
     private static void assertWithinPart(SimulatedCluster cluster, Duration span) {
         double seconds = span.toMillis() / 1000.0;
         double verifications = VERIFICATIONS_PART * OWN_REQUESTS;
@@ -124,7 +124,7 @@
         }
     }
 
-    /** All questions were answered in time, and those that were refused heard when to come back. */
+    /** All queries were answered in time, and those that were refused heard when to come back. */
     private static void assertQuestionsAnsweredInTime(SimulatedCluster cluster) {
         assertThat(longest(cluster, Kind.QUESTION)).isLessThan(QUESTION_LIMIT);
         // What came at the very end has no answer yet, which is 0 here; the time above holds for it too.
@@ -174,7 +174,7 @@
         return all.stream().reduce(Duration.ZERO, Duration::plus).dividedBy(all.size());
     }
 
-    /** A day with so many times as many questions; what holds for every such day is checked here. */
+    /** A day with so many times as many queries; what holds for every such day is checked here. */
     private static SimulatedCluster day(int times, StateService state) {
         SimulatedCluster cluster = world(7, 12, Duration.ofSeconds(40));
         cluster.responses.clear();
@@ -213,7 +213,7 @@
         return cluster;
     }
 
-    /** Without the joining of questions about one job, many of them are refused: the queue seems to be too long. */
+    /** Without the joining of queries about one job, many of them are refused: the queue seems to be too long. */
     @Test
     void aThousandQueriesOfOneJobCostOneConfirmation() {
         SimulatedCluster cluster = quietWorld(1);
@@ -226,7 +226,7 @@
         assertThat(cluster.stateRequests.verifications("perch-0")).isLessThanOrEqualTo(3);
     }
 
-    /** Without the estimate of the wait, questions are held for more than a second and then refused. */
+    /** Without the estimate of the wait, queries are held for more than a second and then refused. */
     @Test
     void queriesThatCannotBeConfirmedInTimeAreRejectedAtOnce() {
         SimulatedCluster cluster = quietWorld(1);
@@ -247,7 +247,7 @@
         assertWithinPart(cluster, Duration.ofSeconds(2));
     }
 
-    /** Without the limit of time of a query they wait for the 3 s of a request to the state service. */
+    /** Without the limit of time of a query they wait for the 3 s of a request to the state store. */
     @Test
     void queriesAreRejectedInTimeWhenTheStoreDoesNotAnswer() {
         SimulatedCluster cluster = quietWorld(1);
@@ -260,7 +260,7 @@
         assertThat(longest(cluster, Kind.QUESTION)).isLessThan(QUESTION_LIMIT);
     }
 
-    /** If a refusal of the state service were taken for a busy moment, they would be asked again for 1.2 s. */
+    /** If a refusal of the state store were taken for a busy moment, they would be asked again for 1.2 s. */
     @Test
     void queriesAreRejectedAsSoonAsTheStoreRejects() {
         SimulatedCluster cluster = quietWorld(1);
@@ -305,7 +305,7 @@
         assertThat(cluster.violations).isEmpty();
     }
 
-    /** Without their own queue, repeated submissions are refused with the questions, or wait behind them. */
+    /** Without their own queue, repeated submissions are refused with the queries, or wait behind them. */
     @Test
     void submissionsAndCancellationsDoNotWaitBehindQueries() {
         SimulatedCluster cluster = quietWorld(2);
@@ -335,7 +335,7 @@
 
     /**
      * Users ask all controllers again and again within milliseconds around the ends and cancellations of their jobs,
-     * while the state service is slow. If a question could join a verification that is under way, some would be told
+     * while the state store is slow. If a query could join a verification that is under way, some would be told
      * an older state than another controller has told.
      */
     @Test
--- a/src/test/java/org/gullway/StoreOutageDetectorTest.java
+++ b/src/test/java/org/gullway/StoreOutageDetectorTest.java
@@ -14,7 +14,7 @@
 import org.gullway.transport.HttpRequest;
 
 /**
- * Health checks while the state service is in trouble. The load balancer removes a node after two failures in a row and
+ * Health checks during faults of the state store. The load balancer removes a node after two failures in a row and
  * takes it back after a pause that doubles with each removal. When outages came one after the other, users found no
  * healthy node in the first seconds after each, and a sixth of them gave up (hunted day hunt-c4d1-5).
  */
@@ -60,7 +60,7 @@
         return cluster;
     }
 
-    /** Without the state service nobody serves users better, so no node may lose its place for the time afterwards. */
+    /** Without the state store nobody serves users better, so no node may lose its place for the time afterwards. */
     @Property(tries = 6, seed = "41")
     void allStayHealthyInStoreOutages(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = busy(seed);
--- a/src/test/java/org/gullway/StoreRequestLog.java
+++ b/src/test/java/org/gullway/StoreRequestLog.java
@@ -12,7 +12,7 @@
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.transport.HttpExchange;
 
-/** Counts what each controller asks of the state service, and refuses what goes over the limit of requests. */
+/** Counts what each controller asks of the state store, and refuses what goes over the limit of requests. */
 final class StoreRequestLog {
     /** The limit of the settings, with bursts of one second's worth. */
     static final int PER_SECOND = 150;
@@ -79,7 +79,7 @@
         return true;
     }
 
-    /** Requests that only compare what is known, as the answers to questions need them. */
+    /** Requests that only compare what is known, as the answers to queries need them. */
     int verifications(String node) {
         return verifications.getOrDefault(node, 0);
     }
--- a/src/test/java/org/gullway/TestUser.java
+++ b/src/test/java/org/gullway/TestUser.java
@@ -13,7 +13,7 @@
 
 /** A job with what its user was told. */
 final class TestUser {
-    /** A user waits so long for the answer to a submission or a cancellation, and to a question. */
+    /** A user waits so long for the answer to a submission or a cancellation, and to a query. */
     private static final Duration REQUEST_LIMIT = Duration.ofSeconds(5);
 
     private static final Duration QUESTION_LIMIT = Duration.ofSeconds(2);
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -13,7 +13,7 @@
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpClient;
 
-/** All users with their jobs, which are also what workers know of the world. */
+/** All users with their jobs, which are also what agents know of the world. */
 final class TestUsers implements FakeAgent.Environment {
     private final EventLoop loop;
     private final HttpClient client;
@@ -128,7 +128,7 @@
         return history;
     }
 
-    // What workers know
+    // What agents know
 
     private static String job(String task) {
         return task.substring(0, task.indexOf('/'));
--- a/src/test/java/org/gullway/UserRequestFaultsTest.java
+++ b/src/test/java/org/gullway/UserRequestFaultsTest.java
@@ -10,13 +10,13 @@
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.protocol.Priority;
 
-/** Many requests of users, or requests at the worst moments, with no other trouble. */
+/** Many requests of users, or requests at the worst moments, with no other fault. */
 class UserRequestFaultsTest {
     private static final Duration DONE_IS_EXPECTED_AFTER = Duration.ofSeconds(3);
 
     /**
      * Four one-task jobs a second for two minutes, a quarter of them cancelled, half of these at once. Guards that the
-     * commander of a machine tells the keeper of a job at once of its end: a user expects "done" 3 s after it.
+     * controller of a machine tells the keeper of a job at once of its end: a user expects "done" 3 s after it.
      */
     @Property(tries = 2, seed = "221")
     void fourSingleTaskJobsASecondWithAQuarterCancelled(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/fake/FakeAgent.java
+++ b/src/test/java/org/gullway/fake/FakeAgent.java
@@ -19,9 +19,9 @@
 import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpResponse;
 
-/** A worker as its protocol describes it; its tasks only let time pass. */
+/** An agent as its protocol describes it; its tasks only let time pass. */
 public final class FakeAgent {
-    /** What the world around tells a worker and wants to know from it. */
+    /** What the world around tells an agent and wants to know from it. */
     public interface Environment {
         /** The description that users have uploaded, or null. */
         JobRequest jobOf(String job);
@@ -294,7 +294,7 @@
         }
     }
 
-    /** Answers a direct command or a question, when the machine goes on if it hangs. */
+    /** Answers a direct command or a query, when the machine goes on if it hangs. */
     public void handle(HttpExchange exchange) {
         runUnlessHung(() -> serve(exchange));
     }
--- a/src/test/java/org/gullway/fake/FakeCloud.java
+++ b/src/test/java/org/gullway/fake/FakeCloud.java
@@ -16,9 +16,9 @@
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpExchange;
 
-/** The cloud as its protocol describes it: rents machines, whose workers come up after their boot time. */
+/** The cloud as its protocol describes it: rents machines, whose agents come up after their boot time. */
 public final class FakeCloud {
-    /** Brings up the worker of a machine. */
+    /** Brings up the agent of a machine. */
     @FunctionalInterface
     public interface Boot {
         FakeAgent start(String name, FakeAgent.Kind kind);
@@ -59,7 +59,7 @@
                 .toList();
     }
 
-    /** The worker of this machine, or null. */
+    /** The agent of this machine, or null. */
     public FakeAgent agent(String name) {
         Machine machine = machines.get(name);
         return machine == null ? null : machine.agent;
--- a/src/test/java/org/gullway/fake/FakesTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -15,7 +15,7 @@
 import org.gullway.transport.HttpRequest;
 import org.junit.jupiter.api.Test;
 
-/** The troubles of the stand-ins are those of the protocol: schedules that use them rely on it. */
+/** The faults of the stand-ins are those of the protocol: schedules that use them rely on it. */
 class FakesTest {
     private static final String STATE = "10.2.0.1:2379";
     private static final String MACHINE = "10.1.0.7:9000";
@@ -177,7 +177,7 @@
         }
     }
 
-    /** A worker with one task of a minute, whose reports are answered under the present token. */
+    /** An agent with one task of a minute, whose heartbeats are answered under the present token. */
     private FakeAgent working() {
         network.listen(CONTROLLER, loop, exchange -> {
             reports++;
--- a/src/test/java/org/gullway/fake/FaultyLink.java
+++ b/src/test/java/org/gullway/fake/FaultyLink.java
@@ -11,14 +11,14 @@
 import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpResponse;
 
-/** The way between two parties, on which whole messages are held, lost, delayed, repeated or carried out late. */
+/** The way between two parties, on which whole messages are held, lost, delayed, repeated or applied late. */
 public final class FaultyLink {
     /**
      * What happens to the messages on a link.
      *
      * @param lost share of requests that never arrive
-     * @param unanswered share of requests that are carried out and whose answer is lost
-     * @param late share of requests that are carried out late, unanswered
+     * @param unanswered share of requests that are applied and whose answer is lost
+     * @param late share of requests that are applied late, unanswered
      * @param latest how late these arrive at most
      * @param copied share of requests that are answered and arrive again, up to so late
      * @param slow share of the other requests whose answers come late
@@ -52,7 +52,7 @@
         conditions = next;
     }
 
-    /** While it is cut messages are held; afterwards they arrive in order, also those that were given up. */
+    /** While it is cut messages are held; afterwards they arrive in order, also those whose sender has timed out. */
     public void cut(boolean on) {
         cut = on;
         if (!on) {
--- a/src/test/java/org/gullway/fake/FaultyLinkTest.java
+++ b/src/test/java/org/gullway/fake/FaultyLinkTest.java
@@ -13,7 +13,7 @@
 import org.gullway.transport.HttpResponse;
 import org.junit.jupiter.api.Test;
 
-/** Each kind of trouble of a link does what its name says. */
+/** Each kind of fault of a link does what its name says. */
 class FaultyLinkTest {
     private static final Duration SECOND = Duration.ofSeconds(1);
 
--- a/src/test/java/org/gullway/fake/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/fake/SimulatedNetwork.java
@@ -134,7 +134,7 @@
         heldBack.add(client);
     }
 
-    /** What was held back arrives, in order, at this address; the client has long given up and hears no answer. */
+    /** What was held back arrives, in order, at this address; the client has long timed out and hears no answer. */
     public void release(String client, String address) {
         heldBack.remove(client);
         for (Held message : List.copyOf(held)) {
@@ -290,7 +290,7 @@
             Consumer<HttpResponse> finish,
             HttpResponse response) {
         wires.after(latency(), () -> {
-            // An answer held back by a cut comes after the sender has given up, which is the same as never.
+            // An answer held back by a cut comes after the sender has timed out, which is the same as never.
             if (isCut(from, address) || unanswered.contains(from) || sender.killed()) {
                 return;
             }
--- a/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -15,7 +15,7 @@
 import org.gullway.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
-/** Messages of users, workers, the cloud and peers, and both settings files, are read and written as before. */
+/** Messages of users, agents, the cloud and peers, and both settings files, are read and written as before. */
 class GoldenMessagesTest {
     private static final GoldenFile GOLDEN = GoldenFile.of("messages");
     private static final Path RESOURCES = Path.of("src/test/resources/golden");
@@ -75,7 +75,7 @@
         }
     }
 
-    // Workers
+    // Agents
 
     private static ObjectNode report(Long warningSeconds) {
         ObjectNode node = Cbor.map()
--- a/src/test/java/org/gullway/transport/ConnectionPoolTest.java
+++ b/src/test/java/org/gullway/transport/ConnectionPoolTest.java
@@ -24,7 +24,7 @@
         pool.keep(address, connection);
     }
 
-    /** All workers of a fleet at one controller: with a connection kept to each, sockets would run out. */
+    /** All agents of a fleet at one controller: with a connection kept to each, sockets would run out. */
     @Test
     void closesTheConnectionThatWasIdleLongestWhenTheBudgetIsUsedUp() {
         socketBudget.onAcceptedChange(75);
@@ -41,7 +41,7 @@
         assertThat(closed).as("as others leave room").hasSize(1);
     }
 
-    /** Machines that are cut off take one socket each at most, and never those of the state service. */
+    /** Machines that are partitioned take one socket each at most, and never those of the state store. */
     @Test
     void anAbandonedConnectIsNotRepeatedUntilItEnds() {
         String silent = "10.1.0.7:9000";
