--- a/src/main/java/org/gullway/coordination/cancellation/CancellationWatermark.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationWatermark.java
@@ -9,37 +9,57 @@
 import org.gullway.coordination.model.Incarnation;
 
 /**
- * Up to when all cancellations that anybody was told of are surely known here.
+ * The moment up to which every confirmed cancellation is surely known to this controller.
  *
- * <p>The store says so for all that was committed before its last answered watch had been sent. Beyond that a peer can
- * say so for what it has told itself: it lists the cancelled jobs that it knows, after it was asked. That covers all
- * processes of its node, if the one that answers is a member in the view: earlier ones ended before it joined, so what
- * they had committed is in the view as well, and there are no later ones while it lives. The moment of asking counts,
- * so late answers are safe, and a peer that cannot be reached, or was started anew, adds nothing.
+ * <p>The state store proves this for everything committed before the last answered watch was sent. During an outage of
+ * the store, each peer proves it for what that peer itself has confirmed: it lists all cancelled jobs that it knows.
+ * The list covers every process of the peer's node if the process that answers is a member in the cluster state: earlier
+ * processes ended before it joined, so their commits are in the cluster state, and there is no later one while it lives.
+ * The moment at which the request was sent counts, so a delayed response is safe. A peer that is unreachable, or has
+ * restarted and is not yet a member here, does not advance the watermark.
  */
 public final class CancellationWatermark {
     private final ClusterState clusterState;
     private final List<String> peers;
     private final Map<String, Instant> knownThroughByPeer = new HashMap<>();
 
+    /** @param peers the nodes of all other controllers */
     public CancellationWatermark(ClusterState clusterState, Collection<String> peers) {
         this.clusterState = clusterState;
         this.peers = List.copyOf(peers);
     }
 
-    /** A peer has told all that it knows, after it was asked at that moment. */
-    public void advance(Incarnation peer, Instant asked) {
+    /**
+     * Records that a peer has listed all cancellations that it knows.
+     *
+     * @param requestedAt when the request for the list was sent
+     */
+    public void advance(Incarnation peer, Instant requestedAt) {
         if (clusterState.isMember(peer)) {
-            knownThroughByPeer.merge(peer.node(), asked, (a, b) -> a.isAfter(b) ? a : b);
+            knownThroughByPeer.merge(peer.node(), requestedAt, CancellationWatermark::later);
         }
     }
 
-    /** @param knownUntil what the store says */
-    public Instant knownThrough(Instant knownThrough) {
-        return peers.stream()
-                .map(peer -> knownThroughByPeer.getOrDefault(peer, Instant.MIN))
-                .map(told -> told.isAfter(knownThrough) ? told : knownThrough)
-                .min(Instant::compareTo)
-                .orElse(knownThrough);
+    /**
+     * The watermark: the least over all peers, and never less than what the state store proves for all of them.
+     *
+     * @param storeKnownThrough the moment up to which all commits are known from the state store
+     */
+    public Instant knownThrough(Instant storeKnownThrough) {
+        if (peers.isEmpty()) {
+            return storeKnownThrough;
+        }
+        Instant knownThrough = Instant.MAX;
+        for (String peer : peers) {
+            Instant knownFromPeer = knownThroughByPeer.getOrDefault(peer, Instant.MIN);
+            if (knownFromPeer.isBefore(knownThrough)) {
+                knownThrough = knownFromPeer;
+            }
+        }
+        return later(knownThrough, storeKnownThrough);
+    }
+
+    private static Instant later(Instant first, Instant second) {
+        return first.isAfter(second) ? first : second;
     }
 }
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
@@ -0,0 +1,105 @@
+package org.gullway.coordination.cancellation;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.gullway.coordination.command.CommandBatch;
+import org.gullway.coordination.model.AttemptId;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.protocol.AgentCommand;
+import org.gullway.protocol.Heartbeat;
+import org.gullway.protocol.TaskStatus;
+
+/**
+ * Stop commands that a controller without a valid lease sends straight to the agents, and what their responses have
+ * shown. They are repeated until a response shows that the attempt is gone; one batch is in flight for each machine.
+ */
+final class DirectStops {
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
+    private static final int MAX_IN_FLIGHT = 32;
+
+    private final ClusterState clusterState;
+    private final Set<AttemptId> confirmedGone = new HashSet<>();
+    /** By machine; {@link Instant#MAX} while a batch is in flight. */
+    private final Map<String, Instant> nextBatchAt = new HashMap<>();
+
+    private int inFlight;
+
+    DirectStops(ClusterState clusterState) {
+        this.clusterState = clusterState;
+    }
+
+    /** Forgets what responses have shown. Batches in flight still count until they end. */
+    void reset() {
+        confirmedGone.clear();
+        nextBatchAt.clear();
+    }
+
+    boolean isConfirmedGone(AttemptId attempt) {
+        return confirmedGone.contains(attempt);
+    }
+
+    /** The batches to be sent now, whichever controller commands the machines. */
+    List<CommandBatch> takeDueBatches(List<RemainingAttempt> remaining, Instant now) {
+        List<CommandBatch> batches = new ArrayList<>();
+        stopsByMachine(remaining).forEach((name, stops) -> {
+            MachineRecord machine = clusterState.machine(name);
+            if (machine.address() != null && inFlight < MAX_IN_FLIGHT && isDue(name, now)) {
+                inFlight++;
+                nextBatchAt.put(name, Instant.MAX);
+                batches.add(new CommandBatch(
+                        name, machine.address(), clusterState.fencingToken(), machine.agentEpoch(), stops, now));
+            }
+        });
+        return batches;
+    }
+
+    private Map<String, List<AgentCommand>> stopsByMachine(List<RemainingAttempt> remaining) {
+        Map<String, List<AgentCommand>> stops = new LinkedHashMap<>();
+        for (RemainingAttempt attempt : remaining) {
+            if (!isConfirmedGone(attempt.id())) {
+                AttemptId id = attempt.id();
+                stops.computeIfAbsent(attempt.machine(), name -> new ArrayList<>())
+                        .add(AgentCommand.stop(id.task(), id.attempt(), Duration.ZERO));
+            }
+        }
+        return stops;
+    }
+
+    private boolean isDue(String machine, Instant now) {
+        return !nextBatchAt.getOrDefault(machine, Instant.MIN).isAfter(now);
+    }
+
+    /** The batch has ended, with or without a response. */
+    void onBatchEnded(CommandBatch batch, Instant now) {
+        inFlight--;
+        nextBatchAt.computeIfPresent(batch.machine(), (name, inFlightMarker) -> now.plus(RETRY_DELAY));
+    }
+
+    /** Marks as gone what the response of an agent shows to be gone. */
+    void onResponse(Heartbeat response, List<RemainingAttempt> remaining) {
+        Set<AttemptId> live = new HashSet<>();
+        for (TaskStatus task : response.tasks()) {
+            if (!task.isEnded()) {
+                live.add(new AttemptId(task.task(), task.attempt()));
+            }
+        }
+        for (RemainingAttempt attempt : remaining) {
+            if (attempt.machine().equals(response.machine()) && isGone(attempt, response.agentEpoch(), live)) {
+                // A start that arrives later ends with the lease: nobody renews it while the start may be on its way.
+                confirmedGone.add(attempt.id());
+            }
+        }
+    }
+
+    private static boolean isGone(RemainingAttempt attempt, long agentEpoch, Set<AttemptId> live) {
+        return agentEpoch > attempt.agentEpoch() || agentEpoch == attempt.agentEpoch() && !live.contains(attempt.id());
+    }
+}
--- a/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -10,27 +10,28 @@
 import org.gullway.protocol.Heartbeat;
 
 /**
- * Decides whose lease may be renewed, which an answer with 200 to a report does.
+ * Decides whether the lease of an agent may be renewed, which a successful heartbeat response does.
  *
- * <p><b>No longer than the knowledge of cancellations allows.</b> A cancellation that is not known here was confirmed
- * after the moment up to which they are known (see {@link CancellationWatermark}). So no controller, entitled or not, renews a lease later than
- * that moment plus the cancel limit less the lease: the worker itself then ends every such task within the limit,
- * whoever crashes and whatever messages are lost. On the operators' day "gap" the state service refused a leader alone,
- * others confirmed cancellations, and the leader kept the leases for the whole cancel limit.
+ * <p><b>The bound on every renewal.</b> A cancellation that is not known here was confirmed after the cancellation
+ * watermark (see {@link CancellationWatermark}). So no controller, with or without a valid lease of its own, renews an
+ * agent's lease later than the watermark plus the cancellation limit minus the agent's lease time. The agent itself then
+ * ends every task of such a job within the limit, whichever controllers crash and whatever messages are lost.
  *
- * <p><b>Without entitlement</b> (in a zone that is cut off, or while the state service is down for all) leases are
- * kept under the same bound, so that the tasks there go on. No task is started then, and only workers that seem to
- * reach no other controller are kept: those that come back after they were refused here, those that another
- * controller commands, and all while nothing from outside is heard here. What a worker says of a higher epoch shows that it has another commander by now; then it is
- * refused. So is a machine on which the start of a cancelled task may still be on its way; cancelled tasks that the
- * report lists are stopped with the very answer that renews the lease.
+ * <p><b>Without a valid lease</b> (in a zone that is cut off, or while the state store is unavailable to all) leases are
+ * renewed under the same bound, so that running tasks go on. Nothing is started, and only agents are served that seem
+ * to reach no other controller: those that return after a rejection here, those that another controller commands, and
+ * all of them while nothing from outside reaches this controller. Two kinds are rejected: an agent that knows a higher
+ * fencing token, since another controller commands it by now; and a machine on which the start of a cancelled task may
+ * still arrive. Cancelled tasks that the heartbeat lists are stopped by the response that renews the lease.
  */
 public final class LeaseRenewalPolicy {
-    /** Health checks come about once a second, so outside something is wrong if none has come for so long. */
-    private static final Duration EXTERNAL_SILENCE = Duration.ofMillis(2500);
+    /** Health checks arrive about once a second; after a gap of this length the outside is cut off. */
+    private static final Duration EXTERNAL_CONTACT_TIMEOUT = Duration.ofMillis(2500);
 
-    private static final Duration REJECTION_MEMORY = Duration.ofSeconds(25);
-    /** Steady clocks drift apart by 0.05%: for the controller's and the worker's together, and for the timers' steps. */
+    /** An agent that was rejected tries all other controllers before it returns within this time. */
+    private static final Duration RETURN_WINDOW = Duration.ofSeconds(25);
+
+    /** Monotonic clocks drift by 0.05% each: the controller's, the agent's, and the steps of their timers. */
     private static final long DRIFT_DIVISOR = 500;
 
     private static final Duration CLOCK_SLACK = Duration.ofMillis(250);
@@ -39,9 +40,15 @@
     private final Incarnation self;
     private final CancellationEnforcer cancellationEnforcer;
     private final Duration renewalWindow;
-    private final Map<String, Instant> rejectedAt = new HashMap<>();
+    /** When an agent last asked for a renewal that was safe, by machine. */
+    private final Map<String, Instant> lastRequestAt = new HashMap<>();
+
     private Instant lastExternalContact = Instant.MIN;
 
+    /**
+     * @param cancelLimit how long after its cancellation a job may still have tasks
+     * @param workerLease how long an agent's lease lasts after a renewal
+     */
     public LeaseRenewalPolicy(
             ClusterState clusterState,
             Incarnation self,
@@ -60,36 +67,47 @@
     /**
      * Whether any lease may be renewed now.
      *
-     * @param knownUntil the moment up to which all cancellations that anybody was told of are surely known here
+     * @param knownThrough the cancellation watermark
      */
     public boolean mayRenew(Instant knownThrough, Instant now) {
         return now.isBefore(knownThrough.plus(renewalWindow));
     }
 
-    /** Whether this worker's report is answered although this controller is not entitled, if leases may be renewed. */
+    /**
+     * Whether this agent's lease is renewed although this controller holds no valid lease, provided that {@link
+     * #mayRenew} allows any renewal.
+     */
     public boolean mayRenewDuringOutage(Heartbeat heartbeat, Instant now) {
         MachineRecord machine = clusterState.machine(heartbeat.machine());
-        if (machine == null
-                || machine.agentEpoch() != heartbeat.agentEpoch()
-                || machine.lifecycle() == MachineRecord.MachineLifecycle.LOST
-                || heartbeat.fencingToken() > clusterState.fencingToken()
-                || cancellationEnforcer.mayStillStart(machine, heartbeat)) {
+        if (machine == null || !isSafeToRenew(machine, heartbeat)) {
             return false;
         }
-        Instant before = rejectedAt.put(heartbeat.machine(), now);
-        // A worker that asks around in vain is away for ten seconds, which a zone that is cut off does not have.
+        Instant previousRequestAt = lastRequestAt.put(heartbeat.machine(), now);
         return !self.node().equals(machine.controller().node())
-                || lastExternalContact.plus(EXTERNAL_SILENCE).isBefore(now)
-                || before != null && before.plus(REJECTION_MEMORY).isAfter(now);
+                || isCutOff(now)
+                || previousRequestAt != null
+                        && previousRequestAt.plus(RETURN_WINDOW).isAfter(now);
+    }
+
+    private boolean isSafeToRenew(MachineRecord machine, Heartbeat heartbeat) {
+        return machine.agentEpoch() == heartbeat.agentEpoch()
+                && machine.lifecycle() != MachineRecord.MachineLifecycle.LOST
+                && heartbeat.fencingToken() <= clusterState.fencingToken()
+                && !cancellationEnforcer.mayStillStart(machine, heartbeat);
+    }
+
+    /** A zone that is cut off does not have the time that an agent needs to try the other controllers in vain. */
+    private boolean isCutOff(Instant now) {
+        return lastExternalContact.plus(EXTERNAL_CONTACT_TIMEOUT).isBefore(now);
     }
 
-    /** To be told of every request of a user, a health check or a peer, and of a peer's answer. */
+    /** Called for each request of a user, a health check or a peer, and for each response of a peer. */
     public void onExternalContact(Instant now) {
         lastExternalContact = now;
     }
 
-    /** To be told when this controller is entitled again. */
+    /** Called when this controller holds a valid lease again. */
     public void reset() {
-        rejectedAt.clear();
+        lastRequestAt.clear();
     }
 }
--- a/src/main/java/org/gullway/coordination/cancellation/package-info.java
+++ b/src/main/java/org/gullway/coordination/cancellation/package-info.java
@@ -1,2 +1,5 @@
-/** Cancelled jobs: their tasks are stopped in time, and leases are renewed only as far as that allows. */
+/**
+ * Enforcement of cancellations: the tasks of cancelled jobs are stopped within the cancellation limit, and the leases of
+ * agents are renewed only as far as that limit allows.
+ */
 package org.gullway.coordination.cancellation;
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
@@ -21,7 +21,7 @@
 import org.gullway.protocol.TaskStatus.Phase;
 import org.junit.jupiter.api.Test;
 
-/** The limit is 40 s, its last quarter is left for the return of machines. */
+/** The cancellation limit is 40 s; its last quarter is kept for the release of machines. */
 class CancellationEnforcerTest {
     private static final TaskId TASK = new TaskId("run-000001", 0);
 
@@ -42,72 +42,72 @@
         clusterState.put(StoreKeys.job(request.id()), placed.withCancellation(TestFixtures.DAY), 21);
     }
 
-    private static Heartbeat answer(long agentEpoch, TaskStatus... tasks) {
+    private static Heartbeat heartbeat(long agentEpoch, TaskStatus... tasks) {
         return new Heartbeat("vm-2", "10.1.0.1:9000", "large", "a", true, agentEpoch, 1, 1, null, List.of(tasks));
     }
 
-    private static TaskStatus task(Phase phase) {
+    private static TaskStatus taskIn(Phase phase) {
         return new TaskStatus(TASK, 1, phase, phase == Phase.ENDED ? Cause.STOPPED : null, false);
     }
 
-    private List<CommandBatch> later(int seconds) {
+    private List<CommandBatch> stopsAfter(int seconds) {
         now = now.plusSeconds(seconds);
         return cancellationEnforcer.stopsToRetry(now);
     }
 
     @Test
-    void stopsWhatTheWorkerListsAsLiveAlsoOnceTheRecordHasEnded() {
-        assertThat(cancellationEnforcer.stopCommands(answer(1, task(Phase.RUNNING))))
+    void stopsTasksThatTheAgentListsAsLiveEvenAfterTheJobRecordIsGone() {
+        assertThat(cancellationEnforcer.stopCommands(heartbeat(1, taskIn(Phase.RUNNING))))
                 .isEmpty();
         cancel();
         AgentCommand stop = AgentCommand.stop(TASK, 1, Duration.ZERO);
-        assertThat(cancellationEnforcer.stopCommands(answer(1, task(Phase.RUNNING))))
+        assertThat(cancellationEnforcer.stopCommands(heartbeat(1, taskIn(Phase.RUNNING))))
                 .containsExactly(stop);
-        assertThat(cancellationEnforcer.stopCommands(answer(1, task(Phase.SAVING))))
+        assertThat(cancellationEnforcer.stopCommands(heartbeat(1, taskIn(Phase.SAVING))))
                 .containsExactly(stop);
-        assertThat(cancellationEnforcer.stopCommands(answer(1, task(Phase.ENDED))))
+        assertThat(cancellationEnforcer.stopCommands(heartbeat(1, taskIn(Phase.ENDED))))
                 .isEmpty();
         clusterState.remove(StoreKeys.job(request.id()), 22);
         clusterState.clear();
-        assertThat(cancellationEnforcer.stopCommands(answer(1, task(Phase.FETCHING))))
+        assertThat(cancellationEnforcer.stopCommands(heartbeat(1, taskIn(Phase.FETCHING))))
                 .containsExactly(stop);
     }
 
-    /** Whoever commands the machine: this controller may be the only one that knows of the cancellation. */
+    /** Whichever controller commands the machine: this one may be the only one that knows of the cancellation. */
     @Test
-    void pressesUntilAnAnswerShowsThatTheTaskIsGone() {
-        assertThat(later(1)).isEmpty();
+    void retriesStopsUntilAResponseShowsThatTheTaskIsGone() {
+        assertThat(stopsAfter(1)).isEmpty();
         cancel();
-        List<CommandBatch> pushes = later(1);
-        assertThat(pushes).singleElement().satisfies(batch -> {
+        List<CommandBatch> batches = stopsAfter(1);
+        assertThat(batches).singleElement().satisfies(batch -> {
             assertThat(batch.machine()).isEqualTo("vm-2");
             assertThat(batch.fencingToken()).isEqualTo(1);
             assertThat(batch.agentEpoch()).isEqualTo(1);
             assertThat(batch.commands()).containsExactly(AgentCommand.stop(TASK, 1, Duration.ZERO));
         });
-        assertThat(later(9)).as("one at a time").isEmpty();
-        cancellationEnforcer.onStopOutcome(pushes.get(0), now);
-        cancellationEnforcer.onCommandResponse(answer(1, task(Phase.SAVING)));
-        assertThat(later(1)).hasSize(1);
-        cancellationEnforcer.onStopOutcome(pushes.get(0), now);
-        cancellationEnforcer.onCommandResponse(answer(1, task(Phase.ENDED)));
-        assertThat(later(1)).isEmpty();
+        assertThat(stopsAfter(9)).as("one in flight for each machine").isEmpty();
+        cancellationEnforcer.onStopOutcome(batches.get(0), now);
+        cancellationEnforcer.onCommandResponse(heartbeat(1, taskIn(Phase.SAVING)));
+        assertThat(stopsAfter(1)).hasSize(1);
+        cancellationEnforcer.onStopOutcome(batches.get(0), now);
+        cancellationEnforcer.onCommandResponse(heartbeat(1, taskIn(Phase.ENDED)));
+        assertThat(stopsAfter(1)).isEmpty();
         assertThat(cancellationEnforcer.machinesToTerminate(TestFixtures.DAY.plusSeconds(39)))
                 .isEmpty();
     }
 
     @Test
-    void anAnswerOfANewerSessionShowsThatTheTaskIsGone() {
+    void aResponseFromANewerAgentEpochShowsThatTheTaskIsGone() {
         cancel();
-        cancellationEnforcer.onCommandResponse(answer(2, task(Phase.RUNNING)));
-        assertThat(later(1)).isEmpty();
+        cancellationEnforcer.onCommandResponse(heartbeat(2, taskIn(Phase.RUNNING)));
+        assertThat(stopsAfter(1)).isEmpty();
     }
 
-    /** It hangs, and only the cloud can end what is there: in the last quarter of the limit, however often asked before. */
+    /** It hangs, so only the cloud can end its tasks: in the last quarter of the limit, however many stops were sent. */
     @Test
-    void aMachineThatAnswersNothingIsReturnedBeforeTheLimit() {
+    void aMachineWithoutResponsesIsReleasedBeforeTheLimit() {
         cancel();
-        assertThat(later(1)).hasSize(1);
+        assertThat(stopsAfter(1)).hasSize(1);
         assertThat(cancellationEnforcer.machinesToTerminate(TestFixtures.DAY.plusSeconds(30)))
                 .isEmpty();
         assertThat(cancellationEnforcer.machinesToTerminate(TestFixtures.DAY.plusSeconds(31)))
@@ -115,17 +115,17 @@
     }
 
     @Test
-    void theRecordsCountOnceThisControllerIsEntitledAgain() {
+    void theRecordsCountOnceTheLeaseIsRegained() {
         cancel();
-        cancellationEnforcer.onCommandResponse(answer(1, task(Phase.ENDED)));
-        assertThat(later(1)).isEmpty();
+        cancellationEnforcer.onCommandResponse(heartbeat(1, taskIn(Phase.ENDED)));
+        assertThat(stopsAfter(1)).isEmpty();
         cancellationEnforcer.onLeaseRegained(now);
-        assertThat(later(1)).hasSize(1);
+        assertThat(stopsAfter(1)).hasSize(1);
     }
 
-    /** The peer's list counts like a record: for stops, for leases, for the limit, and for what is told on. */
+    /** The peer's list counts like a record: for stops, for leases, for the limit, and for lists sent to other peers. */
     @Test
-    void whatAPeerTellsCountsLikeARecordUntilTheRecordsShowIt() {
+    void aCancellationListedByAPeerCountsLikeARecordUntilTheRecordsShowIt() {
         PeerCancellations.CancelledJob job = new PeerCancellations.CancelledJob(
                 request.id(),
                 TestFixtures.DAY.toEpochMilli(),
@@ -133,25 +133,25 @@
         assertThat(cancellationEnforcer.knownCancellations()).isEmpty();
         cancellationEnforcer.merge(job, now);
         assertThat(cancellationEnforcer.knownCancellations()).containsExactly(job);
-        assertThat(cancellationEnforcer.stopCommands(answer(1, task(Phase.RUNNING))))
+        assertThat(cancellationEnforcer.stopCommands(heartbeat(1, taskIn(Phase.RUNNING))))
                 .hasSize(1);
-        assertThat(cancellationEnforcer.mayStillStart(clusterState.machine("vm-2"), answer(1)))
+        assertThat(cancellationEnforcer.mayStillStart(clusterState.machine("vm-2"), heartbeat(1)))
                 .isTrue();
-        assertThat(cancellationEnforcer.mayStillStart(clusterState.machine("vm-2"), answer(1, task(Phase.ENDED))))
+        assertThat(cancellationEnforcer.mayStillStart(clusterState.machine("vm-2"), heartbeat(1, taskIn(Phase.ENDED))))
                 .isFalse();
-        assertThat(later(1)).hasSize(1);
+        assertThat(stopsAfter(1)).hasSize(1);
         assertThat(cancellationEnforcer.machinesToTerminate(TestFixtures.DAY.plusSeconds(31)))
                 .containsExactly("vm-2");
         cancellationEnforcer.onLeaseRegained(now.minusSeconds(1));
         assertThat(cancellationEnforcer.knownCancellations())
-                .as("the records are older than what was told")
+                .as("the records are older than the list")
                 .containsExactly(job);
         cancellationEnforcer.onLeaseRegained(now.plusSeconds(1));
         assertThat(cancellationEnforcer.knownCancellations()).isEmpty();
     }
 
     @Test
-    void tellsOfRecordsAndOfWhatWasReadByItself() {
+    void listsCancelledRecordsAndThoseReadByKey() {
         cancellationEnforcer.merge(placed, now);
         assertThat(cancellationEnforcer.knownCancellations())
                 .as("not cancelled")
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationWatermarkTest.java
@@ -22,27 +22,27 @@
         clusterState.put(StoreKeys.member("perch-2"), THIRD, 9);
     }
 
-    /** What one of them has not told may have been cancelled by it. */
+    /** A peer may have confirmed cancellations since it last listed them. */
     @Test
-    void isAsFarAsThePeerThatToldLeastLately() {
+    void isTheLeastOverAllPeers() {
         assertThat(cancellationWatermark.knownThrough(STORE)).isEqualTo(STORE);
         cancellationWatermark.advance(TestFixtures.PEER, STORE.plusSeconds(20));
         assertThat(cancellationWatermark.knownThrough(STORE))
-                .as("the other is silent")
+                .as("the other peer is unresponsive")
                 .isEqualTo(STORE);
         cancellationWatermark.advance(THIRD, STORE.plusSeconds(7));
         assertThat(cancellationWatermark.knownThrough(STORE)).isEqualTo(STORE.plusSeconds(7));
         cancellationWatermark.advance(THIRD, STORE.plusSeconds(30));
         cancellationWatermark.advance(THIRD, STORE.plusSeconds(10));
         assertThat(cancellationWatermark.knownThrough(STORE))
-                .as("answers come out of order")
+                .as("responses arrive out of order")
                 .isEqualTo(STORE.plusSeconds(20));
         assertThat(cancellationWatermark.knownThrough(STORE.plusSeconds(50))).isEqualTo(STORE.plusSeconds(50));
     }
 
-    /** Its former process may have confirmed a cancellation that it knows nothing of. */
+    /** The former process may have confirmed a cancellation that the new one does not know. */
     @Test
-    void aPeerThatWasStartedAnewAddsNothing() {
+    void aRestartedPeerDoesNotAdvanceIt() {
         cancellationWatermark.advance(TestFixtures.PEER, STORE.plusSeconds(5));
         cancellationWatermark.advance(THIRD, STORE.plusSeconds(5));
         cancellationWatermark.advance(TestFixtures.PEER, STORE.plusSeconds(9));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aPeerThatIsNoMemberAddsNothing() {
+    void aPeerThatIsNoMemberDoesNotAdvanceIt() {
         clusterState.remove(StoreKeys.member("perch-2"), 30);
         cancellationWatermark.advance(TestFixtures.PEER, STORE.plusSeconds(5));
         cancellationWatermark.advance(THIRD, STORE.plusSeconds(5));
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aControllerAloneKnowsWhatTheStoreSays() {
+    void withoutPeersItIsWhatTheStoreProves() {
         assertThat(new CancellationWatermark(clusterState, List.of()).knownThrough(STORE))
                 .isEqualTo(STORE);
     }
--- a/src/test/java/org/gullway/coordination/cancellation/LeaseRenewalPolicyTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/LeaseRenewalPolicyTest.java
@@ -35,93 +35,105 @@
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.PEER), 11);
     }
 
-    private static Heartbeat report(String machine, long agentEpoch, long fencingToken, TaskStatus... tasks) {
+    private static Heartbeat heartbeat(String machine, long agentEpoch, long fencingToken, TaskStatus... tasks) {
         return new Heartbeat(
                 machine, "10.1.0.1:9000", "large", "a", true, agentEpoch, 1, fencingToken, null, List.of(tasks));
     }
 
-    /** First it has to look elsewhere: if others are entitled they have its work to do. */
+    /** It has to try the others first: one that holds a valid lease can give it work. */
     @Test
-    void keepsAWorkerOfItsOwnThatComesBack() {
+    void renewsAnAgentOfItsOwnThatReturnsAfterARejection() {
         leaseRenewal.onExternalContact(now.plusSeconds(10));
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-1", 1, 1), now)).isFalse();
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-1", 1, 1), now))
+                .isFalse();
         now = now.plusSeconds(11);
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-1", 1, 1), now)).isTrue();
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-1", 1, 1), now))
+                .isTrue();
         now = now.plusSeconds(5);
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-1", 1, 1), now)).isTrue();
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-1", 1, 1), now))
+                .isTrue();
         leaseRenewal.reset();
         leaseRenewal.onExternalContact(now.minusSeconds(2));
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-1", 1, 1), now)).isFalse();
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-1", 1, 1), now))
+                .isFalse();
     }
 
-    /** In a zone that is cut off there is nobody else, and to ask around takes ten of the seconds that are left. */
+    /** In a zone that is cut off no other controller is reachable, and trying them takes much of the lease. */
     @Test
-    void keepsEveryWorkerWhileNothingFromOutsideIsHeard() {
+    void renewsEveryAgentWithoutExternalContact() {
         leaseRenewal.onExternalContact(now);
         now = now.plusSeconds(3);
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-1", 1, 1), now)).isTrue();
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-1", 1, 1), now))
+                .isTrue();
     }
 
     @Test
-    void keepsAWorkerThatCannotReachItsOwnController() {
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-2", 1, 1), now)).isTrue();
+    void renewsAnAgentThatCannotReachItsOwnController() {
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1), now))
+                .isTrue();
     }
 
-    /** An answer under an older epoch would be dropped, and the worker would stay until its lease ends. */
+    /** A response with a lower fencing token would be dropped, and the agent would stay until its lease expires. */
     @Test
-    void refusesAWorkerThatHasAnotherCommanderByNow() {
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-2", 1, 2), now)).isFalse();
+    void rejectsAnAgentThatKnowsAHigherFencingToken() {
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 2), now))
+                .isFalse();
     }
 
     @Test
-    void refusesUnknownMachinesOtherSessionsAndMachinesGivenUp() {
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-9", 1, 1), now)).isFalse();
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-2", 2, 1), now)).isFalse();
+    void rejectsUnknownMachinesOtherAgentEpochsAndLostMachines() {
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-9", 1, 1), now))
+                .isFalse();
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 2, 1), now))
+                .isFalse();
         TestFixtures.put(
                 clusterState,
                 TestFixtures.machine("vm-2", "large", TestFixtures.PEER)
                         .withLifecycle(MachineRecord.MachineLifecycle.LOST),
                 12);
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-2", 1, 1), now)).isFalse();
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1), now))
+                .isFalse();
     }
 
-    /** The lease is the last that ends a cancelled task whose start may still be on its way: no stop would reach it. */
+    /** Only lease expiry ends a cancelled task whose start may still arrive: a stop could arrive before the start. */
     @Test
-    void refusesMachinesOnWhichACancelledTaskMayYetBegin() {
+    void rejectsMachinesOnWhichACancelledTaskMayStillStart() {
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
         JobRecord job =
                 TestFixtures.placed(JobRecord.accepted(request, "perch-0", TestFixtures.DAY), TestFixtures.DAY, "vm-2");
         clusterState.put(StoreKeys.job(request.id()), job, 20);
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-2", 1, 1), now)).isTrue();
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1), now))
+                .isTrue();
         clusterState.put(StoreKeys.job(request.id()), job.withCancellation(TestFixtures.DAY), 21);
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-2", 1, 1), now)).isFalse();
-        TaskStatus other = new TaskStatus(new TaskId(request.id(), 0), 9, TaskStatus.Phase.RUNNING, null, false);
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-2", 1, 1, other), now))
-                .as("only another attempt is there")
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1), now))
+                .isFalse();
+        TaskStatus otherAttempt = new TaskStatus(new TaskId(request.id(), 0), 9, TaskStatus.Phase.RUNNING, null, false);
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1, otherAttempt), now))
+                .as("only another attempt is listed")
                 .isFalse();
-        TaskStatus there = new TaskStatus(new TaskId(request.id(), 0), 1, TaskStatus.Phase.RUNNING, null, false);
-        assertThat(leaseRenewal.mayRenewDuringOutage(report("vm-2", 1, 1, there), now))
-                .as("the answer stops it")
+        TaskStatus listed = new TaskStatus(new TaskId(request.id(), 0), 1, TaskStatus.Phase.RUNNING, null, false);
+        assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1, listed), now))
+                .as("the response stops it")
                 .isTrue();
     }
 
     /**
-     * A lease of 20 s that is renewed at the very end is over before 40 s have passed since the last knowledge, by
-     * clocks that drift apart by 0.05%: what was cancelled since, unknown here, has its 40 s (the operators' day "gap").
+     * A lease of 20 s that is renewed at the last moment expires within 40 s of the watermark, by clocks that drift
+     * apart by 0.05%: tasks of jobs cancelled since, unknown here, end within their limit of 40 s.
      */
     @Property(seed = "31")
-    void noLeaseThatIsRenewedOutlastsTheLimitOfACancellationThatIsNotKnown(
-            @ForAll @IntRange(max = 20_000) int known, @ForAll @IntRange(max = 60_000) int later) {
-        Instant knownThrough = now.plusMillis(known);
-        Instant at = knownThrough.plusMillis(later);
+    void noRenewedLeaseOutlastsTheLimitOfAnUnknownCancellation(
+            @ForAll @IntRange(max = 20_000) int knownMillis, @ForAll @IntRange(max = 60_000) int laterMillis) {
+        Instant knownThrough = now.plusMillis(knownMillis);
+        Instant at = knownThrough.plusMillis(laterMillis);
         double drift = 1.0005 / 0.9995;
-        boolean endsInTime = (later + 20_000) * drift < 40_000;
-        assertThat(leaseRenewal.mayRenew(knownThrough, at)).isEqualTo(later < 19_670);
+        boolean endsInTime = (laterMillis + 20_000) * drift < 40_000;
+        assertThat(leaseRenewal.mayRenew(knownThrough, at)).isEqualTo(laterMillis < 19_670);
         assertThat(leaseRenewal.mayRenew(knownThrough, at) && !endsInTime).isFalse();
     }
 
     @Test
-    void renewsNothingBeforeAnythingIsKnown() {
+    void renewsNothingBeforeTheWatermarkIsKnown() {
         assertThat(leaseRenewal.mayRenew(Instant.MIN, now)).isFalse();
     }
 }
