--- a/src/main/java/org/gullway/api/CancellationHandler.java
+++ b/src/main/java/org/gullway/api/CancellationHandler.java
@@ -1,120 +1,97 @@
 package org.gullway.api;
 
-import java.time.Duration;
-import java.time.Instant;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.gullway.api.JobLookupResult.Found;
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.Transaction;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.JobStatus;
 import org.gullway.storage.ReplicatedState;
-import org.gullway.transport.EventLoop;
 
-/** Users' cancellations from their arrival until they are on record and their users have been told so. */
+/** Cancellations by users, from their arrival until they are on record and have been answered. */
 final class CancellationHandler {
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
-    private static final int MOST_PENDING = 500;
+    /** A cancelled job without live attempts ends at once, which changes two keys. */
+    private static final int MAX_CHANGES_PER_JOB = 2;
 
-    private final EventLoop loop;
+    private final RequestContext context;
     private final ClusterState clusterState;
     private final ReplicatedState replicatedState;
-    private final FinalStateCache finalStates;
     private final JobLookup jobLookup;
-    private final LinearizableResponses responses;
-    private final Runnable changed;
-    private final Map<String, Cancellation> pending = new LinkedHashMap<>();
+    private final PendingRequests<Cancellation> pending;
 
     /**
-     * A cancellation that waits to be recorded.
+     * A cancellation that is to be recorded.
      *
-     * @param readAt revision at which the job was read, since the view lacked it; 0 if the view had it
+     * @param readRevision revision at which the job was read by key; 0 if it was in the cluster state
      */
-    private record Cancellation(String id, Instant came, long readAt, List<UserRequest> calls) {}
+    private record Cancellation(String job, long readRevision) {}
 
-    /** @param changed asks for a round of decisions */
-    CancellationHandler(
-            EventLoop loop,
-            ClusterState clusterState,
-            ReplicatedState replicatedState,
-            FinalStateCache finalStates,
-            JobLookup jobLookup,
-            LinearizableResponses responses,
-            Runnable changed) {
-        this.loop = loop;
-        this.clusterState = clusterState;
-        this.replicatedState = replicatedState;
-        this.finalStates = finalStates;
+    CancellationHandler(RequestContext context, JobLookup jobLookup) {
+        this.context = context;
+        this.clusterState = context.clusterState();
+        this.replicatedState = context.replicatedState();
         this.jobLookup = jobLookup;
-        this.responses = responses;
-        this.changed = changed;
+        this.pending = new PendingRequests<>(context.loop());
     }
 
-    /** Cancels the job and answers when that is on record, or at once if it is over or nobody knows it. */
-    void cancel(String id, UserRequest userRequest) {
+    /** Cancels the job and responds when that is on record, or at once if it has ended or does not exist. */
+    void cancel(String id, UserRequest request) {
         if (!JobRequest.isValidId(id)) {
-            UserResponses.rejectInvalidId(userRequest.exchange());
+            UserResponses.rejectInvalidId(request);
         } else if (!replicatedState.holdsValidLease()) {
-            UserResponses.rejectTemporarily(userRequest.exchange());
-        } else if (pending.size() >= MOST_PENDING) {
-            userRequest.exchange().reject(429, UserResponses.RETRY_AFTER);
+            UserResponses.rejectTemporarily(request);
+        } else if (pending.isFull()) {
+            UserResponses.rejectOverloaded(request, UserResponses.RETRY_AFTER);
         } else if (clusterState.job(id) == null) {
             jobLookup.lookUp(
-                    id,
-                    result -> cancelFound(result, userRequest),
-                    () -> UserResponses.rejectTemporarily(userRequest.exchange()));
+                    id, result -> cancelIfLive(result, request), () -> UserResponses.rejectTemporarily(request));
         } else {
-            enqueue(id, userRequest, 0);
+            enqueue(id, request, 0);
         }
     }
 
-    private void cancelFound(JobLookupResult result, UserRequest userRequest) {
-        if (result.status() == null || result.isFinal()) {
-            responses.respondToCancellation(userRequest, result);
+    private void cancelIfLive(JobLookupResult result, UserRequest request) {
+        if (result instanceof Found && !result.isFinal()) {
+            enqueue(result.id(), request, result.freshness().revision());
         } else {
-            enqueue(result.id(), userRequest, result.freshness().revision());
+            context.responses().respondToCancellation(request, result);
         }
     }
 
-    private void enqueue(String id, UserRequest userRequest, long readAt) {
-        pending.computeIfAbsent(id, i -> new Cancellation(i, loop.now(), readAt, new ArrayList<>()))
-                .calls()
-                .add(userRequest);
-        changed.run();
+    private void enqueue(String id, UserRequest request, long readRevision) {
+        pending.add(id, request, () -> new Cancellation(id, readRevision));
+        context.requestCycle().run();
     }
 
-    /** Adds the cancellations that wait to the draft, as far as it has room. */
+    /** Adds the pending cancellations to the transaction, as far as it has capacity. */
     void plan(Transaction transaction) {
-        for (Cancellation cancellation : pending.values()) {
-            JobRecord job = transaction.job(cancellation.id());
-            if (job != null && !job.isCancelled() && transaction.hasCapacityFor(2)) {
+        for (Cancellation cancellation : pending.changes()) {
+            JobRecord job = transaction.job(cancellation.job());
+            if (job != null && !job.isCancelled() && transaction.hasCapacityFor(MAX_CHANGES_PER_JOB)) {
                 transaction.putJob(job.withCancellation(transaction.timeOfDay()));
             }
         }
     }
 
-    /** Answers what the view answers by now, and gives up what took too long. */
+    /** Responds to all pending requests that the cluster state answers by now, and rejects those that timed out. */
     void completePending() {
-        Instant now = loop.now();
-        boolean holdsValidLease = replicatedState.holdsValidLease();
-        for (String id : List.copyOf(pending.keySet())) {
-            Cancellation cancellation = pending.get(id);
-            JobStatus end = finalStates.of(id);
-            if (end != null) {
-                JobLookupResult result = JobLookupResult.ofFinalState(end);
-                pending.remove(id).calls().forEach(userRequest -> responses.respondToCancellation(userRequest, result));
-            } else if (clusterState.job(id) == null && clusterState.watchedRevision() >= cancellation.readAt()) {
-                // It has ended since. A job that was read is only still to come: it was once read again and again until
-                // then, with what is meant for submissions (incident went-back-384079).
-                pending.remove(id).calls().forEach(userRequest -> cancel(id, userRequest));
-            } else if (!holdsValidLease || cancellation.came().plus(PATIENCE).isBefore(now)) {
-                pending.remove(id)
-                        .calls()
-                        .forEach(userRequest -> UserResponses.rejectTemporarily(userRequest.exchange()));
-            }
+        pending.complete(replicatedState.holdsValidLease(), this::completion);
+    }
+
+    private Optional<Consumer<UserRequest>> completion(Cancellation cancellation) {
+        String id = cancellation.job();
+        Optional<JobStatus> finalState = context.finalStates().find(id);
+        if (finalState.isPresent()) {
+            JobLookupResult result = Found.ofFinalState(finalState.get());
+            return Optional.of(request -> context.responses().respondToCancellation(request, result));
+        }
+        // A job that was read by key may not have reached the cluster state yet: absence counts only from that revision
+        // on, or each cycle would read it again at the expense of submissions.
+        if (clusterState.job(id) == null && clusterState.watchedRevision() >= cancellation.readRevision()) {
+            return Optional.of(request -> cancel(id, request));
         }
+        return Optional.empty();
     }
 }
--- a/src/main/java/org/gullway/api/FinalStateCache.java
+++ b/src/main/java/org/gullway/api/FinalStateCache.java
@@ -2,22 +2,23 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.protocol.JobStatus;
 
 /**
- * Final states of jobs, as far as they are known here: of those that ended, and of those that the view shows as
- * cancelled. They never change, so they may be told from memory.
+ * Final states of jobs: of the most recently used ones that have ended, and of those that are cancelled in the cluster
+ * state. They never change, so a response may contain them without asking the state store.
  */
 final class FinalStateCache {
-    private static final int MOST_REMEMBERED = 10_000;
+    private static final int MAX_ENTRIES = 10_000;
 
     private final ClusterState clusterState;
-    private final Map<String, JobStatus> states = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<String, JobStatus> ended = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, JobStatus> eldest) {
-            return size() > MOST_REMEMBERED;
+            return size() > MAX_ENTRIES;
         }
     };
 
@@ -25,21 +26,17 @@
         this.clusterState = clusterState;
     }
 
-    /** The final state of the job; null if none is known. */
-    JobStatus of(String id) {
-        JobStatus end = states.get(id);
-        if (end != null) {
-            return end;
+    /** The final state of the job, if it is known to have one. */
+    Optional<JobStatus> find(String id) {
+        JobStatus status = ended.get(id);
+        if (status != null) {
+            return Optional.of(status);
         }
         JobRecord job = clusterState.job(id);
-        return job != null && job.isCancelled() ? job.status() : null;
-    }
-
-    boolean contains(String id) {
-        return of(id) != null;
+        return job != null && job.isCancelled() ? Optional.of(job.status()) : Optional.empty();
     }
 
     void remember(JobStatus status) {
-        states.put(status.id(), status);
+        ended.put(status.id(), status);
     }
 }
--- /dev/null
+++ b/src/main/java/org/gullway/api/JobReader.java
@@ -0,0 +1,132 @@
+package org.gullway.api;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.time.Instant;
+import java.util.function.Consumer;
+import org.gullway.api.JobLookupResult.Found;
+import org.gullway.api.JobLookupResult.NotFound;
+import org.gullway.coordination.cancellation.CancellationEnforcer;
+import org.gullway.coordination.model.FinalState;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.protocol.JobState;
+import org.gullway.protocol.JobStatus;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.storage.RecordCodec;
+import org.gullway.storage.StateStoreClient;
+import org.gullway.transport.EventLoop;
+import org.gullway.transport.HttpResponse;
+import org.gullway.transport.HttpStatus;
+import org.gullway.transport.TokenBucket;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Reads one job's state from the state store by key: its live record, and if there is none its final state. A job only
+ * ever moves from the former to the latter, so that absence of both, read in this order, proves that there is no job.
+ */
+final class JobReader {
+    private static final Logger LOG = LoggerFactory.getLogger(JobReader.class);
+
+    private final EventLoop loop;
+    private final StateStoreClient store;
+    private final TokenBucket rateLimit;
+    private final FinalStateCache finalStates;
+    private final CancellationEnforcer cancellationEnforcer;
+
+    /** A read in progress; the first of its requests was sent at {@code sentAt}. */
+    private record Read(String id, Instant sentAt, Consumer<JobLookupResult> onResult, Runnable onFailure) {}
+
+    /** @param rateLimit each request consumes one of its tokens, whether there is one or not */
+    JobReader(
+            EventLoop loop,
+            StateStoreClient store,
+            TokenBucket rateLimit,
+            FinalStateCache finalStates,
+            CancellationEnforcer cancellationEnforcer) {
+        this.loop = loop;
+        this.store = store;
+        this.rateLimit = rateLimit;
+        this.finalStates = finalStates;
+        this.cancellationEnforcer = cancellationEnforcer;
+    }
+
+    /** Reads a job that may be live, ended or unknown. */
+    void read(String id, Consumer<JobLookupResult> onResult, Runnable onFailure) {
+        readLiveRecord(new Read(id, loop.now(), onResult, onFailure));
+    }
+
+    /** Reads a job that is known to have ended. */
+    void readEnded(String id, Consumer<JobLookupResult> onResult, Runnable onFailure) {
+        readFinalState(new Read(id, loop.now(), onResult, onFailure));
+    }
+
+    private void readLiveRecord(Read read) {
+        rateLimit.consume(1);
+        store.get(StoreKeys.job(read.id()), outcome -> {
+            if (hasStatus(outcome, HttpStatus.OK)) {
+                JobStatus status = statusOfRecord(read.id(), outcome.body().path("v"));
+                read.onResult().accept(found(read, status, outcome.revision()));
+            } else if (hasStatus(outcome, HttpStatus.NOT_FOUND)) {
+                readFinalState(read);
+            } else {
+                read.onFailure().run();
+            }
+        });
+    }
+
+    private void readFinalState(Read read) {
+        rateLimit.consume(1);
+        store.get(StoreKeys.finalState(read.id()), outcome -> {
+            if (hasStatus(outcome, HttpStatus.OK)) {
+                completeWithFinalState(read, outcome);
+            } else if (hasStatus(outcome, HttpStatus.NOT_FOUND)) {
+                read.onResult().accept(new NotFound(read.id(), freshness(read, outcome.revision())));
+            } else {
+                read.onFailure().run();
+            }
+        });
+    }
+
+    private void completeWithFinalState(Read read, StateStoreClient.Outcome outcome) {
+        FinalState finalState;
+        try {
+            finalState = RecordCodec.ended(outcome.body().path("v"));
+        } catch (MalformedMessageException e) {
+            read.onFailure().run();
+            return;
+        }
+        JobStatus status = new JobStatus(read.id(), finalState.state(), finalState.done(), 0);
+        finalStates.remember(status);
+        read.onResult().accept(found(read, status, outcome.revision()));
+    }
+
+    /** A record that cannot be decoded still proves that the job was accepted, and its users need a response. */
+    private JobStatus statusOfRecord(String id, JsonNode value) {
+        try {
+            JobRecord job = (JobRecord) RecordCodec.decode(StoreKeys.job(id), value);
+            // Its user gets a response about the cancellation before the watch has delivered it here.
+            cancellationEnforcer.merge(job, loop.now());
+            return job.status();
+        } catch (MalformedMessageException e) {
+            LOG.error("could not decode a job record job={} reason={}", id, e.getMessage());
+            JobState state = value.hasNonNull("cancelled") ? JobState.CANCELLED : JobState.PENDING;
+            return new JobStatus(id, state, 0, 0);
+        }
+    }
+
+    private static Found found(Read read, JobStatus status, long revision) {
+        if (status.state().isFinal()) {
+            return new Found(status, new ReadFreshness(ReadFreshness.Source.FINAL_STATE, revision, read.sentAt()));
+        }
+        return new Found(status, freshness(read, revision));
+    }
+
+    private static ReadFreshness freshness(Read read, long revision) {
+        return new ReadFreshness(ReadFreshness.Source.READ, revision, read.sentAt());
+    }
+
+    private static boolean hasStatus(StateStoreClient.Outcome outcome, int status) {
+        return outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == status;
+    }
+}
--- a/src/main/java/org/gullway/api/LinearizableResponses.java
+++ b/src/main/java/org/gullway/api/LinearizableResponses.java
@@ -3,110 +3,122 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import org.gullway.api.JobLookupResult.Found;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobStatus;
 import org.gullway.transport.EventLoop;
+import org.gullway.transport.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The only place that tells users the state of a job, or that there is no such job. An answer needs evidence that is not
- * older than the request, or a final state; a request whose answer lacks that is refused for now and reported as a
- * violated invariant.
+ * The only place that responds to users with the state of a job, or with its absence. The state must be final or known
+ * to hold no earlier than the request's arrival, so that no user gets an older state than another has got before. A
+ * request for which that is not so is rejected temporarily, and reported as a violated invariant.
  */
 final class LinearizableResponses {
     private static final Logger LOG = LoggerFactory.getLogger(LinearizableResponses.class);
-    private static final byte[] EMPTY = new byte[0];
+    private static final Response NOT_FOUND = new Response(HttpStatus.NOT_FOUND, UserResponses.EMPTY_BODY);
 
     private final EventLoop loop;
-    private final Function<String, JobStatus> finalState;
-    private final Consumer<String> violated;
+    private final Function<String, Optional<JobStatus>> finalStates;
+    private final Consumer<String> onViolation;
+
+    private record Response(int status, byte[] body) {
+        static Response withState(int status, Found result) {
+            return new Response(status, UserResponses.encodeState(result.status()));
+        }
+
+        static Response withTaskCounts(Found result) {
+            return new Response(HttpStatus.OK, Cbor.encode(result.status().toNode()));
+        }
+    }
 
     /**
-     * @param finalState the final state of a job, as far as it is known here; null for any other job
-     * @param violated is told of answers that were withheld since their evidence was too old
+     * @param finalStates the final state of a job, if it is known to have one
+     * @param onViolation receives a description of each response that was withheld since its state was too old
      */
-    LinearizableResponses(EventLoop loop, Function<String, JobStatus> finalState, Consumer<String> violated) {
+    LinearizableResponses(
+            EventLoop loop, Function<String, Optional<JobStatus>> finalStates, Consumer<String> onViolation) {
         this.loop = loop;
-        this.finalState = finalState;
-        this.violated = violated;
+        this.finalStates = finalStates;
+        this.onViolation = onViolation;
     }
 
-    /** Answers questions about one job: 200 with the whole state, or 404. */
-    void respondToQueries(List<UserRequest> calls, JobLookupResult result) {
-        answer(
-                calls,
-                result,
-                status -> status == null ? new Answer(404, EMPTY) : new Answer(200, Cbor.encode(status.toNode())));
+    /** Responds to status queries for one job: 200 with the whole status, or 404. */
+    void respondToQueries(List<UserRequest> requests, JobLookupResult result) {
+        JobLookupResult newest = newest(result);
+        respond(requests, newest, newest instanceof Found found ? Response.withTaskCounts(found) : NOT_FOUND);
     }
 
-    /** Answers a submission whose job has just been recorded: 201 with the state that was committed. */
-    void respondAccepted(UserRequest userRequest, JobLookupResult committed) {
-        answer(
-                List.of(userRequest),
-                committed,
-                status -> new Answer(status.state().isFinal() ? 200 : 201, UserResponses.state(status)));
+    /** Responds to a submission whose job has just been recorded: 201 with the state that was committed. */
+    void respondAccepted(UserRequest request, Found committed) {
+        Found newest =
+                committed.isFinal() ? committed : finalStateOf(committed.id()).orElse(committed);
+        int status = newest.isFinal() ? HttpStatus.OK : HttpStatus.CREATED;
+        respond(List.of(request), newest, Response.withState(status, newest));
     }
 
-    /** Answers a cancellation: 200 with the final state, or 404. */
-    void respondToCancellation(UserRequest userRequest, JobLookupResult result) {
-        answer(
-                List.of(userRequest),
-                result,
-                status -> status == null ? new Answer(404, EMPTY) : new Answer(200, UserResponses.state(status)));
+    /** Responds to a cancellation: 200 with the final state, or 404. */
+    void respondToCancellation(UserRequest request, JobLookupResult result) {
+        JobLookupResult newest = newest(result);
+        Response response = newest instanceof Found found ? Response.withState(HttpStatus.OK, found) : NOT_FOUND;
+        respond(List.of(request), newest, response);
     }
 
-    /** Answers a submission of a job that can never run: 422, unless it was accepted earlier. */
-    void respondInfeasible(UserRequest userRequest, JobLookupResult result, String reason) {
-        answer(
-                List.of(userRequest),
-                result,
-                status -> status == null
-                        ? new Answer(422, UserResponses.error(reason))
-                        : new Answer(200, Cbor.encode(status.toNode())));
+    /** Responds to a submission of a job that can never run: 422, unless it was accepted earlier. */
+    void respondInfeasible(UserRequest request, JobLookupResult result, String reason) {
+        JobLookupResult newest = newest(result);
+        Response response = newest instanceof Found found
+                ? Response.withTaskCounts(found)
+                : new Response(HttpStatus.UNPROCESSABLE, UserResponses.encodeError(reason));
+        respond(List.of(request), newest, response);
     }
 
-    private record Answer(int status, byte[] body) {}
-
-    /** The body is made once, however many calls share the answer. */
-    private void answer(List<UserRequest> calls, JobLookupResult result, Function<JobStatus, Answer> form) {
-        JobLookupResult newest = newest(result);
-        Answer answer = form.apply(newest.status());
-        for (UserRequest userRequest : calls) {
-            if (newest.freshness().covers(userRequest.arrivedAt())) {
-                userRequest.exchange().respond(answer.status(), answer.body());
+    private void respond(List<UserRequest> requests, JobLookupResult result, Response response) {
+        for (UserRequest request : requests) {
+            if (result.freshness().covers(request.arrivedAt())) {
+                request.exchange().respond(response.status(), response.body());
             } else {
-                violated.accept(describe(newest, userRequest));
-                UserResponses.rejectTemporarily(userRequest.exchange());
+                onViolation.accept(describe(result, request));
+                UserResponses.rejectTemporarily(request);
             }
         }
-        if (LOG.isDebugEnabled() && !calls.isEmpty()) {
-            UserRequest last = calls.get(calls.size() - 1);
-            LOG.debug("answer {} to {} requests: {}", answer.status(), calls.size(), describe(newest, last));
+        if (LOG.isDebugEnabled() && !requests.isEmpty()) {
+            UserRequest last = requests.get(requests.size() - 1);
+            LOG.debug(
+                    "responded to users status={} requests={} {}",
+                    response.status(),
+                    requests.size(),
+                    describe(result, last));
         }
     }
 
-    /** A final state that has become known meanwhile replaces any other finding. */
+    /** A final state that has become known in the time since replaces any other result. */
     private JobLookupResult newest(JobLookupResult result) {
         if (result.isFinal()) {
             return result;
         }
-        JobStatus end = finalState.apply(result.id());
-        return end == null ? result : JobLookupResult.ofFinalState(end);
+        Optional<Found> finalState = finalStateOf(result.id());
+        return finalState.isPresent() ? finalState.get() : result;
+    }
+
+    private Optional<Found> finalStateOf(String id) {
+        return finalStates.apply(id).map(Found::ofFinalState);
     }
 
-    private String describe(JobLookupResult result, UserRequest userRequest) {
+    private String describe(JobLookupResult result, UserRequest request) {
         ReadFreshness freshness = result.freshness();
         Instant now = loop.now();
-        String state =
-                result.status() == null ? "unknown" : result.status().state().wire();
+        String state = result instanceof Found found ? found.status().state().wire() : "not_found";
         String age = freshness.source() == ReadFreshness.Source.FINAL_STATE
                 ? ""
-                : " of revision " + freshness.revision() + ", " + millis(freshness.validFrom(), now) + " ms old";
-        return result.id() + " " + state + " by " + freshness.source() + age + ", asked "
-                + millis(userRequest.arrivedAt(), now) + " ms ago";
+                : " revision=" + freshness.revision() + " state_age_ms=" + millis(freshness.validFrom(), now);
+        return "job=" + result.id() + " state=" + state + " source=" + freshness.source() + age + " request_age_ms="
+                + millis(request.arrivedAt(), now);
     }
 
     private static long millis(Instant from, Instant to) {
--- a/src/main/java/org/gullway/api/ReadFreshness.java
+++ b/src/main/java/org/gullway/api/ReadFreshness.java
@@ -3,10 +3,9 @@
 import java.time.Instant;
 
 /**
- * Why a job's state may be told to a user.
+ * How a job's state became known, and since when it is known to hold: what makes a response with it linearizable.
  *
- * @param source how the state became known
- * @param revision revision of the state service at which it was read or written, 0 where that is not known
+ * @param revision revision of the state store at which the state was read or written, 0 where that is not known
  * @param validFrom the state held at this moment or later: when the request that read or wrote it was sent
  */
 record ReadFreshness(Source source, long revision, Instant validFrom) {
@@ -14,21 +13,21 @@
     enum Source {
         /** The job's final state is on record; it never changes again. */
         FINAL_STATE,
-        /** The state service confirmed that the view's marks were the newest. */
-        VERIFICATION,
-        /** The job's records were read. */
-        READING,
+        /** The state store confirmed that the key versions in the cluster state were the newest. */
+        VERSION_CHECK,
+        /** The job's keys were read. */
+        READ,
         /** This controller committed the job's record. */
         COMMIT
     }
 
-    /** The evidence of a final state, which was told or recorded before and holds for good. */
+    /** The freshness of a final state, which is on record for good. */
     static ReadFreshness ofFinalState() {
         return new ReadFreshness(Source.FINAL_STATE, 0, Instant.MIN);
     }
 
-    /** Whether the evidence is not older than a request that came at this moment. */
-    boolean covers(Instant came) {
-        return source == Source.FINAL_STATE || !validFrom.isBefore(came);
+    /** Whether the state is no older than a request that arrived at this moment. */
+    boolean covers(Instant arrivedAt) {
+        return source == Source.FINAL_STATE || !validFrom.isBefore(arrivedAt);
     }
 }
--- a/src/main/java/org/gullway/api/RequestMetrics.java
+++ b/src/main/java/org/gullway/api/RequestMetrics.java
@@ -2,11 +2,11 @@
 
 import java.time.Duration;
 
-/** What is counted of users' requests. */
+/** Receives what is counted of users' requests. */
 public interface RequestMetrics {
-    /** A submission was accepted so long after it had come. */
-    void submissionAccepted(Duration time);
+    /** A submission was accepted this long after its arrival. */
+    void submissionAccepted(Duration latency);
 
-    /** So many questions were answered, or refused for now. */
+    /** This many status queries were answered, or else rejected temporarily. */
     void statusQueries(boolean answered, int count);
 }
--- a/src/main/java/org/gullway/api/StatusQuery.java
+++ b/src/main/java/org/gullway/api/StatusQuery.java
@@ -3,26 +3,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One job that users ask about, with all calls that wait for the same answer. */
+/** A query for the status of one job, with all requests that wait for the same response. */
 final class StatusQuery {
+    /** Why users ask, which determines the priority. */
+    enum Origin {
+        STATUS_REQUEST,
+        /** The job is submitted once more; its user may not know yet that it was accepted. */
+        REPEATED_SUBMISSION
+    }
+
     private final String id;
-    private final boolean ofSubmitter;
-    private final int keys;
+    private final Origin origin;
+    private final int keyCount;
     private final LinearizableResponses responses;
     private final RequestMetrics metrics;
-    private final List<UserRequest> calls = new ArrayList<>();
-    private Runnable stopTimer = () -> {};
-    private boolean over;
-    private int timesStale;
+    private final List<UserRequest> requests = new ArrayList<>();
+    private Runnable cancelTimeout = () -> {};
+    private boolean completed;
+    private int staleChecks;
 
-    /**
-     * @param ofSubmitter whether it comes from a user who submits the job again
-     * @param keys how many keys its verification compares
-     */
-    StatusQuery(String id, boolean ofSubmitter, int keys, LinearizableResponses responses, RequestMetrics metrics) {
+    /** @param keyCount how many key versions have to be checked for this query */
+    StatusQuery(String id, Origin origin, int keyCount, LinearizableResponses responses, RequestMetrics metrics) {
         this.id = id;
-        this.ofSubmitter = ofSubmitter;
-        this.keys = keys;
+        this.origin = origin;
+        this.keyCount = keyCount;
         this.responses = responses;
         this.metrics = metrics;
     }
@@ -31,54 +35,54 @@
         return id;
     }
 
-    boolean isOfSubmitter() {
-        return ofSubmitter;
+    Origin origin() {
+        return origin;
     }
 
-    int keys() {
-        return keys;
+    int keyCount() {
+        return keyCount;
     }
 
-    /** Whether all calls have been answered. */
-    boolean isOver() {
-        return over;
+    /** Whether all requests have been answered or rejected. */
+    boolean isCompleted() {
+        return completed;
     }
 
-    void add(UserRequest userRequest) {
-        calls.add(userRequest);
+    void add(UserRequest request) {
+        requests.add(request);
     }
 
-    /** @param stop ends the timer that would refuse this query */
-    void onEnd(Runnable stop) {
-        stopTimer = stop;
+    /** Sets how the timeout of this query is cancelled once it is completed. */
+    void cancelOnCompletion(Runnable timeoutHandle) {
+        cancelTimeout = timeoutHandle;
     }
 
-    /** Counts that what was known here was not the newest; returns how often that was so. */
-    int stale() {
-        return ++timesStale;
+    /** Counts a check that found the cluster state stale; returns how many have. */
+    int countStaleCheck() {
+        return ++staleChecks;
     }
 
-    /** Tells all who wait what was found out. */
+    /** Answers all requests. */
     void answer(JobLookupResult result) {
-        if (end(true)) {
-            responses.respondToQueries(calls, result);
+        if (complete(true)) {
+            responses.respondToQueries(requests, result);
         }
     }
 
-    /** Refuses all who wait for now. */
-    void refuse() {
-        if (end(false)) {
-            calls.forEach(userRequest -> UserResponses.rejectTemporarily(userRequest.exchange()));
+    /** Rejects all requests temporarily. */
+    void reject() {
+        if (complete(false)) {
+            requests.forEach(UserResponses::rejectTemporarily);
         }
     }
 
-    private boolean end(boolean answered) {
-        if (over) {
+    private boolean complete(boolean answered) {
+        if (completed) {
             return false;
         }
-        over = true;
-        stopTimer.run();
-        metrics.statusQueries(answered, calls.size());
+        completed = true;
+        cancelTimeout.run();
+        metrics.statusQueries(answered, requests.size());
         return true;
     }
 }
--- a/src/main/java/org/gullway/api/UserApi.java
+++ b/src/main/java/org/gullway/api/UserApi.java
@@ -18,10 +18,11 @@
 import org.gullway.storage.ReplicatedState;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpExchange;
+import org.gullway.transport.TokenBucket;
 
 /**
- * Users' submissions, questions and cancellations. Nothing is told that is not on record, and no state that is not
- * final is told before the store has confirmed that it is still the newest.
+ * The requests of users: submissions, status queries and cancellations. Nothing is confirmed to a user that is not on
+ * record, and no state that is not final is reported before the state store has confirmed that it is the newest.
  */
 public final class UserApi implements PlanningStep {
     private final EventLoop loop;
@@ -31,9 +32,9 @@
     private final CancellationHandler cancellations;
 
     /**
-     * @param guardsPerCommit how many keys one request to the state service may compare
-     * @param violated is told of answers that were withheld since their evidence was too old
-     * @param changed asks for a round of decisions
+     * @param conditionsPerTransaction how many key versions one request to the state store may compare
+     * @param onViolation receives a description of each response that was withheld since its state was too old
+     * @param requestCycle asks for a scheduling cycle
      */
     public UserApi(
             EventLoop loop,
@@ -43,47 +44,51 @@
             JobFeasibility feasibility,
             RandomGenerator random,
             RequestMetrics metrics,
-            int guardsPerCommit,
+            int conditionsPerTransaction,
             CancellationEnforcer cancellationEnforcer,
-            Consumer<String> violated,
-            Runnable changed) {
+            Consumer<String> onViolation,
+            Runnable requestCycle) {
         this.loop = loop;
         this.finalStates = new FinalStateCache(clusterState);
-        LinearizableResponses responses = new LinearizableResponses(loop, finalStates::of, violated);
-        JobLookup forQuestions = new JobLookup(
-                loop, replicatedState.store(), replicatedState.queryReadLimit(), finalStates, cancellationEnforcer);
-        JobLookup jobLookup = new JobLookup(
-                loop, replicatedState.store(), replicatedState.requestReadLimit(), finalStates, cancellationEnforcer);
-        this.statusQueries = new StatusQueryHandler(
-                loop, clusterState, replicatedState, finalStates, forQuestions, responses, metrics, guardsPerCommit);
-        this.submissions = new SubmissionHandler(
+        RequestContext context = new RequestContext(
                 loop,
                 clusterState,
                 replicatedState,
-                machineTypes,
-                feasibility,
-                random,
-                metrics,
                 finalStates,
-                jobLookup,
-                statusQueries,
-                responses,
-                changed);
-        this.cancellations = new CancellationHandler(
-                loop, clusterState, replicatedState, finalStates, jobLookup, responses, changed);
+                new LinearizableResponses(loop, finalStates::find, onViolation),
+                metrics,
+                requestCycle);
+        // Submissions and cancellations have a rate limit of their own, so that queries cannot delay them.
+        JobLookup queryLookup = newJobLookup(context, replicatedState.queryReadLimit(), cancellationEnforcer);
+        JobLookup requestLookup = newJobLookup(context, replicatedState.requestReadLimit(), cancellationEnforcer);
+        this.statusQueries = new StatusQueryHandler(context, queryLookup, conditionsPerTransaction);
+        this.submissions = new SubmissionHandler(
+                context, new JobAdmission(machineTypes, feasibility, random), requestLookup, statusQueries);
+        this.cancellations = new CancellationHandler(context, requestLookup);
     }
 
-    /** Answers a submission, at once or when the job is on record. */
+    private static JobLookup newJobLookup(
+            RequestContext context, TokenBucket rateLimit, CancellationEnforcer cancellationEnforcer) {
+        JobReader reader = new JobReader(
+                context.loop(),
+                context.replicatedState().store(),
+                rateLimit,
+                context.finalStates(),
+                cancellationEnforcer);
+        return new JobLookup(context.loop(), rateLimit, context.finalStates(), reader);
+    }
+
+    /** Responds to a submission, at once or when the job is on record. */
     public void submit(HttpExchange exchange) {
         submissions.submit(arrived(exchange));
     }
 
-    /** Answers a cancellation. */
+    /** Responds to a cancellation, at once or when it is on record. */
     public void cancel(String id, HttpExchange exchange) {
         cancellations.cancel(id, arrived(exchange));
     }
 
-    /** Answers a question about a job. */
+    /** Responds to a status query, at once or when the state is confirmed. */
     public void queryStatus(String id, HttpExchange exchange) {
         statusQueries.query(id, arrived(exchange));
     }
@@ -92,9 +97,7 @@
         return new UserRequest(exchange, loop.now());
     }
 
-    // Part in the rounds of decisions
-
-    /** Adds what users have asked for to the draft. */
+    /** Adds what users have asked for to the transaction. */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         cancellations.plan(transaction);
@@ -102,16 +105,16 @@
     }
 
     /**
-     * Tells the users of jobs that the draft, which has been committed, accepted or ended.
+     * Responds to the users of jobs that a committed transaction has accepted or ended.
      *
-     * @param sent when the commit was sent
+     * @param sentAt when the transaction was sent
      */
-    public void onCommitted(Transaction transaction, long revision, Instant sent) {
-        ReadFreshness freshness = new ReadFreshness(ReadFreshness.Source.COMMIT, revision, sent);
+    public void onCommitted(Transaction transaction, long revision, Instant sentAt) {
+        ReadFreshness freshness = new ReadFreshness(ReadFreshness.Source.COMMIT, revision, sentAt);
         transaction.changes().forEach((key, value) -> {
-            if (value instanceof FinalState end) {
+            if (value instanceof FinalState finalState) {
                 String id = key.substring(StoreKeys.finalState("").length());
-                finalStates.remember(new JobStatus(id, end.state(), end.done(), 0));
+                finalStates.remember(new JobStatus(id, finalState.state(), finalState.done(), 0));
             } else if (key.startsWith(StoreKeys.JOBS) && value instanceof JobRecord job) {
                 submissions.onCommitted(job, freshness);
             }
@@ -119,12 +122,12 @@
         completePending();
     }
 
-    /** Takes notice of a draft that was not committed because these guards failed. */
-    public void onConflict(Set<String> failedGuards) {
-        submissions.onConflict(failedGuards);
+    /** Responds to the users of jobs that, as the failed conditions of a transaction show, have already ended. */
+    public void onConflict(Set<String> failedConditions) {
+        submissions.onConflict(failedConditions);
     }
 
-    /** Answers what the view answers by now, and gives up what took too long. */
+    /** Responds to all pending requests that the cluster state answers by now, and rejects those that timed out. */
     public void completePending() {
         cancellations.completePending();
         submissions.completePending();
--- a/src/main/java/org/gullway/api/UserRequest.java
+++ b/src/main/java/org/gullway/api/UserRequest.java
@@ -4,8 +4,8 @@
 import org.gullway.transport.HttpExchange;
 
 /**
- * A user's request with the moment at which it came.
+ * A request of a user with the moment of its arrival.
  *
- * @param came no state older than this may be told in the answer
+ * @param arrivedAt the response must not contain a state older than this
  */
 record UserRequest(HttpExchange exchange, Instant arrivedAt) {}
--- a/src/main/java/org/gullway/api/UserResponses.java
+++ b/src/main/java/org/gullway/api/UserResponses.java
@@ -3,41 +3,46 @@
 import java.time.Duration;
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobStatus;
-import org.gullway.transport.HttpExchange;
+import org.gullway.transport.HttpStatus;
 
-/** Forms of answers to users, except those that tell the state of a job: see {@link LinearizableResponses}. */
+/** Bodies of responses to users, and all rejections; for responses with the state of a job see {@link LinearizableResponses}. */
 final class UserResponses {
-    /** When a user who was refused for now may come again. */
+    /** When a user whose request was rejected temporarily may retry. */
     static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-    private static final byte[] EMPTY = new byte[0];
+    static final byte[] EMPTY_BODY = new byte[0];
 
     private UserResponses() {}
 
     /** The state of a job without counts of its tasks. */
-    static byte[] state(JobStatus status) {
+    static byte[] encodeState(JobStatus status) {
         return Cbor.encode(Cbor.map()
                 .put("name_id", status.id())
                 .put("tide", status.state().wire()));
     }
 
-    /** The reason of a refusal. */
-    static byte[] error(String why) {
-        return Cbor.encode(Cbor.map().put("error", why));
+    /** The reason of a rejection. */
+    static byte[] encodeError(String reason) {
+        return Cbor.encode(Cbor.map().put("error", reason));
     }
 
-    /** Says of something that is no job id that there is no such job. */
-    static void rejectInvalidId(HttpExchange exchange) {
-        exchange.respond(404, EMPTY);
+    /** Rejects a request about something that is no job id, so that there is no such job. */
+    static void rejectInvalidId(UserRequest request) {
+        request.exchange().respond(HttpStatus.NOT_FOUND, EMPTY_BODY);
     }
 
-    /** Refuses for good and says why. */
-    static void rejectInvalid(HttpExchange exchange, int status, String why) {
-        exchange.respond(status, error(why));
+    /** Rejects a request that does not have the stated form. */
+    static void rejectMalformed(UserRequest request, String reason) {
+        request.exchange().respond(HttpStatus.BAD_REQUEST, encodeError(reason));
     }
 
-    /** Refuses for now. */
-    static void rejectTemporarily(HttpExchange exchange) {
-        exchange.reject(503, RETRY_AFTER);
+    /** Rejects a request since too many are pending. */
+    static void rejectOverloaded(UserRequest request, Duration retryAfter) {
+        request.exchange().reject(HttpStatus.TOO_MANY_REQUESTS, retryAfter);
+    }
+
+    /** Rejects a request that this controller cannot answer now. */
+    static void rejectTemporarily(UserRequest request) {
+        request.exchange().reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
     }
 }
--- a/src/main/java/org/gullway/api/package-info.java
+++ b/src/main/java/org/gullway/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Users' requests: submissions, questions and cancellations, from their arrival until they are answered. Every answer that
- * tells a job's state goes through {@link org.gullway.api.LinearizableResponses}.
+ * Requests of users: submissions, status queries and cancellations, from their arrival until they are answered. Every
+ * response with the state of a job goes through {@link org.gullway.api.LinearizableResponses}.
  */
 package org.gullway.api;
--- a/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -28,7 +28,7 @@
     /** Health checks arrive about once a second; after a gap of this length the outside is cut off. */
     private static final Duration EXTERNAL_CONTACT_TIMEOUT = Duration.ofMillis(2500);
 
-    /** An agent that was rejected tries all other controllers before it returns within this time. */
+    /** An agent that returns within this time after a rejection has found no other controller. */
     private static final Duration RETURN_WINDOW = Duration.ofSeconds(25);
 
     /** Monotonic clocks drift by 0.05% each: the controller's, the agent's, and the steps of their timers. */
--- a/src/test/java/org/gullway/api/GoldenResponsesTest.java
+++ b/src/test/java/org/gullway/api/GoldenResponsesTest.java
@@ -5,15 +5,15 @@
 import org.gullway.protocol.JobStatus;
 import org.junit.jupiter.api.Test;
 
-/** Answers to users have the bytes that an earlier version gave. */
+/** Bodies of responses to users have the bytes that an earlier version wrote. */
 class GoldenResponsesTest {
     private static final GoldenFile GOLDEN = GoldenFile.of("answers");
 
     @Test
-    void answersHaveTheirBytes() {
+    void responseBodiesAreUnchanged() {
         for (JobState state : JobState.values()) {
-            GOLDEN.check("state-" + state.wire(), UserResponses.state(new JobStatus("run-000412", state, 3, 2)));
+            GOLDEN.check("state-" + state.wire(), UserResponses.encodeState(new JobStatus("run-000412", state, 3, 2)));
         }
-        GOLDEN.check("error", UserResponses.error("herd is missing"));
+        GOLDEN.check("error", UserResponses.encodeError("herd is missing"));
     }
 }
--- a/src/test/java/org/gullway/api/JobLookupTest.java
+++ b/src/test/java/org/gullway/api/JobLookupTest.java
@@ -11,79 +11,83 @@
 import org.gullway.fake.SimulatedNetwork;
 import org.gullway.fake.SimulatedTime;
 import org.gullway.protocol.Cbor;
-import org.gullway.protocol.JobStatus;
 import org.gullway.storage.StateStoreClient;
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.TokenBucket;
 import org.junit.jupiter.api.Test;
 
 class JobLookupTest {
-    private static final String STATE = "10.2.0.1:2379";
-    private static final Duration SLOWNESS = Duration.ofMillis(500);
+    private static final String STORE = "10.2.0.1:2379";
+    private static final Duration STORE_LATENCY = Duration.ofMillis(500);
 
     private final SimulatedTime time = new SimulatedTime();
     private final SimulatedTime.Process loop = time.process();
     private final SimulatedNetwork network = new SimulatedNetwork(time, new SplittableRandom(1), 0);
-    private final JobLookup jobLookup = new JobLookup(
+    private final TokenBucket rateLimit = new TokenBucket(loop, 4, 1);
+    private final FinalStateCache finalStates = new FinalStateCache(new ClusterState());
+    private final JobReader reader = new JobReader(
             loop,
-            new StateStoreClient(network.client("perch-0", loop), STATE),
-            new TokenBucket(loop, 4, 1),
-            new FinalStateCache(new ClusterState()),
+            new StateStoreClient(network.client("perch-0", loop), STORE),
+            rateLimit,
+            finalStates,
             new CancellationEnforcer(new ClusterState(), Duration.ofSeconds(30)));
-    private final List<String> found = new ArrayList<>();
-    private boolean accepted;
-    private int requests;
+    private final JobLookup jobLookup = new JobLookup(loop, rateLimit, finalStates, reader);
+    private final List<String> outcomes = new ArrayList<>();
+    private boolean jobAccepted;
+    private int storeRequests;
 
     JobLookupTest() {
-        network.listen(STATE, loop, this::store);
+        network.listen(STORE, loop, this::respondLate);
     }
 
-    /** It answers late with what holds when the request arrives. */
-    private void store(HttpExchange exchange) {
-        requests++;
-        boolean there = accepted && exchange.path().startsWith("/store/live/jobs/");
-        byte[] body = there ? Cbor.encode(Cbor.map().set("v", Cbor.map())) : new byte[0];
-        loop.after(SLOWNESS, () -> exchange.respond(there ? 200 : 404, body));
+    /** A store that responds late, with what holds when the request arrives. */
+    private void respondLate(HttpExchange exchange) {
+        storeRequests++;
+        boolean found = jobAccepted && exchange.path().startsWith("/store/live/jobs/");
+        byte[] body = found ? Cbor.encode(Cbor.map().set("v", Cbor.map())) : new byte[0];
+        loop.after(STORE_LATENCY, () -> exchange.respond(found ? 200 : 404, body));
     }
 
     private void lookUp(String id) {
-        jobLookup.lookUp(id, finding -> found.add(text(finding.status())), () -> found.add("refused"));
+        jobLookup.lookUp(id, result -> outcomes.add(describe(result)), () -> outcomes.add("failed"));
     }
 
-    private static String text(JobStatus status) {
-        return status == null ? "none" : status.state().wire();
+    private static String describe(JobLookupResult result) {
+        return result instanceof JobLookupResult.Found found
+                ? found.status().state().wire()
+                : "not found";
     }
 
-    private void run(Duration span) {
-        time.runUntil(time.now().plus(span));
+    private void advance(Duration duration) {
+        time.runUntil(time.now().plus(duration));
     }
 
-    /** Seen to answer "none" twice when late askers joined the reading under way. */
+    /** If late callers joined a read in progress, both would get "not found". */
     @Test
-    void whoAsksWhileAReadingIsUnderWayIsNotToldAnOlderState() {
+    void aLookupDuringAReadInProgressDoesNotGetItsOlderState() {
         lookUp("run-000001");
-        run(Duration.ofMillis(100));
-        accepted = true;
+        advance(Duration.ofMillis(100));
+        jobAccepted = true;
         lookUp("run-000001");
-        run(Duration.ofSeconds(4));
-        assertThat(found).containsExactly("none", "pending");
+        advance(Duration.ofSeconds(4));
+        assertThat(outcomes).containsExactly("not found", "pending");
     }
 
-    /** Seen to send a reading for each asker without the joining, and all at once without the budget. */
+    /** Without shared reads each caller would cause one, and without the rate limit all would be sent at once. */
     @Test
-    void readingsOfOneJobAreJoinedAndAllKeepToTheBudget() {
+    void lookupsOfOneJobShareAReadAndAllKeepToTheRateLimit() {
         for (int i = 0; i < 20; i++) {
-            for (int asker = 0; asker < 3; asker++) {
+            for (int caller = 0; caller < 3; caller++) {
                 lookUp("run-" + i);
             }
         }
-        assertThat(found).as("refused at once").hasSizeGreaterThan(30).containsOnly("refused");
-        int refused = found.size();
-        run(Duration.ofMillis(100));
-        assertThat(requests).isLessThanOrEqualTo(4);
-        run(Duration.ofSeconds(10));
-        assertThat(found).hasSize(60);
-        assertThat(found.subList(refused, 60)).containsOnly("none");
-        assertThat(requests).isLessThanOrEqualTo(2 * (60 - refused) / 3);
+        assertThat(outcomes).as("failed at once").hasSizeGreaterThan(30).containsOnly("failed");
+        int failed = outcomes.size();
+        advance(Duration.ofMillis(100));
+        assertThat(storeRequests).isLessThanOrEqualTo(4);
+        advance(Duration.ofSeconds(10));
+        assertThat(outcomes).hasSize(60);
+        assertThat(outcomes.subList(failed, 60)).containsOnly("not found");
+        assertThat(storeRequests).isLessThanOrEqualTo(2 * (60 - failed) / 3);
     }
 }
--- a/src/test/java/org/gullway/api/LinearizableResponsesTest.java
+++ b/src/test/java/org/gullway/api/LinearizableResponsesTest.java
@@ -10,6 +10,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.BiConsumer;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -22,61 +23,71 @@
 import org.gullway.transport.HttpResponse;
 import org.junit.jupiter.api.Test;
 
-/** Every form of answer with a state is refused for now, and reported, if its evidence is older than the request. */
+/** Every kind of response with a state is withheld, and reported, if the state is older than the request. */
 class LinearizableResponsesTest {
     private static final String JOB = "run-000001";
-    private static final int MEASURED = 5_000;
-    /** The check itself needs about 24. */
-    private static final long MOST_BYTES = 200;
+    private static final int MEASURED_RESPONSES = 5_000;
+    private static final long MAX_BYTES_PER_RESPONSE = 200;
 
-    private static final Instant CAME = Instant.EPOCH.plusSeconds(10);
+    private static final Instant ARRIVED_AT = Instant.EPOCH.plusSeconds(10);
     private static final JobStatus PENDING = new JobStatus(JOB, JobState.PENDING, 0, 0);
     private static final JobStatus CANCELLED = new JobStatus(JOB, JobState.CANCELLED, 0, 0);
 
-    private final Map<String, JobStatus> finals = new HashMap<>();
+    private final Map<String, JobStatus> finalStates = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
-    private final LinearizableResponses responses =
-            new LinearizableResponses(new SimulatedTime().process(), finals::get, violations::add);
-    /** The forms that can also say that there is no such job. */
-    private final List<BiConsumer<UserRequest, JobLookupResult>> forms = List.of(
-            (userRequest, result) -> responses.respondToQueries(List.of(userRequest), result),
+    private final LinearizableResponses responses = new LinearizableResponses(
+            new SimulatedTime().process(), id -> Optional.ofNullable(finalStates.get(id)), violations::add);
+    /** The kinds of responses that can also say that there is no such job. */
+    private final List<BiConsumer<UserRequest, JobLookupResult>> kinds = List.of(
+            (request, result) -> responses.respondToQueries(List.of(request), result),
             responses::respondToCancellation,
-            (userRequest, result) -> responses.respondInfeasible(userRequest, result, "too large"));
+            (request, result) -> responses.respondInfeasible(request, result, "too large"));
 
-    private List<BiConsumer<UserRequest, JobLookupResult>> allForms() {
-        List<BiConsumer<UserRequest, JobLookupResult>> all = new ArrayList<>(forms);
-        all.add(responses::respondAccepted);
+    private List<BiConsumer<UserRequest, JobLookupResult>> allKinds() {
+        List<BiConsumer<UserRequest, JobLookupResult>> all = new ArrayList<>(kinds);
+        all.add((request, result) -> responses.respondAccepted(request, (JobLookupResult.Found) result));
         return all;
     }
 
-    private int status(BiConsumer<UserRequest, JobLookupResult> form, JobLookupResult result) {
+    private int status(BiConsumer<UserRequest, JobLookupResult> kind, JobLookupResult result) {
         List<Integer> statuses = new ArrayList<>();
-        SimulatedNetwork.Message call = new SimulatedNetwork.Message(
+        SimulatedNetwork.Message exchange = new SimulatedNetwork.Message(
                 "users",
                 "GET",
                 "/v2/runs/" + JOB,
                 "",
                 new byte[0],
                 (HttpResponse response) -> statuses.add(response.status()));
-        form.accept(new UserRequest(call, CAME), result);
-        assertThat(statuses).as("answered once").hasSize(1);
+        kind.accept(new UserRequest(exchange, ARRIVED_AT), result);
+        assertThat(statuses).as("one response").hasSize(1);
         return statuses.get(0);
     }
 
-    private static JobLookupResult found(JobStatus status, Instant validFrom) {
-        return new JobLookupResult(JOB, status, new ReadFreshness(ReadFreshness.Source.VERIFICATION, 7, validFrom));
+    private static ReadFreshness checkedAt(Instant validFrom) {
+        return new ReadFreshness(ReadFreshness.Source.VERSION_CHECK, 7, validFrom);
+    }
+
+    private static JobLookupResult found(Instant validFrom) {
+        return new JobLookupResult.Found(PENDING, checkedAt(validFrom));
+    }
+
+    private static JobLookupResult notFound(Instant validFrom) {
+        return new JobLookupResult.NotFound(JOB, checkedAt(validFrom));
     }
 
     @Property(tries = 60, seed = "241")
-    void anAnswerIsAllowedJustIfItsEvidenceIsNotOlderThanTheRequest(
+    void aResponseIsSentOnlyIfItsStateIsNotOlderThanTheRequest(
             @ForAll @IntRange(min = -5, max = 5) int millis, @ForAll boolean known) {
-        JobLookupResult result = found(known ? PENDING : null, CAME.plusMillis(millis));
-        for (BiConsumer<UserRequest, JobLookupResult> form : known ? allForms() : forms) {
+        JobLookupResult result = known ? found(ARRIVED_AT.plusMillis(millis)) : notFound(ARRIVED_AT.plusMillis(millis));
+        for (BiConsumer<UserRequest, JobLookupResult> kind : known ? allKinds() : kinds) {
             violations.clear();
-            int status = status(form, result);
+            int status = status(kind, result);
             if (millis < 0) {
                 assertThat(status).isEqualTo(503);
-                assertThat(violations).singleElement().asString().contains(JOB, "VERIFICATION of revision 7");
+                assertThat(violations)
+                        .singleElement()
+                        .asString()
+                        .contains("job=" + JOB, "source=VERSION_CHECK revision=7");
             } else {
                 assertThat(status).isNotEqualTo(503);
                 assertThat(violations).isEmpty();
@@ -85,43 +96,46 @@
     }
 
     @Test
-    void aFinalStateIsToldWhateverItsAgeAndReplacesAnOlderFinding() {
-        for (BiConsumer<UserRequest, JobLookupResult> form : allForms()) {
-            assertThat(status(form, JobLookupResult.ofFinalState(CANCELLED))).isEqualTo(200);
+    void aFinalStateIsSentWhateverItsAgeAndReplacesAnOlderResult() {
+        for (BiConsumer<UserRequest, JobLookupResult> kind : allKinds()) {
+            assertThat(status(kind, JobLookupResult.Found.ofFinalState(CANCELLED)))
+                    .isEqualTo(200);
         }
-        finals.put(JOB, CANCELLED);
-        for (BiConsumer<UserRequest, JobLookupResult> form : forms) {
-            assertThat(status(form, found(PENDING, CAME.minus(Duration.ofSeconds(1)))))
+        finalStates.put(JOB, CANCELLED);
+        for (BiConsumer<UserRequest, JobLookupResult> kind : kinds) {
+            assertThat(status(kind, found(ARRIVED_AT.minus(Duration.ofSeconds(1)))))
                     .isEqualTo(200);
-            assertThat(status(form, found(null, CAME.plusSeconds(1)))).isEqualTo(200);
+            assertThat(status(kind, notFound(ARRIVED_AT.plusSeconds(1)))).isEqualTo(200);
         }
         assertThat(violations).isEmpty();
     }
 
-    /** The check and the evidence are on the way of every answer, on controllers with a small part of a processor. */
+    /** Every response passes the check, on controllers with a small fraction of a processor. */
     @Test
-    void theCheckAllocatesLittleBesideTheBodyOfTheAnswer() {
+    void theCheckAllocatesLittleBesideTheBodyOfTheResponse() {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-        SimulatedNetwork.Message call =
+        SimulatedNetwork.Message exchange =
                 new SimulatedNetwork.Message("users", "GET", "/v2/runs/" + JOB, "", new byte[0], response -> {});
-        UserRequest user = new UserRequest(call, CAME);
-        List<UserRequest> calls = List.of(user);
-        JobLookupResult result = found(PENDING, CAME);
-        long checked = 0;
-        long bodies = 0;
-        for (int i = -MEASURED; i < MEASURED; i++) {
+        UserRequest request = new UserRequest(exchange, ARRIVED_AT);
+        List<UserRequest> requests = List.of(request);
+        JobLookupResult result = found(ARRIVED_AT);
+        long responseBytes = 0;
+        long bodyBytes = 0;
+        for (int i = -MEASURED_RESPONSES; i < MEASURED_RESPONSES; i++) {
             if (i == 0) {
                 // Classes are loaded by now.
-                checked = 0;
-                bodies = 0;
+                responseBytes = 0;
+                bodyBytes = 0;
             }
             long before = threads.getCurrentThreadAllocatedBytes();
-            responses.respondToQueries(calls, result);
+            responses.respondToQueries(requests, result);
             long between = threads.getCurrentThreadAllocatedBytes();
-            call.respond(200, Cbor.encode(PENDING.toNode()));
-            checked += between - before;
-            bodies += threads.getCurrentThreadAllocatedBytes() - between;
+            exchange.respond(200, Cbor.encode(PENDING.toNode()));
+            responseBytes += between - before;
+            bodyBytes += threads.getCurrentThreadAllocatedBytes() - between;
         }
-        assertThat((checked - bodies) / MEASURED).as("bytes an answer").isLessThan(MOST_BYTES);
+        assertThat((responseBytes - bodyBytes) / MEASURED_RESPONSES)
+                .as("bytes for each response")
+                .isLessThan(MAX_BYTES_PER_RESPONSE);
     }
 }
