--- a/src/main/java/org/gullway/api/JobAdmission.java
+++ b/src/main/java/org/gullway/api/JobAdmission.java
@@ -49,26 +49,6 @@
                 .map(MachineType::name)
                 .filter(request.machineTypes()::contains)
                 .toList();
-        return new JobRequest(
-                request.id(),
-                request.jobClass(),
-                request.team(),
-                request.shape(),
-                request.priority(),
-                request.tasks(),
-                request.cpus(),
-                request.gpus(),
-                request.memoryGb(),
-                request.image(),
-                request.imageGb(),
-                known,
-                request.zone(),
-                request.singleZone(),
-                request.spreadAcrossZones(),
-                request.spotAllowed(),
-                request.estimatedRunTime(),
-                request.checkpointInterval(),
-                request.checkpointTime(),
-                request.deadline());
+        return request.withMachineTypes(known);
     }
 }
