--- a/src/main/java/org/gullway/coordination/quota/GuaranteedQuota.java
+++ b/src/main/java/org/gullway/coordination/quota/GuaranteedQuota.java
@@ -11,40 +11,39 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.protocol.Settings;
 
-/** The jobs that fit into their team's guarantee together with the team's earlier jobs that are not finished. */
+/** The jobs that fit into their team's guaranteed quota together with the team's earlier unfinished jobs. */
 public final class GuaranteedQuota {
-    private final Set<String> within;
+    private final Set<String> coveredJobs;
 
-    private GuaranteedQuota(Set<String> within) {
-        this.within = within;
+    private GuaranteedQuota(Set<String> coveredJobs) {
+        this.coveredJobs = coveredJobs;
     }
 
-    /**
-     * Determines which jobs are within the guarantees of their teams, counting jobs in the order of their submission.
-     */
+    /** Determines which jobs the guarantees of their teams cover, counting jobs in the order of their submission. */
     public static GuaranteedQuota of(ClusterState clusterState, TeamQuotas quotas) {
         List<JobRecord> jobs = new ArrayList<>(clusterState.jobs());
         jobs.sort(Comparator.comparing(JobRecord::submittedAt)
                 .thenComparing(job -> job.request().id()));
-        Map<String, Double> cpus = new HashMap<>();
-        Map<String, Double> cards = new HashMap<>();
-        Set<String> within = new HashSet<>();
+        Map<String, Double> cpusByTeam = new HashMap<>();
+        Map<String, Double> gpusByTeam = new HashMap<>();
+        Set<String> coveredJobs = new HashSet<>();
         for (JobRecord job : jobs) {
             Settings.Team team = quotas.team(job.request().team());
             if (team != null && !job.isCancelled()) {
-                double usedCpus = cpus.merge(
+                double cpus = cpusByTeam.merge(
                         team.name(), job.unfinishedTasks() * job.request().cpus(), Double::sum);
-                double usedCards = cards.merge(
+                double gpus = gpusByTeam.merge(
                         team.name(), job.unfinishedTasks() * job.request().gpus(), Double::sum);
-                if (usedCpus <= team.cpus() && usedCards <= team.gpus()) {
-                    within.add(job.request().id());
+                if (cpus <= team.cpus() && gpus <= team.gpus()) {
+                    coveredJobs.add(job.request().id());
                 }
             }
         }
-        return new GuaranteedQuota(within);
+        return new GuaranteedQuota(coveredJobs);
     }
 
+    /** Whether the guarantee of the job's team covers all of the job. */
     public boolean covers(JobRecord job) {
-        return within.contains(job.request().id());
+        return coveredJobs.contains(job.request().id());
     }
 }
--- a/src/main/java/org/gullway/coordination/quota/JobFeasibility.java
+++ b/src/main/java/org/gullway/coordination/quota/JobFeasibility.java
@@ -1,13 +1,14 @@
 package org.gullway.coordination.quota;
 
+import static org.gullway.coordination.placement.ResourceTolerance.EPSILON;
+
 import org.gullway.coordination.placement.MachineTypeCatalog;
 import org.gullway.protocol.JobRequest;
+import org.gullway.protocol.MachineType;
 import org.gullway.protocol.Settings;
 
-/** Whether a job could ever run: its team is known, and a task fits a machine type and the quota. */
+/** Whether a job could ever run: its team is known, its tasks fit the quota, and one task fits a machine type. */
 public final class JobFeasibility {
-    private static final double EPSILON = 1e-6;
-
     private final MachineTypeCatalog machineTypes;
     private final TeamQuotas quotas;
 
@@ -19,14 +20,23 @@
     /** Whether the job could run on an empty fleet of any size. */
     public boolean isFeasible(JobRequest job) {
         Settings.Team team = quotas.team(job.team());
-        // An array needs its quota for one task at a time, everything else for all of its tasks.
-        int together = job.shape() == JobRequest.Shape.ARRAY ? 1 : job.tasks();
-        return team != null
-                && together * job.cpus() <= team.cpusLimit() + EPSILON
-                && together * job.gpus() <= team.gpusLimit() + EPSILON
-                && machineTypes.byName().values().stream()
-                        .anyMatch(type -> type.fits(job)
-                                && type.isAllowedFor(job)
-                                && (job.zone() == null || type.zones().contains(job.zone())));
+        return team != null && fitsQuota(job, team) && fitsSomeMachineType(job);
+    }
+
+    private static boolean fitsQuota(JobRequest job, Settings.Team team) {
+        // An array can run one task at a time; a gang or a service needs its quota for all tasks at once.
+        int simultaneousTasks = job.shape() == JobRequest.Shape.ARRAY ? 1 : job.tasks();
+        return simultaneousTasks * job.cpus() <= team.cpusLimit() + EPSILON
+                && simultaneousTasks * job.gpus() <= team.gpusLimit() + EPSILON;
+    }
+
+    private boolean fitsSomeMachineType(JobRequest job) {
+        return machineTypes.byName().values().stream().anyMatch(type -> fits(job, type));
+    }
+
+    private static boolean fits(JobRequest job, MachineType type) {
+        return type.fits(job)
+                && type.isAllowedFor(job)
+                && (job.zone() == null || type.zones().contains(job.zone()));
     }
 }
--- a/src/main/java/org/gullway/coordination/quota/QuotaHeadroom.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaHeadroom.java
@@ -1,5 +1,7 @@
 package org.gullway.coordination.quota;
 
+import static org.gullway.coordination.placement.ResourceTolerance.EPSILON;
+
 import java.util.HashMap;
 import java.util.Map;
 import org.gullway.coordination.model.ClusterState;
@@ -9,48 +11,50 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Settings;
 
-/** What may still be placed: within a job's share of its team's limit, and what of the limit no share holds. */
+/**
+ * The processors that may still be used: unused ones of a job's quota partition, and those of its team's quota that
+ * are not allocated to any partition. Tasks that are admitted reduce both for the tasks that are asked about later.
+ */
 public final class QuotaHeadroom {
-    private static final double EPSILON = 1e-6;
-
     private final ClusterState clusterState;
-    private final Map<String, Double> heldByShareAndTeam = new HashMap<>();
-    private final Map<String, Double> openByTeam = new HashMap<>();
+    private final Map<String, Double> unusedByPartitionAndTeam = new HashMap<>();
+    private final Map<String, Double> unallocatedByTeam = new HashMap<>();
 
+    /** Starts from what is on record. */
     public QuotaHeadroom(ClusterState clusterState, TeamQuotas quotas) {
         this.clusterState = clusterState;
         for (Settings.Team team : quotas.teams()) {
-            double shares = 0;
-            for (QuotaPartition share : clusterState.quotaPartitions().values()) {
-                shares += share.of(team.name()).cpus();
+            double allocated = 0;
+            for (QuotaPartition partition : clusterState.quotaPartitions().values()) {
+                allocated += partition.of(team.name()).cpus();
             }
-            openByTeam.put(team.name(), Math.max(0, team.cpusLimit() - shares));
+            unallocatedByTeam.put(team.name(), Math.max(0, team.cpusLimit() - allocated));
         }
     }
 
-    /** Takes what it can of so many tasks of the job, and returns how many. */
+    /** Admits as many of these tasks of the job as the quota allows, and returns how many. */
     public int admit(JobRecord job, int tasks) {
         if (tasks <= 0) {
             return 0;
         }
         JobRequest request = job.request();
-        String share = StoreKeys.quotaPartitionOf(job);
-        String key = share + '\n' + request.team();
-        double held = heldByShareAndTeam.computeIfAbsent(key, k -> heldBy(share, request.team()));
-        double open = openByTeam.getOrDefault(request.team(), 0.0);
-        int taken = (int) Math.min(tasks, (held + open) / request.cpus() + EPSILON);
-        double cpus = taken * request.cpus();
-        heldByShareAndTeam.put(key, Math.max(0, held - cpus));
-        openByTeam.put(request.team(), open - Math.max(0, cpus - held));
-        return taken;
+        String partition = StoreKeys.quotaPartitionOf(job);
+        String key = partition + '\n' + request.team();
+        double unused = unusedByPartitionAndTeam.computeIfAbsent(key, k -> unusedOf(partition, request.team()));
+        double unallocated = unallocatedByTeam.getOrDefault(request.team(), 0.0);
+        int admitted = (int) Math.min(tasks, (unused + unallocated) / request.cpus() + EPSILON);
+        double cpus = admitted * request.cpus();
+        unusedByPartitionAndTeam.put(key, Math.max(0, unused - cpus));
+        unallocatedByTeam.put(request.team(), unallocated - Math.max(0, cpus - unused));
+        return admitted;
     }
 
-    private double heldBy(String share, String team) {
-        double part = clusterState
+    private double unusedOf(String partition, String team) {
+        double allocated = clusterState
                 .quotaPartitions()
-                .getOrDefault(share, QuotaPartition.EMPTY)
+                .getOrDefault(partition, QuotaPartition.EMPTY)
                 .of(team)
                 .cpus();
-        return Math.max(0, part - clusterState.quotaUsage(share, team).cpus);
+        return Math.max(0, allocated - clusterState.quotaUsage(partition, team).cpus);
     }
 }
--- a/src/main/java/org/gullway/coordination/quota/TeamQuotas.java
+++ b/src/main/java/org/gullway/coordination/quota/TeamQuotas.java
@@ -1,5 +1,7 @@
 package org.gullway.coordination.quota;
 
+import static org.gullway.coordination.placement.ResourceTolerance.EPSILON;
+
 import java.util.Collection;
 import java.util.Map;
 import org.gullway.coordination.model.JobRecord;
@@ -9,21 +11,20 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Settings;
 
-/** The teams' quotas by the platform's settings, and what a job may use of them. */
+/** The teams' quotas by the platform's settings, and how much of them a job may still use. */
 public final class TeamQuotas {
-    private static final double EPSILON = 1e-6;
-
     private final Map<String, Settings.Team> teams;
 
     public TeamQuotas(Map<String, Settings.Team> teams) {
         this.teams = teams;
     }
 
-    /** The team of this name, or null. */
+    /** The team of this name, or null if the settings do not have it. */
     public Settings.Team team(String name) {
         return teams.get(name);
     }
 
+    /** All teams of the settings. */
     public Collection<Settings.Team> teams() {
         return teams.values();
     }
@@ -32,12 +33,12 @@
     public int remainingTasks(JobRecord job, Transaction transaction) {
         JobRequest request = job.request();
         String partition = StoreKeys.quotaPartitionOf(job);
-        QuotaPartition.Amount quota = transaction.quotaPartition(partition).of(request.team());
+        QuotaPartition.Amount allocated = transaction.quotaPartition(partition).of(request.team());
         double byCpus =
-                (quota.cpus() - transaction.quotaCpusUsed(partition, request.team()) + EPSILON) / request.cpus();
+                (allocated.cpus() - transaction.quotaCpusUsed(partition, request.team()) + EPSILON) / request.cpus();
         double byGpus = request.gpus() == 0
                 ? byCpus
-                : (quota.gpus() - transaction.quotaGpusUsed(partition, request.team()) + EPSILON) / request.gpus();
+                : (allocated.gpus() - transaction.quotaGpusUsed(partition, request.team()) + EPSILON) / request.gpus();
         return (int) Math.max(0, Math.min(byCpus, byGpus));
     }
 }
--- a/src/main/java/org/gullway/coordination/quota/package-info.java
+++ b/src/main/java/org/gullway/coordination/quota/package-info.java
@@ -1,2 +1,2 @@
-/** Team quotas: guaranteed shares and the partitions that controllers place on independently. */
+/** Team quotas: what is guaranteed, and the partitions on which controllers place independently of each other. */
 package org.gullway.coordination.quota;
--- a/src/test/java/org/gullway/coordination/quota/TeamQuotasTest.java
+++ b/src/test/java/org/gullway/coordination/quota/TeamQuotasTest.java
@@ -27,9 +27,9 @@
         machineTypes.update(List.of(TestFixtures.type("small", 16), TestFixtures.type("large", 32)));
     }
 
-    /** On an on-call day all 814 jobs of a guest team were refused with 422 (incident inc-7065). */
+    /** A quota of 0 in the settings means that the team has no limit, not that it may run nothing. */
     @Test
-    void aTeamWithoutALimitMayRunWhatFitsAMachine() {
+    void jobsOfATeamWithoutQuotaAreFeasibleIfATaskFitsAMachineType() {
         assertThat(new JobFeasibility(machineTypes, quotas)
                         .isFeasible(TestFixtures.request("run-000001", "guest", Priority.IDLE, 25_000, 32)))
                 .isTrue();
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void itsSharesAreDealtOutAsOthersAre() {
+    void aTeamWithoutQuotaGetsPartitionsForItsDemand() {
         ClusterState clusterState = new ClusterState();
         clusterState.put(StoreKeys.member(TestFixtures.SELF.node()), TestFixtures.SELF, 1);
         clusterState.put(StoreKeys.member(TestFixtures.PEER.node()), TestFixtures.PEER, 2);
