--- a/src/main/java/org/gullway/coordination/placement/BestFit.java
+++ b/src/main/java/org/gullway/coordination/placement/BestFit.java
@@ -7,45 +7,73 @@
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.MachineRecord;
-import org.gullway.coordination.model.Placement;
 import org.gullway.coordination.model.Transaction;
 import org.gullway.protocol.JobRequest;
 
-/** Chooses machines for tasks: the fullest that fits, with the image before without. */
+/**
+ * Chooses machines for tasks: of those that fit, machines with the task's image come first, since the task starts
+ * there without a fetch, and among these the fullest.
+ */
 public final class BestFit {
+    private final ClusterState clusterState;
     private final PlacementConstraints constraints;
 
-    public BestFit(PlacementConstraints constraints) {
+    public BestFit(ClusterState clusterState, PlacementConstraints constraints) {
+        this.clusterState = clusterState;
         this.constraints = constraints;
     }
 
+    /** A machine that fits, with what its rank depends on. */
+    private record Candidate(MachineRecord machine, boolean hasImage, double freeCpus) {
+        private static final Comparator<Candidate> BEST_FIRST = Comparator.<Candidate>comparingInt(
+                        candidate -> candidate.hasImage ? 0 : 1)
+                .thenComparingDouble(Candidate::freeCpus)
+                .thenComparing(candidate -> candidate.machine.name());
+    }
+
     /**
-     * Reserves room for up to so many tasks of the job: each on the fullest of these machines that fits. A machine that
-     * was chosen is fuller afterwards, so it is filled before the next. A machine without the image starts the task
-     * seconds later, so it fits less well than any that has it.
+     * Reserves resources in the transaction for up to this many tasks of the job, each on the best of these machines,
+     * and returns the machine of each task that fits.
      */
     public List<MachineRecord> reserve(
-            JobRecord job,
-            int tasks,
-            Collection<MachineRecord> machines,
-            Transaction transaction,
-            ClusterState clusterState) {
-        return reserve(job, List.of(), tasks, machines, transaction, clusterState);
+            JobRecord job, int tasks, Collection<MachineRecord> machines, Transaction transaction) {
+        return reserve(job, List.of(), tasks, machines, transaction);
     }
 
-    /** The same for a job of which tasks are about to be placed on some machines, which count for its zones as well. */
+    /** As above for a job with tasks that are planned but not on record: their machines count for its zones. */
     public List<MachineRecord> reserve(
             JobRecord job,
             List<MachineRecord> planned,
             int tasks,
             Collection<MachineRecord> machines,
-            Transaction transaction,
-            ClusterState clusterState) {
+            Transaction transaction) {
         JobRequest request = job.request();
+        List<Candidate> candidates = tasks > 0 ? candidates(request, machines, transaction) : List.of();
+        TaskZones zones = new TaskZones(job, clusterState);
+        planned.forEach(zones::add);
+        List<MachineRecord> reserved = new ArrayList<>();
+        for (Candidate candidate : candidates) {
+            MachineRecord machine = candidate.machine();
+            // A machine that was chosen is fuller than before, so it stays the best until nothing more fits.
+            while (reserved.size() < tasks
+                    && constraints.fits(request, machine, transaction)
+                    && zones.allow(machine.zone())) {
+                transaction.reserve(job, machine);
+                reserved.add(machine);
+                zones.add(machine);
+            }
+            if (reserved.size() == tasks) {
+                break;
+            }
+        }
+        return reserved;
+    }
+
+    private List<Candidate> candidates(
+            JobRequest request, Collection<MachineRecord> machines, Transaction transaction) {
         List<Candidate> candidates = new ArrayList<>();
         for (MachineRecord machine : machines) {
-            if (tasks > 0
-                    && PlacementConstraints.isCompatible(request, machine)
+            if (PlacementConstraints.isCompatible(request, machine)
                     && constraints.fits(request, machine, transaction)) {
                 candidates.add(new Candidate(
                         machine,
@@ -54,39 +82,8 @@
             }
         }
         if (candidates.size() > 1) {
-            candidates.sort(Candidate.ORDER);
-        }
-        List<String> zones = new ArrayList<>();
-        boolean minded = request.singleZone() || request.spreadAcrossZones();
-        if (minded) {
-            for (Placement placement : job.livePlacements()) {
-                MachineRecord other = clusterState.machine(placement.machine());
-                zones.add(other == null ? "" : other.zone());
-            }
-            planned.forEach(machine -> zones.add(machine.zone()));
+            candidates.sort(Candidate.BEST_FIRST);
         }
-        List<MachineRecord> taken = new ArrayList<>();
-        for (Candidate candidate : candidates) {
-            MachineRecord machine = candidate.machine();
-            while (taken.size() < tasks
-                    && constraints.fits(request, machine, transaction)
-                    && (!minded || PlacementConstraints.isZoneAllowed(request, zones, machine.zone()))) {
-                transaction.reserve(job, machine);
-                taken.add(machine);
-                if (minded) {
-                    zones.add(machine.zone());
-                }
-            }
-            if (taken.size() == tasks) {
-                break;
-            }
-        }
-        return taken;
-    }
-
-    private record Candidate(MachineRecord machine, boolean image, double free) {
-        private static final Comparator<Candidate> ORDER = Comparator.<Candidate>comparingInt(c -> c.image ? 0 : 1)
-                .thenComparingDouble(Candidate::free)
-                .thenComparing(c -> c.machine.name());
+        return candidates;
     }
 }
--- a/src/main/java/org/gullway/coordination/placement/InfeasibleRequests.java
+++ b/src/main/java/org/gullway/coordination/placement/InfeasibleRequests.java
@@ -6,44 +6,41 @@
 import org.gullway.protocol.JobRequest;
 
 /**
- * Requests of which one task found no room in this round. Room only shrinks while tasks are planned, so a task that
- * takes no less and may go nowhere else finds none either, and the machines need not be gone through for it again: in
- * a burst there are a hundred waiting jobs and as many fragments.
+ * Requests of which one more task fits no machine in this scheduling cycle. Free resources only shrink while tasks are
+ * planned, so a task that needs no less and allows no other machines does not fit either. This saves going through all
+ * machines again for each of many similar jobs.
  */
 public final class InfeasibleRequests {
     private final List<JobRequest> requests = new ArrayList<>();
 
-    /** Notes that no machine has room for one more task of this request. */
+    /** Notes that one more task of this request fits no machine. */
     public void add(JobRequest request) {
-        if (isIndependentOfZones(request) && !isKnownInfeasible(request)) {
+        // With constraints on zones the reason may be where the job's other tasks are, not the free resources.
+        if (!PlacementConstraints.constrainsZones(request) && !isKnownInfeasible(request)) {
             requests.add(request);
         }
     }
 
-    /** Whether a task of this request surely finds no room. */
+    /** Whether a task of this request surely fits no machine. */
     public boolean isKnownInfeasible(JobRequest request) {
-        for (JobRequest unfitted : requests) {
-            if (needsAtLeastAsMuch(request, unfitted) && isAtLeastAsConstrained(request, unfitted)) {
+        for (JobRequest infeasible : requests) {
+            if (needsAtLeastAsMuch(request, infeasible) && isAtLeastAsConstrained(request, infeasible)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Where tasks of other requests may go depends on where those before them went. */
-    private static boolean isIndependentOfZones(JobRequest request) {
-        return !request.singleZone() && !request.spreadAcrossZones();
+    private static boolean needsAtLeastAsMuch(JobRequest request, JobRequest infeasible) {
+        return request.cpus() >= infeasible.cpus()
+                && request.memoryGb() >= infeasible.memoryGb()
+                && request.gpus() >= infeasible.gpus();
     }
 
-    private static boolean needsAtLeastAsMuch(JobRequest request, JobRequest unfitted) {
-        return request.cpus() >= unfitted.cpus()
-                && request.memoryGb() >= unfitted.memoryGb()
-                && request.gpus() >= unfitted.gpus();
-    }
-
-    private static boolean isAtLeastAsConstrained(JobRequest request, JobRequest unfitted) {
-        return (unfitted.spotAllowed() || !request.spotAllowed())
-                && (unfitted.zone() == null || Objects.equals(unfitted.zone(), request.zone()))
-                && (unfitted.machineTypes() == null || Objects.equals(unfitted.machineTypes(), request.machineTypes()));
+    private static boolean isAtLeastAsConstrained(JobRequest request, JobRequest infeasible) {
+        return (infeasible.spotAllowed() || !request.spotAllowed())
+                && (infeasible.zone() == null || Objects.equals(infeasible.zone(), request.zone()))
+                && (infeasible.machineTypes() == null
+                        || Objects.equals(infeasible.machineTypes(), request.machineTypes()));
     }
 }
--- a/src/main/java/org/gullway/coordination/placement/MachineTypeCatalog.java
+++ b/src/main/java/org/gullway/coordination/placement/MachineTypeCatalog.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.gullway.protocol.MachineType;
 
-/** The types of machines that the cloud provider offers, as it last listed them. */
+/** The machine types that the cloud provider offers, as it last listed them. */
 public final class MachineTypeCatalog {
     private Map<String, MachineType> types = Map.of();
 
@@ -16,6 +16,7 @@
         types = byName;
     }
 
+    /** All types by their names. */
     public Map<String, MachineType> byName() {
         return types;
     }
--- a/src/main/java/org/gullway/coordination/placement/package-info.java
+++ b/src/main/java/org/gullway/coordination/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Where a task may be placed: compatibility, free resources, quota and best fit. */
+/** Where a task may be placed: compatible machines, free resources, zones and best fit. */
 package org.gullway.coordination.placement;
--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
@@ -96,10 +96,10 @@
             List<MachineRecord> taken = List.of();
             if (last != null && !job.request().singleZone() && !job.request().spreadAcrossZones()) {
                 // The machine chosen last is the fullest until it has no more room.
-                taken = bestFit.reserve(job, 1, List.of(last), transaction, clusterState);
+                taken = bestFit.reserve(job, 1, List.of(last), transaction);
             }
             if (taken.isEmpty() && !infeasibleRequests.isKnownInfeasible(job.request())) {
-                taken = bestFit.reserve(job, planned, 1, room, transaction, clusterState);
+                taken = bestFit.reserve(job, planned, 1, room, transaction);
             }
             if (taken.isEmpty()) {
                 infeasibleRequests.add(job.request());
@@ -134,7 +134,7 @@
         this.clusterState = clusterState;
         this.constraints = constraints;
         this.quotas = quotas;
-        this.bestFit = new BestFit(constraints);
+        this.bestFit = new BestFit(clusterState, constraints);
         this.backoff = backoff;
         this.deadlines = deadlines;
         this.scavengerScheduler = scavengerScheduler;
--- a/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
@@ -60,7 +60,7 @@
         this.clusterState = clusterState;
         this.constraints = constraints;
         this.quotas = quotas;
-        this.bestFit = new BestFit(constraints);
+        this.bestFit = new BestFit(clusterState, constraints);
         this.backoff = backoff;
         this.deadlines = deadlines;
     }
@@ -193,7 +193,7 @@
         if (allowed == 0 || job.isGang() && allowed < job.waitingTasks()) {
             return true;
         }
-        List<MachineRecord> taken = bestFit.reserve(job, allowed, machines, transaction, clusterState);
+        List<MachineRecord> taken = bestFit.reserve(job, allowed, machines, transaction);
         if (job.isGang() && taken.size() < allowed) {
             taken.forEach(machine -> transaction.unreserve(job, machine));
             return false;
--- a/src/test/java/org/gullway/coordination/placement/InfeasibleRequestsTest.java
+++ b/src/test/java/org/gullway/coordination/placement/InfeasibleRequestsTest.java
@@ -8,15 +8,16 @@
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 import net.jqwik.api.ForAll;
+import net.jqwik.api.From;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Priority;
 
 class InfeasibleRequestsTest {
-    /** A machine as far as requests are concerned. */
+    /** The properties of a machine that requests constrain. */
     private record Machine(double cpus, double memoryGb, String type, String zone, boolean spot) {
-        boolean takes(JobRequest request) {
+        boolean fits(JobRequest request) {
             return cpus >= request.cpus()
                     && memoryGb >= request.memoryGb()
                     && (!spot || request.spotAllowed())
@@ -39,7 +40,7 @@
     }
 
     private static JobRequest request(
-            double cpus, double memoryGb, String zone, List<String> types, boolean spot, boolean oneZone) {
+            double cpus, double memoryGb, String zone, List<String> types, boolean spot, boolean singleZone) {
         return new JobRequest(
                 "run-000001",
                 "render",
@@ -54,7 +55,7 @@
                 0.5,
                 types,
                 zone,
-                oneZone,
+                singleZone,
                 false,
                 spot,
                 Duration.ofSeconds(1),
@@ -76,24 +77,24 @@
                 .ofMaxSize(4);
     }
 
-    /** What is said to find no room finds none on any machine. */
+    /** A request that is known to be infeasible fits none of the machines. */
     @Property(tries = 1000, seed = "21")
-    void onlyWhatFindsNoRoomIsCovered(
+    void onlyRequestsThatFitNoMachineAreKnownInfeasible(
             @ForAll("machines") List<Machine> machines,
-            @ForAll List<@net.jqwik.api.From("requests") JobRequest> tried,
+            @ForAll List<@From("requests") JobRequest> others,
             @ForAll("requests") JobRequest request) {
         InfeasibleRequests infeasibleRequests = new InfeasibleRequests();
-        tried.stream()
-                .filter(other -> machines.stream().noneMatch(machine -> machine.takes(other)))
+        others.stream()
+                .filter(other -> machines.stream().noneMatch(machine -> machine.fits(other)))
                 .forEach(infeasibleRequests::add);
         if (infeasibleRequests.isKnownInfeasible(request)) {
-            assertThat(machines).noneMatch(machine -> machine.takes(request));
+            assertThat(machines).noneMatch(machine -> machine.fits(request));
         }
     }
 
-    /** The same request again, as in a burst, is always covered. */
+    /** Only with constraints on zones may the same request fit later. */
     @Property(tries = 200, seed = "22")
-    void theSamePlainRequestIsCovered(@ForAll("requests") JobRequest request) {
+    void theSameRequestIsKnownInfeasibleUnlessItConstrainsZones(@ForAll("requests") JobRequest request) {
         InfeasibleRequests infeasibleRequests = new InfeasibleRequests();
         infeasibleRequests.add(request);
         assertThat(infeasibleRequests.isKnownInfeasible(request)).isEqualTo(!request.singleZone());
