--- a/src/main/java/org/gullway/coordination/placement/PlacementConstraints.java
+++ b/src/main/java/org/gullway/coordination/placement/PlacementConstraints.java
@@ -41,6 +41,11 @@
                 && transaction.gpusUsedOn(machine.name()) + job.gpus() <= type.gpus() + EPSILON;
     }
 
+    /** Whether the machine takes tasks and a member of the cluster can send it their starts. */
+    public static boolean isAvailable(MachineRecord machine, ClusterState clusterState) {
+        return machine.isSchedulable() && clusterState.isMember(machine.controller());
+    }
+
     /** Whether the job's tasks have to be in one zone or spread, so that a task's place depends on the others'. */
     public static boolean constrainsZones(JobRequest request) {
         return request.singleZone() || request.spreadAcrossZones();
--- a/src/main/java/org/gullway/coordination/scheduling/JobBackoff.java
+++ b/src/main/java/org/gullway/coordination/scheduling/JobBackoff.java
@@ -8,35 +8,40 @@
 import org.gullway.coordination.model.JobRecord;
 
 /**
- * Pauses before a job's next start after errors, so that a job that fails on every machine does not keep the fleet
- * busy. The number of errors is in the job's record, the pause itself only here.
+ * Delays a job's next start exponentially after repeated errors, so that a job that fails on every machine does not
+ * keep the fleet busy. The number of errors is in the job's record; the delay is kept only by this controller.
  */
 public final class JobBackoff {
-    private static final int FREE_ERRORS = 3;
-    private static final Duration LONGEST = Duration.ofSeconds(30);
+    private static final int ERRORS_WITHOUT_DELAY = 3;
+    private static final int MAX_DOUBLINGS = 5;
+    private static final Duration MAX_DELAY = Duration.ofSeconds(30);
 
-    private record Pause(int errors, Instant until) {}
+    private final Map<String, Delay> delayByJob = new HashMap<>();
 
-    private final Map<String, Pause> pauses = new HashMap<>();
+    private record Delay(int errors, Instant until) {}
 
     /** Whether the job must wait before its next start, because several of its attempts ended in errors. */
     public boolean isBackedOff(JobRecord job, Instant now) {
         String id = job.request().id();
-        if (job.consecutiveErrors() <= FREE_ERRORS) {
-            pauses.remove(id);
+        if (job.consecutiveErrors() <= ERRORS_WITHOUT_DELAY) {
+            delayByJob.remove(id);
             return false;
         }
-        Pause pause = pauses.get(id);
-        if (pause == null || pause.errors() != job.consecutiveErrors()) {
-            Duration length = Duration.ofSeconds(1L << Math.min(5, job.consecutiveErrors() - FREE_ERRORS));
-            pause = new Pause(job.consecutiveErrors(), now.plus(length.compareTo(LONGEST) < 0 ? length : LONGEST));
-            pauses.put(id, pause);
+        Delay delay = delayByJob.get(id);
+        if (delay == null || delay.errors() != job.consecutiveErrors()) {
+            delay = new Delay(job.consecutiveErrors(), now.plus(delayAfter(job.consecutiveErrors())));
+            delayByJob.put(id, delay);
         }
-        return now.isBefore(pause.until());
+        return now.isBefore(delay.until());
     }
 
-    /** Drops what is kept for jobs that have ended. */
+    private static Duration delayAfter(int errors) {
+        Duration delay = Duration.ofSeconds(1L << Math.min(MAX_DOUBLINGS, errors - ERRORS_WITHOUT_DELAY));
+        return delay.compareTo(MAX_DELAY) < 0 ? delay : MAX_DELAY;
+    }
+
+    /** Drops the delays of jobs that have ended. */
     public void retainJobsOf(ClusterState clusterState) {
-        pauses.keySet().removeIf(id -> clusterState.job(id) == null);
+        delayByJob.keySet().removeIf(id -> clusterState.job(id) == null);
     }
 }
--- a/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
@@ -17,183 +17,166 @@
 import org.gullway.coordination.model.Placement;
 import org.gullway.coordination.model.Transaction;
 import org.gullway.coordination.placement.PlacementConstraints;
-import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
 
 /**
- * Stops tasks to make room for work that may displace them. Room that is already being freed is counted first, so
- * that one waiting task never has two others stopped for it.
+ * Preempts tasks on a set of machines so that others fit there. Resources that are already being released are counted
+ * first, so that one waiting task never has two others stopped for it.
  */
 final class PreemptionPlanner {
-    /** Work of a job that is late anyway weighs less than work that can still be in time. */
-    private static final double TOO_LATE_WEIGHT = 0.3;
+    /** Work of a job that will miss its deadline anyway counts for less than work that can be in time. */
+    private static final double LATE_JOB_WEIGHT = 0.3;
 
     private final ClusterState clusterState;
     private final PlacementConstraints constraints;
     private final DeadlinePolicy deadlines;
     private final Transaction transaction;
-    /** Room that is free, or will be once stopping tasks are gone, less what is meant for waiting tasks. */
-    private final Map<String, FreeResources> free = new HashMap<>();
+    private final List<MachineRecord> machines;
+    /** What is free or being released on each machine, less what waiting tasks are to get. */
+    private final Map<String, FreeResources> freeByMachine = new HashMap<>();
 
-    private final Map<String, List<Victim>> stoppable = new HashMap<>();
-    private final Set<String> meant = new LinkedHashSet<>();
+    private final Map<String, List<Victim>> victimsByMachine = new HashMap<>();
+    private final Set<String> targetMachines = new LinkedHashSet<>();
 
-    private static final class FreeResources {
-        private double cpus;
-        private double cards;
-        private double memoryGb;
-
-        boolean fits(JobRequest job) {
-            return job.cpus() <= cpus + 1e-6 && job.gpus() <= cards + 1e-6 && job.memoryGb() <= memoryGb + 1e-6;
-        }
-
-        void change(JobRequest job, int sign) {
-            cpus += sign * job.cpus();
-            cards += sign * job.gpus();
-            memoryGb += sign * job.memoryGb();
-        }
+    /** A task that could be preempted, and the work that would be lost. */
+    private record Victim(JobRecord job, Placement placement, double loss) {}
 
-        FreeResources copy() {
-            FreeResources copy = new FreeResources();
-            copy.cpus = cpus;
-            copy.cards = cards;
-            copy.memoryGb = memoryGb;
-            return copy;
+    /** A machine on which one more task fits once the victims, if any, are stopped. */
+    private record PreemptionOption(MachineRecord machine, List<Victim> victims, double loss) {
+        static PreemptionOption of(MachineRecord machine, List<Victim> victims) {
+            return new PreemptionOption(
+                    machine, victims, victims.stream().mapToDouble(Victim::loss).sum());
         }
     }
 
-    private record Victim(JobRecord job, Placement placement, double loss) {}
-
-    /** One task's room on a machine and what it costs. */
-    private record PreemptionOption(MachineRecord machine, List<Victim> victims, double loss) {}
-
     PreemptionPlanner(
             ClusterState clusterState,
             PlacementConstraints constraints,
             DeadlinePolicy deadlines,
             Transaction transaction,
-            Collection<MachineRecord> machines) {
+            List<MachineRecord> machines) {
         this.clusterState = clusterState;
         this.constraints = constraints;
         this.deadlines = deadlines;
         this.transaction = transaction;
+        this.machines = machines;
         for (MachineRecord machine : machines) {
-            MachineType type = constraints.machineTypes().byName().get(machine.type());
-            if (type == null) {
-                continue;
+            MachineType type = constraints.typeOf(machine);
+            if (type != null) {
+                freeByMachine.put(machine.name(), freeOrBeingReleased(machine, type));
             }
-            FreeResources room = new FreeResources();
-            room.cpus = type.cpus() - transaction.cpusUsedOn(machine.name());
-            room.cards = type.gpus() - transaction.gpusUsedOn(machine.name());
-            room.memoryGb = type.memoryGb() - transaction.memoryUsedOn(machine.name());
-            free.put(machine.name(), room);
-            clusterState.placementsOn(machine.name()).forEach((id, placement) -> {
-                JobRecord job = clusterState.job(id.task().job());
-                if (placement.stopping() || job.isCancelled()) {
-                    room.change(job.request(), 1);
-                }
-            });
         }
     }
 
-    /** Machines on which room is meant for waiting tasks. */
+    private FreeResources freeOrBeingReleased(MachineRecord machine, MachineType type) {
+        FreeResources free = FreeResources.on(machine, type, transaction);
+        clusterState.placementsOn(machine.name()).forEach((id, placement) -> {
+            JobRecord job = clusterState.job(id.task().job());
+            if (placement.stopping() || job.isCancelled()) {
+                free.release(job.request());
+            }
+        });
+        return free;
+    }
+
+    /** The machines on which waiting tasks are to start. */
     Set<String> targetMachines() {
-        return meant;
+        return targetMachines;
     }
 
     /**
-     * Finds room for so many tasks of the job: free, being freed, or freed by stopping tasks of jobs that may be
-     * displaced, where that loses least. False if there is not enough.
+     * Finds resources for this many tasks of the job: free, being released, or released by preempting tasks of
+     * preemptible jobs where that loses least.
+     *
+     * @return whether there is enough for all of the tasks
      */
-    boolean preemptFor(JobRecord job, int tasks, List<MachineRecord> machines, Predicate<JobRecord> displaceable) {
+    boolean preemptFor(JobRecord job, int tasks, Predicate<JobRecord> preemptible) {
         if (tasks == 0) {
             return true;
         }
-        PriorityQueue<PreemptionOption> ways = new PriorityQueue<>(Comparator.comparingDouble(PreemptionOption::loss));
+        PriorityQueue<PreemptionOption> options =
+                new PriorityQueue<>(Comparator.comparingDouble(PreemptionOption::loss));
         for (MachineRecord machine : machines) {
-            if (free.containsKey(machine.name()) && constraints.isAllowed(job, machine, clusterState)) {
-                consider(job, machine, displaceable, ways);
+            if (freeByMachine.containsKey(machine.name()) && constraints.isAllowed(job, machine, clusterState)) {
+                addOption(job, machine, preemptible, options);
             }
         }
-        int left = tasks;
-        while (left > 0) {
-            PreemptionOption way = ways.poll();
-            if (way == null
-                    || !transaction.hasCapacityFor(Math.max(1, way.victims().size()))) {
+        for (int remaining = tasks; remaining > 0; remaining--) {
+            PreemptionOption option = options.poll();
+            if (option == null
+                    || !transaction.hasCapacityFor(Math.max(1, option.victims().size()))) {
                 return false;
             }
-            FreeResources room = free.get(way.machine().name());
-            for (Victim victim : way.victims()) {
-                JobRecord current = transaction.job(victim.job().request().id());
-                if (current != null) {
-                    transaction.putJob(current.withStopping(p -> p.equals(victim.placement())));
-                }
-                room.change(victim.job().request(), 1);
-            }
-            if (!way.victims().isEmpty()) {
-                stoppable.get(way.machine().name()).removeAll(way.victims());
-            }
-            room.change(job.request(), -1);
-            meant.add(way.machine().name());
-            left--;
-            consider(job, way.machine(), displaceable, ways);
+            apply(option, job);
+            addOption(job, option.machine(), preemptible, options);
         }
         return true;
     }
 
-    private void consider(
-            JobRecord job,
-            MachineRecord machine,
-            Predicate<JobRecord> displaceable,
-            Collection<PreemptionOption> ways) {
-        List<Victim> victims = victims(job.request(), machine, free.get(machine.name()), displaceable);
-        if (victims != null) {
-            ways.add(new PreemptionOption(
-                    machine, victims, victims.stream().mapToDouble(Victim::loss).sum()));
+    /** Stops the option's victims, and sets its machine's resources aside for one task of the job. */
+    private void apply(PreemptionOption option, JobRecord job) {
+        String machine = option.machine().name();
+        FreeResources free = freeByMachine.get(machine);
+        for (Victim victim : option.victims()) {
+            JobRecord current = transaction.job(victim.job().request().id());
+            if (current != null) {
+                transaction.putJob(current.withStopping(placement -> placement.equals(victim.placement())));
+            }
+            free.release(victim.job().request());
+        }
+        if (!option.victims().isEmpty()) {
+            victimsByMachine.get(machine).removeAll(option.victims());
         }
+        free.reserve(job.request());
+        targetMachines.add(machine);
     }
 
-    /** The tasks with least work lost that would have to go; empty if there is room already, null if it can't be. */
-    private List<Victim> victims(
-            JobRequest job, MachineRecord machine, FreeResources room, Predicate<JobRecord> displaceable) {
-        if (room.fits(job)) {
-            return List.of();
+    /** Adds the option that loses least on this machine, if one more task can fit there at all. */
+    private void addOption(
+            JobRecord job,
+            MachineRecord machine,
+            Predicate<JobRecord> preemptible,
+            Collection<PreemptionOption> options) {
+        FreeResources free = freeByMachine.get(machine.name());
+        if (free.fits(job.request())) {
+            options.add(PreemptionOption.of(machine, List.of()));
+            return;
         }
-        FreeResources trial = room.copy();
+        FreeResources freeWithoutVictims = free.copy();
         List<Victim> chosen = new ArrayList<>();
-        for (Victim victim : stoppable.computeIfAbsent(machine.name(), this::stoppableOn)) {
-            if (displaceable.test(victim.job())) {
-                trial.change(victim.job().request(), 1);
+        for (Victim victim : victimsByMachine.computeIfAbsent(machine.name(), this::possibleVictims)) {
+            if (preemptible.test(victim.job())) {
+                freeWithoutVictims.release(victim.job().request());
                 chosen.add(victim);
-                if (trial.fits(job)) {
-                    return chosen;
+                if (freeWithoutVictims.fits(job.request())) {
+                    options.add(PreemptionOption.of(machine, chosen));
+                    return;
                 }
             }
         }
-        return null;
     }
 
-    /** The tasks on a machine that could be stopped, those with least loss first; looked up once. */
-    private List<Victim> stoppableOn(String machine) {
-        List<Victim> candidates = new ArrayList<>();
+    /** The tasks on a machine that could be preempted, those with least loss first. */
+    private List<Victim> possibleVictims(String machine) {
+        List<Victim> victims = new ArrayList<>();
         clusterState.placementsOn(machine).forEach((id, placement) -> {
-            JobRecord other = clusterState.job(id.task().job());
-            if (!placement.stopping() && !other.isReserved() && !other.isCancelled()) {
-                candidates.add(new Victim(other, placement, loss(other, placement)));
+            JobRecord job = clusterState.job(id.task().job());
+            if (!placement.stopping() && !job.isReserved() && !job.isCancelled()) {
+                victims.add(new Victim(job, placement, loss(job, placement)));
             }
         });
-        candidates.sort(Comparator.comparingDouble(Victim::loss));
-        return candidates;
+        victims.sort(Comparator.comparingDouble(Victim::loss));
+        return victims;
     }
 
-    /** Processor seconds that are lost: all since the start, or since the last checkpoint at most. */
+    /** Processor seconds that are lost: all since the start, or at most the time in which a checkpoint is saved. */
     private double loss(JobRecord job, Placement placement) {
-        Duration run = Duration.between(placement.placedAt(), transaction.timeOfDay());
-        double seconds = Math.max(0, run.toMillis() / 1000.0);
+        Duration runTime = Duration.between(placement.placedAt(), transaction.timeOfDay());
+        double seconds = Math.max(0, runTime.toMillis() / 1000.0);
         if (job.request().hasCheckpoints()) {
             seconds = Math.min(seconds, job.request().checkpointTime().toMillis() / 1000.0);
         }
-        double weight = deadlines.willMissDeadline(job, transaction.timeOfDay()) ? TOO_LATE_WEIGHT : 1;
+        double weight = deadlines.willMissDeadline(job, transaction.timeOfDay()) ? LATE_JOB_WEIGHT : 1;
         return (1 + seconds) * job.request().cpus() * weight;
     }
 }
--- a/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
@@ -10,36 +10,26 @@
 import org.gullway.coordination.cycle.PlanningContext;
 import org.gullway.coordination.cycle.PlanningStep;
 import org.gullway.coordination.model.ClusterState;
-import org.gullway.coordination.model.CordonedMachines;
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.MachineRecord;
 import org.gullway.coordination.model.Placement;
-import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
 import org.gullway.coordination.placement.BestFit;
 import org.gullway.coordination.placement.InfeasibleRequests;
 import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.coordination.quota.GuaranteedQuota;
 import org.gullway.coordination.quota.TeamQuotas;
-import org.gullway.protocol.JobRequest;
-import org.gullway.protocol.MachineType;
 import org.gullway.protocol.Priority;
 
 /**
- * The leader's booking of reserved-class tasks: each on the fullest machine that fits. While some wait, machines are
- * closed to new best-effort starts until their room would do.
+ * The leader's placement of reserved jobs, each task on the fullest machine that fits. For tasks that fit nowhere,
+ * best-effort tasks are preempted and machines cordoned.
  */
 public final class ReservedScheduler implements PlanningStep {
-    /** In a large fleet, making room looks at thousands of tasks, so it is done at intervals. */
-    private static final Duration ROOM_PAUSE = Duration.ofMillis(500);
-
-    /** In a large fleet the marks change all the time, and each change costs one of few that the store allows. */
-    private static final Duration CLOSE_PAUSE = Duration.ofSeconds(2);
-
-    private static final int MOST_GATHERING = 3;
-    private static final int MOST_LOOKED_AT = 256;
-    /** Once so many jobs found no room, those after them have to wait for machines. */
-    private static final int MOST_STUCK = 8;
+    /** In a large fleet preemption considers thousands of tasks, so it is planned less often. */
+    private static final Duration PREEMPTION_INTERVAL = Duration.ofMillis(500);
+    /** Once preemption found too little for this many jobs, those after them wait for cordoned machines. */
+    private static final int MAX_STUCK_JOBS = 8;
 
     private final ClusterState clusterState;
     private final PlacementConstraints constraints;
@@ -47,9 +37,9 @@
     private final BestFit bestFit;
     private final JobBackoff backoff;
     private final DeadlinePolicy deadlines;
-    private int lookFrom;
-    private Instant closedAt = Instant.MIN;
-    private Instant roomMadeAt = Instant.MIN;
+    private final CordonPlanner cordonPlanner;
+    private final MachineWindow window = new MachineWindow();
+    private Instant preemptedAt = Instant.MIN;
 
     public ReservedScheduler(
             ClusterState clusterState,
@@ -63,232 +53,138 @@
         this.bestFit = new BestFit(clusterState, constraints);
         this.backoff = backoff;
         this.deadlines = deadlines;
+        this.cordonPlanner = new CordonPlanner(clusterState, constraints);
     }
 
     /**
-     * Adds placements of waiting reserved jobs to the draft, the most urgent first, and closes machines to best-effort
-     * starts while some of them find no room. Only the leader calls it.
+     * Places waiting reserved jobs, the most urgent first, and preempts and cordons for those that fit nowhere. Only
+     * the leader calls it.
      */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         Instant now = context.now();
-        List<JobRecord> waiting = new ArrayList<>();
-        for (JobRecord job : clusterState.jobs()) {
-            if (job.isReserved() && job.waitingTasks() > 0 && !backoff.isBackedOff(job, now)) {
-                waiting.add(job);
-            }
-        }
+        List<JobRecord> waiting = waitingJobs(now);
         if (waiting.isEmpty()) {
-            close(transaction, Set.of());
+            cordonPlanner.cordon(transaction, Set.of());
             return;
         }
-        waiting.sort(order());
+        waiting.sort(mostUrgentFirst());
         List<MachineRecord> machines = new ArrayList<>();
-        List<MachineRecord> withRoom = new ArrayList<>();
+        List<MachineRecord> machinesWithFreeCpus = new ArrayList<>();
         for (MachineRecord machine : clusterState.machines()) {
-            if (machine.isSchedulable() && clusterState.isMember(machine.controller())) {
+            if (PlacementConstraints.isAvailable(machine, clusterState)) {
                 machines.add(machine);
                 if (constraints.freeCpus(machine, transaction) > 0) {
-                    withRoom.add(machine);
+                    machinesWithFreeCpus.add(machine);
                 }
             }
         }
-        List<JobRecord> unfitted = bookAll(transaction, waiting, withRoom);
-        if (!unfitted.isEmpty()
-                && machines.size() > MOST_LOOKED_AT
-                && roomMadeAt.plus(ROOM_PAUSE).isAfter(now)) {
+        List<JobRecord> unplaced = placeAll(waiting, machinesWithFreeCpus, transaction);
+        if (!unplaced.isEmpty()
+                && machines.size() > MachineWindow.MAX_MACHINES
+                && preemptedAt.plus(PREEMPTION_INTERVAL).isAfter(now)) {
             return;
         }
-        roomMadeAt = now;
-        clearMachines(transaction, unfitted, machines);
+        preemptedAt = now;
+        preemptAndCordon(unplaced, machines, transaction);
     }
 
-    /** Books what fits, and returns the jobs of which tasks found no room. */
-    private List<JobRecord> bookAll(Transaction transaction, List<JobRecord> waiting, List<MachineRecord> withRoom) {
-        List<JobRecord> unfitted = new ArrayList<>();
-        InfeasibleRequests infeasibleRequests = new InfeasibleRequests();
-        for (JobRecord job : waiting) {
-            // Another part of this round may have cancelled the job or ended tasks of it already.
-            JobRecord current = transaction.job(job.request().id());
-            if (current == null) {
-                continue;
-            }
-            boolean hopeless = infeasibleRequests.isKnownInfeasible(current.request())
-                    && quotas.remainingTasks(current, transaction) > 0;
-            if (hopeless || !book(transaction, current, withRoom)) {
-                unfitted.add(transaction.job(job.request().id()));
-                if (!current.isGang()) {
-                    // Of a gang some tasks may fit; of any other job not one more did.
-                    infeasibleRequests.add(current.request());
-                }
+    private List<JobRecord> waitingJobs(Instant now) {
+        List<JobRecord> waiting = new ArrayList<>();
+        for (JobRecord job : clusterState.jobs()) {
+            if (job.isReserved() && job.waitingTasks() > 0 && !backoff.isBackedOff(job, now)) {
+                waiting.add(job);
             }
         }
-        return unfitted;
+        return waiting;
     }
 
-    /** Has best-effort tasks stopped for jobs without room, and closes machines for those that are still stuck then. */
-    private void clearMachines(Transaction transaction, List<JobRecord> unfitted, List<MachineRecord> machines) {
-        List<MachineRecord> looked = nextMachines(machines);
-        PreemptionPlanner preemption = new PreemptionPlanner(clusterState, constraints, deadlines, transaction, looked);
-        List<JobRecord> stuck = new ArrayList<>();
-        for (JobRecord job : unfitted) {
-            if (stuck.size() >= MOST_STUCK || !makeRoom(preemption, transaction, job, looked)) {
-                stuck.add(job);
-            }
-        }
-        if (!unfitted.isEmpty() && !mayChangeClosed(transaction)) {
-            return;
-        }
-        Set<String> closed = new LinkedHashSet<>(preemption.targetMachines());
-        clusterState.cordonedMachines().stream().filter(this::isClearing).forEach(closed::add);
-        closed.addAll(machinesToClose(transaction, stuck, machines));
-        close(transaction, closed);
+    /** By priority, then jobs that the guaranteed quota of their team covers, then by age. */
+    private Comparator<JobRecord> mostUrgentFirst() {
+        GuaranteedQuota guaranteedQuota = GuaranteedQuota.of(clusterState, quotas);
+        return Comparator.<JobRecord, Priority>comparing(job -> job.request().priority())
+                .thenComparing(job -> guaranteedQuota.covers(job) ? 0 : 1)
+                .thenComparing(JobRecord::submittedAt)
+                .thenComparing(job -> job.request().id());
     }
 
-    /** Looking at every task of a large fleet would take seconds: each time goes on where the last one stopped. */
-    private List<MachineRecord> nextMachines(List<MachineRecord> machines) {
-        if (machines.size() <= MOST_LOOKED_AT) {
-            return machines;
-        }
-        List<MachineRecord> looked = new ArrayList<>(MOST_LOOKED_AT);
-        for (int i = 0; i < MOST_LOOKED_AT; i++) {
-            looked.add(machines.get((lookFrom + i) % machines.size()));
+    /** Places the tasks that fit, and returns the jobs of which some tasks fit nowhere. */
+    private List<JobRecord> placeAll(List<JobRecord> jobs, List<MachineRecord> machines, Transaction transaction) {
+        List<JobRecord> unplaced = new ArrayList<>();
+        InfeasibleRequests infeasibleRequests = new InfeasibleRequests();
+        for (JobRecord known : jobs) {
+            // Another step of this cycle may have cancelled the job or recorded completions of its tasks.
+            JobRecord job = transaction.job(known.request().id());
+            if (job == null) {
+                continue;
+            }
+            boolean infeasible =
+                    infeasibleRequests.isKnownInfeasible(job.request()) && quotas.remainingTasks(job, transaction) > 0;
+            if (infeasible || !place(job, machines, transaction)) {
+                unplaced.add(transaction.job(job.request().id()));
+                if (!job.isGang()) {
+                    // Single tasks of a gang may fit; of any other job not one more does.
+                    infeasibleRequests.add(job.request());
+                }
+            }
         }
-        lookFrom = (lookFrom + MOST_LOOKED_AT) % machines.size();
-        return looked;
-    }
-
-    private boolean isClearing(String machine) {
-        return clusterState.placementsOn(machine).values().stream().anyMatch(Placement::stopping);
-    }
-
-    /** Stops best-effort tasks of lower rank for all waiting tasks that the team's limit allows; false if not enough. */
-    private boolean makeRoom(
-            PreemptionPlanner preemption, Transaction transaction, JobRecord job, List<MachineRecord> machines) {
-        int tasks = Math.min(job.waitingTasks(), quotas.remainingTasks(job, transaction));
-        return preemption.preemptFor(
-                job,
-                tasks,
-                machines,
-                other -> !other.isReserved()
-                        && other.request().priority().compareTo(job.request().priority()) > 0);
-    }
-
-    /** By rank, then jobs within their team's guarantee, then by age. */
-    private Comparator<JobRecord> order() {
-        GuaranteedQuota guaranteedQuota = GuaranteedQuota.of(clusterState, quotas);
-        return Comparator.<JobRecord, Priority>comparing(j -> j.request().priority())
-                .thenComparing(j -> guaranteedQuota.covers(j) ? 0 : 1)
-                .thenComparing(JobRecord::submittedAt)
-                .thenComparing(j -> j.request().id());
+        return unplaced;
     }
 
-    /** Books as many tasks as fit, a gang's all or none; false if some wait for room. */
-    private boolean book(Transaction transaction, JobRecord job, List<MachineRecord> machines) {
+    /** Places as many tasks as fit, a gang's all or none; false if some that the quota allows fit nowhere. */
+    private boolean place(JobRecord job, List<MachineRecord> machines, Transaction transaction) {
         if (job.isGang() && !job.livePlacements().isEmpty()) {
             return true;
         }
-        int allowed = Math.min(
+        int allowedTasks = Math.min(
                 job.waitingTasks(), Math.min(quotas.remainingTasks(job, transaction), transaction.placeableTasks(job)));
-        if (allowed == 0 || job.isGang() && allowed < job.waitingTasks()) {
+        if (allowedTasks == 0 || job.isGang() && allowedTasks < job.waitingTasks()) {
             return true;
         }
-        List<MachineRecord> taken = bestFit.reserve(job, allowed, machines, transaction);
-        if (job.isGang() && taken.size() < allowed) {
-            taken.forEach(machine -> transaction.unreserve(job, machine));
+        List<MachineRecord> reserved = bestFit.reserve(job, allowedTasks, machines, transaction);
+        if (job.isGang() && reserved.size() < allowedTasks) {
+            reserved.forEach(machine -> transaction.unreserve(job, machine));
             return false;
         }
-        if (!taken.isEmpty()) {
-            transaction.place(job, taken);
+        if (!reserved.isEmpty()) {
+            transaction.place(job, reserved);
             machines.removeIf(machine -> constraints.freeCpus(machine, transaction) <= 0);
         }
-        return taken.size() == allowed;
+        return reserved.size() == allowedTasks;
     }
 
-    /** The machines with most room that best-effort work could leave, enough for all that waits. */
-    private Set<String> machinesToClose(
-            Transaction transaction, List<JobRecord> unfitted, List<MachineRecord> machines) {
-        Set<String> chosen = new LinkedHashSet<>();
-        if (unfitted.isEmpty()) {
-            return chosen;
-        }
-        List<MachineRecord> candidates = mostFreeFirst(transaction, machines);
-        for (JobRecord job : unfitted) {
-            JobRequest request = job.request();
-            int tasks = job.waitingTasks();
-            for (MachineRecord machine : candidates) {
-                MachineType type = constraints.machineTypes().byName().get(machine.type());
-                if (tasks <= 0 || chosen.size() >= CordonedMachines.MAX_MACHINES) {
-                    break;
-                }
-                if (type == null
-                        || !type.fits(request)
-                        || !constraints.isAllowed(job, machine, clusterState)
-                        || !chosen.add(machine.name())) {
-                    continue;
-                }
-                tasks -= (int)
-                        Math.min(type.cpus() / request.cpus(), type.memoryGb() / Math.max(1e-9, request.memoryGb()));
+    /** Preempts best-effort tasks for these jobs, and cordons machines for those that still do not fit then. */
+    private void preemptAndCordon(List<JobRecord> unplaced, List<MachineRecord> machines, Transaction transaction) {
+        List<MachineRecord> considered =
+                machines.size() <= MachineWindow.MAX_MACHINES ? machines : window.next(machines);
+        PreemptionPlanner preemption =
+                new PreemptionPlanner(clusterState, constraints, deadlines, transaction, considered);
+        List<JobRecord> stuck = new ArrayList<>();
+        for (JobRecord job : unplaced) {
+            if (stuck.size() >= MAX_STUCK_JOBS || !preemptFor(job, preemption, transaction)) {
+                stuck.add(job);
             }
         }
-        return chosen;
-    }
-
-    private record FreeRoom(MachineRecord machine, double cpus) {
-        private static final Comparator<FreeRoom> MOST_FIRST =
-                Comparator.comparingDouble(FreeRoom::cpus).reversed().thenComparing(room -> room.machine.name());
-    }
-
-    private List<MachineRecord> mostFreeFirst(Transaction transaction, List<MachineRecord> machines) {
-        List<FreeRoom> rooms = new ArrayList<>(machines.size());
-        for (MachineRecord machine : machines) {
-            rooms.add(new FreeRoom(machine, constraints.freeCpus(machine, transaction)));
-        }
-        rooms.sort(FreeRoom.MOST_FIRST);
-        return rooms.stream().map(FreeRoom::machine).toList();
-    }
-
-    /**
-     * Machines that are kept from best-effort starts until the largest task of a best-effort job of which none has run
-     * for long fits there; its owner alone may use them. Small tasks would fill every gap before it for ever.
-     */
-    private Set<String> gathering(Transaction transaction) {
-        List<JobRecord> stalled = clusterState.jobs().stream()
-                .filter(job -> !job.isReserved() && job.isStalledAt(transaction.timeOfDay()))
-                .sorted(JobRecord.STALLED_ORDER)
-                .limit(MOST_GATHERING)
-                .toList();
-        Set<String> chosen = new LinkedHashSet<>();
-        for (JobRecord job : stalled) {
-            clusterState.machines().stream()
-                    .filter(m -> m.isSchedulable()
-                            && clusterState.isMember(m.controller())
-                            && !chosen.contains(m.name())
-                            && constraints.machineTypes().byName().containsKey(m.type())
-                            && constraints.machineTypes().byName().get(m.type()).fits(job.request())
-                            && constraints.isAllowed(job, m, clusterState))
-                    .max(Comparator.<MachineRecord>comparingDouble(m -> constraints.freeCpus(m, transaction))
-                            .thenComparing(m -> clusterState.cordonedMachines().contains(m.name()))
-                            .thenComparing(MachineRecord::name))
-                    .ifPresent(m -> chosen.add(m.name()));
+        if (!unplaced.isEmpty() && !cordonPlanner.mayChange(transaction)) {
+            return;
         }
-        return chosen;
+        Set<String> cordoned = new LinkedHashSet<>(preemption.targetMachines());
+        clusterState.cordonedMachines().stream().filter(this::hasStoppingTasks).forEach(cordoned::add);
+        cordoned.addAll(cordonPlanner.machinesFor(stuck, machines, transaction));
+        cordonPlanner.cordon(transaction, cordoned);
     }
 
-    /** Whether other machines may be closed now; all of a large fleet are gone through only then. */
-    private boolean mayChangeClosed(Transaction transaction) {
-        return clusterState.cordonedMachines().isEmpty()
-                || clusterState.machines().size() <= MOST_LOOKED_AT
-                || !closedAt.plus(CLOSE_PAUSE).isAfter(transaction.timeOfDay());
+    /** Preempts best-effort tasks of a lower priority for all waiting tasks that the quota allows. */
+    private boolean preemptFor(JobRecord job, PreemptionPlanner preemption, Transaction transaction) {
+        int tasks = Math.min(job.waitingTasks(), quotas.remainingTasks(job, transaction));
+        Priority priority = job.request().priority();
+        return preemption.preemptFor(
+                job,
+                tasks,
+                other -> !other.isReserved() && other.request().priority().compareTo(priority) > 0);
     }
 
-    private void close(Transaction transaction, Set<String> forReserved) {
-        Set<String> wanted = new LinkedHashSet<>(forReserved);
-        wanted.addAll(gathering(transaction));
-        boolean other = !wanted.equals(clusterState.cordonedMachines());
-        if (other && transaction.hasCapacityFor(1) && (wanted.isEmpty() || mayChangeClosed(transaction))) {
-            closedAt = transaction.timeOfDay();
-            transaction.put(StoreKeys.CORDONED, new CordonedMachines(wanted));
-        }
+    private boolean hasStoppingTasks(String machine) {
+        return clusterState.placementsOn(machine).values().stream().anyMatch(Placement::stopping);
     }
 }
