--- /dev/null
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortPlacement.java
@@ -0,0 +1,104 @@
+package org.gullway.coordination.scheduling;
+
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Set;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.model.Transaction;
+import org.gullway.coordination.placement.BestFit;
+import org.gullway.coordination.placement.PlacementConstraints;
+import org.gullway.coordination.quota.GuaranteedQuota;
+import org.gullway.coordination.quota.TeamQuotas;
+import org.gullway.protocol.Priority;
+
+/**
+ * The order in which waiting best-effort jobs get free resources: one task of each stalled job; jobs in time that a
+ * guaranteed quota covers; all jobs in time; late jobs; and jobs of the scavenger class.
+ */
+final class BestEffortPlacement {
+    private final ClusterState clusterState;
+    private final TeamQuotas quotas;
+    private final DeadlinePolicy deadlines;
+    private final ScavengerScheduler scavengerScheduler;
+    private final TeamRoundRobin teamRoundRobin;
+    private final StalledJobPlacement stalledJobPlacement;
+
+    BestEffortPlacement(
+            ClusterState clusterState,
+            PlacementConstraints constraints,
+            TeamQuotas quotas,
+            DeadlinePolicy deadlines,
+            ScavengerScheduler scavengerScheduler) {
+        this.clusterState = clusterState;
+        this.quotas = quotas;
+        this.deadlines = deadlines;
+        this.scavengerScheduler = scavengerScheduler;
+        this.teamRoundRobin = new TeamRoundRobin(quotas, new BestFit(clusterState, constraints));
+        this.stalledJobPlacement = new StalledJobPlacement(clusterState, quotas, teamRoundRobin);
+    }
+
+    /** Places tasks of the waiting jobs on the machines. */
+    void place(Transaction transaction, Collection<MachineRecord> machines, List<JobRecord> waitingJobs, Instant now) {
+        if (waitingJobs.isEmpty()) {
+            return;
+        }
+        List<JobRecord> jobs = new ArrayList<>(waitingJobs);
+        jobs.sort(mostUrgentFirst());
+        Set<String> blockedTeams = stalledJobPlacement.place(transaction, machines, stalled(jobs, transaction));
+        List<JobRecord> scavengerJobs = new ArrayList<>();
+        List<JobRecord> otherJobs = new ArrayList<>();
+        for (JobRecord job : jobs) {
+            if (ScavengerScheduler.isScavenger(job)) {
+                scavengerJobs.add(job);
+            } else if (!blockedTeams.contains(job.request().team())) {
+                otherJobs.add(job);
+            }
+        }
+        placeByDeadline(transaction, machines, otherJobs);
+        placeScavengerJobs(transaction, machines, scavengerJobs, now);
+    }
+
+    private Comparator<JobRecord> mostUrgentFirst() {
+        return Comparator.<JobRecord, Priority>comparing(job -> job.request().priority())
+                .thenComparing(deadlines::dueAt)
+                .thenComparing(job -> job.request().id());
+    }
+
+    private static List<JobRecord> stalled(List<JobRecord> jobs, Transaction transaction) {
+        return jobs.stream()
+                .filter(job -> job.isStalledAt(transaction.timeOfDay()))
+                .sorted(JobRecord.STALLED_ORDER)
+                .toList();
+    }
+
+    /** Later passes include the jobs of earlier ones; these have no tasks left that fit. */
+    private void placeByDeadline(Transaction transaction, Collection<MachineRecord> machines, List<JobRecord> jobs) {
+        GuaranteedQuota guaranteedQuota = GuaranteedQuota.of(clusterState, quotas);
+        List<JobRecord> inTime = new ArrayList<>();
+        List<JobRecord> guaranteedInTime = new ArrayList<>();
+        for (JobRecord job : jobs) {
+            if (!deadlines.willMissDeadline(job, transaction.timeOfDay())) {
+                inTime.add(job);
+                if (guaranteedQuota.covers(job)) {
+                    guaranteedInTime.add(job);
+                }
+            }
+        }
+        teamRoundRobin.place(transaction, machines, guaranteedInTime, TeamRoundRobin.Limits.NONE);
+        teamRoundRobin.place(transaction, machines, inTime, TeamRoundRobin.Limits.NONE);
+        teamRoundRobin.place(transaction, machines, jobs, TeamRoundRobin.Limits.NONE);
+    }
+
+    private void placeScavengerJobs(
+            Transaction transaction, Collection<MachineRecord> machines, List<JobRecord> jobs, Instant now) {
+        if (!jobs.isEmpty() && !machines.isEmpty()) {
+            double availableCpus = scavengerScheduler.availableCpus(transaction, now);
+            teamRoundRobin.place(transaction, machines, jobs, TeamRoundRobin.Limits.ofCpus(availableCpus));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
@@ -0,0 +1,111 @@
+package org.gullway.coordination.scheduling;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.random.RandomGenerator;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.model.Transaction;
+import org.gullway.coordination.placement.PlacementConstraints;
+import org.gullway.coordination.scheduling.BestEffortQueue.OutgoingOffers;
+import org.gullway.protocol.ResourceOffer;
+
+/** The resource offers that peers made to this controller, and those that it makes to peers. */
+final class PeerOffers {
+    /** Between the offers of this controller's machines; peers get many machines in one message. */
+    private static final Duration SEND_INTERVAL = Duration.ofMillis(500);
+
+    private static final double MIN_OFFERED_CPUS = 1;
+
+    private final ClusterState clusterState;
+    private final PlacementConstraints constraints;
+    private final String self;
+    private final Duration validity;
+    private final RandomGenerator random;
+    private final Map<String, ReceivedOffer> receivedByMachine = new HashMap<>();
+    private Instant sentAt = Instant.MIN;
+
+    private record ReceivedOffer(ResourceOffer offer, Instant validUntil) {}
+
+    /** @param validity how long an offer from a peer may be used */
+    PeerOffers(
+            ClusterState clusterState,
+            PlacementConstraints constraints,
+            String self,
+            Duration validity,
+            RandomGenerator random) {
+        this.clusterState = clusterState;
+        this.constraints = constraints;
+        this.self = self;
+        this.validity = validity;
+        this.random = random;
+    }
+
+    void receive(List<ResourceOffer> offers, Instant now) {
+        for (ResourceOffer offer : offers) {
+            receivedByMachine.put(offer.machine(), new ReceivedOffer(offer, now.plus(validity)));
+        }
+    }
+
+    boolean hasReceived() {
+        return !receivedByMachine.isEmpty();
+    }
+
+    /** Moves the received offers that are still valid to the given ones. */
+    void drainTo(Map<MachineRecord, ResourceOffer> offerByMachine, Instant now) {
+        for (ReceivedOffer received : receivedByMachine.values()) {
+            ResourceOffer offer = received.offer();
+            MachineRecord machine = clusterState.machine(offer.machine());
+            if (machine != null
+                    && machine.isSchedulable()
+                    && machine.agentEpoch() == offer.agentEpoch()
+                    && now.isBefore(received.validUntil())) {
+                offerByMachine.put(machine, offer);
+            }
+        }
+        receivedByMachine.clear();
+    }
+
+    /** Whether this controller's machines may be offered again. */
+    boolean isSendingDue(Instant now) {
+        return !sentAt.plus(SEND_INTERVAL).isAfter(now);
+    }
+
+    void markSent(Instant now) {
+        sentAt = now;
+    }
+
+    /** Offers each of these machines that still has free processors to a random member that had no offer of it yet. */
+    List<OutgoingOffers> outgoing(Map<MachineRecord, ResourceOffer> offerByMachine, Transaction transaction) {
+        Map<String, List<ResourceOffer>> offersByPeer = new TreeMap<>();
+        offerByMachine.forEach((machine, offer) -> {
+            if (constraints.freeCpus(machine, transaction) >= MIN_OFFERED_CPUS) {
+                addOffer(machine, offer.askedPeers(), offersByPeer);
+            }
+        });
+        List<OutgoingOffers> outgoing = new ArrayList<>();
+        offersByPeer.forEach((peer, offers) -> outgoing.add(new OutgoingOffers(peer, offers)));
+        return outgoing;
+    }
+
+    private void addOffer(
+            MachineRecord machine, List<String> askedPeers, Map<String, List<ResourceOffer>> offersByPeer) {
+        List<String> asked = new ArrayList<>(askedPeers);
+        asked.add(self);
+        List<String> peers = new ArrayList<>(clusterState.members().keySet());
+        peers.removeAll(asked);
+        if (peers.isEmpty()) {
+            return;
+        }
+        String peer = peers.get(random.nextInt(peers.size()));
+        List<ResourceOffer> offers = offersByPeer.computeIfAbsent(peer, key -> new ArrayList<>());
+        if (offers.size() < ResourceOffer.MAX_PER_MESSAGE) {
+            offers.add(new ResourceOffer(machine.name(), machine.agentEpoch(), asked));
+        }
+    }
+}
--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -66,7 +66,7 @@
         accept("run-000001", "red", "perch-0", 9, 9, 11);
         accept("run-000002", "blue", "perch-0", 9, 1, 12);
         Transaction transaction = draft();
-        bestEffortQueue.fill(transaction, () -> List.of(machine), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements()).hasSize(2);
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(2);
     }
@@ -76,7 +76,7 @@
         accept("run-000001", "red", "perch-0", 9, 9, 11);
         accept("run-000002", "blue", "perch-0", 4, 1, 12);
         Transaction transaction = draft();
-        bestEffortQueue.fill(transaction, () -> List.of(machine), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(4);
     }
@@ -96,7 +96,7 @@
                 11);
         accept("run-000002", "red", "perch-0", 4, 5, 12);
         Transaction transaction = draft();
-        bestEffortQueue.fill(transaction, () -> List.of(machine), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(4);
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
     }
@@ -107,7 +107,7 @@
         accept("run-000001", "red", "perch-0", 4, 110, 11);
         accept("run-000002", "red", "perch-0", 4, 5, 12);
         Transaction transaction = draft();
-        bestEffortQueue.fill(transaction, () -> List.of(machine), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements()).hasSize(1);
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(3);
     }
@@ -126,7 +126,7 @@
                 13);
         accept("run-000002", "blue", "perch-0", 8, 5, 14);
         Transaction transaction = draft();
-        bestEffortQueue.fill(transaction, () -> List.of(machine), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements())
                 .extracting(Placement::machine)
                 .containsExactly("vm-2");
@@ -161,7 +161,7 @@
                 AttemptId.of(small, small.livePlacements().get(0)), JobRecord.AttemptOutcome.DONE, Instant.EPOCH);
         Transaction transaction = draft();
         completionBuffer.releaseResources(transaction);
-        bestEffortQueue.fill(transaction, () -> List.of(machine, clusterState.machine("vm-2")), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine, clusterState.machine("vm-2")), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements())
                 .as("4 of the limit of 32 are free")
                 .hasSize(2);
@@ -189,7 +189,7 @@
         clusterState.put(
                 StoreKeys.job(r.id()), JobRecord.accepted(zones(r, true, false), "perch-0", TestFixtures.DAY), 12);
         Transaction transaction = draft();
-        bestEffortQueue.fill(transaction, () -> List.of(machine, far), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine, far), Instant.EPOCH);
         assertThat(transaction.job(r.id()).livePlacements()).as("in one zone").hasSize(4);
         assertThat(transaction.job(r.id()).livePlacements().stream()
                         .map(Placement::machine)
@@ -201,7 +201,7 @@
         clusterState.put(
                 StoreKeys.job(s.id()), JobRecord.accepted(zones(s, false, true), "perch-0", TestFixtures.DAY), 14);
         transaction = draft();
-        bestEffortQueue.fill(transaction, () -> List.of(machine, far), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine, far), Instant.EPOCH);
         assertThat(transaction.job(s.id()).livePlacements())
                 .as("spread over two")
                 .hasSize(5);
@@ -240,7 +240,7 @@
         clusterState.put(StoreKeys.CORDONED, new CordonedMachines(java.util.Set.of("vm-1")), 20);
         accept("run-000001", "red", "perch-0", 4, 5, 11);
         Transaction transaction = draft();
-        bestEffortQueue.fill(transaction, () -> List.of(machine), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.isEmpty()).isTrue();
     }
 
@@ -249,7 +249,7 @@
         accept("run-000001", "red", "perch-1", 2, 5, 11);
         Transaction transaction = draft();
         List<BestEffortQueue.OutgoingOffers> offers =
-                bestEffortQueue.fill(transaction, () -> List.of(machine), Instant.EPOCH);
+                bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.isEmpty()).isTrue();
         assertThat(offers)
                 .containsExactly(new BestEffortQueue.OutgoingOffers(
@@ -269,7 +269,7 @@
                 unused -> {});
         peer.onOffers(offers.get(0).offers(), Instant.EPOCH);
         Transaction there = new Transaction(clusterState, TestFixtures.PEER, TestFixtures.LIMITS, TestFixtures.DAY);
-        peer.fill(there, List::of, Instant.EPOCH);
+        peer.schedule(there, List::of, Instant.EPOCH);
         assertThat(there.job("run-000001").livePlacements()).hasSize(2);
         assertThat(there.conditions()).contains(StoreKeys.member("perch-1"), StoreKeys.job("run-000001"));
     }
@@ -288,7 +288,7 @@
     void idleWorkTakesOnlyWhatIsLeftOver() {
         acceptIdle("run-000001", 9, 11);
         Transaction transaction = draft();
-        bestEffortQueue.fill(transaction, () -> List.of(machine), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements())
                 .as("nobody else waits")
                 .hasSize(4);
@@ -298,7 +298,7 @@
         clusterState.put(
                 StoreKeys.job("run-000009"), TestFixtures.placed(urgent, TestFixtures.DAY, "vm-9", "vm-9"), 12);
         transaction = draft();
-        bestEffortQueue.fill(transaction, () -> List.of(machine), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements())
                 .as("8 of the 16 are kept for urgent work")
                 .hasSize(2);
@@ -306,7 +306,7 @@
         // Somebody's best-effort job waits and may run: the room is not for idle work, whoever finds it.
         accept("run-000002", "red", "perch-1", 1, 5, 13);
         transaction = draft();
-        bestEffortQueue.fill(transaction, () -> List.of(machine), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
     }
 
