--- a/src/main/java/org/gullway/coordination/cycle/CycleSteps.java
+++ b/src/main/java/org/gullway/coordination/cycle/CycleSteps.java
@@ -9,47 +9,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The steps of a round of decisions under a budget of time. When the budget is used up the round ends, and the next
- * one goes on with the step that would have come next.
+ * The steps of a scheduling cycle under a time budget. When the budget is used up the cycle ends, and the next one
+ * continues with the step that would have come next.
  */
 public final class CycleSteps {
     private static final Logger LOG = LoggerFactory.getLogger(CycleSteps.class);
 
-    private record Step(String name, Runnable action) {}
-
     private final List<Step> steps = new ArrayList<>();
     private final Duration budget;
-    private int next;
+    private int nextStep;
+
+    private record Step(String name, Runnable action) {}
 
     public CycleSteps(Duration budget) {
         this.budget = budget;
     }
 
+    /** Appends a step; the name identifies it in the log. */
     public CycleSteps add(String name, Runnable action) {
         steps.add(new Step(name, action));
         return this;
     }
 
     /**
-     * Runs the steps in turn, at least one; one that fails must not keep the others from their work.
+     * Runs the steps in turn, at least one. A step that fails does not prevent the others.
      *
-     * @param began when the round began: what came before the steps uses up the budget too
+     * @param startedAt when the cycle started: what came before the steps counts against the budget too
      */
-    public void run(Instant began, InstantSource clock) {
-        Instant end = began.plus(budget);
+    public void run(Instant startedAt, InstantSource clock) {
+        Instant deadline = startedAt.plus(budget);
         for (int done = 0; done < steps.size(); done++) {
-            Step step = steps.get((next + done) % steps.size());
-            try {
-                step.action().run();
-            } catch (RuntimeException e) {
-                LOG.error("the step {} of a round failed", step.name(), e);
-            }
-            if (done + 1 < steps.size() && clock.instant().isAfter(end)) {
-                next = (next + done + 1) % steps.size();
-                LOG.debug("the round ends after the step {}", step.name());
+            Step step = steps.get((nextStep + done) % steps.size());
+            run(step);
+            boolean isLast = done + 1 == steps.size();
+            if (!isLast && clock.instant().isAfter(deadline)) {
+                nextStep = (nextStep + done + 1) % steps.size();
+                LOG.debug("the time budget of the scheduling cycle is used up last_step={}", step.name());
                 return;
             }
         }
-        next = 0;
+        nextStep = 0;
+    }
+
+    private static void run(Step step) {
+        try {
+            step.action().run();
+        } catch (RuntimeException e) {
+            LOG.error("a step of the scheduling cycle failed step={}", step.name(), e);
+        }
     }
 }
--- a/src/main/java/org/gullway/coordination/cycle/PlanningContext.java
+++ b/src/main/java/org/gullway/coordination/cycle/PlanningContext.java
@@ -8,14 +8,16 @@
  *
  * @param now the present moment of the monotonic clock
  * @param leader whether this controller is the leader
- * @param surplusChanges whether the store's rate limit leaves room for changes that could wait
+ * @param surplusChanges whether the store's rate limit has capacity for changes that could wait; asked only by the
+ *     steps that need it, since asking refills the rate limiter
  */
 public record PlanningContext(Instant now, boolean leader, BooleanSupplier surplusChanges) {
-    /** A context in which the rate limit is known. */
+    /** A context in which it is known whether there is capacity for changes that could wait. */
     public static PlanningContext of(Instant now, boolean leader, boolean surplusChanges) {
         return new PlanningContext(now, leader, () -> surplusChanges);
     }
 
+    /** Whether the store's rate limit has capacity for changes that could wait. */
     public boolean hasSurplusChanges() {
         return surplusChanges.getAsBoolean();
     }
--- a/src/test/java/org/gullway/coordination/cycle/CycleStepsTest.java
+++ b/src/test/java/org/gullway/coordination/cycle/CycleStepsTest.java
@@ -20,24 +20,24 @@
         });
     }
 
-    private List<String> round() {
+    private List<String> runCycle() {
         ran.clear();
         steps.run(now, () -> now);
         return List.copyOf(ran);
     }
 
     @Test
-    void theNextRoundGoesOnWhereTheLastOneStopped() {
+    void theNextCycleContinuesWhereTheLastOneStopped() {
         add("a", 60);
         add("b", 60);
         add("c", 60);
-        assertThat(round()).containsExactly("a", "b");
-        assertThat(round()).containsExactly("c", "a");
-        assertThat(round()).containsExactly("b", "c");
+        assertThat(runCycle()).containsExactly("a", "b");
+        assertThat(runCycle()).containsExactly("c", "a");
+        assertThat(runCycle()).containsExactly("b", "c");
     }
 
     @Test
-    void whatCameBeforeTheStepsUsesUpTheBudgetButOneStepRuns() {
+    void timeBeforeTheStepsCountsAgainstTheBudgetButOneStepRuns() {
         add("a", 10);
         add("b", 10);
         Instant began = now;
@@ -47,19 +47,19 @@
     }
 
     @Test
-    void aRoundWithinItsBudgetRunsAllStepsFromTheFirst() {
+    void aCycleWithinItsBudgetRunsAllStepsFromTheFirst() {
         add("a", 10);
         add("b", 10);
-        assertThat(round()).containsExactly("a", "b");
-        assertThat(round()).containsExactly("a", "b");
+        assertThat(runCycle()).containsExactly("a", "b");
+        assertThat(runCycle()).containsExactly("a", "b");
     }
 
     @Test
-    void aStepThatFailsDoesNotKeepTheOthersFromTheirWork() {
+    void aStepThatFailsDoesNotPreventTheOthers() {
         steps.add("broken", () -> {
             throw new IllegalStateException("on purpose");
         });
         add("b", 1);
-        assertThat(round()).containsExactly("b");
+        assertThat(runCycle()).containsExactly("b");
     }
 }
--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -6,6 +6,7 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.SplittableRandom;
 import org.gullway.coordination.agents.CompletionBuffer;
 import org.gullway.coordination.model.AttemptId;
@@ -57,7 +58,7 @@
                 version);
     }
 
-    private Transaction draft() {
+    private Transaction newTransaction() {
         return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
     }
 
@@ -65,24 +66,24 @@
     void teamsTakeEqualTurns() {
         accept("run-000001", "red", "perch-0", 9, 9, 11);
         accept("run-000002", "blue", "perch-0", 9, 1, 12);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements()).hasSize(2);
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(2);
     }
 
     @Test
-    void aTeamWithinItsGuaranteeGoesFirst() {
+    void aTeamWithinItsGuaranteedQuotaIsServedFirst() {
         accept("run-000001", "red", "perch-0", 9, 9, 11);
         accept("run-000002", "blue", "perch-0", 4, 1, 12);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(4);
     }
 
     @Test
-    void whatCanBeInTimeGoesBeforeWhatCanNot() {
+    void jobsInTimeAreServedBeforeLateJobs() {
         JobRecord begun = TestFixtures.placed(
                 JobRecord.accepted(
                         TestFixtures.request("run-000001", "red", Priority.NORMAL, 5, 4),
@@ -95,28 +96,28 @@
                 begun.withCompletions(Map.of(begun.livePlacements().get(0), JobRecord.AttemptOutcome.DONE)),
                 11);
         accept("run-000002", "red", "perch-0", 4, 5, 12);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(4);
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
     }
 
-    /** Under steady pressure a late job would otherwise never begin. */
+    /** While other jobs keep coming, a late job would otherwise never start. */
     @Test
-    void aJobThatHasWaitedLongBeginsWithOneTask() {
+    void aStalledJobStartsWithOneTask() {
         accept("run-000001", "red", "perch-0", 4, 110, 11);
         accept("run-000002", "red", "perch-0", 4, 5, 12);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements()).hasSize(1);
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(3);
     }
 
-    /** The machine that the leader keeps for a large task is used by its owner, whoever commands the machine. */
+    /** The machine that the leader cordons for a large task is used by the job's owner, whichever controller commands it. */
     @Test
-    void aJobThatHasNotBegunUsesTheMachineKeptForIt() {
+    void aStalledJobUsesTheMachineCordonedForIt() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.PEER), 11);
-        clusterState.put(StoreKeys.CORDONED, new CordonedMachines(java.util.Set.of("vm-2")), 12);
+        clusterState.put(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-2")), 12);
         clusterState.put(
                 StoreKeys.job("run-000001"),
                 JobRecord.accepted(
@@ -125,7 +126,7 @@
                         TestFixtures.DAY.minusSeconds(160)),
                 13);
         accept("run-000002", "blue", "perch-0", 8, 5, 14);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements())
                 .extracting(Placement::machine)
@@ -136,7 +137,7 @@
     }
 
     @Test
-    void usesTheRoomOfEndedAttemptsAndNoMore() {
+    void usesTheResourcesOfCompletedAttemptsAndNoMore() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.SELF), 11);
         JobRecord small = TestFixtures.placed(
                 JobRecord.accepted(
@@ -159,21 +160,21 @@
         CompletionBuffer completionBuffer = new CompletionBuffer(clusterState);
         completionBuffer.add(
                 AttemptId.of(small, small.livePlacements().get(0)), JobRecord.AttemptOutcome.DONE, Instant.EPOCH);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         completionBuffer.releaseResources(transaction);
         bestEffortQueue.schedule(transaction, () -> List.of(machine, clusterState.machine("vm-2")), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements())
-                .as("4 of the limit of 32 are free")
+                .as("4 of the quota of 32 are free")
                 .hasSize(2);
         assertThat(transaction.quotaCpusUsed(StoreKeys.quotaPartition("perch-0"), "red"))
                 .isEqualTo(32);
     }
 
-    /** Machines of two zones have room; tasks are pulled one by one, and those planned before count for the zones. */
+    /** Tasks are placed one by one; those planned before in the same transaction count for the zones. */
     @Test
-    void tasksOfOneCommitKeepToTheZonesThatTheJobAllows() {
+    void tasksOfOneTransactionKeepToTheZonesThatTheJobAllows() {
         MachineRecord other = TestFixtures.machine("vm-2", "small", TestFixtures.SELF);
-        MachineRecord far = new MachineRecord(
+        MachineRecord otherZone = new MachineRecord(
                 "vm-2",
                 other.address(),
                 "small",
@@ -184,70 +185,76 @@
                 1,
                 MachineRecord.MachineLifecycle.ACTIVE,
                 other.provisionedAt());
-        TestFixtures.put(clusterState, far, 11);
-        JobRequest r = TestFixtures.request("run-000001", "red", Priority.NORMAL, 8, 4);
+        TestFixtures.put(clusterState, otherZone, 11);
+        JobRequest singleZone = TestFixtures.request("run-000001", "red", Priority.NORMAL, 8, 4);
         clusterState.put(
-                StoreKeys.job(r.id()), JobRecord.accepted(zones(r, true, false), "perch-0", TestFixtures.DAY), 12);
-        Transaction transaction = draft();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine, far), Instant.EPOCH);
-        assertThat(transaction.job(r.id()).livePlacements()).as("in one zone").hasSize(4);
-        assertThat(transaction.job(r.id()).livePlacements().stream()
+                StoreKeys.job(singleZone.id()),
+                JobRecord.accepted(withZones(singleZone, true, false), "perch-0", TestFixtures.DAY),
+                12);
+        Transaction transaction = newTransaction();
+        bestEffortQueue.schedule(transaction, () -> List.of(machine, otherZone), Instant.EPOCH);
+        assertThat(transaction.job(singleZone.id()).livePlacements())
+                .as("in one zone")
+                .hasSize(4);
+        assertThat(transaction.job(singleZone.id()).livePlacements().stream()
                         .map(Placement::machine)
                         .distinct())
                 .hasSize(1);
 
-        JobRequest s = TestFixtures.request("run-000002", "red", Priority.NORMAL, 5, 4);
-        clusterState.remove(StoreKeys.job(r.id()), 13);
+        JobRequest spread = TestFixtures.request("run-000002", "red", Priority.NORMAL, 5, 4);
+        clusterState.remove(StoreKeys.job(singleZone.id()), 13);
         clusterState.put(
-                StoreKeys.job(s.id()), JobRecord.accepted(zones(s, false, true), "perch-0", TestFixtures.DAY), 14);
-        transaction = draft();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine, far), Instant.EPOCH);
-        assertThat(transaction.job(s.id()).livePlacements())
+                StoreKeys.job(spread.id()),
+                JobRecord.accepted(withZones(spread, false, true), "perch-0", TestFixtures.DAY),
+                14);
+        transaction = newTransaction();
+        bestEffortQueue.schedule(transaction, () -> List.of(machine, otherZone), Instant.EPOCH);
+        assertThat(transaction.job(spread.id()).livePlacements())
                 .as("spread over two")
                 .hasSize(5);
-        assertThat(transaction.job(s.id()).livePlacements().stream()
+        assertThat(transaction.job(spread.id()).livePlacements().stream()
                         .filter(p -> p.machine().equals("vm-2"))
                         .count())
                 .isBetween(2L, 3L);
     }
 
-    private static JobRequest zones(JobRequest r, boolean oneZone, boolean spread) {
+    private static JobRequest withZones(JobRequest request, boolean singleZone, boolean spread) {
         return new JobRequest(
-                r.id(),
-                r.jobClass(),
-                r.team(),
-                r.shape(),
-                r.priority(),
-                r.tasks(),
-                r.cpus(),
-                r.gpus(),
-                r.memoryGb(),
-                r.image(),
-                r.imageGb(),
-                r.machineTypes(),
-                r.zone(),
-                oneZone,
+                request.id(),
+                request.jobClass(),
+                request.team(),
+                request.shape(),
+                request.priority(),
+                request.tasks(),
+                request.cpus(),
+                request.gpus(),
+                request.memoryGb(),
+                request.image(),
+                request.imageGb(),
+                request.machineTypes(),
+                request.zone(),
+                singleZone,
                 spread,
-                r.spotAllowed(),
-                r.estimatedRunTime(),
-                r.checkpointInterval(),
-                r.checkpointTime(),
-                r.deadline());
+                request.spotAllowed(),
+                request.estimatedRunTime(),
+                request.checkpointInterval(),
+                request.checkpointTime(),
+                request.deadline());
     }
 
     @Test
-    void nothingStartsOnAClosedMachine() {
-        clusterState.put(StoreKeys.CORDONED, new CordonedMachines(java.util.Set.of("vm-1")), 20);
+    void nothingStartsOnACordonedMachine() {
+        clusterState.put(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1")), 20);
         accept("run-000001", "red", "perch-0", 4, 5, 11);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.isEmpty()).isTrue();
     }
 
     @Test
-    void roomThatFitsNothingHereIsOfferedToAPeerAndUsedThere() {
+    void resourcesThatFitNothingHereAreOfferedToAPeerAndUsedThere() {
         accept("run-000001", "red", "perch-1", 2, 5, 11);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         List<BestEffortQueue.OutgoingOffers> offers =
                 bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.isEmpty()).isTrue();
@@ -268,13 +275,14 @@
                 List::of,
                 unused -> {});
         peer.onOffers(offers.get(0).offers(), Instant.EPOCH);
-        Transaction there = new Transaction(clusterState, TestFixtures.PEER, TestFixtures.LIMITS, TestFixtures.DAY);
-        peer.schedule(there, List::of, Instant.EPOCH);
-        assertThat(there.job("run-000001").livePlacements()).hasSize(2);
-        assertThat(there.conditions()).contains(StoreKeys.member("perch-1"), StoreKeys.job("run-000001"));
+        Transaction peerTransaction =
+                new Transaction(clusterState, TestFixtures.PEER, TestFixtures.LIMITS, TestFixtures.DAY);
+        peer.schedule(peerTransaction, List::of, Instant.EPOCH);
+        assertThat(peerTransaction.job("run-000001").livePlacements()).hasSize(2);
+        assertThat(peerTransaction.conditions()).contains(StoreKeys.member("perch-1"), StoreKeys.job("run-000001"));
     }
 
-    private void acceptIdle(String id, int tasks, long version) {
+    private void acceptScavenger(String id, int tasks, long version) {
         clusterState.put(
                 StoreKeys.job(id),
                 JobRecord.accepted(
@@ -285,46 +293,48 @@
     }
 
     @Test
-    void idleWorkTakesOnlyWhatIsLeftOver() {
-        acceptIdle("run-000001", 9, 11);
-        Transaction transaction = draft();
+    void scavengerJobsUseOnlyLeftoverResources() {
+        acceptScavenger("run-000001", 9, 11);
+        Transaction transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements())
-                .as("nobody else waits")
+                .as("no other job waits")
                 .hasSize(4);
 
-        JobRecord urgent = JobRecord.accepted(
+        JobRecord reserved = JobRecord.accepted(
                 TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 8), null, TestFixtures.DAY);
         clusterState.put(
-                StoreKeys.job("run-000009"), TestFixtures.placed(urgent, TestFixtures.DAY, "vm-9", "vm-9"), 12);
-        transaction = draft();
+                StoreKeys.job("run-000009"), TestFixtures.placed(reserved, TestFixtures.DAY, "vm-9", "vm-9"), 12);
+        transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements())
-                .as("8 of the 16 are kept for urgent work")
+                .as("8 of the 16 are kept free for reserved jobs")
                 .hasSize(2);
 
-        // Somebody's best-effort job waits and may run: the room is not for idle work, whoever finds it.
+        // A best-effort job of another controller waits and may run: nothing is left over.
         accept("run-000002", "red", "perch-1", 1, 5, 13);
-        transaction = draft();
+        transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
     }
 
-    /** The leader stops as many idle tasks as the waiting job could use, and no others. */
+    /** The leader preempts as many scavenger tasks as the waiting job could use, and no others. */
     @Test
-    void idleWorkMakesWayForBestEffortWorkOfAHigherRank() {
-        acceptIdle("run-000001", 9, 11);
-        JobRecord held = clusterState.job("run-000001");
+    void scavengerTasksArePreemptedForBestEffortJobsOfAHigherPriority() {
+        acceptScavenger("run-000001", 9, 11);
+        JobRecord scavenger = clusterState.job("run-000001");
         clusterState.put(
-                StoreKeys.job("run-000001"), TestFixtures.placed(held, TestFixtures.DAY, "vm-1", "vm-1", "vm-1"), 12);
+                StoreKeys.job("run-000001"),
+                TestFixtures.placed(scavenger, TestFixtures.DAY, "vm-1", "vm-1", "vm-1"),
+                12);
         JobRecord normal = JobRecord.accepted(
                 TestFixtures.request("run-000002", "red", Priority.NORMAL, 1, 4), "perch-1", TestFixtures.DAY);
         clusterState.put(StoreKeys.job("run-000002"), TestFixtures.placed(normal, TestFixtures.DAY, "vm-1"), 13);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         scavengerScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
-        assertThat(transaction.isEmpty()).as("nobody waits").isTrue();
+        assertThat(transaction.isEmpty()).as("no job waits").isTrue();
         accept("run-000003", "red", "perch-1", 2, 5, 14);
-        transaction = draft();
+        transaction = newTransaction();
         scavengerScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH.plusSeconds(2)));
         assertThat(transaction.job("run-000001").livePlacements().stream()
                         .filter(Placement::stopping)
--- a/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
@@ -3,6 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.time.Instant;
+import java.util.List;
+import java.util.Set;
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.CordonedMachines;
 import org.gullway.coordination.model.FinalState;
@@ -21,9 +23,9 @@
             TestFixtures.constraints(),
             TestFixtures.quotas(),
             new JobBackoff(),
-            new DeadlinePolicy(java.util.List.of()));
+            new DeadlinePolicy(List.of()));
 
-    private Transaction draft() {
+    private Transaction newTransaction() {
         return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
     }
 
@@ -39,7 +41,7 @@
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "small", TestFixtures.PEER), 11);
         accept("run-000001", "red", Priority.HIGH, 1, 4, 12);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
         assertThat(transaction.job("run-000001").livePlacements())
                 .extracting(Placement::machine)
@@ -55,7 +57,7 @@
                 TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 4), null, TestFixtures.DAY);
         clusterState.put(StoreKeys.job("run-000009"), TestFixtures.placed(first, TestFixtures.DAY, "vm-1"), 12);
         accept("run-000001", "red", Priority.HIGH, 1, 4, 13);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
         assertThat(transaction.job("run-000001").livePlacements())
                 .extracting(Placement::machine)
@@ -63,30 +65,29 @@
     }
 
     @Test
-    void staysWithinTheTeamsLimit() {
+    void staysWithinTheTeamsQuota() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.SELF), 11);
         accept("run-000001", "red", Priority.HIGH, 20, 4, 12);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
         assertThat(transaction.job("run-000001").livePlacements()).hasSize(8);
         assertThat(transaction.changes()).doesNotContainKey(StoreKeys.CORDONED);
     }
 
     @Test
-    void closesMachinesWhileReservedWorkWaits() {
+    void cordonsMachinesWhileReservedJobsWait() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "small", TestFixtures.SELF), 10);
         accept("run-000001", "red", Priority.HIGH, 6, 4, 12);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
         assertThat(transaction.job("run-000001").livePlacements()).hasSize(4);
-        assertThat(transaction.changes())
-                .containsEntry(StoreKeys.CORDONED, new CordonedMachines(java.util.Set.of("vm-1")));
+        assertThat(transaction.changes()).containsEntry(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1")));
     }
 
-    /** Small tasks would fill every gap for ever before a job of large ones. */
+    /** Small tasks would otherwise use all released resources before a job of large tasks could start. */
     @Test
-    void keepsAMachineForALargeBestEffortTaskThatHasNotBegun() {
+    void cordonsAMachineForTheLargeTaskOfAStalledBestEffortJob() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "small", TestFixtures.SELF), 10);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.PEER), 11);
         clusterState.put(
@@ -96,18 +97,17 @@
                         "perch-1",
                         TestFixtures.DAY.minusSeconds(160)),
                 12);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
-        assertThat(transaction.changes())
-                .containsEntry(StoreKeys.CORDONED, new CordonedMachines(java.util.Set.of("vm-2")));
+        assertThat(transaction.changes()).containsEntry(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-2")));
     }
 
-    /** Once, a job cancelled and booked in the same round was recorded as ended and went on running (hunt-ffe4-7). */
+    /** A job that was cancelled and placed in one transaction would be recorded as ended and run. */
     @Test
-    void leavesAJobAloneThatTheSameRoundCancelled() {
+    void doesNotPlaceAJobThatTheSameTransactionCancels() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         accept("run-000001", "red", Priority.HIGH, 2, 4, 12);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         transaction.putJob(clusterState.job("run-000001").withCancellation(TestFixtures.DAY));
         reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
         assertThat(transaction.job("run-000001")).isNull();
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void stopsTheBestEffortTaskThatLosesLeast() {
+    void preemptsTheBestEffortTaskThatLosesLeast() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "small", TestFixtures.SELF), 10);
         JobRecord old = JobRecord.accepted(
                 TestFixtures.request("run-000008", "blue", Priority.NORMAL, 2, 4), "perch-0", TestFixtures.DAY);
@@ -132,7 +132,7 @@
         clusterState.put(StoreKeys.job("run-000008"), old, 12);
         clusterState.put(StoreKeys.job("run-000009"), wide, 13);
         accept("run-000001", "red", Priority.HIGH, 1, 4, 14);
-        Transaction transaction = draft();
+        Transaction transaction = newTransaction();
         reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
         assertThat(transaction.job("run-000008").livePlacements())
                 .extracting(Placement::stopping)
@@ -140,14 +140,13 @@
         assertThat(transaction.job("run-000009").livePlacements())
                 .extracting(Placement::stopping)
                 .containsExactly(false);
-        assertThat(transaction.changes())
-                .containsEntry(StoreKeys.CORDONED, new CordonedMachines(java.util.Set.of("vm-1")));
+        assertThat(transaction.changes()).containsEntry(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1")));
 
         TestFixtures.commit(clusterState, transaction, 20);
-        Transaction next = draft();
+        Transaction next = newTransaction();
         reservedScheduler.plan(next, TestFixtures.leaderContext(Instant.EPOCH.plusSeconds(1)));
         assertThat(next.isEmpty())
-                .as("one waiting task has only one stopped for it")
+                .as("one waiting task has only one preempted for it")
                 .isTrue();
     }
 }
