--- a/src/main/java/org/gullway/coordination/placement/BestFit.java
+++ b/src/main/java/org/gullway/coordination/placement/BestFit.java
@@ -23,7 +23,7 @@
         this.constraints = constraints;
     }
 
-    /** A machine that fits, with what its rank depends on. */
+    /** A machine that fits, with what its place in the order depends on. */
     private record Candidate(MachineRecord machine, boolean hasImage, double freeCpus) {
         private static final Comparator<Candidate> BEST_FIRST = Comparator.<Candidate>comparingInt(
                         candidate -> candidate.hasImage ? 0 : 1)
--- a/src/main/java/org/gullway/coordination/quota/LostMemberQuota.java
+++ b/src/main/java/org/gullway/coordination/quota/LostMemberQuota.java
@@ -14,7 +14,7 @@
  * Reassigns the quota partitions of lost members. Each change requires that the member's key is still absent, so that
  * the lost member cannot place on its partition at the same time.
  */
-final class LostMemberQuota {
+public final class LostMemberQuota {
     private LostMemberQuota() {}
 
     /**
@@ -24,7 +24,7 @@
      * the jobs they belong to is not known here, so no division of the partition would surely cover what each new
      * owner receives, and the quota could be exceeded: the job stays until the completions are on record.
      */
-    static void transferJob(Transaction transaction, ClusterState clusterState, JobRecord job, String newOwner) {
+    public static void transferJob(Transaction transaction, ClusterState clusterState, JobRecord job, String newOwner) {
         String source = StoreKeys.quotaPartition(job.owner());
         String team = job.request().team();
         QuotaPartition.Amount allocated = transaction.quotaPartition(source).of(team);
@@ -60,7 +60,7 @@
     }
 
     /** Frees what lost members hold beyond the use of the jobs that they still own. */
-    static void releaseUnused(Transaction transaction, ClusterState clusterState, TeamQuotas quotas) {
+    public static void releaseUnused(Transaction transaction, ClusterState clusterState, TeamQuotas quotas) {
         for (String key : clusterState.quotaPartitions().keySet()) {
             String holder = StoreKeys.quotaHolder(key);
             if (holder == null
--- a/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
@@ -51,6 +51,19 @@
     /** What the adjustments of one scheduling cycle depend on. */
     private record Adjustment(Transaction transaction, QuotaDemand demand, boolean mayReduce, Instant now) {}
 
+    /** What the adjusted partition holds of one resource, what of it is used, and what its jobs need. */
+    private record Allocation(double amount, double used, QuotaDemand.ResourceDemand demand) {
+        /** Whether completed tasks still have to release resources until the largest task of a stalled job fits. */
+        boolean isAccumulating() {
+            double largestTask = demand.largestStalledTask();
+            return largestTask > 0 && amount >= largestTask && amount - used < largestTask;
+        }
+
+        boolean fitsSmallestTaskAfter(double raise) {
+            return amount + raise - used >= demand.smallestWaitingTask() - EPSILON;
+        }
+    }
+
     /**
      * The other partitions' state of one resource.
      *
@@ -124,27 +137,25 @@
     }
 
     private double targetAmount(Adjustment adjustment, String partition, TeamResource resource) {
-        QuotaDemand.ResourceDemand demand = adjustment.demand().of(partition, resource);
-        double current = resource.allocatedTo(partition, adjustment.transaction());
-        double used = resource.usedOf(partition, adjustment.transaction());
-        OtherPartitions others = others(adjustment, partition, resource, current);
-        // A stalled job keeps what completed tasks release until there is enough for its largest task.
-        double largestTask = demand.largestStalledTask();
-        boolean accumulating = largestTask > 0 && current >= largestTask && current - used < largestTask;
-        boolean wasted = others.areShort() && current > used && !accumulating;
-        boolean yields = unusedQuota.mustYield(partition, resource, used, wasted, adjustment.now());
-        if (demand.total() > current && !yields) {
-            double raise = raise(demand, others, current, resource.quota());
-            if (raise > EPSILON && current + raise - used >= demand.smallestWaitingTask() - EPSILON) {
-                return current + raise;
+        Allocation own = new Allocation(
+                resource.allocatedTo(partition, adjustment.transaction()),
+                resource.usedOf(partition, adjustment.transaction()),
+                adjustment.demand().of(partition, resource));
+        OtherPartitions others = others(adjustment, partition, resource, own.amount());
+        boolean wasted = others.areShort() && own.amount() > own.used() && !own.isAccumulating();
+        boolean yields = unusedQuota.mustYield(partition, resource, own.used(), wasted, adjustment.now());
+        if (own.demand().total() > own.amount() && !yields) {
+            double raise = raise(own, others, resource.quota());
+            if (raise > EPSILON && own.fitsSmallestTaskAfter(raise)) {
+                return own.amount() + raise;
             }
         }
         if (!others.areShort() || !adjustment.mayReduce()) {
-            return current;
+            return own.amount();
         }
         return yields
-                ? Math.min(current, used)
-                : reducedAmount(adjustment, partition, resource, others.demand(), current, used);
+                ? Math.min(own.amount(), own.used())
+                : reducedAmount(adjustment, partition, resource, own, others);
     }
 
     private OtherPartitions others(Adjustment adjustment, String partition, TeamResource resource, double current) {
@@ -161,27 +172,23 @@
         return new OtherPartitions(Math.max(0, resource.quota() - allocated), shortage, totalDemand);
     }
 
-    private static double raise(
-            QuotaDemand.ResourceDemand demand, OtherPartitions others, double current, double quota) {
-        double missing = demand.total() - current;
+    private static double raise(Allocation own, OtherPartitions others, double quota) {
+        double missing = own.demand().total() - own.amount();
         double spare = Math.max(0, others.unallocated() - others.shortage() - missing);
         return Math.min(others.unallocated(), missing + Math.min(quota * MAX_SPARE_FRACTION, spare / 2));
     }
 
     /** The amount without what is not needed here, or is beyond the fair part of a contended quota. */
     private double reducedAmount(
-            Adjustment adjustment,
-            String partition,
-            TeamResource resource,
-            double othersDemand,
-            double current,
-            double used) {
+            Adjustment adjustment, String partition, TeamResource resource, Allocation own, OtherPartitions others) {
         double quota = resource.quota();
-        QuotaDemand.ResourceDemand demand = adjustment.demand().of(partition, resource);
-        double target = demand.total() + othersDemand > quota
+        double needed = own.demand().total();
+        double target = needed + others.demand() > quota
                 ? FairDivision.amountOf(partition, othersByPartition.get(partition), adjustment.demand(), resource)
-                : demand.total();
-        double reduced = Math.max(used, Math.min(current, Math.max(target, demand.largestStalledTask())));
+                : needed;
+        double current = own.amount();
+        double reduced = Math.max(
+                own.used(), Math.min(current, Math.max(target, own.demand().largestStalledTask())));
         boolean worthwhile = current - reduced > quota * MIN_REDUCTION_FRACTION || reduced == 0 && current > 0;
         return worthwhile ? reduced : current;
     }
--- a/src/main/java/org/gullway/coordination/quota/UnusedQuota.java
+++ b/src/main/java/org/gullway/coordination/quota/UnusedQuota.java
@@ -7,11 +7,11 @@
 
 /**
  * Finds allocations that stay unused while other partitions are short. A holder that could not use its allocation for
- * some time leaves it to the others for as long again; otherwise two holders could each keep an amount that is too
+ * some time yields it to the others for as long again; otherwise two holders could each keep an amount that is too
  * small for the next task of either, and both would wait for ever.
  */
 final class UnusedQuota {
-    /** How long an allocation may stay unused, and how long it is left to the others then. */
+    /** How long an allocation may stay unused, and for how long the holder yields it then. */
     private static final Duration MAX_UNUSED = Duration.ofSeconds(3);
 
     private final Map<String, Observation> observations = new HashMap<>();
@@ -20,12 +20,12 @@
      * What is known of one allocation.
      *
      * @param used the amount in use, which has not changed since then
-     * @param yieldsUntil the moment before which the allocation is left to the others
+     * @param yieldsUntil the moment before which the holder yields the unused part to the others
      */
     private record Observation(double used, Instant since, Instant yieldsUntil) {}
 
     /**
-     * Notes the present use of an allocation and decides whether the holder has to leave the unused part to others.
+     * Notes the present use of an allocation and decides whether the holder has to yield the unused part to others.
      *
      * @param wasted whether a part is unused at present that others are short of
      */
--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortPlacement.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortPlacement.java
@@ -76,7 +76,7 @@
                 .toList();
     }
 
-    /** Later passes include the jobs of earlier ones; these have no tasks left that fit. */
+    /** Later passes include the jobs of earlier ones; none of their remaining tasks fits. */
     private void placeByDeadline(Transaction transaction, Collection<MachineRecord> machines, List<JobRecord> jobs) {
         GuaranteedQuota guaranteedQuota = GuaranteedQuota.of(clusterState, quotas);
         List<JobRecord> inTime = new ArrayList<>();
--- a/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
@@ -29,7 +29,7 @@
     /** In a large fleet preemption considers thousands of tasks, so it is planned less often. */
     private static final Duration PREEMPTION_INTERVAL = Duration.ofMillis(500);
     /** Once preemption found too little for this many jobs, those after them wait for cordoned machines. */
-    private static final int MAX_STUCK_JOBS = 8;
+    private static final int MAX_UNSATISFIED_JOBS = 8;
 
     private final ClusterState clusterState;
     private final PlacementConstraints constraints;
@@ -159,10 +159,10 @@
                 machines.size() <= MachineWindow.MAX_MACHINES ? machines : window.next(machines);
         PreemptionPlanner preemption =
                 new PreemptionPlanner(clusterState, constraints, deadlines, transaction, considered);
-        List<JobRecord> stuck = new ArrayList<>();
+        List<JobRecord> unsatisfied = new ArrayList<>();
         for (JobRecord job : unplaced) {
-            if (stuck.size() >= MAX_STUCK_JOBS || !preemptFor(job, preemption, transaction)) {
-                stuck.add(job);
+            if (unsatisfied.size() >= MAX_UNSATISFIED_JOBS || !preemptFor(job, preemption, transaction)) {
+                unsatisfied.add(job);
             }
         }
         if (!unplaced.isEmpty() && !cordonPlanner.mayChange(transaction)) {
@@ -170,7 +170,7 @@
         }
         Set<String> cordoned = new LinkedHashSet<>(preemption.targetMachines());
         clusterState.cordonedMachines().stream().filter(this::hasStoppingTasks).forEach(cordoned::add);
-        cordoned.addAll(cordonPlanner.machinesFor(stuck, machines, transaction));
+        cordoned.addAll(cordonPlanner.machinesFor(unsatisfied, machines, transaction));
         cordonPlanner.cordon(transaction, cordoned);
     }
 
--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -62,12 +62,18 @@
         return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
     }
 
+    /** Runs the queue on one machine with 16 processors. */
+    private Transaction schedule() {
+        Transaction transaction = newTransaction();
+        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
+        return transaction;
+    }
+
     @Test
     void teamsTakeEqualTurns() {
         accept("run-000001", "red", "perch-0", 9, 9, 11);
         accept("run-000002", "blue", "perch-0", 9, 1, 12);
-        Transaction transaction = newTransaction();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
+        Transaction transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements()).hasSize(2);
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(2);
     }
@@ -76,8 +82,7 @@
     void aTeamWithinItsGuaranteedQuotaIsServedFirst() {
         accept("run-000001", "red", "perch-0", 9, 9, 11);
         accept("run-000002", "blue", "perch-0", 4, 1, 12);
-        Transaction transaction = newTransaction();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
+        Transaction transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(4);
     }
@@ -96,8 +101,7 @@
                 begun.withCompletions(Map.of(begun.livePlacements().get(0), JobRecord.AttemptOutcome.DONE)),
                 11);
         accept("run-000002", "red", "perch-0", 4, 5, 12);
-        Transaction transaction = newTransaction();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
+        Transaction transaction = schedule();
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(4);
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
     }
@@ -107,8 +111,7 @@
     void aStalledJobStartsWithOneTask() {
         accept("run-000001", "red", "perch-0", 4, 110, 11);
         accept("run-000002", "red", "perch-0", 4, 5, 12);
-        Transaction transaction = newTransaction();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
+        Transaction transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements()).hasSize(1);
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(3);
     }
@@ -126,8 +129,7 @@
                         TestFixtures.DAY.minusSeconds(160)),
                 13);
         accept("run-000002", "blue", "perch-0", 8, 5, 14);
-        Transaction transaction = newTransaction();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
+        Transaction transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements())
                 .extracting(Placement::machine)
                 .containsExactly("vm-2");
@@ -246,8 +248,7 @@
     void nothingStartsOnACordonedMachine() {
         clusterState.put(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1")), 20);
         accept("run-000001", "red", "perch-0", 4, 5, 11);
-        Transaction transaction = newTransaction();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
+        Transaction transaction = schedule();
         assertThat(transaction.isEmpty()).isTrue();
     }
 
@@ -295,8 +296,7 @@
     @Test
     void scavengerJobsUseOnlyLeftoverResources() {
         acceptScavenger("run-000001", 9, 11);
-        Transaction transaction = newTransaction();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
+        Transaction transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements())
                 .as("no other job waits")
                 .hasSize(4);
@@ -305,16 +305,14 @@
                 TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 8), null, TestFixtures.DAY);
         clusterState.put(
                 StoreKeys.job("run-000009"), TestFixtures.placed(reserved, TestFixtures.DAY, "vm-9", "vm-9"), 12);
-        transaction = newTransaction();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
+        transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements())
                 .as("8 of the 16 are kept free for reserved jobs")
                 .hasSize(2);
 
         // A best-effort job of another controller waits and may run: nothing is left over.
         accept("run-000002", "red", "perch-1", 1, 5, 13);
-        transaction = newTransaction();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
+        transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
     }
 
--- a/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
@@ -36,13 +36,18 @@
                 version);
     }
 
+    private Transaction schedule() {
+        Transaction transaction = newTransaction();
+        reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
+        return transaction;
+    }
+
     @Test
     void takesTheFullestMachineThatFits() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "small", TestFixtures.PEER), 11);
         accept("run-000001", "red", Priority.HIGH, 1, 4, 12);
-        Transaction transaction = newTransaction();
-        reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
+        Transaction transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements())
                 .extracting(Placement::machine)
                 .containsExactly("vm-2");
@@ -57,8 +62,7 @@
                 TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 4), null, TestFixtures.DAY);
         clusterState.put(StoreKeys.job("run-000009"), TestFixtures.placed(first, TestFixtures.DAY, "vm-1"), 12);
         accept("run-000001", "red", Priority.HIGH, 1, 4, 13);
-        Transaction transaction = newTransaction();
-        reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
+        Transaction transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements())
                 .extracting(Placement::machine)
                 .containsExactly("vm-1");
@@ -69,8 +73,7 @@
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.SELF), 11);
         accept("run-000001", "red", Priority.HIGH, 20, 4, 12);
-        Transaction transaction = newTransaction();
-        reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
+        Transaction transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements()).hasSize(8);
         assertThat(transaction.changes()).doesNotContainKey(StoreKeys.CORDONED);
     }
@@ -79,8 +82,7 @@
     void cordonsMachinesWhileReservedJobsWait() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "small", TestFixtures.SELF), 10);
         accept("run-000001", "red", Priority.HIGH, 6, 4, 12);
-        Transaction transaction = newTransaction();
-        reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
+        Transaction transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements()).hasSize(4);
         assertThat(transaction.changes()).containsEntry(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1")));
     }
@@ -97,8 +99,7 @@
                         "perch-1",
                         TestFixtures.DAY.minusSeconds(160)),
                 12);
-        Transaction transaction = newTransaction();
-        reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
+        Transaction transaction = schedule();
         assertThat(transaction.changes()).containsEntry(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-2")));
     }
 
@@ -132,8 +133,7 @@
         clusterState.put(StoreKeys.job("run-000008"), old, 12);
         clusterState.put(StoreKeys.job("run-000009"), wide, 13);
         accept("run-000001", "red", Priority.HIGH, 1, 4, 14);
-        Transaction transaction = newTransaction();
-        reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
+        Transaction transaction = schedule();
         assertThat(transaction.job("run-000008").livePlacements())
                 .extracting(Placement::stopping)
                 .containsExactly(false, true);
