--- a/src/main/java/org/gullway/cloud/CloudProvisioner.java
+++ b/src/main/java/org/gullway/cloud/CloudProvisioner.java
@@ -21,6 +21,7 @@
 import org.gullway.coordination.model.Transaction;
 import org.gullway.coordination.placement.MachineTypeCatalog;
 import org.gullway.coordination.scaling.FleetAutoscaler;
+import org.gullway.coordination.scaling.ProvisioningRequest;
 import org.gullway.protocol.CloudMessages;
 import org.gullway.protocol.CloudMessages.ListedMachine;
 import org.gullway.protocol.MalformedMessageException;
@@ -72,9 +73,9 @@
     private final Set<String> failed = new LinkedHashSet<>();
     private final Map<String, Instant> releasedAt = new HashMap<>();
 
-    private record PendingRequest(String charter, FleetAutoscaler.ProvisioningRequest request) {}
+    private record PendingRequest(String charter, ProvisioningRequest request) {}
 
-    private record ProvisionedMachine(FleetAutoscaler.ProvisioningRequest request, Instant rented) {}
+    private record ProvisionedMachine(ProvisioningRequest request, Instant rented) {}
 
     public CloudProvisioner(
             EventLoop loop,
@@ -126,10 +127,10 @@
         }
         release();
         if (rentals.isEmpty() && unrecordedMachines.isEmpty() && listedOnce && !now.isBefore(planNotBefore)) {
-            List<FleetAutoscaler.ProvisioningRequest> planned = autoscaler.machinesToProvision(now);
+            List<ProvisioningRequest> planned = autoscaler.machinesToProvision(now);
             Duration took = Duration.between(now, loop.now());
             planNotBefore = now.plus(took.multipliedBy(PAUSE_PER_PLANNING_TIME));
-            for (FleetAutoscaler.ProvisioningRequest request : planned) {
+            for (ProvisioningRequest request : planned) {
                 if (!spend()) {
                     break;
                 }
@@ -157,7 +158,7 @@
     }
 
     private void provision(PendingRequest pending) {
-        FleetAutoscaler.ProvisioningRequest request = pending.request();
+        ProvisioningRequest request = pending.request();
         byte[] body = CloudMessages.encodeProvisionRequest(
                 pending.charter(), request.type(), request.zone(), request.spot(), request.count());
         httpClient.call(address, HttpRequest.post("/rentals", body, LIMIT), response -> {
@@ -296,8 +297,7 @@
                 unrecordedMachines.put(
                         machine.name(),
                         new ProvisionedMachine(
-                                new FleetAutoscaler.ProvisioningRequest(
-                                        machine.type(), machine.zone(), machine.spot(), 1),
+                                new ProvisioningRequest(machine.type(), machine.zone(), machine.spot(), 1),
                                 timeOfDay.instant().minus(machine.age())));
             }
         }
@@ -312,7 +312,7 @@
             ShardAssignment assignment = new ShardAssignment(
                     clusterState, transaction, Long.toString(self.number(), 36) + "-" + ++groupings);
             for (Map.Entry<String, ProvisionedMachine> entry : unrecordedMachines.entrySet()) {
-                FleetAutoscaler.ProvisioningRequest request = entry.getValue().request();
+                ProvisioningRequest request = entry.getValue().request();
                 Instant rented = entry.getValue().rented() == null
                         ? transaction.timeOfDay()
                         : entry.getValue().rented();
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -31,6 +31,7 @@
 import org.gullway.coordination.quota.QuotaPartitioner;
 import org.gullway.coordination.quota.TeamQuotas;
 import org.gullway.coordination.scaling.FleetAutoscaler;
+import org.gullway.coordination.scaling.ScalingPolicy;
 import org.gullway.coordination.scheduling.BestEffortQueue;
 import org.gullway.coordination.scheduling.DeadlinePolicy;
 import org.gullway.coordination.scheduling.JobBackoff;
@@ -263,9 +264,8 @@
         return nodes;
     }
 
-    private static FleetAutoscaler.ScalingPolicy scalingPolicy(OperatorSettings operator) {
-        return new FleetAutoscaler.ScalingPolicy(
-                operator.spareCapacityShare(), operator.scaleInDelay(), operator.bootTimeoutFactor());
+    private static ScalingPolicy scalingPolicy(OperatorSettings operator) {
+        return new ScalingPolicy(operator.spareCapacityShare(), operator.scaleInDelay(), operator.bootTimeoutFactor());
     }
 
     /** Short beside the time for which leases are renewed by what a watch has brought. */
--- a/src/main/java/org/gullway/coordination/scaling/BinPacking.java
+++ b/src/main/java/org/gullway/coordination/scaling/BinPacking.java
@@ -8,111 +8,111 @@
 import org.gullway.protocol.JobRequest;
 
 /**
- * Lays tasks out on free room: first on that of machines that are there or coming, then on that of machines to be
- * rented, the cheapest kind that suits first.
+ * Packs tasks onto machines, first fit: first onto the free resources of machines that are up or booting, then onto
+ * machines that would have to be provisioned, of the first compatible offering.
  */
 final class BinPacking {
-    /** New machines in one layout; the next one, half a second later, goes on with what was rented meanwhile. */
+    /** Bounds the time of one packing; tasks that remain are packed by the next one, beside what was provisioned. */
     static final int MAX_PROVISIONED = 10_000;
 
     private static final double EPSILON = 1e-6;
 
-    /** Free room of one machine. */
-    private static final class Slot {
+    /** The free resources of one machine. */
+    private static final class Bin {
         private final MachineOffering offering;
-        private double cpus;
-        private double cards;
-        private double memoryGb;
+        private double freeCpus;
+        private double freeGpus;
+        private double freeMemoryGb;
 
-        Slot(MachineOffering offering, double cpus, double cards, double memoryGb) {
+        Bin(MachineOffering offering, double freeCpus, double freeGpus, double freeMemoryGb) {
             this.offering = offering;
-            this.cpus = cpus;
-            this.cards = cards;
-            this.memoryGb = memoryGb;
+            this.freeCpus = freeCpus;
+            this.freeGpus = freeGpus;
+            this.freeMemoryGb = freeMemoryGb;
         }
 
-        static Slot empty(MachineOffering offering) {
-            return new Slot(
+        static Bin empty(MachineOffering offering) {
+            return new Bin(
                     offering,
                     offering.type().cpus(),
                     offering.type().gpus(),
                     offering.type().memoryGb());
         }
 
-        /** Takes room for up to so many tasks and returns for how many there was enough. */
-        int take(JobRequest job, int most) {
+        /** Packs as many of the tasks as fit and returns their number. */
+        int pack(JobRequest job, int tasks) {
             if (!offering.isCompatible(job)) {
                 return 0;
             }
-            int taken = Math.min(most, fitting(cpus, job.cpus()));
-            taken = Math.min(taken, fitting(cards, job.gpus()));
-            taken = Math.min(taken, fitting(memoryGb, job.memoryGb()));
-            cpus -= taken * job.cpus();
-            cards -= taken * job.gpus();
-            memoryGb -= taken * job.memoryGb();
-            return taken;
+            int packed = Math.min(tasks, tasksThatFit(freeCpus, job.cpus()));
+            packed = Math.min(packed, tasksThatFit(freeGpus, job.gpus()));
+            packed = Math.min(packed, tasksThatFit(freeMemoryGb, job.memoryGb()));
+            freeCpus -= packed * job.cpus();
+            freeGpus -= packed * job.gpus();
+            freeMemoryGb -= packed * job.memoryGb();
+            return packed;
         }
 
-        private static int fitting(double room, double need) {
-            return need <= 0 ? Integer.MAX_VALUE : (int) Math.max(0, (room + EPSILON) / need);
+        private static int tasksThatFit(double free, double perTask) {
+            return perTask <= 0 ? Integer.MAX_VALUE : (int) Math.max(0, (free + EPSILON) / perTask);
         }
     }
 
     private final List<MachineOffering> offerings;
-    private final List<Slot> present = new ArrayList<>();
-    private final List<Slot> provisioned = new ArrayList<>();
+    private final List<Bin> existing = new ArrayList<>();
+    private final List<Bin> provisioned = new ArrayList<>();
 
-    /** @param offerings what can be rented, the best first */
+    /** @param offerings what can be provisioned, the best first */
     BinPacking(List<MachineOffering> offerings) {
         this.offerings = offerings;
     }
 
-    /** Adds a machine that is there or coming, of which so much is used. */
+    /** Adds a machine that is up or booting. */
     void add(MachineOffering machine, ClusterState.ResourceUsage used) {
-        present.add(new Slot(
+        existing.add(new Bin(
                 machine,
                 machine.type().cpus() - used.cpus,
                 machine.type().gpus() - used.gpus,
                 machine.type().memoryGb() - used.memoryGb));
     }
 
-    /** Lays out up to so many tasks and returns how many found a place. */
+    /** Packs as many of the tasks as possible and returns their number. */
     int pack(JobRequest job, int tasks) {
-        int laid = fill(present, job, tasks);
-        laid += fill(provisioned, job, tasks - laid);
-        if (laid > 0) {
-            present.removeIf(slot -> slot.cpus <= EPSILON);
+        int packed = packInto(existing, job, tasks);
+        packed += packInto(provisioned, job, tasks - packed);
+        if (packed > 0) {
+            existing.removeIf(bin -> bin.freeCpus <= EPSILON);
         }
         for (MachineOffering offering : offerings) {
-            if (laid < tasks && offering.isCompatible(job)) {
-                laid += provisionFor(job, tasks - laid, offering);
+            if (packed < tasks && offering.isCompatible(job)) {
+                packed += packIntoNew(offering, job, tasks - packed);
             }
         }
-        return laid;
+        return packed;
     }
 
-    private static int fill(List<Slot> slots, JobRequest job, int tasks) {
-        int laid = 0;
-        for (int i = 0; i < slots.size() && laid < tasks; i++) {
-            laid += slots.get(i).take(job, tasks - laid);
+    private static int packInto(List<Bin> bins, JobRequest job, int tasks) {
+        int packed = 0;
+        for (int i = 0; i < bins.size() && packed < tasks; i++) {
+            packed += bins.get(i).pack(job, tasks - packed);
         }
-        return laid;
+        return packed;
     }
 
-    private int provisionFor(JobRequest job, int tasks, MachineOffering offering) {
-        int laid = 0;
-        while (laid < tasks && provisioned.size() < MAX_PROVISIONED) {
-            Slot slot = Slot.empty(offering);
-            laid += slot.take(job, tasks - laid);
-            provisioned.add(slot);
+    private int packIntoNew(MachineOffering offering, JobRequest job, int tasks) {
+        int packed = 0;
+        while (packed < tasks && provisioned.size() < MAX_PROVISIONED) {
+            Bin bin = Bin.empty(offering);
+            packed += bin.pack(job, tasks - packed);
+            provisioned.add(bin);
         }
-        return laid;
+        return packed;
     }
 
-    /** How many machines of each kind have to be rented for what was laid out. */
+    /** How many machines of each kind have to be provisioned for the packed tasks. */
     Map<MachineOffering, Integer> machinesToProvision() {
         Map<MachineOffering, Integer> counts = new LinkedHashMap<>();
-        provisioned.forEach(slot -> counts.merge(slot.offering, 1, Integer::sum));
+        provisioned.forEach(bin -> counts.merge(bin.offering, 1, Integer::sum));
         return counts;
     }
 }
--- a/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
@@ -15,53 +15,43 @@
 import org.gullway.protocol.MachineType;
 
 /**
- * Marks machines that are not needed any more as leaving, and machines that never came up as lost. In a large fleet
- * machines are seldom empty, so those beyond the need take no more tasks and are returned when their last one ends; no
- * work is lost.
+ * Drains machines that are not needed any more, and declares machines lost that did not boot in time. In a large fleet
+ * machines are seldom empty, so capacity in excess is drained while tasks run on it: the machines take no more tasks
+ * and are released when their last one ends, so that no work is lost.
  */
 final class ScaleInPolicy {
-    /** Room lies in fragments: what a few large machines hold is kept, which matters to small fleets alone. */
-    private static final int KEPT_MACHINES = 4;
-
     private final ClusterState clusterState;
     private final PlacementConstraints constraints;
-    private final FleetAutoscaler.ScalingPolicy policy;
+    private final ScalingPolicy policy;
+    private final ExcessCapacity excessCapacity;
     private final Map<String, Instant> idleSince = new HashMap<>();
-    /** The least excess of processors since then. */
-    private double leastExcess;
-
-    private Instant excessSince;
-    /** Processors that were not needed all through the last while, less what has been drained since. */
-    private double toDrain;
 
-    /** A machine that may be marked, with what decides the order. */
-    private record Candidate(MachineRecord machine, double pricePerCpu, double groupBusy, String group, double used) {
-        /** The dearest first; machines of one group together: however many are marked, its record changes once. */
-        private static final Comparator<Candidate> DEAREST_FIRST = Comparator.<Candidate>comparingDouble(
+    /** A machine that may be drained or declared lost, with what decides its place in the order. */
+    private record Candidate(
+            MachineRecord machine, double pricePerCpu, double shardUtilization, String shard, double usedCpus) {
+        /**
+         * The most expensive first, and the machines of one shard next to each other: they are stored in one record,
+         * which changes once however many of them are drained.
+         */
+        private static final Comparator<Candidate> DRAIN_ORDER = Comparator.<Candidate>comparingDouble(
                         candidate -> -candidate.pricePerCpu)
-                .thenComparingDouble(Candidate::groupBusy)
-                .thenComparing(Candidate::group)
-                .thenComparingDouble(Candidate::used);
+                .thenComparingDouble(Candidate::shardUtilization)
+                .thenComparing(Candidate::shard)
+                .thenComparingDouble(Candidate::usedCpus);
     }
 
-    ScaleInPolicy(ClusterState clusterState, PlacementConstraints constraints, FleetAutoscaler.ScalingPolicy policy) {
+    ScaleInPolicy(ClusterState clusterState, PlacementConstraints constraints, ScalingPolicy policy) {
         this.clusterState = clusterState;
         this.constraints = constraints;
         this.policy = policy;
+        this.excessCapacity = new ExcessCapacity(constraints.machineTypes(), policy.scaleInDelay());
     }
 
-    /**
-     * Marks machines.
-     *
-     * @param spare free processors of machines that take tasks
-     * @param waiting processors of tasks that wait and may be placed
-     * @param kept processors to be kept free for urgent work
-     */
-    void plan(Transaction transaction, double spare, double waiting, double kept, Instant now) {
+    /** Adds the changes of machines that are due to the transaction. */
+    void plan(Transaction transaction, CapacityBalance balance, Instant now) {
         idleSince.keySet().removeIf(name -> clusterState.machine(name) == null || clusterState.usageOn(name).tasks > 0);
-        double wanted = waiting + kept;
-        noteExcess(spare - wanted, now);
-        double left = spare;
+        excessCapacity.observe(balance.excess(), now);
+        double freeCpus = balance.free();
         for (Candidate candidate : candidates(transaction)) {
             MachineRecord machine = candidate.machine();
             if (!transaction.canPutMachine(machine.name())) {
@@ -69,19 +59,23 @@
             }
             MachineType type = constraints.machineTypes().byName().get(machine.type());
             if (!machine.isUp()) {
-                giveUpIfOverdue(transaction, machine, type);
+                declareLostIfOverdue(transaction, machine, type);
                 continue;
             }
-            double free = constraints.freeCpus(machine, transaction);
-            boolean idle = isIdle(machine, now) && waiting == 0 && left - type.cpus() >= wanted;
-            if (idle || free > 0 && type.cpus() <= Math.min(toDrain, left - wanted)) {
-                transaction.putMachine(transaction.machine(machine.name()).withLifecycle(MachineLifecycle.DRAINING));
-                left -= free;
-                toDrain -= type.cpus();
+            double machineFreeCpus = constraints.freeCpus(machine, transaction);
+            boolean idleAndUnneeded =
+                    isIdle(machine, now) && balance.waiting() == 0 && freeCpus - type.cpus() >= balance.required();
+            if (idleAndUnneeded
+                    || machineFreeCpus > 0
+                            && type.cpus() <= Math.min(excessCapacity.cpusToDrain(), freeCpus - balance.required())) {
+                setLifecycle(transaction, machine, MachineLifecycle.DRAINING);
+                freeCpus -= machineFreeCpus;
+                excessCapacity.onDrained(type.cpus());
             }
         }
     }
 
+    /** Whether the machine has had no tasks for the whole scale-in delay. */
     private boolean isIdle(MachineRecord machine, Instant now) {
         if (clusterState.usageOn(machine.name()).tasks > 0) {
             return false;
@@ -90,63 +84,51 @@
         return since.plus(policy.scaleInDelay()).isBefore(now);
     }
 
-    private void giveUpIfOverdue(Transaction transaction, MachineRecord machine, MachineType type) {
-        Duration patience = type.bootTime().multipliedBy(policy.bootTimeoutFactor());
-        if (machine.provisionedAt().plus(patience).isBefore(transaction.timeOfDay())) {
-            transaction.putMachine(transaction.machine(machine.name()).withLifecycle(MachineLifecycle.LOST));
+    private void declareLostIfOverdue(Transaction transaction, MachineRecord machine, MachineType type) {
+        Duration bootTimeout = type.bootTime().multipliedBy(policy.bootTimeoutFactor());
+        if (machine.provisionedAt().plus(bootTimeout).isBefore(transaction.timeOfDay())) {
+            setLifecycle(transaction, machine, MachineLifecycle.LOST);
         }
     }
 
-    /** Processors that were not needed all through the last while are drained. */
-    private void noteExcess(double excess, Instant now) {
-        if (excessSince == null) {
-            excessSince = now;
-            leastExcess = excess;
-        }
-        leastExcess = Math.min(leastExcess, excess);
-        if (!excessSince.plus(policy.scaleInDelay()).isAfter(now)) {
-            double largest = 0;
-            for (MachineType type : constraints.machineTypes().byName().values()) {
-                largest = Math.max(largest, type.cpus());
-            }
-            toDrain = leastExcess - KEPT_MACHINES * largest;
-            excessSince = null;
-        }
+    private static void setLifecycle(Transaction transaction, MachineRecord machine, MachineLifecycle lifecycle) {
+        transaction.putMachine(transaction.machine(machine.name()).withLifecycle(lifecycle));
     }
 
-    /** Most machines are up and busy in a fleet of the right size: only the others are put in order. */
+    /** In a fleet of the right size most machines are up and busy: only the others are sorted. */
     private List<Candidate> candidates(Transaction transaction) {
         List<Candidate> candidates = new ArrayList<>();
-        Map<String, Double> busy = new HashMap<>();
+        Map<String, Double> utilizations = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
             MachineType type = constraints.machineTypes().byName().get(machine.type());
             if (type == null
                     || machine.lifecycle() != MachineLifecycle.ACTIVE
-                    || !mayLeave(transaction, machine, type)) {
+                    || !isCandidate(transaction, machine, type)) {
                 continue;
             }
-            String group = clusterState.shardOf(machine.name());
+            String shard = clusterState.shardOf(machine.name());
             candidates.add(new Candidate(
                     machine,
                     new MachineOffering(type, machine.zone(), machine.spot()).pricePerCpu(),
-                    busy.computeIfAbsent(group, this::busyShare),
-                    group,
+                    utilizations.computeIfAbsent(shard, this::utilization),
+                    shard,
                     clusterState.usageOn(machine.name()).cpus));
         }
-        candidates.sort(Candidate.DEAREST_FIRST);
+        candidates.sort(Candidate.DRAIN_ORDER);
         return candidates;
     }
 
-    private boolean mayLeave(Transaction transaction, MachineRecord machine, MachineType type) {
+    private boolean isCandidate(Transaction transaction, MachineRecord machine, MachineType type) {
         return !machine.isUp()
                 || clusterState.usageOn(machine.name()).tasks == 0
-                || type.cpus() <= toDrain && constraints.freeCpus(machine, transaction) > 0;
+                || type.cpus() <= excessCapacity.cpusToDrain() && constraints.freeCpus(machine, transaction) > 0;
     }
 
-    private double busyShare(String group) {
+    /** The fraction of the shard's processors that is in use. */
+    private double utilization(String shard) {
         double used = 0;
         double cpus = 0;
-        for (MachineRecord machine : clusterState.shard(group).machines()) {
+        for (MachineRecord machine : clusterState.shard(shard).machines()) {
             MachineType type = constraints.machineTypes().byName().get(machine.type());
             used += clusterState.usageOn(machine.name()).cpus;
             cpus += type == null ? 0 : type.cpus();
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleOutPlanner.java
@@ -0,0 +1,114 @@
+package org.gullway.coordination.scaling;
+
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.model.MachineRecord.MachineLifecycle;
+import org.gullway.coordination.placement.MachineTypeCatalog;
+import org.gullway.coordination.quota.QuotaHeadroom;
+import org.gullway.coordination.quota.TeamQuotas;
+import org.gullway.protocol.CloudMessages;
+import org.gullway.protocol.JobRequest;
+import org.gullway.protocol.MachineType;
+import org.gullway.protocol.Priority;
+
+/**
+ * Decides which machines to provision: all waiting tasks, and the spare capacity for reserved jobs, are packed onto the
+ * machines that are up or booting; what does not fit there needs new ones.
+ */
+final class ScaleOutPlanner {
+    private static final double EPSILON = 1e-6;
+
+    private final ClusterState clusterState;
+    private final MachineTypeCatalog machineTypes;
+    private final TeamQuotas quotas;
+    private final SpareCapacityPolicy spareCapacity;
+
+    ScaleOutPlanner(
+            ClusterState clusterState,
+            MachineTypeCatalog machineTypes,
+            TeamQuotas quotas,
+            SpareCapacityPolicy spareCapacity) {
+        this.clusterState = clusterState;
+        this.machineTypes = machineTypes;
+        this.quotas = quotas;
+        this.spareCapacity = spareCapacity;
+    }
+
+    /** What to provision from these offerings, the best of which comes first. */
+    List<ProvisioningRequest> plan(List<MachineOffering> offerings, Instant now) {
+        BinPacking packing = new BinPacking(offerings);
+        addMachines(packing);
+        packJobs(packing, now);
+        List<ProvisioningRequest> requests = new ArrayList<>();
+        packing.machinesToProvision().forEach((offering, count) -> addRequests(requests, offering, count));
+        return requests;
+    }
+
+    /** Adds the machines that have free resources for any task. */
+    private void addMachines(BinPacking packing) {
+        double smallestTask = smallestTaskCpus();
+        for (MachineRecord machine : clusterState.machines()) {
+            MachineType type = machineTypes.byName().get(machine.type());
+            if (type != null && machine.lifecycle() == MachineLifecycle.ACTIVE) {
+                ClusterState.ResourceUsage used = clusterState.usageOn(machine.name());
+                if (used.cpus + smallestTask <= type.cpus() + EPSILON) {
+                    packing.add(new MachineOffering(type, machine.zone(), machine.spot()), used);
+                }
+            }
+        }
+    }
+
+    private double smallestTaskCpus() {
+        double smallest = Double.MAX_VALUE;
+        for (JobRecord job : clusterState.jobs()) {
+            if (job.waitingTasks() > 0 || job.isReserved()) {
+                smallest = Math.min(smallest, job.request().cpus());
+            }
+        }
+        return smallest;
+    }
+
+    private void packJobs(BinPacking packing, Instant now) {
+        JobRequest lastReserved = null;
+        double reservedCpus = 0;
+        QuotaHeadroom headroom = new QuotaHeadroom(clusterState, quotas);
+        for (JobRecord job : jobsInPackingOrder()) {
+            JobRequest request = job.request();
+            if (job.isReserved() && !job.isCancelled()) {
+                lastReserved = request;
+                reservedCpus += job.unfinishedTasks() * request.cpus();
+            }
+            int tasks = headroom.admit(job, job.waitingTasks());
+            if (tasks > 0) {
+                packing.pack(request, tasks);
+            }
+        }
+        if (lastReserved != null) {
+            int spareTasks = (int) Math.ceil(spareCapacity.requiredCpus(reservedCpus, now) / lastReserved.cpus());
+            packing.pack(lastReserved, spareTasks);
+        }
+    }
+
+    /** By priority, then the smallest first: one huge array must not use up the machines that one packing may add. */
+    private List<JobRecord> jobsInPackingOrder() {
+        List<JobRecord> jobs = new ArrayList<>(clusterState.jobs());
+        jobs.sort(Comparator.<JobRecord, Priority>comparing(job -> job.request().priority())
+                .thenComparingInt(JobRecord::waitingTasks));
+        return jobs;
+    }
+
+    private static void addRequests(List<ProvisioningRequest> requests, MachineOffering offering, int count) {
+        for (int remaining = count; remaining > 0; remaining -= CloudMessages.MAX_PROVISIONED_PER_CALL) {
+            requests.add(new ProvisioningRequest(
+                    offering.type().name(),
+                    offering.zone(),
+                    offering.spot(),
+                    Math.min(remaining, CloudMessages.MAX_PROVISIONED_PER_CALL)));
+        }
+    }
+}
--- a/src/main/java/org/gullway/coordination/scaling/SpareCapacityPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/SpareCapacityPolicy.java
@@ -8,42 +8,42 @@
 import org.gullway.coordination.model.JobRecord;
 
 /**
- * How much room is kept free for urgent work: a share of what it uses, and at least that of a large job of late, which
- * may come again at any moment, all at once.
+ * How much capacity is kept free for reserved jobs: a fraction of what they use, and at least the size of the largest
+ * recent one, since the next may be submitted at any moment and has to start all at once.
  */
 final class SpareCapacityPolicy {
     private static final Duration BURST_MEMORY = Duration.ofMinutes(1);
     private static final Duration BURST_HALF_LIFE = Duration.ofSeconds(90);
 
     private final ClusterState clusterState;
-    private final double share;
-    /** Urgent jobs that were counted for the size of a burst already. */
-    private final Set<String> counted = new HashSet<>();
-    /** Processors of the largest urgent job of late, as of when it came. */
-    private double burst;
+    private final double fraction;
+    /** Ids of the reserved jobs that are part of the burst size already. */
+    private final Set<String> observedJobs = new HashSet<>();
 
+    private double burstCpus;
+    /** When the burst size last changed; it decays from then on. */
     private Instant burstAt = Instant.MIN;
 
-    SpareCapacityPolicy(ClusterState clusterState, double share) {
+    SpareCapacityPolicy(ClusterState clusterState, double fraction) {
         this.clusterState = clusterState;
-        this.share = share;
+        this.fraction = fraction;
     }
 
-    /** Processors to be kept free, while urgent work uses so many. */
-    double requiredCpus(double urgentUse, Instant now) {
+    /** Processors to be kept free while reserved jobs use {@code reservedCpus}. */
+    double requiredCpus(double reservedCpus, Instant now) {
         for (JobRecord job : clusterState.jobs()) {
-            if (job.isReserved() && counted.add(job.request().id())) {
-                double size = job.request().tasks() * job.request().cpus();
-                burst = Math.max(burst * fading(now), size);
+            if (job.isReserved() && observedJobs.add(job.request().id())) {
+                double jobCpus = job.request().tasks() * job.request().cpus();
+                burstCpus = Math.max(burstCpus * decay(now), jobCpus);
                 burstAt = now;
             }
         }
-        counted.removeIf(id -> clusterState.job(id) == null);
-        boolean quiet = burstAt.plus(BURST_MEMORY).isBefore(now);
-        return Math.max(share * urgentUse, quiet ? 0 : burst * fading(now));
+        observedJobs.removeIf(id -> clusterState.job(id) == null);
+        boolean burstExpired = burstAt.plus(BURST_MEMORY).isBefore(now);
+        return Math.max(fraction * reservedCpus, burstExpired ? 0 : burstCpus * decay(now));
     }
 
-    private double fading(Instant now) {
+    private double decay(Instant now) {
         return burstAt.equals(Instant.MIN)
                 ? 0
                 : Math.pow(0.5, Duration.between(burstAt, now).toMillis() / (double) BURST_HALF_LIFE.toMillis());
--- a/src/test/java/org/gullway/coordination/scaling/BinPackingTest.java
+++ b/src/test/java/org/gullway/coordination/scaling/BinPackingTest.java
@@ -25,9 +25,9 @@
     private static final MachineType TYPE =
             new MachineType("small", 16, 0, 64, 50, 1, 1.0, 0.3, Duration.ofSeconds(40), List.of("a"));
     private static final MachineOffering SPOT = new MachineOffering(TYPE, "a", true);
-    private static final MachineOffering ORDINARY = new MachineOffering(TYPE, "a", false);
+    private static final MachineOffering ON_DEMAND = new MachineOffering(TYPE, "a", false);
 
-    /** Tasks of one kind. */
+    /** Tasks with the same request. */
     private record Batch(JobRequest request, int tasks) {}
 
     private static JobRequest request(double cpus, double memoryGb, boolean spot) {
@@ -64,42 +64,42 @@
                 .as((cpus, memory, spot, tasks) -> new Batch(request(cpus, memory, spot), tasks));
     }
 
-    /** Many tasks at a time come to the same machines as task by task. */
+    /** Tasks packed many at a time need the same machines as tasks packed one by one. */
     @Property(tries = 300, seed = "31")
-    void batchesComeToTheSameAsSingleTasks(
-            @ForAll @Size(max = 8) List<@From("batches") Batch> batches, @ForAll @IntRange(max = 6) int present) {
-        BinPacking together = new BinPacking(List.of(SPOT, ORDINARY));
-        BinPacking oneByOne = new BinPacking(List.of(SPOT, ORDINARY));
-        for (int i = 0; i < present; i++) {
+    void packingInBatchesMatchesPackingOneByOne(
+            @ForAll @Size(max = 8) List<@From("batches") Batch> batches, @ForAll @IntRange(max = 6) int existing) {
+        BinPacking batched = new BinPacking(List.of(SPOT, ON_DEMAND));
+        BinPacking oneByOne = new BinPacking(List.of(SPOT, ON_DEMAND));
+        for (int i = 0; i < existing; i++) {
             ClusterState.ResourceUsage used = new ClusterState.ResourceUsage();
             used.cpus = i;
-            together.add(i % 2 == 0 ? SPOT : ORDINARY, used);
-            oneByOne.add(i % 2 == 0 ? SPOT : ORDINARY, used);
+            batched.add(i % 2 == 0 ? SPOT : ON_DEMAND, used);
+            oneByOne.add(i % 2 == 0 ? SPOT : ON_DEMAND, used);
         }
-        List<Integer> laidTogether = new ArrayList<>();
-        List<Integer> laidOneByOne = new ArrayList<>();
+        List<Integer> packedInBatches = new ArrayList<>();
+        List<Integer> packedOneByOne = new ArrayList<>();
         for (Batch batch : batches) {
-            laidTogether.add(together.pack(batch.request(), batch.tasks()));
-            int laid = 0;
+            packedInBatches.add(batched.pack(batch.request(), batch.tasks()));
+            int packed = 0;
             for (int i = 0; i < batch.tasks(); i++) {
-                laid += oneByOne.pack(batch.request(), 1);
+                packed += oneByOne.pack(batch.request(), 1);
             }
-            laidOneByOne.add(laid);
+            packedOneByOne.add(packed);
         }
-        assertThat(laidTogether).isEqualTo(laidOneByOne);
-        assertThat(together.machinesToProvision()).isEqualTo(oneByOne.machinesToProvision());
+        assertThat(packedInBatches).isEqualTo(packedOneByOne);
+        assertThat(batched.machinesToProvision()).isEqualTo(oneByOne.machinesToProvision());
     }
 
-    /** Six thousand machines' worth of tasks that wait at once. */
+    /** Waiting tasks for six thousand machines. */
     @Test
-    void aLayoutReachesBeyondFourThousandMachines() {
+    void packsOntoMoreThanFourThousandMachines() {
         BinPacking packing = new BinPacking(List.of(SPOT));
         assertThat(packing.pack(request(1, 1, true), 96_000)).isEqualTo(96_000);
         assertThat(packing.machinesToProvision()).isEqualTo(Map.of(SPOT, 6_000));
     }
 
     @Test
-    void atItsBoundItLeavesTheRestForTheNext() {
+    void stopsAtTheMaximumOfProvisionedMachines() {
         BinPacking packing = new BinPacking(List.of(SPOT));
         assertThat(packing.pack(request(16, 1, true), BinPacking.MAX_PROVISIONED + 5))
                 .isEqualTo(BinPacking.MAX_PROVISIONED);
