--- /dev/null
+++ b/src/main/java/org/gullway/cloud/CloudClient.java
@@ -0,0 +1,119 @@
+package org.gullway.cloud;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.gullway.coordination.scaling.ProvisioningRequest;
+import org.gullway.protocol.CloudMessages;
+import org.gullway.protocol.MachineType;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.transport.EventLoop;
+import org.gullway.transport.HttpClient;
+import org.gullway.transport.HttpRequest;
+import org.gullway.transport.HttpResponse;
+import org.gullway.transport.HttpStatus;
+import org.gullway.transport.TokenBucket;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The cloud provider's API. Callers acquire a part of the rate limit before they send a request. */
+public final class CloudClient {
+    private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
+    private static final String MACHINE_TYPES = "/flavors";
+    private static final String MACHINES = "/rentals";
+    private static final String RELEASE = "/rentals/return";
+
+    private final HttpClient httpClient;
+    private final String address;
+    private final TokenBucket rateLimit;
+
+    /** @param requestsPerSecond the provider's limit for all controllers together */
+    public CloudClient(EventLoop loop, HttpClient httpClient, String address, double requestsPerSecond) {
+        this.httpClient = httpClient;
+        this.address = address;
+        this.rateLimit = new TokenBucket(loop, requestsPerSecond);
+    }
+
+    @FunctionalInterface
+    private interface Decoder<T> {
+        T decode(byte[] body) throws MalformedMessageException;
+    }
+
+    /** Whether a request may be sent now; if so, it counts as sent. */
+    boolean tryAcquire() {
+        if (!rateLimit.hasToken()) {
+            return false;
+        }
+        rateLimit.consume(1);
+        return true;
+    }
+
+    /** Fetches the machine types that the provider offers; the callback gets nothing if that failed. */
+    void fetchMachineTypes(Consumer<Optional<List<MachineType>>> callback) {
+        httpClient.call(
+                address,
+                HttpRequest.get(MACHINE_TYPES, TIMEOUT),
+                response -> callback.accept(decode(response, CloudMessages::decodeTypes, MACHINE_TYPES)));
+    }
+
+    /** Fetches the page of the machine list that follows this machine; the callback gets nothing if that failed. */
+    void fetchMachines(String after, Consumer<Optional<CloudMessages.Page>> callback) {
+        String path = MACHINES + "?from=" + after + "&page=" + CloudMessages.PAGE_SIZE;
+        httpClient.call(
+                address,
+                HttpRequest.get(path, TIMEOUT),
+                response -> callback.accept(decode(response, CloudMessages::decodePage, MACHINES)));
+    }
+
+    private static <T> Optional<T> decode(HttpResponse response, Decoder<T> decoder, String path) {
+        if (!response.isOk()) {
+            return Optional.empty();
+        }
+        try {
+            return Optional.of(decoder.decode(response.body()));
+        } catch (MalformedMessageException e) {
+            LOG.error("malformed response of the cloud provider path={} cause={}", path, e.getMessage());
+            return Optional.empty();
+        }
+    }
+
+    /**
+     * Requests machines.
+     *
+     * @param requestId the provider carries out only one of the requests with the same id
+     */
+    void provision(String requestId, ProvisioningRequest request, Consumer<ProvisioningOutcome> callback) {
+        byte[] body = CloudMessages.encodeProvisionRequest(
+                requestId, request.type(), request.zone(), request.spot(), request.count());
+        httpClient.call(
+                address,
+                HttpRequest.post(MACHINES, body, TIMEOUT),
+                response -> callback.accept(outcome(requestId, response)));
+    }
+
+    private static ProvisioningOutcome outcome(String requestId, HttpResponse response) {
+        if (response.isOk()) {
+            try {
+                return ProvisioningOutcome.provisioned(CloudMessages.decodeProvisioned(response.body()), response);
+            } catch (MalformedMessageException e) {
+                LOG.error(
+                        "malformed response of the cloud provider path={} request={} cause={}",
+                        MACHINES,
+                        requestId,
+                        e.getMessage());
+                return ProvisioningOutcome.without(ProvisioningOutcome.Status.MALFORMED, response);
+            }
+        }
+        boolean refused = response.outcome() == HttpResponse.Outcome.ANSWERED
+                && (response.status() == HttpStatus.SERVICE_UNAVAILABLE || response.status() == HttpStatus.BAD_REQUEST);
+        return ProvisioningOutcome.without(
+                refused ? ProvisioningOutcome.Status.REFUSED : ProvisioningOutcome.Status.UNKNOWN, response);
+    }
+
+    /** Releases machines; the callback gets the provider's response. */
+    void release(List<String> machines, Consumer<HttpResponse> callback) {
+        httpClient.call(address, HttpRequest.post(RELEASE, CloudMessages.encodeRelease(machines), TIMEOUT), callback);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/cloud/CloudInventory.java
@@ -0,0 +1,99 @@
+package org.gullway.cloud;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.scaling.ProvisioningRequest;
+import org.gullway.protocol.CloudMessages.ListedMachine;
+
+/** What this controller knows of the cloud provider's machines beyond their records. */
+final class CloudInventory {
+    /** The provider's list lags and may still show machines that were released. */
+    private static final Duration RELEASED_MEMORY = Duration.ofMinutes(2);
+
+    private final ClusterState clusterState;
+    private final Map<String, UnrecordedMachine> unrecorded = new LinkedHashMap<>();
+    /** Machines that failed according to the provider, and are not released yet. */
+    private final Set<String> failed = new LinkedHashSet<>();
+
+    private final Map<String, Instant> releasedAt = new HashMap<>();
+
+    CloudInventory(ClusterState clusterState) {
+        this.clusterState = clusterState;
+    }
+
+    void onProvisioned(List<String> machines, ProvisioningRequest request) {
+        UnrecordedMachine machine = new UnrecordedMachine(request.type(), request.zone(), request.spot(), null);
+        machines.forEach(name -> unrecorded.put(name, machine));
+    }
+
+    /**
+     * Compares the provider's complete list with the records.
+     *
+     * @param now the present moment of the monotonic clock
+     * @param timeOfDay the present moment of the wall clock
+     */
+    void onListed(List<ListedMachine> machines, Instant now, Instant timeOfDay) {
+        releasedAt.values().removeIf(at -> at.plus(RELEASED_MEMORY).isBefore(now));
+        failed.clear();
+        for (ListedMachine machine : machines) {
+            String name = machine.name();
+            if (releasedAt.containsKey(name)) {
+                continue;
+            }
+            if (machine.failed()) {
+                failed.add(name);
+            } else if (clusterState.machine(name) == null && !unrecorded.containsKey(name)) {
+                unrecorded.put(
+                        name,
+                        new UnrecordedMachine(
+                                machine.type(), machine.zone(), machine.spot(), timeOfDay.minus(machine.age())));
+            }
+        }
+    }
+
+    void onReleased(List<String> machines, Instant now) {
+        for (String name : machines) {
+            releasedAt.put(name, now);
+            failed.remove(name);
+        }
+    }
+
+    /** Drops the machines that have a record by now from those without one. */
+    void forgetRecorded() {
+        unrecorded.keySet().removeIf(name -> clusterState.machine(name) != null);
+    }
+
+    Map<String, UnrecordedMachine> unrecorded() {
+        return unrecorded;
+    }
+
+    boolean hasUnrecorded() {
+        return !unrecorded.isEmpty();
+    }
+
+    Set<String> failed() {
+        return failed;
+    }
+
+    Set<String> released() {
+        return releasedAt.keySet();
+    }
+
+    /** Machines that failed and have no record, in the provider's order. */
+    Set<String> failedWithoutRecord() {
+        Set<String> names = new LinkedHashSet<>();
+        for (String name : failed) {
+            if (clusterState.machine(name) == null) {
+                names.add(name);
+            }
+        }
+        return names;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/cloud/MachineListing.java
@@ -0,0 +1,60 @@
+package org.gullway.cloud;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.gullway.protocol.CloudMessages;
+import org.gullway.protocol.CloudMessages.ListedMachine;
+
+/** Fetches the cloud provider's list of machines regularly, page by page. */
+final class MachineListing {
+    private static final Duration INTERVAL = Duration.ofSeconds(4);
+
+    private final CloudClient client;
+    private final Consumer<List<ListedMachine>> listener;
+    private Instant startedAt = Instant.MIN;
+    private boolean inProgress;
+    private boolean completedOnce;
+
+    /** @param listener gets each complete list */
+    MachineListing(CloudClient client, Consumer<List<ListedMachine>> listener) {
+        this.client = client;
+        this.listener = listener;
+    }
+
+    /** Whether at least one complete list was fetched. */
+    boolean isCompletedOnce() {
+        return completedOnce;
+    }
+
+    /** Starts to fetch a new list if that is due. */
+    void refresh(Instant now) {
+        if (!inProgress && !startedAt.plus(INTERVAL).isAfter(now) && client.tryAcquire()) {
+            startedAt = now;
+            fetchPage("", new ArrayList<>());
+        }
+    }
+
+    private void fetchPage(String after, List<ListedMachine> machines) {
+        inProgress = true;
+        client.fetchMachines(after, page -> onPage(page, machines));
+    }
+
+    private void onPage(Optional<CloudMessages.Page> response, List<ListedMachine> machines) {
+        inProgress = false;
+        if (response.isEmpty()) {
+            return;
+        }
+        CloudMessages.Page page = response.get();
+        machines.addAll(page.machines());
+        if (page.more() && !page.machines().isEmpty()) {
+            fetchPage(page.machines().get(page.machines().size() - 1).name(), machines);
+        } else {
+            completedOnce = true;
+            listener.accept(machines);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/cloud/MachineReleaser.java
@@ -0,0 +1,91 @@
+package org.gullway.cloud;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.scaling.FleetAutoscaler;
+import org.gullway.protocol.CloudMessages;
+import org.gullway.transport.EventLoop;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Releases machines, one batch at a time. */
+final class MachineReleaser {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
+
+    private final EventLoop loop;
+    private final CloudClient client;
+    private final ClusterState clusterState;
+    private final FleetAutoscaler autoscaler;
+    private final CloudInventory inventory;
+    private final Runnable onChange;
+    private boolean releasing;
+
+    MachineReleaser(
+            EventLoop loop,
+            CloudClient client,
+            ClusterState clusterState,
+            FleetAutoscaler autoscaler,
+            CloudInventory inventory,
+            Runnable onChange) {
+        this.loop = loop;
+        this.client = client;
+        this.clusterState = clusterState;
+        this.autoscaler = autoscaler;
+        this.inventory = inventory;
+        this.onChange = onChange;
+    }
+
+    /** Releases the machines that the autoscaler does not need, and those that failed. */
+    void releaseUnneeded() {
+        if (releasing) {
+            return;
+        }
+        Set<String> names = new LinkedHashSet<>(autoscaler.machinesToRelease());
+        names.removeAll(inventory.released());
+        names.addAll(inventory.failedWithoutRecord());
+        releaseBatch(names);
+    }
+
+    /** Releases these machines, except those that were released already. */
+    void release(Set<String> machines) {
+        if (releasing) {
+            return;
+        }
+        Set<String> names = new LinkedHashSet<>(machines);
+        names.removeAll(inventory.released());
+        releaseBatch(names);
+    }
+
+    private void releaseBatch(Set<String> names) {
+        if (names.isEmpty() || !client.tryAcquire()) {
+            return;
+        }
+        List<String> batch =
+                names.stream().limit(CloudMessages.MAX_RELEASED_PER_CALL).toList();
+        releasing = true;
+        if (LOG.isDebugEnabled()) {
+            batch.forEach(this::logRelease);
+        }
+        client.release(batch, response -> {
+            releasing = false;
+            if (response.isOk()) {
+                LOG.info("released machines names={}", batch);
+                inventory.onReleased(batch, loop.now());
+                onChange.run();
+            }
+        });
+    }
+
+    private void logRelease(String name) {
+        MachineRecord machine = clusterState.machine(name);
+        LOG.debug(
+                "releasing a machine machine={} lifecycle={} revision={} fencing_token={}",
+                name,
+                machine == null ? "none" : machine.lifecycle(),
+                clusterState.machineVersion(name),
+                clusterState.fencingToken());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/cloud/MachineTypeRefresh.java
@@ -0,0 +1,47 @@
+package org.gullway.cloud;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import java.util.Optional;
+import org.gullway.coordination.placement.MachineTypeCatalog;
+import org.gullway.protocol.MachineType;
+import org.gullway.transport.EventLoop;
+
+/** Keeps the catalog of machine types up to date. */
+final class MachineTypeRefresh {
+    private static final Duration INTERVAL = Duration.ofSeconds(30);
+    /** Nothing can be placed without machine types. */
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
+
+    private final EventLoop loop;
+    private final CloudClient client;
+    private final MachineTypeCatalog catalog;
+    private final Runnable onChange;
+    private Instant requestedAt = Instant.MIN;
+
+    MachineTypeRefresh(EventLoop loop, CloudClient client, MachineTypeCatalog catalog, Runnable onChange) {
+        this.loop = loop;
+        this.client = client;
+        this.catalog = catalog;
+        this.onChange = onChange;
+    }
+
+    /** Fetches the machine types if that is due. */
+    void refresh(Instant now) {
+        Duration interval = catalog.isEmpty() ? RETRY_DELAY : INTERVAL;
+        if (!requestedAt.plus(interval).isAfter(now) && client.tryAcquire()) {
+            requestedAt = now;
+            client.fetchMachineTypes(this::onResponse);
+        }
+    }
+
+    private void onResponse(Optional<List<MachineType>> types) {
+        if (types.isPresent()) {
+            catalog.update(types.get());
+            onChange.run();
+        } else {
+            requestedAt = loop.now().minus(INTERVAL).plus(RETRY_DELAY);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/cloud/UnrecordedMachine.java
@@ -0,0 +1,14 @@
+package org.gullway.cloud;
+
+import java.time.Instant;
+
+/**
+ * A provisioned machine that has no record in the state store yet.
+ *
+ * @param provisionedAt null if it was provisioned just now
+ */
+record UnrecordedMachine(String type, String zone, boolean spot, Instant provisionedAt) {
+    Instant provisionedAtOr(Instant now) {
+        return provisionedAt == null ? now : provisionedAt;
+    }
+}
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -11,6 +11,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.gullway.api.UserApi;
+import org.gullway.cloud.CloudClient;
 import org.gullway.cloud.CloudProvisioner;
 import org.gullway.coordination.agents.AgentReconciler;
 import org.gullway.coordination.agents.CompletionBuffer;
@@ -213,14 +214,12 @@
     private CloudProvisioner newCloudProvisioner(Settings settings, HttpClient httpClient) {
         return new CloudProvisioner(
                 loop,
-                httpClient,
-                settings.cloudAddress(),
-                settings.cloudRequestsPerSecond(),
+                timeOfDay,
+                new CloudClient(loop, httpClient, settings.cloudAddress(), settings.cloudRequestsPerSecond()),
                 clusterState,
                 machineTypes,
                 autoscaler,
                 self,
-                timeOfDay,
                 this::schedule);
     }
 
