--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -42,6 +42,7 @@
 import org.gullway.observability.LeadershipLog;
 import org.gullway.observability.Metrics;
 import org.gullway.peer.PeerExchange;
+import org.gullway.peer.PeerMessageTargets;
 import org.gullway.protocol.OperatorSettings;
 import org.gullway.protocol.Settings;
 import org.gullway.storage.ReplicatedState;
@@ -185,11 +186,8 @@
                 httpClient,
                 self,
                 settings.peers(),
-                bestEffortQueue,
-                agentReconciler,
-                cancellationEnforcer,
-                cancellationWatermark,
-                leaseRenewal,
+                new PeerMessageTargets(
+                        bestEffortQueue, agentReconciler, cancellationEnforcer, cancellationWatermark, leaseRenewal),
                 replicatedState::knownThrough,
                 this::schedule);
     }
--- /dev/null
+++ b/src/main/java/org/gullway/peer/PeerClient.java
@@ -0,0 +1,65 @@
+package org.gullway.peer;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.BiConsumer;
+import org.gullway.protocol.AttemptCompletion;
+import org.gullway.protocol.ResourceOffer;
+import org.gullway.protocol.Settings;
+import org.gullway.transport.HttpClient;
+import org.gullway.transport.HttpRequest;
+import org.gullway.transport.HttpResponse;
+
+/** Sends requests to the other controllers. */
+final class PeerClient {
+    private static final Duration TIMEOUT = Duration.ofSeconds(2);
+
+    private final HttpClient httpClient;
+    private final Map<String, String> addressByName = new HashMap<>();
+
+    PeerClient(HttpClient httpClient, List<Settings.Peer> peers) {
+        this.httpClient = httpClient;
+        peers.forEach(peer -> addressByName.put(peer.name(), peer.address()));
+    }
+
+    Set<String> names() {
+        return addressByName.keySet();
+    }
+
+    /** Sends resource offers; nobody waits for the response. */
+    void sendOffers(String peer, List<ResourceOffer> offers) {
+        send(peer, PeerPaths.OFFERS, ResourceOffer.encode(offers));
+    }
+
+    /** Sends attempt completions, as many messages as needed; nobody waits for the responses. */
+    void sendCompletions(String peer, List<AttemptCompletion> completions) {
+        for (int from = 0; from < completions.size(); from += AttemptCompletion.MAX_PER_MESSAGE) {
+            int to = Math.min(completions.size(), from + AttemptCompletion.MAX_PER_MESSAGE);
+            send(peer, PeerPaths.COMPLETIONS, AttemptCompletion.encode(completions.subList(from, to)));
+        }
+    }
+
+    private void send(String peer, String path, byte[] body) {
+        String address = addressByName.get(peer);
+        if (address != null) {
+            httpClient.call(address, HttpRequest.post(path, body, TIMEOUT), response -> {});
+        }
+    }
+
+    /** Asks every peer whether the state store responds to it; the callback gets the peer's name and its response. */
+    void queryStoreStatus(BiConsumer<String, HttpResponse> callback) {
+        HttpRequest request = HttpRequest.get(PeerPaths.STORE_STATUS, TIMEOUT);
+        addressByName.forEach(
+                (peer, address) -> httpClient.call(address, request, response -> callback.accept(peer, response)));
+    }
+
+    /** Asks every peer for the cancellations that are not among the known ones. */
+    void queryCancellations(byte[] knownCancellations, BiConsumer<String, HttpResponse> callback) {
+        HttpRequest request = HttpRequest.post(PeerPaths.CANCELLATIONS, knownCancellations, TIMEOUT);
+        addressByName.forEach(
+                (peer, address) -> httpClient.call(address, request, response -> callback.accept(peer, response)));
+    }
+}
--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -2,212 +2,125 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
-import org.gullway.coordination.agents.AgentReconciler;
-import org.gullway.coordination.cancellation.CancellationEnforcer;
-import org.gullway.coordination.cancellation.CancellationWatermark;
-import org.gullway.coordination.cancellation.LeaseRenewalPolicy;
-import org.gullway.coordination.membership.StoreOutageDetector;
 import org.gullway.coordination.model.Incarnation;
 import org.gullway.coordination.scheduling.BestEffortQueue;
 import org.gullway.protocol.AttemptCompletion;
 import org.gullway.protocol.MalformedMessageException;
-import org.gullway.protocol.PeerCancellations;
 import org.gullway.protocol.ResourceOffer;
 import org.gullway.protocol.Settings;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpExchange;
-import org.gullway.transport.HttpRequest;
-import org.gullway.transport.HttpResponse;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import org.gullway.transport.HttpStatus;
 
 /**
- * Messages between controllers: offers of spare room, ends of attempts, and the cancellations that each knows. Offers
- * and ends go out without waiting for an answer; one that is lost is made good by later reports.
+ * Messages between controllers: resource offers, attempt completions, and, while the state store does not respond,
+ * known cancellations. Offers and completions are sent without waiting for a response: what gets lost is made up for by
+ * later heartbeats.
  */
 public final class PeerExchange {
-    private static final Logger LOG = LoggerFactory.getLogger(PeerExchange.class);
-    private static final String OFFERS = "/offers";
-    private static final String ENDS = "/ends";
-    private static final String CANCELLED = "/cancelled";
-    /** A peer's question whether the state service answers this controller, and the status that denies it. */
-    private static final String STATE_QUESTION = "/state";
-
-    private static final int WITHOUT_STATE = 503;
-    private static final Duration LIMIT = Duration.ofSeconds(2);
-    private static final Duration ASK_EVERY = Duration.ofSeconds(1);
+    private static final Duration OUTAGE_POLL_INTERVAL = Duration.ofSeconds(1);
     private static final byte[] EMPTY = new byte[0];
 
     private final EventLoop loop;
-    private final HttpClient httpClient;
-    private final Incarnation self;
-    private final BestEffortQueue bestEffortQueue;
-    private final AgentReconciler agentReconciler;
-    private final CancellationEnforcer cancellationEnforcer;
-    private final CancellationWatermark cancellationWatermark;
-    private final LeaseRenewalPolicy leaseRenewal;
-    private final Supplier<Instant> stateKnownUntil;
-    private final StoreOutageDetector outageDetector;
+    private final PeerClient client;
+    private final PeerMessageTargets targets;
+    private final StoreOutageMonitor outageMonitor;
+    private final CancellationExchange cancellationExchange;
     private final Runnable schedule;
-    private final Map<String, String> addresses = new HashMap<>();
-    private Instant askedAt = Instant.MIN;
+    private Instant polledAt = Instant.MIN;
 
     /**
-     * @param stateKnownUntil when the last request that the state service has answered was sent
-     * @param schedule asks for a round, after every message that was taken
+     * @param targets the components that act on messages
+     * @param storeKnownThrough when the last request that the state store has answered was sent
+     * @param schedule requests a scheduling cycle, after every message that may give it something to do
      */
     public PeerExchange(
             EventLoop loop,
             HttpClient httpClient,
             Incarnation self,
             List<Settings.Peer> peers,
-            BestEffortQueue bestEffortQueue,
-            AgentReconciler agentReconciler,
-            CancellationEnforcer cancellationEnforcer,
-            CancellationWatermark cancellationWatermark,
-            LeaseRenewalPolicy leaseRenewal,
-            Supplier<Instant> stateKnownUntil,
+            PeerMessageTargets targets,
+            Supplier<Instant> storeKnownThrough,
             Runnable schedule) {
         this.loop = loop;
-        this.httpClient = httpClient;
-        this.self = self;
-        this.bestEffortQueue = bestEffortQueue;
-        this.agentReconciler = agentReconciler;
-        this.cancellationEnforcer = cancellationEnforcer;
-        this.cancellationWatermark = cancellationWatermark;
-        this.leaseRenewal = leaseRenewal;
-        this.stateKnownUntil = stateKnownUntil;
+        this.client = new PeerClient(httpClient, peers);
+        this.targets = targets;
+        this.outageMonitor = new StoreOutageMonitor(loop, client, storeKnownThrough);
+        this.cancellationExchange = new CancellationExchange(loop, client, self, targets);
         this.schedule = schedule;
-        peers.forEach(peer -> addresses.put(peer.name(), peer.address()));
-        this.outageDetector = new StoreOutageDetector(addresses.keySet());
     }
 
     /** The names of all other controllers. */
     public Set<String> nodes() {
-        return addresses.keySet();
+        return client.names();
     }
 
-    /** Answers a request of another controller. */
+    /** Handles a request of another controller. */
     public void handle(HttpExchange exchange) {
-        leaseRenewal.onExternalContact(loop.now());
-        if (exchange.path().equals(STATE_QUESTION)) {
-            tellWhetherWithoutState(exchange);
+        targets.leaseRenewal().onExternalContact(loop.now());
+        if (exchange.path().equals(PeerPaths.STORE_STATUS)) {
+            outageMonitor.respond(exchange);
             return;
         }
         try {
-            if (exchange.body() == null) {
-                throw new MalformedMessageException("the body is larger than allowed");
-            }
-            switch (exchange.path()) {
-                case OFFERS -> {
-                    bestEffortQueue.onOffers(ResourceOffer.decode(exchange.body()), loop.now());
-                    taken(exchange);
-                }
-                case ENDS -> {
-                    agentReconciler.onCompletions(AttemptCompletion.decode(exchange.body()), loop.now());
-                    taken(exchange);
-                }
-                case CANCELLED -> tellCancelled(exchange);
-                default -> exchange.respond(404, EMPTY);
-            }
+            handleMessage(exchange);
         } catch (MalformedMessageException e) {
-            exchange.respond(400, EMPTY);
+            exchange.respond(HttpStatus.BAD_REQUEST, EMPTY);
         }
     }
 
-    private void tellWhetherWithoutState(HttpExchange exchange) {
-        if (StoreOutageDetector.isStoreUnreachable(stateKnownUntil.get(), loop.now())) {
-            exchange.reject(WITHOUT_STATE, ASK_EVERY);
-        } else {
-            exchange.respond(200, EMPTY);
+    private void handleMessage(HttpExchange exchange) throws MalformedMessageException {
+        if (exchange.body() == null) {
+            throw new MalformedMessageException("the body is larger than allowed");
+        }
+        switch (exchange.path()) {
+            case PeerPaths.OFFERS -> {
+                targets.bestEffortQueue().onOffers(ResourceOffer.decode(exchange.body()), loop.now());
+                acknowledge(exchange);
+            }
+            case PeerPaths.COMPLETIONS -> {
+                targets.agentReconciler().onCompletions(AttemptCompletion.decode(exchange.body()), loop.now());
+                acknowledge(exchange);
+            }
+            case PeerPaths.CANCELLATIONS -> cancellationExchange.respond(exchange);
+            default -> exchange.respond(HttpStatus.NOT_FOUND, EMPTY);
         }
     }
 
-    /** Whether all others have said lately that the state service does not answer them either. */
-    public boolean isStoreOutageShared() {
-        return outageDetector.isSharedByAllPeers(loop.now());
-    }
-
-    private void taken(HttpExchange exchange) {
-        exchange.respond(200, EMPTY);
+    private void acknowledge(HttpExchange exchange) {
+        exchange.respond(HttpStatus.OK, EMPTY);
         schedule.run();
     }
 
-    private void tellCancelled(HttpExchange exchange) throws MalformedMessageException {
-        Set<String> known = PeerCancellations.decodeKnown(exchange.body());
-        List<PeerCancellations.CancelledJob> unknown = cancellationEnforcer.knownCancellations().stream()
-                .filter(job -> !known.contains(job.id()))
-                .toList();
-        exchange.respond(200, PeerCancellations.encode(self.node(), self.number(), unknown));
+    /** Whether all other controllers have said lately that the state store does not respond to them either. */
+    public boolean isStoreOutageShared() {
+        return outageMonitor.isSharedByAllPeers();
     }
 
+    /** Offers free resources to a peer. */
     public void sendOffers(BestEffortQueue.OutgoingOffers outgoing) {
-        tell(outgoing.peer(), OFFERS, ResourceOffer.encode(outgoing.offers()));
+        client.sendOffers(outgoing.peer(), outgoing.offers());
     }
 
     /** Reports attempt completions to the writer of their jobs' records. */
-    public void sendCompletions(String node, List<AttemptCompletion> notices) {
-        for (int from = 0; from < notices.size(); from += AttemptCompletion.MAX_PER_MESSAGE) {
-            int to = Math.min(notices.size(), from + AttemptCompletion.MAX_PER_MESSAGE);
-            tell(node, ENDS, AttemptCompletion.encode(notices.subList(from, to)));
-        }
-    }
-
-    private void tell(String node, String path, byte[] body) {
-        String address = addresses.get(node);
-        if (address != null) {
-            httpClient.call(address, HttpRequest.post(path, body, LIMIT), response -> {});
-        }
+    public void sendCompletions(String node, List<AttemptCompletion> completions) {
+        client.sendCompletions(node, completions);
     }
 
     /**
-     * Asks all others, once a second at most, whether they reach the state service and which cancellations they know;
-     * for times without the state service.
+     * Asks all other controllers, at limited intervals, whether the state store responds to them and which cancellations
+     * they know. To be called while it does not respond to this one.
      */
     public void pollPeersDuringOutage(Instant now) {
-        if (askedAt.plus(ASK_EVERY).isAfter(now)) {
+        if (polledAt.plus(OUTAGE_POLL_INTERVAL).isAfter(now)) {
             return;
         }
-        askedAt = now;
-        addresses.forEach(this::askWhetherWithoutState);
-        byte[] known = PeerCancellations.encodeKnown(cancellationEnforcer.knownCancellations().stream()
-                .map(PeerCancellations.CancelledJob::id)
-                .toList());
-        for (String address : addresses.values()) {
-            httpClient.call(
-                    address,
-                    HttpRequest.post(CANCELLED, known, LIMIT),
-                    response -> cancelledTold(address, now, response));
-        }
-    }
-
-    private void askWhetherWithoutState(String peer, String address) {
-        httpClient.call(address, HttpRequest.get(STATE_QUESTION, LIMIT), response -> {
-            if (response.outcome() == HttpResponse.Outcome.ANSWERED && response.status() == WITHOUT_STATE) {
-                outageDetector.onPeerWithoutStore(peer, loop.now());
-            }
-        });
-    }
-
-    private void cancelledTold(String address, Instant asked, HttpResponse response) {
-        if (!response.isOk()) {
-            return;
-        }
-        leaseRenewal.onExternalContact(loop.now());
-        try {
-            PeerCancellations told = PeerCancellations.decode(response.body());
-            told.jobs().forEach(job -> cancellationEnforcer.merge(job, loop.now()));
-            if (told.complete()) {
-                cancellationWatermark.advance(new Incarnation(told.node(), told.number()), asked);
-            }
-        } catch (MalformedMessageException e) {
-            LOG.info("what {} knows of cancellations cannot be read: {}", address, e.getMessage());
-        }
+        polledAt = now;
+        outageMonitor.poll();
+        cancellationExchange.poll(now);
     }
 }
--- /dev/null
+++ b/src/main/java/org/gullway/peer/StoreOutageMonitor.java
@@ -0,0 +1,53 @@
+package org.gullway.peer;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.function.Supplier;
+import org.gullway.coordination.membership.StoreOutageDetector;
+import org.gullway.transport.EventLoop;
+import org.gullway.transport.HttpExchange;
+import org.gullway.transport.HttpResponse;
+import org.gullway.transport.HttpStatus;
+
+/** Finds out whether the state store responds to none of the controllers, and tells peers whether it does here. */
+final class StoreOutageMonitor {
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+    private static final byte[] EMPTY = new byte[0];
+
+    private final EventLoop loop;
+    private final PeerClient client;
+    private final Supplier<Instant> storeKnownThrough;
+    private final StoreOutageDetector outageDetector;
+
+    /** @param storeKnownThrough when the last request that the state store has answered was sent */
+    StoreOutageMonitor(EventLoop loop, PeerClient client, Supplier<Instant> storeKnownThrough) {
+        this.loop = loop;
+        this.client = client;
+        this.storeKnownThrough = storeKnownThrough;
+        this.outageDetector = new StoreOutageDetector(client.names());
+    }
+
+    /** Responds whether the state store responds to this controller. */
+    void respond(HttpExchange exchange) {
+        if (StoreOutageDetector.isStoreUnreachable(storeKnownThrough.get(), loop.now())) {
+            exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
+        } else {
+            exchange.respond(HttpStatus.OK, EMPTY);
+        }
+    }
+
+    void poll() {
+        client.queryStoreStatus(this::onResponse);
+    }
+
+    private void onResponse(String peer, HttpResponse response) {
+        if (response.outcome() == HttpResponse.Outcome.ANSWERED
+                && response.status() == HttpStatus.SERVICE_UNAVAILABLE) {
+            outageDetector.onPeerWithoutStore(peer, loop.now());
+        }
+    }
+
+    boolean isSharedByAllPeers() {
+        return outageDetector.isSharedByAllPeers(loop.now());
+    }
+}
