--- /dev/null
+++ b/src/main/java/org/gullway/controller/AgentComponents.java
@@ -0,0 +1,46 @@
+package org.gullway.controller;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.gullway.coordination.agents.AgentReconciler;
+import org.gullway.coordination.agents.CompletionBuffer;
+import org.gullway.coordination.cancellation.CancellationEnforcer;
+import org.gullway.coordination.cancellation.CancellationWatermark;
+import org.gullway.coordination.cancellation.LeaseRenewalPolicy;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.PeerZones;
+import org.gullway.protocol.Settings;
+
+/** What deals with agents: their reconciliation, their leases, and the end of their tasks. */
+record AgentComponents(
+        AgentReconciler reconciler,
+        CompletionBuffer completionBuffer,
+        CancellationEnforcer cancellationEnforcer,
+        CancellationWatermark cancellationWatermark,
+        LeaseRenewalPolicy leaseRenewal) {
+    static AgentComponents create(ControllerEnvironment environment) {
+        Settings settings = environment.settings();
+        ClusterState clusterState = environment.clusterState();
+        CompletionBuffer completionBuffer = new CompletionBuffer(clusterState);
+        CancellationEnforcer cancellationEnforcer =
+                new CancellationEnforcer(clusterState, settings.cancellationLimit());
+        Map<String, String> zoneByPeer = new HashMap<>();
+        settings.peers().forEach(peer -> zoneByPeer.put(peer.name(), peer.zone()));
+        AgentReconciler reconciler = new AgentReconciler(
+                clusterState,
+                environment.self(),
+                settings.heartbeatInterval(),
+                new PeerZones(zoneByPeer, settings.cancellationLimit()),
+                completionBuffer,
+                cancellationEnforcer);
+        LeaseRenewalPolicy leaseRenewal = new LeaseRenewalPolicy(
+                clusterState,
+                environment.self(),
+                cancellationEnforcer,
+                settings.cancellationLimit(),
+                settings.workerLease());
+        CancellationWatermark cancellationWatermark = new CancellationWatermark(clusterState, zoneByPeer.keySet());
+        return new AgentComponents(
+                reconciler, completionBuffer, cancellationEnforcer, cancellationWatermark, leaseRenewal);
+    }
+}
--- a/src/main/java/org/gullway/controller/CycleThrottle.java
+++ b/src/main/java/org/gullway/controller/CycleThrottle.java
@@ -4,47 +4,51 @@
 import java.time.Instant;
 import org.gullway.transport.EventLoop;
 
-/** Runs rounds that are asked for: each gathers what came in meanwhile, and a long one leaves twice its time after it. */
+/**
+ * Runs requested cycles with pauses in between: all requests during a pause are served by one cycle, and a long cycle is
+ * followed by a long pause, so that heartbeats and requests get their part of the processor.
+ */
 final class CycleThrottle {
-    private static final Duration LEAST_PAUSE = Duration.ofMillis(10);
-    private static final Duration LONGEST_PAUSE = Duration.ofMillis(300);
+    private static final Duration MIN_PAUSE = Duration.ofMillis(10);
+    private static final Duration MAX_PAUSE = Duration.ofMillis(300);
+    private static final int PAUSE_PER_CYCLE_TIME = 2;
 
     private final EventLoop loop;
-    private final Runnable round;
+    private final Runnable cycle;
     private boolean scheduled;
     private Instant notBefore = Instant.MIN;
 
-    CycleThrottle(EventLoop loop, Runnable round) {
+    CycleThrottle(EventLoop loop, Runnable cycle) {
         this.loop = loop;
-        this.round = round;
+        this.cycle = cycle;
     }
 
-    /** Asks for a round, which comes soon but never within this call. */
+    /** Requests a cycle, which runs after the present pause but never within this call. */
     void schedule() {
         if (scheduled) {
             return;
         }
         scheduled = true;
-        Duration wait = Duration.between(loop.now(), notBefore);
-        if (notBefore.equals(Instant.MIN) || wait.isNegative() || wait.isZero()) {
+        Duration delay = Duration.between(loop.now(), notBefore);
+        if (notBefore.equals(Instant.MIN) || delay.isNegative() || delay.isZero()) {
             loop.execute(this::run);
         } else {
-            loop.after(wait, this::run);
+            loop.after(delay, this::run);
         }
     }
 
     private void run() {
         scheduled = false;
-        round.run();
+        cycle.run();
     }
 
-    /** Puts off the next round, after one that took this long. */
-    void delayAfter(Duration took) {
-        Duration pause = took.multipliedBy(2);
-        if (pause.compareTo(LEAST_PAUSE) < 0) {
-            pause = LEAST_PAUSE;
-        } else if (pause.compareTo(LONGEST_PAUSE) > 0) {
-            pause = LONGEST_PAUSE;
+    /** Starts the pause after a cycle that took this long. */
+    void delayAfter(Duration elapsed) {
+        Duration pause = elapsed.multipliedBy(PAUSE_PER_CYCLE_TIME);
+        if (pause.compareTo(MIN_PAUSE) < 0) {
+            pause = MIN_PAUSE;
+        } else if (pause.compareTo(MAX_PAUSE) > 0) {
+            pause = MAX_PAUSE;
         }
         notBefore = loop.now().plus(pause);
     }
--- a/src/main/java/org/gullway/controller/Daemon.java
+++ b/src/main/java/org/gullway/controller/Daemon.java
@@ -21,48 +21,64 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A controller on real sockets and clocks. */
+/** A controller as a process, on real sockets and clocks. */
 public final class Daemon {
     private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
-    private static final int BODY_LIMIT = 64 * 1024;
-    private static final int BUFFER = 8 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int BUFFER_BYTES = 8 * 1024;
+    private static final int MAX_POOLED_BUFFERS = 256;
+    private static final int BUFFERS_PER_THREAD = 4;
 
     private Daemon() {}
 
     /** Starts a controller; returns once its event loop runs. */
     public static void start(Settings settings, OperatorSettings operator) {
-        XnioWorker worker = worker();
-        ByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER, 256, 4);
+        XnioWorker worker = newXnioWorker();
+        ByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
         XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
-        long seed = System.nanoTime()
-                ^ System.currentTimeMillis() << 20
-                ^ settings.nodeName().hashCode();
         SocketBudget socketBudget = new SocketBudget(settings.socketLimit());
-        Set<String> essential = new HashSet<>(List.of(settings.stateAddress(), settings.cloudAddress()));
-        settings.peers().forEach(peer -> essential.add(peer.address()));
         Controller controller = new Controller(
                 settings,
                 operator,
                 loop,
-                new UndertowHttpClient(loop, buffers, socketBudget, essential),
+                new UndertowHttpClient(loop, buffers, socketBudget, essentialAddresses(settings)),
                 InstantSource.system(),
-                seed);
-        HttpServer.start(worker, buffers, socketBudget, settings.peerAddress(), BODY_LIMIT, controller::handlePeer);
-        LOG.info("{} listens on {} to the other controllers", settings.nodeName(), settings.peerAddress());
-        loop.execute(() -> controller.start(() -> worker.execute(() -> {
-            try {
-                HttpServer.start(
-                        worker, buffers, socketBudget, settings.publicAddress(), BODY_LIMIT, controller::handle);
-                LOG.info("{} listens on {}", settings.nodeName(), settings.publicAddress());
-            } catch (RuntimeException e) {
-                // A controller that nobody can reach must not stay a member.
-                LOG.error("cannot listen on {}", settings.publicAddress(), e);
-                System.exit(1);
-            }
-        })));
+                randomSeed(settings.nodeName()));
+        HttpServer.start(worker, buffers, socketBudget, settings.peerAddress(), MAX_BODY_BYTES, controller::handlePeer);
+        LOG.info("listening for peers controller={} address={}", settings.nodeName(), settings.peerAddress());
+        Runnable openPublicAddress = () -> openPublicAddress(worker, buffers, socketBudget, settings, controller);
+        loop.execute(() -> controller.start(() -> worker.execute(openPublicAddress)));
     }
 
-    private static XnioWorker worker() {
+    private static long randomSeed(String node) {
+        return System.nanoTime() ^ System.currentTimeMillis() << 20 ^ node.hashCode();
+    }
+
+    /** Addresses to which connections are made even when sockets are scarce. */
+    private static Set<String> essentialAddresses(Settings settings) {
+        Set<String> addresses = new HashSet<>(List.of(settings.stateAddress(), settings.cloudAddress()));
+        settings.peers().forEach(peer -> addresses.add(peer.address()));
+        return addresses;
+    }
+
+    private static void openPublicAddress(
+            XnioWorker worker,
+            ByteBufferPool buffers,
+            SocketBudget socketBudget,
+            Settings settings,
+            Controller controller) {
+        String address = settings.publicAddress();
+        try {
+            HttpServer.start(worker, buffers, socketBudget, address, MAX_BODY_BYTES, controller::handle);
+            LOG.info("listening for users and agents controller={} address={}", settings.nodeName(), address);
+        } catch (RuntimeException e) {
+            // A controller that nobody can reach must not stay a member.
+            LOG.error("cannot listen address={}", address, e);
+            System.exit(1);
+        }
+    }
+
+    private static XnioWorker newXnioWorker() {
         try {
             return Xnio.getInstance()
                     .createWorker(OptionMap.builder()
--- /dev/null
+++ b/src/main/java/org/gullway/controller/FleetComponents.java
@@ -0,0 +1,37 @@
+package org.gullway.controller;
+
+import org.gullway.cloud.CloudClient;
+import org.gullway.cloud.CloudProvisioner;
+import org.gullway.coordination.scaling.FleetAutoscaler;
+import org.gullway.coordination.scaling.ScalingPolicy;
+import org.gullway.protocol.OperatorSettings;
+import org.gullway.protocol.Settings;
+
+/** What sizes the fleet of machines. */
+record FleetComponents(FleetAutoscaler autoscaler, CloudProvisioner cloudProvisioner) {
+    static FleetComponents create(ControllerEnvironment environment, PlacementComponents placement) {
+        Settings settings = environment.settings();
+        OperatorSettings operator = environment.operatorSettings();
+        FleetAutoscaler autoscaler = new FleetAutoscaler(
+                environment.clusterState(),
+                placement.constraints(),
+                placement.quotas(),
+                new ScalingPolicy(
+                        operator.spareCapacityShare(), operator.scaleInDelay(), operator.bootTimeoutFactor()));
+        CloudClient cloudClient = new CloudClient(
+                environment.loop(),
+                environment.httpClient(),
+                settings.cloudAddress(),
+                settings.cloudRequestsPerSecond());
+        CloudProvisioner cloudProvisioner = new CloudProvisioner(
+                environment.loop(),
+                environment.timeOfDay(),
+                cloudClient,
+                environment.clusterState(),
+                placement.machineTypes(),
+                autoscaler,
+                environment.self(),
+                environment.schedule());
+        return new FleetComponents(autoscaler, cloudProvisioner);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/controller/ReplicatedStateFactory.java
@@ -0,0 +1,46 @@
+package org.gullway.controller;
+
+import java.time.Duration;
+import org.gullway.coordination.membership.Membership;
+import org.gullway.protocol.Settings;
+import org.gullway.storage.ReplicatedState;
+import org.gullway.storage.StateStoreClient;
+
+/** Builds the replicated state, with the limits that the settings state for the store. */
+final class ReplicatedStateFactory {
+    private static final Duration MIN_WATCH_WAIT = Duration.ofMillis(250);
+    private static final Duration MAX_WATCH_WAIT = Duration.ofSeconds(1);
+    /** Agents' leases are renewed only by a recent state, so a watch may wait for a small part of that time. */
+    private static final int WATCHES_PER_RENEWAL_WINDOW = 8;
+
+    private ReplicatedStateFactory() {}
+
+    static ReplicatedState create(ControllerEnvironment environment) {
+        Settings settings = environment.settings();
+        return new ReplicatedState(
+                environment.loop(),
+                new StateStoreClient(environment.httpClient(), settings.stateAddress()),
+                environment.clusterState(),
+                new Membership(
+                        environment.self(), environment.operatorSettings().membershipLease()),
+                rateLimits(settings),
+                watchWait(settings),
+                environment.schedule());
+    }
+
+    private static ReplicatedState.StoreRateLimits rateLimits(Settings settings) {
+        return new ReplicatedState.StoreRateLimits(
+                settings.stateChangesPerSecond(),
+                settings.stateRequestsPerSecond(),
+                settings.peers().size() + 1);
+    }
+
+    private static Duration watchWait(Settings settings) {
+        Duration wait =
+                settings.cancellationLimit().minus(settings.workerLease()).dividedBy(WATCHES_PER_RENEWAL_WINDOW);
+        if (wait.compareTo(MAX_WATCH_WAIT) > 0) {
+            return MAX_WATCH_WAIT;
+        }
+        return wait.compareTo(MIN_WATCH_WAIT) < 0 ? MIN_WATCH_WAIT : wait;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/controller/RequestComponents.java
@@ -0,0 +1,68 @@
+package org.gullway.controller;
+
+import java.util.function.BooleanSupplier;
+import java.util.random.RandomGenerator;
+import org.gullway.api.UserApi;
+import org.gullway.coordination.quota.JobFeasibility;
+import org.gullway.storage.ReplicatedState;
+import org.gullway.worker.HeartbeatAdmission;
+import org.gullway.worker.HeartbeatHandler;
+
+/** What handles the requests that come to the public address. */
+record RequestComponents(UserApi userApi, HeartbeatHandler heartbeatHandler, RequestRouter router) {
+    private static final int CONDITIONS_PER_CHANGE = 4;
+
+    /**
+     * Builds the components.
+     *
+     * @param random chooses the owners of best-effort jobs
+     * @param isHealthy whether health checks succeed
+     */
+    static RequestComponents create(
+            ControllerEnvironment environment,
+            ReplicatedState replicatedState,
+            PlacementComponents placement,
+            AgentComponents agents,
+            Monitoring monitoring,
+            RandomGenerator random,
+            BooleanSupplier isHealthy) {
+        UserApi userApi = newUserApi(environment, replicatedState, placement, agents, monitoring, random);
+        HeartbeatHandler heartbeatHandler = new HeartbeatHandler(
+                environment.loop(),
+                environment.clusterState(),
+                replicatedState,
+                agents.reconciler(),
+                agents.cancellationEnforcer(),
+                agents.cancellationWatermark(),
+                agents.leaseRenewal(),
+                environment.schedule());
+        RequestRouter router = new RequestRouter(
+                environment.loop(),
+                agents.leaseRenewal(),
+                isHealthy,
+                new HeartbeatAdmission(environment.loop(), heartbeatHandler::handle),
+                userApi);
+        return new RequestComponents(userApi, heartbeatHandler, router);
+    }
+
+    private static UserApi newUserApi(
+            ControllerEnvironment environment,
+            ReplicatedState replicatedState,
+            PlacementComponents placement,
+            AgentComponents agents,
+            Monitoring monitoring,
+            RandomGenerator random) {
+        return new UserApi(
+                environment.loop(),
+                environment.clusterState(),
+                replicatedState,
+                placement.machineTypes(),
+                new JobFeasibility(placement.machineTypes(), placement.quotas()),
+                random,
+                monitoring.metrics(),
+                CONDITIONS_PER_CHANGE * environment.settings().stateChangesPerCommit(),
+                agents.cancellationEnforcer(),
+                monitoring.invariants()::onViolation,
+                environment.schedule());
+    }
+}
--- a/src/main/java/org/gullway/controller/RequestRouter.java
+++ b/src/main/java/org/gullway/controller/RequestRouter.java
@@ -6,77 +6,81 @@
 import org.gullway.coordination.cancellation.LeaseRenewalPolicy;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpExchange;
+import org.gullway.transport.HttpStatus;
 import org.gullway.worker.HeartbeatAdmission;
 
-/** Passes the requests of users, workers and health checks to whoever answers them, by path and method. */
+/** Passes the requests of users, agents and health checks to their handlers, by path and method. */
 final class RequestRouter {
-    private static final String HEALTH = "/up";
-    private static final String REPORTS = "/agent/beat";
+    private static final String HEALTH_CHECK = "/up";
+    private static final String HEARTBEATS = "/agent/beat";
     private static final String JOBS = "/v2/runs";
-    private static final String CANCEL = "/withdraw";
+    private static final String JOB_PREFIX = JOBS + "/";
+    private static final String CANCEL_SUFFIX = "/withdraw";
+    private static final String GET = "GET";
+    private static final String POST = "POST";
     private static final byte[] EMPTY = new byte[0];
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final EventLoop loop;
     private final LeaseRenewalPolicy leaseRenewal;
-    private final BooleanSupplier healthy;
+    private final BooleanSupplier isHealthy;
     private final HeartbeatAdmission heartbeatAdmission;
     private final UserApi userApi;
 
     RequestRouter(
             EventLoop loop,
             LeaseRenewalPolicy leaseRenewal,
-            BooleanSupplier healthy,
+            BooleanSupplier isHealthy,
             HeartbeatAdmission heartbeatAdmission,
             UserApi userApi) {
         this.loop = loop;
         this.leaseRenewal = leaseRenewal;
-        this.healthy = healthy;
+        this.isHealthy = isHealthy;
         this.heartbeatAdmission = heartbeatAdmission;
         this.userApi = userApi;
     }
 
-    /** Answers the call, now or later; an unknown path gets 404 and a wrong method 405. */
+    /** Answers the request, now or later; an unknown path gets 404 and a wrong method 405. */
     void route(HttpExchange exchange) {
         String path = exchange.path();
-        if (!path.equals(REPORTS)) {
+        if (!path.equals(HEARTBEATS)) {
             leaseRenewal.onExternalContact(loop.now());
         }
-        if (path.equals(HEALTH)) {
-            only("GET", exchange, () -> answerHealthCheck(exchange));
-        } else if (path.equals(REPORTS)) {
-            only("POST", exchange, () -> heartbeatAdmission.admit(exchange));
+        if (path.equals(HEALTH_CHECK)) {
+            ifMethod(GET, exchange, () -> answerHealthCheck(exchange));
+        } else if (path.equals(HEARTBEATS)) {
+            ifMethod(POST, exchange, () -> heartbeatAdmission.admit(exchange));
         } else if (path.equals(JOBS)) {
-            only("POST", exchange, () -> userApi.submit(exchange));
-        } else if (path.startsWith(JOBS + "/")) {
-            routeJob(path.substring(JOBS.length() + 1), exchange);
+            ifMethod(POST, exchange, () -> userApi.submit(exchange));
+        } else if (path.startsWith(JOB_PREFIX)) {
+            routeJob(path.substring(JOB_PREFIX.length()), exchange);
         } else {
-            exchange.respond(404, EMPTY);
+            exchange.respond(HttpStatus.NOT_FOUND, EMPTY);
         }
     }
 
     private void answerHealthCheck(HttpExchange exchange) {
-        if (healthy.getAsBoolean()) {
-            exchange.respond(200, EMPTY);
+        if (isHealthy.getAsBoolean()) {
+            exchange.respond(HttpStatus.OK, EMPTY);
         } else {
-            exchange.reject(503, RETRY_AFTER);
+            exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
         }
     }
 
-    private void routeJob(String rest, HttpExchange exchange) {
-        if (rest.endsWith(CANCEL)) {
-            String job = rest.substring(0, rest.length() - CANCEL.length());
-            only("POST", exchange, () -> userApi.cancel(job, exchange));
+    private void routeJob(String jobPath, HttpExchange exchange) {
+        if (jobPath.endsWith(CANCEL_SUFFIX)) {
+            String job = jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length());
+            ifMethod(POST, exchange, () -> userApi.cancel(job, exchange));
         } else {
-            only("GET", exchange, () -> userApi.queryStatus(rest, exchange));
+            ifMethod(GET, exchange, () -> userApi.queryStatus(jobPath, exchange));
         }
     }
 
-    private static void only(String method, HttpExchange exchange, Runnable action) {
+    private static void ifMethod(String method, HttpExchange exchange, Runnable handler) {
         if (exchange.method().equals(method)) {
-            action.run();
+            handler.run();
         } else {
-            exchange.respond(405, EMPTY);
+            exchange.respond(HttpStatus.METHOD_NOT_ALLOWED, EMPTY);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/org/gullway/controller/SchedulingComponents.java
@@ -0,0 +1,81 @@
+package org.gullway.controller;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import org.gullway.coordination.agents.AgentReconciler;
+import org.gullway.coordination.failover.Reconciliation;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.placement.PlacementConstraints;
+import org.gullway.coordination.quota.QuotaPartitioner;
+import org.gullway.coordination.quota.TeamQuotas;
+import org.gullway.coordination.scheduling.BestEffortQueue;
+import org.gullway.coordination.scheduling.DeadlinePolicy;
+import org.gullway.coordination.scheduling.JobBackoff;
+import org.gullway.coordination.scheduling.ReservedScheduler;
+import org.gullway.coordination.scheduling.ScavengerScheduler;
+import org.gullway.protocol.Settings;
+
+/** What places tasks, and divides quotas, jobs and machines among the controllers. */
+record SchedulingComponents(
+        JobBackoff backoff,
+        ReservedScheduler reservedScheduler,
+        ScavengerScheduler scavengerScheduler,
+        BestEffortQueue bestEffortQueue,
+        Reconciliation reconciliation,
+        QuotaPartitioner quotaPartitioner) {
+    /**
+     * Builds the components.
+     *
+     * @param random the source from which each component that decides by chance gets its own
+     * @param offerSender sends resource offers to a peer
+     */
+    static SchedulingComponents create(
+            ControllerEnvironment environment,
+            PlacementComponents placement,
+            AgentReconciler agentReconciler,
+            SplittableRandom random,
+            Consumer<BestEffortQueue.OutgoingOffers> offerSender) {
+        Settings settings = environment.settings();
+        ClusterState clusterState = environment.clusterState();
+        PlacementConstraints constraints = placement.constraints();
+        TeamQuotas quotas = placement.quotas();
+        String node = environment.self().node();
+        JobBackoff backoff = new JobBackoff();
+        DeadlinePolicy deadlines = new DeadlinePolicy(settings.objectives());
+        ScavengerScheduler scavengerScheduler = new ScavengerScheduler(
+                clusterState,
+                constraints,
+                quotas,
+                backoff,
+                deadlines,
+                environment.operatorSettings().spareCapacityShare());
+        BestEffortQueue bestEffortQueue = new BestEffortQueue(
+                clusterState,
+                constraints,
+                quotas,
+                backoff,
+                deadlines,
+                scavengerScheduler,
+                node,
+                settings.heartbeatInterval(),
+                random.split(),
+                () -> agentReconciler.schedulableMachines(environment.loop().now()),
+                offerSender);
+        return new SchedulingComponents(
+                backoff,
+                new ReservedScheduler(clusterState, constraints, quotas, backoff, deadlines),
+                scavengerScheduler,
+                bestEffortQueue,
+                new Reconciliation(clusterState, quotas, node, random.split()),
+                new QuotaPartitioner(clusterState, quotas, node, allNodes(settings)));
+    }
+
+    private static List<String> allNodes(Settings settings) {
+        List<String> nodes = new ArrayList<>();
+        settings.peers().forEach(peer -> nodes.add(peer.name()));
+        nodes.add(settings.nodeName());
+        return nodes;
+    }
+}
--- a/src/main/java/org/gullway/controller/SchedulingCycle.java
+++ b/src/main/java/org/gullway/controller/SchedulingCycle.java
@@ -13,10 +13,11 @@
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
 import org.gullway.observability.Metrics;
+import org.gullway.protocol.Settings;
 import org.gullway.storage.ReplicatedState;
 import org.gullway.transport.EventLoop;
 
-/** Lets every step add its changes to one draft, within a budget of time, and commits it. */
+/** Lets every planning step add its changes to one transaction, within a budget of time, and commits it. */
 final class SchedulingCycle {
     private static final Duration TIME_BUDGET = Duration.ofMillis(150);
 
@@ -30,37 +31,37 @@
     private final UserApi userApi;
     private final Metrics metrics;
     private final CycleSteps steps = new CycleSteps(TIME_BUDGET);
-    /** The commit that the present round makes. */
+    /** The transaction of the present cycle. */
     private Transaction current;
 
     SchedulingCycle(
-            EventLoop loop,
-            InstantSource timeOfDay,
-            ClusterState clusterState,
-            Incarnation self,
+            ControllerEnvironment environment,
             ReplicatedState replicatedState,
-            Transaction.Limits limits,
             CompletionBuffer completionBuffer,
             UserApi userApi,
             Metrics metrics) {
-        this.loop = loop;
-        this.timeOfDay = timeOfDay;
-        this.clusterState = clusterState;
-        this.self = self;
+        this.loop = environment.loop();
+        this.timeOfDay = environment.timeOfDay();
+        this.clusterState = environment.clusterState();
+        this.self = environment.self();
+        this.limits = limits(environment.settings());
         this.replicatedState = replicatedState;
-        this.limits = limits;
         this.completionBuffer = completionBuffer;
         this.userApi = userApi;
         this.metrics = metrics;
     }
 
-    /** Adds a step; steps run in the order in which they were added, unless the last round ran out of time. */
+    private static Transaction.Limits limits(Settings settings) {
+        return new Transaction.Limits(settings.stateChangesPerCommit(), settings.stateValueBytes());
+    }
+
+    /** Adds a step; steps run in the order in which they were added, unless the last cycle ran out of time. */
     SchedulingCycle addStep(String name, PlanningStep step) {
         steps.add(name, () -> step.plan(current, context()));
         return this;
     }
 
-    /** Adds a step that does nothing except on the leader. */
+    /** Adds a step that is left out unless this controller is the leader. */
     SchedulingCycle addLeaderStep(String name, PlanningStep step) {
         return addStep(name, (transaction, context) -> {
             if (context.leader()) {
@@ -78,33 +79,37 @@
         return self.equals(clusterState.leader());
     }
 
-    /** Makes the decisions that are due and sends their commit. To be called only while the ledger is ready. */
-    void run(Instant began) {
+    /** Plans the changes that are due and commits them. To be called only while the replicated state can commit. */
+    void run(Instant startedAt) {
         replicatedState.setWriteShare(isLeader());
         Transaction transaction = new Transaction(
                 clusterState, self, limits.withMaxChanges(replicatedState.availableChanges()), timeOfDay.instant());
         current = transaction;
+        claimOrConfirmLeadership(transaction);
+        completionBuffer.releaseResources(transaction);
+        steps.run(startedAt, loop::now);
+        completionBuffer.addToChangedJobs(transaction);
+        if (!transaction.isEmpty()) {
+            commit(transaction, startedAt);
+        }
+    }
+
+    private void claimOrConfirmLeadership(Transaction transaction) {
         if (clusterState.leader() == null) {
             transaction.put(StoreKeys.LEADER, self);
         } else if (isLeader()) {
-            // A former leader whose membership lapsed may be a member again before it hears of its successor.
+            // A former leader whose membership lease expired may be a member again before it hears of its successor.
             transaction.requireUnchanged(StoreKeys.LEADER);
         }
-        completionBuffer.releaseResources(transaction);
-        steps.run(began, loop::now);
-        completionBuffer.addToChangedJobs(transaction);
-        if (!transaction.isEmpty()) {
-            commit(transaction, began);
-        }
     }
 
-    private void commit(Transaction transaction, Instant began) {
-        Instant sent = loop.now();
+    private void commit(Transaction transaction, Instant startedAt) {
+        Instant sentAt = loop.now();
         replicatedState.commit(transaction, result -> {
-            Duration took = Duration.between(began, loop.now());
-            metrics.commitFinished(result.committed(), transaction.changes().keySet(), took);
+            Duration elapsed = Duration.between(startedAt, loop.now());
+            metrics.commitFinished(result.committed(), transaction.changes().keySet(), elapsed);
             if (result.committed()) {
-                userApi.onCommitted(transaction, result.revision(), sent);
+                userApi.onCommitted(transaction, result.revision(), sentAt);
             } else {
                 userApi.onConflict(result.failedConditions());
             }
--- a/src/main/java/org/gullway/controller/package-info.java
+++ b/src/main/java/org/gullway/controller/package-info.java
@@ -1,2 +1,5 @@
-/** Wires one controller: the event loop, the scheduling cycle, the listeners and all collaborators. */
+/**
+ * One controller as a whole: the wiring of its components, its control loop, the scheduling cycle, the routing of
+ * requests, and the process around it.
+ */
 package org.gullway.controller;
--- /dev/null
+++ b/src/main/java/org/gullway/observability/ClusterSummary.java
@@ -0,0 +1,63 @@
+package org.gullway.observability;
+
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.MachineRecord;
+
+/** The state of the cluster in a few figures, as this controller knows it. */
+public record ClusterSummary(
+        Role role,
+        long fencingToken,
+        int jobs,
+        int waitingTasks,
+        int machines,
+        int schedulableMachines,
+        int cordonedMachines) {
+    /** What a controller may do. */
+    public enum Role {
+        LEADER("leader"),
+        MEMBER("member"),
+        NO_VALID_LEASE("no_valid_lease");
+
+        private final String logName;
+
+        Role(String logName) {
+            this.logName = logName;
+        }
+
+        @Override
+        public String toString() {
+            return logName;
+        }
+    }
+
+    /** Summarizes the cluster state of a controller in this role. */
+    public static ClusterSummary of(ClusterState clusterState, Role role) {
+        int waitingTasks = 0;
+        for (JobRecord job : clusterState.jobs()) {
+            waitingTasks += job.waitingTasks();
+        }
+        int schedulableMachines = 0;
+        for (MachineRecord machine : clusterState.machines()) {
+            schedulableMachines += machine.isSchedulable() ? 1 : 0;
+        }
+        return new ClusterSummary(
+                role,
+                clusterState.fencingToken(),
+                clusterState.jobs().size(),
+                waitingTasks,
+                clusterState.machines().size(),
+                schedulableMachines,
+                clusterState.cordonedMachines().size());
+    }
+
+    String toLogPairs() {
+        return "role=" + role
+                + " fencing_token=" + fencingToken
+                + " jobs=" + jobs
+                + " waiting_tasks=" + waitingTasks
+                + " machines=" + machines
+                + " schedulable_machines=" + schedulableMachines
+                + " cordoned_machines=" + cordonedMachines;
+    }
+}
--- a/src/main/java/org/gullway/observability/InvariantMonitor.java
+++ b/src/main/java/org/gullway/observability/InvariantMonitor.java
@@ -4,7 +4,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reports assertions that failed at run time: each failure is a defect of this program and was stopped before it did harm. */
+/**
+ * Reports invariants that are violated at run time. Each violation is a defect of this program whose consequence was
+ * prevented.
+ */
 public final class InvariantMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(InvariantMonitor.class);
 
@@ -15,14 +18,14 @@
         this.metrics = metrics;
     }
 
-    /** From now on is told of every violation too. */
-    public void addListener(Consumer<String> told) {
-        listener = told;
+    /** Sets the listener that gets the description of every violation from now on. */
+    public void addListener(Consumer<String> newListener) {
+        listener = newListener;
     }
 
     /** Counts and logs a violation. */
     public void onViolation(String description) {
-        LOG.error("invariant violated: {}", description);
+        LOG.error("invariant violated description={}", description);
         metrics.invariantViolated();
         listener.accept(description);
     }
--- a/src/main/java/org/gullway/observability/LeadershipLog.java
+++ b/src/main/java/org/gullway/observability/LeadershipLog.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs who leads under which epoch, as far as this controller knows, whenever that changes. */
+/** Logs every change of the leader and of the fencing token, as far as this controller knows of it. */
 public final class LeadershipLog {
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipLog.class);
 
@@ -13,19 +13,20 @@
     private long fencingToken = -1;
 
     /**
-     * Takes what the view shows.
+     * Takes note of the cluster state.
      *
+     * @param newLeader null if there is none
      * @param revision at which the leader was recorded
      */
     public void observe(Incarnation newLeader, long newFencingToken, long revision) {
         if (!Objects.equals(newLeader, leader)) {
             LOG.info(
-                    "{} leads under epoch {}, recorded at revision {}",
-                    newLeader == null ? "nobody" : newLeader,
+                    "leader changed controller={} fencing_token={} revision={}",
+                    newLeader == null ? "none" : newLeader,
                     newFencingToken,
                     revision);
         } else if (newFencingToken != fencingToken) {
-            LOG.debug("epoch {}", newFencingToken);
+            LOG.debug("fencing token changed fencing_token={}", newFencingToken);
         }
         leader = newLeader;
         fencingToken = newFencingToken;
--- a/src/main/java/org/gullway/observability/Metrics.java
+++ b/src/main/java/org/gullway/observability/Metrics.java
@@ -13,60 +13,84 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts and latencies, logged in one line for each interval. */
+/** Counters since the start and latencies since the last log line, logged in one line for each interval. */
 public final class Metrics implements RequestMetrics {
     private static final Logger LOG = LoggerFactory.getLogger(Metrics.class);
-    private static final long LONGEST_MS = 60_000;
+    private static final String LINE = "{} submissions_accepted={} submission_p99_ms={}"
+            + " commits={} conflicts={} job_changes={} shard_changes={} other_changes={}"
+            + " commit_p50_ms={} commit_p99_ms={} cycles={} cycle_max_ms={}"
+            + " command_batches={} resource_offers={} status_queries_answered={} status_queries_rejected={}"
+            + " invariant_violations={}";
+
+    private static final String COMMITS = "commits";
+    private static final String CONFLICTS = "conflicts";
+    private static final String JOB_CHANGES = "changes.jobs";
+    private static final String SHARD_CHANGES = "changes.shards";
+    private static final String OTHER_CHANGES = "changes.other";
+    private static final String COMMAND_BATCHES = "command.batches";
+    private static final String RESOURCE_OFFERS = "resource.offers";
+    private static final String QUERIES_ANSWERED = "status.queries.answered";
+    private static final String QUERIES_REJECTED = "status.queries.rejected";
+    private static final String INVARIANT_VIOLATIONS = "invariant.violations";
+
+    private static final long MAX_RECORDED_MS = 60_000;
+    private static final int SIGNIFICANT_DIGITS = 2;
 
     private long commits;
-    private long refusals;
-    private long commandBatches;
-    private long offers;
+    private long conflicts;
     private long jobChanges;
-    private long groupChanges;
+    private long shardChanges;
     private long otherChanges;
-    private long questionsAnswered;
-    private long questionsRefused;
-    private long violations;
-    /** Set up with the first line of figures: while a controller starts, its processor time is short. */
+    private long commandBatches;
+    private long resourceOffers;
+    private long queriesAnswered;
+    private long queriesRejected;
+    private long invariantViolations;
+    /** Set up with the first log line: while a controller starts, processor time is scarce. */
     private MeterRegistry registry;
 
-    private final Histogram acceptance = new Histogram(LONGEST_MS, 2);
-    private final Histogram commit = new Histogram(LONGEST_MS, 2);
-    private final Histogram cycle = new Histogram(LONGEST_MS, 2);
+    private final Histogram submissionLatency = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
+    private final Histogram commitLatency = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
+    private final Histogram cycleTime = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
 
     private static void record(Histogram histogram, Duration time) {
-        histogram.recordValue(Math.min(LONGEST_MS, Math.max(0, TimeUnit.NANOSECONDS.toMillis(time.toNanos()))));
+        long millis = TimeUnit.NANOSECONDS.toMillis(time.toNanos());
+        histogram.recordValue(Math.min(MAX_RECORDED_MS, Math.max(0, millis)));
     }
 
     @Override
     public void submissionAccepted(Duration time) {
-        record(acceptance, time);
+        record(submissionLatency, time);
     }
 
-    /** A transaction that changed these keys was committed or refused, so long after its cycle began. */
-    public void commitFinished(boolean done, Set<String> keys, Duration time) {
-        if (done) {
+    /**
+     * Takes note of the outcome of a transaction.
+     *
+     * @param keys the keys that it changes
+     * @param time since its scheduling cycle began
+     */
+    public void commitFinished(boolean committed, Set<String> keys, Duration time) {
+        if (committed) {
             commits++;
         } else {
-            refusals++;
+            conflicts++;
         }
-        record(commit, time);
-        keys.forEach(this::changed);
+        record(commitLatency, time);
+        keys.forEach(this::countChange);
     }
 
-    private void changed(String key) {
+    private void countChange(String key) {
         if (key.startsWith(StoreKeys.JOBS)) {
             jobChanges++;
         } else if (key.startsWith(StoreKeys.SHARDS)) {
-            groupChanges++;
+            shardChanges++;
         } else {
             otherChanges++;
         }
     }
 
     public void cycleFinished(Duration time) {
-        record(cycle, time);
+        record(cycleTime, time);
     }
 
     public void commandSent() {
@@ -74,36 +98,35 @@
     }
 
     public void offerSent() {
-        offers++;
+        resourceOffers++;
     }
 
     @Override
     public void statusQueries(boolean answered, int count) {
         if (answered) {
-            questionsAnswered += count;
+            queriesAnswered += count;
         } else {
-            questionsRefused += count;
+            queriesRejected += count;
         }
     }
 
-    /** An assertion of this program failed. */
     void invariantViolated() {
-        violations++;
+        invariantViolations++;
     }
 
     private MeterRegistry registry() {
         if (registry == null) {
             registry = new SimpleMeterRegistry();
-            register("commits", metrics -> metrics.commits);
-            register("commits.refused", metrics -> metrics.refusals);
-            register("pushes", metrics -> metrics.commandBatches);
-            register("offers", metrics -> metrics.offers);
-            register("changes.jobs", metrics -> metrics.jobChanges);
-            register("changes.groups", metrics -> metrics.groupChanges);
-            register("changes.other", metrics -> metrics.otherChanges);
-            register("questions.answered", metrics -> metrics.questionsAnswered);
-            register("questions.refused", metrics -> metrics.questionsRefused);
-            register("invariants.violated", metrics -> metrics.violations);
+            register(COMMITS, metrics -> metrics.commits);
+            register(CONFLICTS, metrics -> metrics.conflicts);
+            register(JOB_CHANGES, metrics -> metrics.jobChanges);
+            register(SHARD_CHANGES, metrics -> metrics.shardChanges);
+            register(OTHER_CHANGES, metrics -> metrics.otherChanges);
+            register(COMMAND_BATCHES, metrics -> metrics.commandBatches);
+            register(RESOURCE_OFFERS, metrics -> metrics.resourceOffers);
+            register(QUERIES_ANSWERED, metrics -> metrics.queriesAnswered);
+            register(QUERIES_REJECTED, metrics -> metrics.queriesRejected);
+            register(INVARIANT_VIOLATIONS, metrics -> metrics.invariantViolations);
         }
         return registry;
     }
@@ -116,29 +139,29 @@
         return (long) registry().get(name).functionCounter().count();
     }
 
-    /** Logs one line of figures and begins new histograms. */
-    public void log(String situation) {
+    /** Logs one line and starts new histograms. */
+    public void log(ClusterSummary cluster) {
         LOG.info(
-                "{} accepted={} p99={}ms commits={} refused={} changes={}/{}/{} p50={}ms p99={}ms rounds={} max={}ms pushes={} offers={} questions={}/{} violations={}",
-                situation,
-                acceptance.getTotalCount(),
-                acceptance.getValueAtPercentile(99),
-                count("commits"),
-                count("commits.refused"),
-                count("changes.jobs"),
-                count("changes.groups"),
-                count("changes.other"),
-                commit.getValueAtPercentile(50),
-                commit.getValueAtPercentile(99),
-                cycle.getTotalCount(),
-                cycle.getMaxValue(),
-                count("pushes"),
-                count("offers"),
-                count("questions.answered"),
-                count("questions.refused"),
-                count("invariants.violated"));
-        acceptance.reset();
-        commit.reset();
-        cycle.reset();
+                LINE,
+                cluster.toLogPairs(),
+                submissionLatency.getTotalCount(),
+                submissionLatency.getValueAtPercentile(99),
+                count(COMMITS),
+                count(CONFLICTS),
+                count(JOB_CHANGES),
+                count(SHARD_CHANGES),
+                count(OTHER_CHANGES),
+                commitLatency.getValueAtPercentile(50),
+                commitLatency.getValueAtPercentile(99),
+                cycleTime.getTotalCount(),
+                cycleTime.getMaxValue(),
+                count(COMMAND_BATCHES),
+                count(RESOURCE_OFFERS),
+                count(QUERIES_ANSWERED),
+                count(QUERIES_REJECTED),
+                count(INVARIANT_VIOLATIONS));
+        submissionLatency.reset();
+        commitLatency.reset();
+        cycleTime.reset();
     }
 }
--- a/src/main/java/org/gullway/observability/package-info.java
+++ b/src/main/java/org/gullway/observability/package-info.java
@@ -1,2 +1,2 @@
-/** Metrics, the log of leadership changes, and assertions that are checked at run time. */
+/** Metrics, the log of leadership changes, and the monitor of invariants that are checked at run time. */
 package org.gullway.observability;
