--- a/src/main/java/org/gullway/Main.java
+++ b/src/main/java/org/gullway/Main.java
@@ -1,6 +1,7 @@
 package org.gullway;
 
 import java.util.Map;
+import java.util.Optional;
 import org.gullway.cli.CommandLineInterface;
 import org.gullway.cli.StartOptions;
 import org.gullway.controller.Daemon;
@@ -9,12 +10,14 @@
 import org.gullway.protocol.Settings;
 import org.gullway.transport.DisabledMBeanServerBuilder;
 
-/** Starts the service, or says why it cannot be started. */
+/** Starts the service, or prints why it cannot be started. */
 public final class Main {
-    private static final int FAULTY_SETTINGS = 2;
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_START_FAILED = 1;
+    private static final int EXIT_INVALID_SETTINGS = 2;
 
-    /** Starts the service, if that is what was asked for; null otherwise. */
-    private Runnable toStart;
+    /** Starts the daemon; empty if only a check or the help was requested. */
+    private Optional<Runnable> startAction = Optional.empty();
 
     /** Reads the command line and the settings, then starts the daemon; exits with a code above 0 if that fails. */
     public static void main(String[] args) {
@@ -22,18 +25,23 @@
         DisabledMBeanServerBuilder.install();
         Main main = new Main();
         int code = main.prepare(args);
-        if (code != 0) {
+        if (code != EXIT_OK) {
             System.exit(code);
         }
-        if (main.toStart != null) {
-            // Only now, and as the last thing: while this thread went on to load classes for the command line, the
-            // event loop's first reads of sockets ended the Java machine now and then (docs/incidents/java-fault.md).
-            try {
-                main.toStart.run();
-            } catch (RuntimeException e) {
-                System.err.println("gullway: cannot start: " + e.getMessage());
-                System.exit(1);
-            }
+        // The last step of this thread: if it went on to load classes during the event loop's first reads of sockets,
+        // the Java virtual machine could crash.
+        main.start();
+    }
+
+    private void start() {
+        if (startAction.isEmpty()) {
+            return;
+        }
+        try {
+            startAction.get().run();
+        } catch (RuntimeException e) {
+            System.err.println("gullway: cannot start: " + e.getMessage());
+            System.exit(EXIT_START_FAILED);
         }
     }
 
@@ -48,8 +56,8 @@
 
     /** Reads the command line and the settings that it names; returns the exit code. */
     int prepare(String... arguments) {
-        StartOptions plain = StartOptions.ofPlain(arguments);
-        return plain == null ? CommandLineInterface.execute(arguments, this::prepare) : prepare(plain);
+        Optional<StartOptions> plain = StartOptions.parsePlain(arguments);
+        return plain.isPresent() ? prepare(plain.get()) : CommandLineInterface.execute(arguments, this::prepare);
     }
 
     private int prepare(StartOptions options) {
@@ -62,11 +70,11 @@
                     : OperatorSettings.read(options.operatorSettings());
         } catch (MalformedMessageException e) {
             System.err.println("gullway: " + e.getMessage());
-            return FAULTY_SETTINGS;
+            return EXIT_INVALID_SETTINGS;
         }
         if (!options.checkOnly()) {
-            toStart = () -> Daemon.start(settings, operator);
+            startAction = Optional.of(() -> Daemon.start(settings, operator));
         }
-        return 0;
+        return EXIT_OK;
     }
 }
--- a/src/main/java/org/gullway/cli/CommandLineInterface.java
+++ b/src/main/java/org/gullway/cli/CommandLineInterface.java
@@ -7,11 +7,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The whole command line, with its help and its complaints. */
+/** The command line with all its options, its help and its error messages. */
 @Command(
         name = "gullway",
         mixinStandardHelpOptions = true,
-        versionProvider = CommandLineInterface.Version.class,
+        versionProvider = CommandLineInterface.ManifestVersion.class,
         description = "Schedules users' jobs on rented machines. One process runs on every controller.")
 public final class CommandLineInterface implements Callable<Integer> {
     private final ToIntFunction<StartOptions> action;
@@ -29,8 +29,8 @@
     @Option(names = "--check", description = "check the settings and exit")
     private boolean checkOnly;
 
-    /** The version from the jar's manifest. */
-    static final class Version implements CommandLine.IVersionProvider {
+    /** Reads the version from the jar's manifest. */
+    static final class ManifestVersion implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
             String version = CommandLineInterface.class.getPackage().getImplementationVersion();
@@ -42,7 +42,7 @@
         this.action = action;
     }
 
-    /** Reads the arguments and, if they are right, runs the action; returns the exit code. */
+    /** Parses the arguments and, if they are valid, runs the action; returns the exit code. */
     public static int execute(String[] arguments, ToIntFunction<StartOptions> action) {
         return new CommandLine(new CommandLineInterface(action)).execute(arguments);
     }
--- a/src/main/java/org/gullway/observability/LeadershipLog.java
+++ b/src/main/java/org/gullway/observability/LeadershipLog.java
@@ -20,15 +20,24 @@
      */
     public void observe(Incarnation newLeader, long newFencingToken, long revision) {
         if (!Objects.equals(newLeader, leader)) {
-            LOG.info(
-                    "leader changed controller={} fencing_token={} revision={}",
-                    newLeader == null ? "none" : newLeader,
-                    newFencingToken,
-                    revision);
+            logLeader(newLeader, newFencingToken, revision);
         } else if (newFencingToken != fencingToken) {
             LOG.debug("fencing token changed fencing_token={}", newFencingToken);
         }
         leader = newLeader;
         fencingToken = newFencingToken;
     }
+
+    private static void logLeader(Incarnation leader, long fencingToken, long revision) {
+        if (leader == null) {
+            LOG.info("no leader on record fencing_token={} revision={}", fencingToken, revision);
+        } else {
+            LOG.info(
+                    "leader changed controller={} incarnation={} fencing_token={} revision={}",
+                    leader.node(),
+                    leader.number(),
+                    fencingToken,
+                    revision);
+        }
+    }
 }
