--- a/src/main/java/org/gullway/cloud/CloudProvisioner.java
+++ b/src/main/java/org/gullway/cloud/CloudProvisioner.java
@@ -69,7 +69,8 @@
         }
         listing.refresh(now);
         releaser.releaseUnneeded();
-        // Machines that a former leader provisioned show only in the list: without it, they would be provisioned twice.
+        // What a former leader provisioned and did not record shows only in the list: without it, it would be
+        // provisioned again.
         if (listing.isCompletedOnce() && scaleOutExecutor.isPlanningDue(now)) {
             scaleOutExecutor.plan(now);
         }
--- a/src/main/java/org/gullway/cloud/MachineRecorder.java
+++ b/src/main/java/org/gullway/cloud/MachineRecorder.java
@@ -12,7 +12,10 @@
 import org.gullway.coordination.model.MachineRecord.MachineLifecycle;
 import org.gullway.coordination.model.Transaction;
 
-/** Changes the records of machines according to the inventory: adds provisioned ones, and removes released ones. */
+/**
+ * Changes the records of machines according to the inventory: adds provisioned ones, declares failed ones lost, and
+ * removes released ones.
+ */
 final class MachineRecorder implements PlanningStep {
     /** Removals are gathered: machines of one shard cost one change together. */
     private static final Duration REMOVAL_INTERVAL = Duration.ofMillis(500);
--- a/src/main/java/org/gullway/peer/StoreOutageMonitor.java
+++ b/src/main/java/org/gullway/peer/StoreOutageMonitor.java
@@ -9,7 +9,10 @@
 import org.gullway.transport.HttpResponse;
 import org.gullway.transport.HttpStatus;
 
-/** Finds out whether the state store responds to none of the controllers, and tells peers whether it does here. */
+/**
+ * Finds out whether the state store responds to none of the controllers, and answers peers that ask whether it responds
+ * to this one.
+ */
 final class StoreOutageMonitor {
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     private static final byte[] EMPTY = new byte[0];
