--- /dev/null
+++ b/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
@@ -0,0 +1,71 @@
+package org.gullway.coordination.agents;
+
+import java.time.Duration;
+import java.time.Instant;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.model.MachineRecord.MachineLifecycle;
+import org.gullway.coordination.model.Transaction;
+
+/**
+ * Changes records for what single agents show: a start whose outcome is unknown needs a higher fencing token, and a
+ * machine that is faulty or has a spot notice is drained.
+ */
+final class AgentConditionPlanner {
+    /** Every agent sends one more message after a new fencing token, so unknown starts are resolved together. */
+    private static final Duration FENCING_TOKEN_INTERVAL = Duration.ofSeconds(1);
+
+    private final AgentRegistry agents;
+    private final SpotNoticePlanner spotNotices;
+    private final JobFailureTracker jobFailures;
+    private Instant fencingTokenRaisedAt = Instant.MIN;
+
+    AgentConditionPlanner(ClusterState clusterState, AgentRegistry agents) {
+        this.agents = agents;
+        this.spotNotices = new SpotNoticePlanner(clusterState);
+        this.jobFailures = new JobFailureTracker(clusterState);
+    }
+
+    void plan(Transaction transaction, Instant now) {
+        jobFailures.update(
+                agents.recordChangeCandidates().stream()
+                        .map(agents::find)
+                        .filter(agent -> agent != null && !agent.failures().isEmpty())
+                        .toList(),
+                now);
+        agents.recordChangeCandidates().removeIf(name -> !mayNeedRecordChange(name));
+        boolean startUnresolved = false;
+        for (String name : agents.recordChangeCandidates()) {
+            AgentState agent = agents.find(name);
+            MachineRecord record = transaction.machine(name);
+            if (agents.isInContact(record, agent)) {
+                startUnresolved |= agent.unresolvedStartToken() >= transaction.fencingToken();
+                spotNotices.plan(transaction, record, agent, now);
+                drainIfUnfit(transaction, record, agent, now);
+            }
+        }
+        if (startUnresolved) {
+            raiseFencingToken(transaction, now);
+        }
+    }
+
+    private boolean mayNeedRecordChange(String name) {
+        AgentState agent = agents.find(name);
+        return agent != null && agent.mayNeedRecordChange();
+    }
+
+    private void drainIfUnfit(Transaction transaction, MachineRecord record, AgentState agent, Instant now) {
+        if (transaction.machine(record.name()).lifecycle() == MachineLifecycle.ACTIVE
+                && transaction.canPutMachine(record.name())
+                && (agent.spotTerminationAt() != null || jobFailures.isFaulty(agent, now))) {
+            transaction.putMachine(record.withLifecycle(MachineLifecycle.DRAINING));
+        }
+    }
+
+    private void raiseFencingToken(Transaction transaction, Instant now) {
+        if (fencingTokenRaisedAt.plus(FENCING_TOKEN_INTERVAL).isBefore(now) && transaction.hasCapacityFor(1)) {
+            fencingTokenRaisedAt = now;
+            transaction.nextFencingToken();
+        }
+    }
+}
--- a/src/main/java/org/gullway/coordination/agents/AgentState.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentState.java
@@ -1,11 +1,8 @@
 package org.gullway.coordination.agents;
 
-import java.time.Duration;
 import java.time.Instant;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
 import org.gullway.coordination.model.AttemptId;
 import org.gullway.coordination.model.MachineRecord;
@@ -14,78 +11,83 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What this controller knows of a worker that reports to it: the newest of the worker's messages, and what is open. */
+/** What this controller knows of one agent: its newest message, and what is open between the two. */
 final class AgentState {
     private static final Logger LOG = LoggerFactory.getLogger(AgentState.class);
 
+    private final CommandChannel commands = new CommandChannel();
+    private final CompletionReports completionReports = new CompletionReports();
+    private final TaskFailures failures = new TaskFailures();
+    private final RerouteState reroute = new RerouteState();
+    private final Consumer<Instant> wakeups;
+
     private Heartbeat lastHeartbeat;
     private Map<AttemptId, TaskStatus> tasks = Map.of();
-    /** For attempts that ended without completing: the worker's token when that was first seen. */
+    /** For attempts that ended without completing: the agent's fencing token when that was first seen. */
     private final Map<AttemptId, Long> endedAtToken = new HashMap<>();
-    /** When the keeper of the job was first and last told of an end that is not on record yet. */
-    private final Map<AttemptId, CompletionReport> completionReports = new HashMap<>();
 
     private Instant lastContact;
     private Instant lastMessageAt = Instant.MIN;
-    private long commandedUnderToken;
+    private boolean outboundPartitioned;
     private Instant spotTerminationAt;
+    private long commandedUnderToken;
     /** A start was sent under this token and its outcome is open; only a higher confirmed token rules it out. */
     private long unresolvedStartToken;
 
-    private boolean commandInFlight;
-    private Instant commandsNotBefore = Instant.MIN;
-    /** Since when commands have had no answer; reports alone do not show that the machine hears. */
-    private Instant unansweredSince;
-
-    private boolean outboundPartitioned;
-    private Instant probedAt = Instant.MIN;
-    private Instant nextVisit = Instant.MIN;
-    /** When the worker first came here although another controller commands its machine. */
-    private Instant reroutedAt;
+    private Instant nextWakeup = Instant.MIN;
 
-    private boolean acceptedLast;
-    /** When it was last answered with 200 although another controller commands its machine; null if sent on since. */
-    private Instant acceptedAt;
+    /**
+     * @param listeningSince when this controller began to expect messages of the agent
+     * @param wakeups takes each moment at which the agent has to be reconciled, the first one at once
+     */
+    AgentState(Instant listeningSince, Consumer<Instant> wakeups) {
+        this.lastContact = listeningSince;
+        this.wakeups = wakeups;
+        wakeups.accept(nextWakeup);
+    }
 
-    private final Map<String, Instant> failedJobs = new HashMap<>();
+    CommandChannel commands() {
+        return commands;
+    }
 
-    private record CompletionReport(Instant first, Instant last) {}
+    CompletionReports completionReports() {
+        return completionReports;
+    }
 
-    private final Consumer<Instant> wakeups;
+    TaskFailures failures() {
+        return failures;
+    }
 
-    /**
-     * @param heard when this controller began to count the worker's silence
-     * @param lookRequests is told of every moment at which the worker has to be looked at, the first time at once
-     */
-    AgentState(Instant heard, Consumer<Instant> wakeups) {
-        this.lastContact = heard;
-        this.wakeups = wakeups;
-        wakeups.accept(nextVisit);
+    RerouteState reroute() {
+        return reroute;
     }
 
-    /** Takes a report; false if a newer message is known, and then nothing has changed. */
+    /** Takes a heartbeat; false if a newer message is known, and then nothing has changed. */
     boolean onHeartbeat(Heartbeat heartbeat, Instant now) {
-        outboundPartitioned &=
-                lastHeartbeat != null && !heartbeat.isNewerThan(lastHeartbeat.agentEpoch(), lastHeartbeat.sequence());
+        outboundPartitioned &= lastHeartbeat != null && !isNewer(heartbeat);
         return accept(heartbeat, now);
     }
 
     /**
-     * Takes the answer to a command. If it brings a newer session, the worker's lease has run out although commands
-     * reach it: its reports reach nobody, and whatever is placed there would end with the next lease.
+     * Takes the response to a command. If it brings a newer agent epoch, the agent's lease has expired although
+     * commands reach it: its heartbeats reach no controller, and tasks placed there would end with the next lease.
      */
-    void onCommandResponse(Heartbeat answer, Instant now) {
-        outboundPartitioned |= lastHeartbeat != null && answer.agentEpoch() > lastHeartbeat.agentEpoch();
-        accept(answer, now);
+    void onCommandResponse(Heartbeat response, Instant now) {
+        outboundPartitioned |= lastHeartbeat != null && response.agentEpoch() > lastHeartbeat.agentEpoch();
+        accept(response, now);
     }
 
-    /** Whether a lease has run out since the last report, while commands were answered. */
+    /** Whether a lease has expired since the last heartbeat while commands were answered. */
     boolean isOutboundPartitioned() {
         return outboundPartitioned;
     }
 
+    private boolean isNewer(Heartbeat heartbeat) {
+        return heartbeat.isNewerThan(lastHeartbeat.agentEpoch(), lastHeartbeat.sequence());
+    }
+
     private boolean accept(Heartbeat heartbeat, Instant now) {
-        if (lastHeartbeat != null && !heartbeat.isNewerThan(lastHeartbeat.agentEpoch(), lastHeartbeat.sequence())) {
+        if (lastHeartbeat != null && !isNewer(heartbeat)) {
             return false;
         }
         if (lastHeartbeat != null && lastHeartbeat.agentEpoch() != heartbeat.agentEpoch()) {
@@ -93,52 +95,60 @@
             completionReports.clear();
             spotTerminationAt = null;
         }
-        boolean same = lastHeartbeat != null
+        boolean unchanged = lastHeartbeat != null
                 && lastHeartbeat.agentEpoch() == heartbeat.agentEpoch()
                 && lastHeartbeat.fencingToken() == heartbeat.fencingToken()
                 && lastHeartbeat.tasks().equals(heartbeat.tasks());
         lastHeartbeat = heartbeat;
         lastContact = now;
         lastMessageAt = now;
-        if (!same) {
-            takeTasks(heartbeat);
-            wakeAt(now);
-        }
-        if (heartbeat.spotNotice() == null) {
-            spotTerminationAt = null;
-        } else if (spotTerminationAt == null) {
-            spotTerminationAt = now.plus(heartbeat.spotNotice());
+        if (!unchanged) {
+            updateTasks(heartbeat);
             wakeAt(now);
         }
+        updateSpotNotice(heartbeat, now);
         return true;
     }
 
-    private void takeTasks(Heartbeat heartbeat) {
+    private void updateTasks(Heartbeat heartbeat) {
         Map<AttemptId, TaskStatus> next = new HashMap<>();
         for (TaskStatus task : heartbeat.tasks()) {
             AttemptId id = new AttemptId(task.task(), task.attempt());
             next.put(id, task);
             if (LOG.isDebugEnabled()) {
-                TaskStatus before = tasks.get(id);
-                if (before == null || before.phase() != task.phase()) {
-                    LOG.debug(
-                            "{}#{} is {} {} on {}",
-                            task.task(),
-                            task.attempt(),
-                            task.phase(),
-                            task.cause(),
-                            heartbeat.machine());
-                }
+                logPhaseChange(tasks.get(id), task, heartbeat.machine());
             }
             if (task.isEnded() && task.cause() != TaskStatus.Cause.DONE) {
                 endedAtToken.putIfAbsent(id, heartbeat.fencingToken());
             }
         }
         endedAtToken.keySet().retainAll(next.keySet());
-        completionReports.keySet().retainAll(next.keySet());
+        completionReports.retainAll(next.keySet());
         tasks = next;
     }
 
+    private static void logPhaseChange(TaskStatus before, TaskStatus task, String machine) {
+        if (before == null || before.phase() != task.phase()) {
+            LOG.debug(
+                    "task changed its phase machine={} task={} attempt={} phase={} cause={}",
+                    machine,
+                    task.task(),
+                    task.attempt(),
+                    task.phase(),
+                    task.cause());
+        }
+    }
+
+    private void updateSpotNotice(Heartbeat heartbeat, Instant now) {
+        if (heartbeat.spotNotice() == null) {
+            spotTerminationAt = null;
+        } else if (spotTerminationAt == null) {
+            spotTerminationAt = now.plus(heartbeat.spotNotice());
+            wakeAt(now);
+        }
+    }
+
+    /** The newest message, or null if there was none yet. */
     Heartbeat lastHeartbeat() {
         return lastHeartbeat;
     }
@@ -147,7 +157,7 @@
         return tasks;
     }
 
-    /** Since when it counts as silent: its last message, or the beginning of listening to it. */
+    /** When its last message came, or when this controller began to expect messages if that was later. */
     Instant lastContact() {
         return lastContact;
     }
@@ -157,163 +167,74 @@
         return lastMessageAt;
     }
 
-    /** When the cloud takes the machine away, or null. */
+    /** Since when the agent may be unreachable: its last contact, or the first unanswered command if that was earlier. */
+    Instant unreachableSince() {
+        Instant unansweredSince = commands.unansweredSince();
+        return unansweredSince == null || lastContact.isBefore(unansweredSince) ? lastContact : unansweredSince;
+    }
+
+    /** When the cloud takes the machine away, or null without a spot notice. */
     Instant spotTerminationAt() {
         return spotTerminationAt;
     }
 
-    /** Whether every command that could still arrive from before is refused by the worker now. */
+    /** Whether the agent now refuses every command that could still arrive from before. */
     boolean isFenced(MachineRecord record) {
         return lastHeartbeat != null
                 && lastHeartbeat.fencingToken() >= record.fencingToken()
                 && lastHeartbeat.fencingToken() > unresolvedStartToken;
     }
 
+    /** The highest fencing token under which a start was sent whose outcome is unknown; 0 if there is none. */
     long unresolvedStartToken() {
         return unresolvedStartToken;
     }
 
-    boolean hasCommandInFlight() {
-        return commandInFlight;
-    }
-
-    boolean mayCommand(Instant now) {
-        return !commandInFlight && !now.isBefore(commandsNotBefore);
-    }
-
-    void onCommandSent() {
-        commandInFlight = true;
-    }
-
-    void onCommandAnswered(Instant now) {
-        commandInFlight = false;
-        unansweredSince = null;
-        wakeAt(now);
-    }
-
-    void onCommandFailed(Instant sent, Instant now, Duration quiet) {
-        unansweredSince = unansweredSince == null ? sent : unansweredSince;
-        onCommandDeferred(now, quiet);
-    }
-
-    void onCommandDeferred(Instant now, Duration quiet) {
-        commandInFlight = false;
-        commandsNotBefore = now.plus(quiet);
-        wakeAt(commandsNotBefore);
-    }
-
-    /** Whether to ask a worker of which nothing is known yet; not again and again while it is silent. */
-    boolean mayProbe(Instant now) {
-        if (probedAt.plusSeconds(1).isAfter(now)) {
-            return false;
-        }
-        probedAt = now;
-        return true;
-    }
-
-    Instant unansweredSince() {
-        return unansweredSince;
-    }
-
-    /** Asks to be looked at by then. */
-    void wakeAt(Instant at) {
-        if (at.isBefore(nextVisit)) {
-            nextVisit = at;
-            wakeups.accept(at);
-        }
-    }
-
-    boolean isDue(Instant now) {
-        return !nextVisit.isAfter(now);
-    }
-
-    void onVisited() {
-        nextVisit = Instant.MAX;
-    }
-
     /** The outcome of a start sent under this token will never be known. */
     void onUnknownStartOutcome(long fencingToken) {
         unresolvedStartToken = Math.max(unresolvedStartToken, fencingToken);
     }
 
     /**
-     * An attempt that ended without completing is forgotten by the worker only once commands of the time of its start
-     * are refused: a start that arrives a second time would begin a forgotten attempt again.
+     * Whether the agent may forget an ended attempt. One that did not complete is kept until commands from the time of
+     * its start are refused: a duplicate start that arrives later would run a forgotten attempt again.
      */
     boolean mayForget(AttemptId id, TaskStatus task) {
         return task.cause() == TaskStatus.Cause.DONE
                 || lastHeartbeat.fencingToken() > endedAtToken.getOrDefault(id, Long.MAX_VALUE);
     }
 
-    /** Whether the keeper is to be told of this end now, and since when it was told. */
-    boolean shouldReport(AttemptId id, Instant now, Duration pause) {
-        CompletionReport before = completionReports.get(id);
-        if (before != null && before.last().plus(pause).isAfter(now)) {
-            return false;
-        }
-        completionReports.put(id, new CompletionReport(before == null ? now : before.first(), now));
-        return true;
-    }
-
-    boolean isReportedBefore(AttemptId id, Instant limit) {
-        return completionReports.containsKey(id)
-                && completionReports.get(id).first().isBefore(limit);
-    }
-
     /**
-     * Its machine is commanded here under this epoch. What was heard before a takeover says nothing: a worker that had
-     * only passed by here long ago was once given up at the moment of the takeover (FaultsTest, zone that is cut off).
+     * This controller commands the machine under the token. Missing messages from before a failover say nothing about
+     * the agent, which had no reason to send them here.
      */
     void onCommandedUnder(long fencingToken, Instant now) {
         if (fencingToken != commandedUnderToken) {
             commandedUnderToken = fencingToken;
             lastContact = now;
-            unansweredSince = null;
+            commands.clearUnanswered();
         }
     }
 
-    Instant reroutedAt() {
-        return reroutedAt;
-    }
-
-    void onRerouted(Instant at) {
-        reroutedAt = at;
-        acceptedLast = false;
-        acceptedAt = null;
-    }
-
-    /** Every other time: a worker that alone cannot reach its controller must not stay where nobody commands it. */
-    boolean acceptsNextHeartbeat(Instant now) {
-        acceptedLast = !acceptedLast;
-        acceptedAt = acceptedLast ? now : null;
-        return acceptedLast;
+    /** Whether an unresolved start, a spot notice or failed tasks may call for a change of records. */
+    boolean mayNeedRecordChange() {
+        return unresolvedStartToken != 0 || spotTerminationAt != null || !failures.isEmpty();
     }
 
-    /** Whether its last report here was answered with 200 no longer ago than this: it came back, so it hears. */
-    boolean wasAcceptedWithin(Duration span, Instant now) {
-        return acceptedAt != null && !acceptedAt.plus(span).isBefore(now);
-    }
-
-    void onTaskFailed(String job, Instant now) {
-        failedJobs.put(job, now);
-    }
-
-    void onTaskSucceeded() {
-        failedJobs.clear();
-    }
-
-    boolean hasNoFailures() {
-        return failedJobs.isEmpty();
+    /** Asks for reconciliation at this moment or earlier. */
+    void wakeAt(Instant at) {
+        if (at.isBefore(nextWakeup)) {
+            nextWakeup = at;
+            wakeups.accept(at);
+        }
     }
 
-    /** Whether a start without an outcome, a notice or failed tasks may call for a change of the records. */
-    boolean hasTrouble() {
-        return unresolvedStartToken != 0 || spotTerminationAt != null || !failedJobs.isEmpty();
+    boolean isDue(Instant now) {
+        return !nextWakeup.isAfter(now);
     }
 
-    /** Jobs of which tasks failed here lately, with no success since. */
-    Set<String> recentlyFailedJobs(Instant now, Duration window) {
-        failedJobs.values().removeIf(at -> at.plus(window).isBefore(now));
-        return new HashSet<>(failedJobs.keySet());
+    /** It is being reconciled now; until it asks again, it is not due. */
+    void onVisited() {
+        nextWakeup = Instant.MAX;
     }
 }
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -0,0 +1,166 @@
+package org.gullway.coordination.agents;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import org.gullway.coordination.command.CommandBatch;
+import org.gullway.coordination.command.CommandOutcome;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.protocol.AgentCommand;
+import org.gullway.protocol.Heartbeat;
+
+/**
+ * Reconciles the agents that are due and issues their commands, one batch in flight for each agent.
+ *
+ * <p>Only agents of which something has changed, or is due, are visited; an unchanged heartbeat costs no more than its
+ * decoding.
+ */
+final class CommandDispatcher {
+    private static final Duration RETRY_DELAY = Duration.ofMillis(500);
+    /** A change that the watch has not confirmed yet is expected after this delay. */
+    private static final Duration WATCH_DELAY = Duration.ofMillis(30);
+
+    private static final Duration REVISIT_DELAY = Duration.ofMillis(50);
+    /** With so many commands in flight, agents are not asked for what their heartbeats will say anyway. */
+    private static final int MAX_COMMANDS_BEFORE_PROBES = 8;
+    /** An agent without contact for so many heartbeat intervals is not sent commands. */
+    private static final int CONTACT_INTERVALS = 2;
+
+    private final ClusterState clusterState;
+    private final Duration heartbeatInterval;
+    private final AgentRegistry agents;
+    private final CommandPlanner planner;
+    private final CompletionReporter completionReporter;
+    private final CommandWindow window = new CommandWindow();
+    private long visits;
+
+    CommandDispatcher(
+            ClusterState clusterState,
+            Duration heartbeatInterval,
+            AgentRegistry agents,
+            CommandPlanner planner,
+            CompletionReporter completionReporter) {
+        this.clusterState = clusterState;
+        this.heartbeatInterval = heartbeatInterval;
+        this.agents = agents;
+        this.planner = planner;
+        this.completionReporter = completionReporter;
+    }
+
+    /** All commands that are due now, one batch for each machine; each batch must have exactly one outcome later. */
+    List<CommandBatch> commandsDue(Instant now) {
+        wakeChangedMachines(now);
+        List<CommandBatch> batches = new ArrayList<>();
+        for (String name : agents.pollDue(now)) {
+            visits++;
+            AgentState agent = agents.find(name);
+            if (agent != null && agent.isDue(now)) {
+                agent.onVisited();
+                visit(clusterState.machine(name), agent, now).ifPresent(batches::add);
+            }
+        }
+        return batches;
+    }
+
+    private void wakeChangedMachines(Instant now) {
+        for (String name : clusterState.drainChangedMachines()) {
+            MachineRecord record = clusterState.machine(name);
+            if (agents.isAssignedHere(record)) {
+                AgentState agent = agents.getOrCreate(name, now);
+                agent.onCommandedUnder(record.fencingToken(), now);
+                agent.wakeAt(now);
+            }
+        }
+    }
+
+    private Optional<CommandBatch> visit(MachineRecord record, AgentState agent, Instant now) {
+        if (!agents.isCommandedHere(record)) {
+            if (agents.isAssignedHere(record)) {
+                agent.wakeAt(now.plus(WATCH_DELAY));
+            }
+            return Optional.empty();
+        }
+        if (agents.isInContact(record, agent)) {
+            completionReporter.observe(record, agent, now);
+            agents.updateRecordChangeCandidates(record.name(), agent);
+        }
+        if (agent.lastContact().isBefore(now.minus(heartbeatInterval.multipliedBy(CONTACT_INTERVALS)))) {
+            // It is most likely gone; a heartbeat would wake it at once.
+            agent.wakeAt(now.plus(heartbeatInterval));
+            return Optional.empty();
+        }
+        if (agent.commands().isInFlight()) {
+            // The outcome of its command wakes it.
+            return Optional.empty();
+        }
+        if (!agent.commands().maySend(now) || window.isFull()) {
+            agent.wakeAt(now.plus(REVISIT_DELAY));
+            return Optional.empty();
+        }
+        return nextBatch(record, agent, now);
+    }
+
+    private Optional<CommandBatch> nextBatch(MachineRecord record, AgentState agent, Instant now) {
+        boolean inContact = agents.isInContact(record, agent);
+        boolean fenced = inContact && agent.isFenced(record);
+        List<AgentCommand> commands = fenced ? planner.difference(record, agent) : List.of();
+        // A batch without commands asks the agent to confirm the fencing token and to list its tasks.
+        boolean probe = needsProbe(record, agent, inContact, fenced);
+        if (probe
+                && (window.inFlight() >= MAX_COMMANDS_BEFORE_PROBES
+                        || !agent.commands().mayProbe(now))) {
+            // Its heartbeat will most likely say the same: after a failover hundreds need it at once.
+            probe = false;
+            agent.wakeAt(now.plus(RETRY_DELAY));
+        }
+        if (commands.isEmpty() && !probe && !agent.commands().isUnanswered()) {
+            return Optional.empty();
+        }
+        agent.commands().onSent();
+        window.onSent();
+        return Optional.of(new CommandBatch(
+                record.name(), record.address(), clusterState.fencingToken(), record.agentEpoch(), commands, now));
+    }
+
+    private boolean needsProbe(MachineRecord record, AgentState agent, boolean inContact, boolean fenced) {
+        Heartbeat last = agent.lastHeartbeat();
+        boolean epochUnknown = last == null || last.agentEpoch() < record.agentEpoch();
+        return epochUnknown || inContact && !fenced && last.fencingToken() < clusterState.fencingToken();
+    }
+
+    /** Takes the outcome of a batch. */
+    void onCommandOutcome(CommandBatch batch, CommandOutcome outcome, Instant now) {
+        window.onOutcome(batch.sentAt(), outcome == CommandOutcome.ANSWERED, now);
+        AgentState agent = agents.find(batch.machine());
+        if (agent == null) {
+            return;
+        }
+        if (outcome == CommandOutcome.UNKNOWN && batch.hasStarts()) {
+            agent.onUnknownStartOutcome(batch.fencingToken());
+            agents.updateRecordChangeCandidates(batch.machine(), agent);
+        }
+        Instant retryAt = now.plus(RETRY_DELAY);
+        switch (outcome) {
+            case ANSWERED -> {
+                agent.commands().onAnswered();
+                agent.wakeAt(now);
+            }
+            case NO_SOCKET -> {
+                agent.commands().onDeferred(retryAt);
+                agent.wakeAt(retryAt);
+            }
+            case NOT_SENT, UNKNOWN -> {
+                agent.commands().onFailed(batch.sentAt(), retryAt);
+                agent.wakeAt(retryAt);
+            }
+        }
+    }
+
+    /** How often any agent was visited. */
+    long visits() {
+        return visits;
+    }
+}
--- a/src/main/java/org/gullway/coordination/agents/CommandPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandPlanner.java
@@ -14,49 +14,51 @@
 import org.gullway.protocol.TaskStatus;
 
 /**
- * Turns the difference between the placements on record for a machine and its worker's newest message into commands. The
- * worker must have confirmed the epoch under which the machine is commanded.
+ * Turns the difference between the placements on record for a machine and its agent's newest message into commands. The
+ * agent must have confirmed the fencing token under which the machine is commanded.
  */
 final class CommandPlanner {
+    private static final Duration GRACE_MARGIN = Duration.ofSeconds(1);
+
     private final ClusterState clusterState;
 
     CommandPlanner(ClusterState clusterState) {
         this.clusterState = clusterState;
     }
 
-    /** Ended attempts that the worker need not remember any more. */
+    /** Commands to forget ended attempts that are not on record any more. */
     List<AgentCommand> forgets(MachineRecord record, AgentState agent) {
         if (agent.tasks().isEmpty()) {
             return List.of();
         }
         List<AgentCommand> commands = new ArrayList<>();
-        Map<AttemptId, Placement> wanted = clusterState.placementsOn(record.name());
+        Map<AttemptId, Placement> placements = clusterState.placementsOn(record.name());
         agent.tasks().forEach((id, task) -> {
-            if (task.isEnded() && !wanted.containsKey(id) && agent.mayForget(id, task)) {
+            if (task.isEnded() && !placements.containsKey(id) && agent.mayForget(id, task)) {
                 commands.add(AgentCommand.forget(id.task(), id.attempt()));
             }
         });
         return commands;
     }
 
-    /** Starts of what is wanted and not there, stops of what is there and not wanted. */
+    /** Starts of attempts that are on record and not on the machine, stops of those that should not be there. */
     List<AgentCommand> difference(MachineRecord record, AgentState agent) {
         List<AgentCommand> commands = new ArrayList<>();
-        Map<AttemptId, Placement> wanted = clusterState.placementsOn(record.name());
-        wanted.forEach((id, placement) -> {
+        Map<AttemptId, Placement> placements = clusterState.placementsOn(record.name());
+        placements.forEach((id, placement) -> {
             if (placement.agentEpoch() == record.agentEpoch()) {
-                addWanted(commands, id, placement, agent.tasks().get(id));
+                addCommandFor(commands, id, placement, agent.tasks().get(id));
             }
         });
         agent.tasks().forEach((id, task) -> {
-            if (!task.isEnded() && !wanted.containsKey(id)) {
+            if (!task.isEnded() && !placements.containsKey(id)) {
                 commands.add(AgentCommand.stop(id.task(), id.attempt(), Duration.ZERO));
             }
         });
         return commands;
     }
 
-    private void addWanted(List<AgentCommand> commands, AttemptId id, Placement placement, TaskStatus task) {
+    private void addCommandFor(List<AgentCommand> commands, AttemptId id, Placement placement, TaskStatus task) {
         JobRecord job = clusterState.job(id.task().job());
         boolean stop = placement.stopping() || job.isCancelled();
         if (task == null) {
@@ -66,15 +68,16 @@
         } else if (stop && !task.isEnded() && task.phase() != TaskStatus.Phase.SAVING) {
             commands.add(AgentCommand.stop(id.task(), id.attempt(), grace(job)));
         } else if (job.isCancelled() && task.phase() == TaskStatus.Phase.SAVING) {
+            // A stop for other work may have granted time to save, which a cancellation withdraws.
             commands.add(AgentCommand.stop(id.task(), id.attempt(), Duration.ZERO));
         }
     }
 
-    /** Time for saving that an attempt of the job gets when it is stopped. */
+    /** Time to save a checkpoint that an attempt of the job gets when it is stopped. */
     static Duration grace(JobRecord job) {
         JobRequest request = job.request();
         return job.isCancelled() || !request.hasCheckpoints()
                 ? Duration.ZERO
-                : request.checkpointTime().multipliedBy(2).plusSeconds(1);
+                : request.checkpointTime().multipliedBy(2).plus(GRACE_MARGIN);
     }
 }
--- a/src/main/java/org/gullway/coordination/agents/CommandWindow.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandWindow.java
@@ -4,25 +4,23 @@
 import java.time.Instant;
 
 /**
- * How many commands may be on their way at a time: additive increase, multiplicative decrease. Answers that take long
- * mean that this controller is short of processor time; with more commands on their way than it can follow, answers
- * are read only after their time limit, each start without an answer costs a new epoch, and with it more messages
- * (senderos-altos-lean rough: one controller of three sent twice as many commands as the others for a minute).
+ * How many command batches may be in flight: additive increase, multiplicative decrease. Slow responses show that this
+ * controller is short of processor time. With more batches than it can follow, responses are read only after their
+ * timeout, each start without a response costs a new fencing token, and each token costs more messages.
  */
 final class CommandWindow {
     static final int MAX_SIZE = 128;
     static final int MIN_SIZE = 12;
-    /** Answers later than this make the window smaller; the time limit of a command is several times as long. */
+    /** Slower responses make the window smaller; the timeout of a command is several times as long. */
     static final Duration SLOW_RESPONSE = Duration.ofSeconds(1);
 
-    private static final double DECREASE = 0.75;
+    private static final double DECREASE_FACTOR = 0.75;
 
     private double size = MAX_SIZE;
     private int inFlight;
-    /** Answers to commands from before the last decrease say nothing of the present window. */
+    /** Responses to commands from before the last decrease say nothing about the present size. */
     private Instant decreasedAt = Instant.MIN;
 
-    /** Commands on their way. */
     int inFlight() {
         return inFlight;
     }
@@ -35,16 +33,16 @@
         inFlight++;
     }
 
-    /** Takes the end of a command that was sent; without an answer it says nothing of this controller. */
-    void onOutcome(Instant sent, boolean answered, Instant now) {
+    /** Takes the outcome of a batch that was sent; one without a response says nothing about this controller. */
+    void onOutcome(Instant sentAt, boolean answered, Instant now) {
         inFlight--;
         if (!answered) {
             return;
         }
-        if (Duration.between(sent, now).compareTo(SLOW_RESPONSE) <= 0) {
+        if (Duration.between(sentAt, now).compareTo(SLOW_RESPONSE) <= 0) {
             size = Math.min(MAX_SIZE, size + 1);
-        } else if (sent.isAfter(decreasedAt)) {
-            size = Math.max(MIN_SIZE, size * DECREASE);
+        } else if (sentAt.isAfter(decreasedAt)) {
+            size = Math.max(MIN_SIZE, size * DECREASE_FACTOR);
             decreasedAt = now;
         }
     }
--- a/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
@@ -17,22 +17,23 @@
 import org.gullway.coordination.model.Transaction;
 
 /**
- * Attempts that have certainly ended and whose ends are not on record yet. The keeper of a job (its owner, or the
- * leader) records the ends of all its tasks, so that one writer changes a record and one change holds many ends.
+ * Attempts that have certainly ended and whose completions are not on record yet. The record writer of a job (its owner,
+ * or the leader) records the completions of all its tasks, so that a record has one writer and one change holds many
+ * completions.
  */
 public final class CompletionBuffer implements PlanningStep {
-    /** The ends of a job that goes on are on record after that, or earlier with its next placement. */
-    private static final Duration LONGEST_KEPT = Duration.ofSeconds(8);
+    /** Completions of a job that goes on are on record after that, or earlier with its next placement. */
+    private static final Duration MAX_DELAY = Duration.ofSeconds(8);
 
     private final ClusterState clusterState;
-    private final Map<String, Waiting> byJob = new HashMap<>();
+    private final Map<String, PendingCompletions> pendingByJob = new HashMap<>();
 
-    private static final class Waiting {
+    private static final class PendingCompletions {
         private final Instant since;
-        private final Map<AttemptId, AttemptOutcome> ends = new HashMap<>();
+        private final Map<AttemptId, AttemptOutcome> outcomes = new HashMap<>();
         private final Map<AttemptId, String> machines = new HashMap<>();
 
-        Waiting(Instant since) {
+        PendingCompletions(Instant since) {
             this.since = since;
         }
     }
@@ -41,27 +42,27 @@
         this.clusterState = clusterState;
     }
 
-    /**
-     * Takes an attempt that has certainly ended; nothing happens if it is not on record as live, or is known already.
-     */
-    public void add(AttemptId attempt, AttemptOutcome end, Instant now) {
+    /** Takes an attempt that has certainly ended; nothing happens if it is not on record as live, or is pending already. */
+    public void add(AttemptId attempt, AttemptOutcome outcome, Instant now) {
         JobRecord job = clusterState.job(attempt.task().job());
-        Placement placement = job == null || contains(attempt)
-                ? null
-                : job.placementOf(attempt.task().index(), attempt.attempt());
+        if (job == null || contains(attempt)) {
+            return;
+        }
+        Placement placement = job.placementOf(attempt.task().index(), attempt.attempt());
         if (placement != null) {
-            Waiting waiting = byJob.computeIfAbsent(attempt.task().job(), j -> new Waiting(now));
-            waiting.ends.put(attempt, end);
-            waiting.machines.put(attempt, placement.machine());
+            PendingCompletions pending =
+                    pendingByJob.computeIfAbsent(attempt.task().job(), id -> new PendingCompletions(now));
+            pending.outcomes.put(attempt, outcome);
+            pending.machines.put(attempt, placement.machine());
         }
     }
 
-    /** Lets the commit use the room that ended attempts have left, before their ends are on record. */
+    /** Lets the transaction use the resources of ended attempts before their completions are on record. */
     public void releaseResources(Transaction transaction) {
-        byJob.forEach((id, waiting) -> {
+        pendingByJob.forEach((id, pending) -> {
             JobRecord job = clusterState.job(id);
             if (job != null) {
-                waiting.machines.forEach((attempt, machine) -> {
+                pending.machines.forEach((attempt, machine) -> {
                     if (clusterState.placementsOn(machine).containsKey(attempt)) {
                         transaction.releaseResources(job, machine);
                     }
@@ -70,69 +71,75 @@
         });
     }
 
+    /** Whether the attempt has certainly ended and its completion is not on record yet. */
     public boolean contains(AttemptId attempt) {
-        Waiting waiting = byJob.get(attempt.task().job());
-        return waiting != null && waiting.ends.containsKey(attempt);
+        PendingCompletions pending = pendingByJob.get(attempt.task().job());
+        return pending != null && pending.outcomes.containsKey(attempt);
     }
 
-    /** Ends the jobs that are over with the ends known here: users wait for that. */
+    /** Records the completions of jobs that end with them, which users wait for. */
     public void planFinishedJobs(Transaction transaction) {
         plan(
                 transaction,
-                (job, waiting) -> job.isCancelled()
-                        || job.completedTasks().size() + waiting.ends.size()
+                (job, pending) -> job.isCancelled()
+                        || job.completedTasks().size() + pending.outcomes.size()
                                 >= job.request().tasks());
     }
 
-    /** Records the ends of jobs that go on: at once if changes are plentiful, or else when they have waited long. */
+    /** Records completions of jobs that go on: at once with surplus changes, or else after the longest delay. */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
-        boolean surplus = context.hasSurplusChanges();
+        boolean surplusChanges = context.hasSurplusChanges();
         Instant now = context.now();
         plan(
                 transaction,
-                (job, waiting) -> surplus || waiting.since.plus(LONGEST_KEPT).isBefore(now));
+                (job, pending) ->
+                        surplusChanges || pending.since.plus(MAX_DELAY).isBefore(now));
     }
 
-    private void plan(Transaction transaction, BiPredicate<JobRecord, Waiting> due) {
-        for (Iterator<Map.Entry<String, Waiting>> it = byJob.entrySet().iterator(); it.hasNext(); ) {
-            Map.Entry<String, Waiting> entry = it.next();
-            JobRecord known = clusterState.job(entry.getKey());
-            JobRecord job = transaction.job(entry.getKey());
+    private void plan(Transaction transaction, BiPredicate<JobRecord, PendingCompletions> due) {
+        Iterator<Map.Entry<String, PendingCompletions>> entries =
+                pendingByJob.entrySet().iterator();
+        while (entries.hasNext()) {
+            Map.Entry<String, PendingCompletions> entry = entries.next();
+            String id = entry.getKey();
+            PendingCompletions pending = entry.getValue();
+            JobRecord known = clusterState.job(id);
+            JobRecord planned = transaction.job(id);
             if (known == null) {
-                it.remove();
-            } else if (job != null && due.test(job, entry.getValue()) && transaction.canPutJob(entry.getKey())) {
-                Map<Placement, AttemptOutcome> ends = current(job, entry.getValue().ends);
-                if (!ends.isEmpty()) {
-                    transaction.putJob(job.withCompletions(ends));
-                } else if (job == known) {
-                    it.remove();
+                entries.remove();
+            } else if (planned != null && due.test(planned, pending) && transaction.canPutJob(id)) {
+                boolean recorded = putCompletions(transaction, planned, pending);
+                if (!recorded && planned == known) {
+                    entries.remove();
                 }
             }
         }
     }
 
-    /** Adds what is known to the records that this commit changes anyway. */
+    /** Adds pending completions to the records that the transaction changes anyway. */
     public void addToChangedJobs(Transaction transaction) {
-        byJob.forEach((id, waiting) -> {
+        pendingByJob.forEach((id, pending) -> {
             if (transaction.changes().get(StoreKeys.job(id)) instanceof JobRecord job
                     && transaction.hasCapacityFor(1)) {
-                Map<Placement, AttemptOutcome> ends = current(job, waiting.ends);
-                if (!ends.isEmpty()) {
-                    transaction.putJob(job.withCompletions(ends));
-                }
+                putCompletions(transaction, job, pending);
             }
         });
     }
 
-    private static Map<Placement, AttemptOutcome> current(JobRecord job, Map<AttemptId, AttemptOutcome> ends) {
-        Map<Placement, AttemptOutcome> current = new HashMap<>();
+    /** Records those completions whose attempts the job still lists as live; false if there are none. */
+    private static boolean putCompletions(Transaction transaction, JobRecord job, PendingCompletions pending) {
+        Map<Placement, AttemptOutcome> completions = new HashMap<>();
         for (Placement placement : job.livePlacements()) {
-            AttemptOutcome end = ends.get(AttemptId.of(job, placement));
-            if (end != null) {
-                current.put(placement, end);
+            AttemptOutcome outcome = pending.outcomes.get(AttemptId.of(job, placement));
+            if (outcome != null) {
+                completions.put(placement, outcome);
             }
         }
-        return current;
+        if (completions.isEmpty()) {
+            return false;
+        }
+        transaction.putJob(job.withCompletions(completions));
+        return true;
     }
 }
--- a/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
@@ -13,19 +13,25 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.JobRecord.AttemptOutcome;
 import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.model.Placement;
 import org.gullway.protocol.AttemptCompletion;
 import org.gullway.protocol.TaskStatus;
 
-/** Sees which attempts have certainly ended on the machines commanded here, and tells the keepers of their jobs. */
+/**
+ * Observes which attempts have certainly ended on the machines commanded here, and reports them to the writers of their
+ * jobs' records.
+ */
 final class CompletionReporter {
-    private static final Duration TELL_AGAIN = Duration.ofMillis(1500);
-    /** After that the end is recorded here: the keeper may be out of reach, or change again and again. */
-    private static final Duration TOLD_IN_VAIN = Duration.ofSeconds(4);
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(1500);
+    /** After that the completion is recorded here: the writer may be unreachable, or change again and again. */
+    private static final Duration WRITER_TIMEOUT = Duration.ofSeconds(4);
+
+    private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
     private final ClusterState clusterState;
     private final Incarnation self;
     private final CompletionBuffer completionBuffer;
-    private final Map<String, List<AttemptCompletion>> notices = new TreeMap<>();
+    private final Map<String, List<AttemptCompletion>> pendingByWriter = new TreeMap<>();
 
     CompletionReporter(ClusterState clusterState, Incarnation self, CompletionBuffer completionBuffer) {
         this.clusterState = clusterState;
@@ -33,62 +39,80 @@
         this.completionBuffer = completionBuffer;
     }
 
-    /** Notes attempts that have certainly ended: the keeper of each job records them. */
+    /** Reports the attempts that have certainly ended on the machine. */
     void observe(MachineRecord record, AgentState agent, Instant now) {
         boolean fenced = agent.isFenced(record);
         clusterState.placementsOn(record.name()).forEach((id, placement) -> {
-            if (placement.agentEpoch() != record.agentEpoch()) {
-                return;
-            }
-            JobRecord job = clusterState.job(id.task().job());
-            TaskStatus task = agent.tasks().get(id);
-            if (task == null) {
-                if (fenced && !agent.hasCommandInFlight() && (placement.stopping() || job.isCancelled())) {
-                    report(job, id, AttemptOutcome.STOPPED, agent, now);
-                }
-            } else if (task.isEnded() && task.cause() == TaskStatus.Cause.DONE) {
-                agent.onTaskSucceeded();
-                report(job, id, AttemptOutcome.DONE, agent, now);
-            } else if (task.isEnded() && fenced) {
-                boolean failed =
-                        switch (task.cause()) {
-                            case ERROR, UNKNOWN_JOB, OTHER -> true;
-                            default -> false;
-                        };
-                if (failed) {
-                    agent.onTaskFailed(job.request().id(), now);
-                }
-                report(job, id, failed ? AttemptOutcome.FAILED : AttemptOutcome.STOPPED, agent, now);
+            if (placement.agentEpoch() == record.agentEpoch()) {
+                observe(id, placement, agent, fenced, now);
             }
         });
     }
 
-    private void report(JobRecord job, AttemptId id, AttemptOutcome end, AgentState agent, Instant now) {
-        agent.wakeAt(now.plus(TELL_AGAIN));
-        Incarnation leader = clusterState.leader();
-        String keeper = job.isReserved() ? leader == null ? null : leader.node() : job.owner();
-        if (self.node().equals(keeper) || agent.isReportedBefore(id, now.minus(TOLD_IN_VAIN))) {
-            completionBuffer.add(id, end, now);
+    private void observe(AttemptId id, Placement placement, AgentState agent, boolean fenced, Instant now) {
+        JobRecord job = clusterState.job(id.task().job());
+        TaskStatus task = agent.tasks().get(id);
+        if (task == null) {
+            boolean stopped = placement.stopping() || job.isCancelled();
+            if (fenced && !agent.commands().isInFlight() && stopped) {
+                report(job, id, AttemptOutcome.STOPPED, agent, now);
+            }
+        } else if (task.isEnded() && task.cause() == TaskStatus.Cause.DONE) {
+            agent.failures().onSucceeded();
+            report(job, id, AttemptOutcome.DONE, agent, now);
+        } else if (task.isEnded() && fenced) {
+            AttemptOutcome outcome = outcomeOf(task.cause());
+            if (outcome == AttemptOutcome.FAILED) {
+                agent.failures().onFailed(job.request().id(), now);
+            }
+            report(job, id, outcome, agent, now);
+        }
+    }
+
+    private static AttemptOutcome outcomeOf(TaskStatus.Cause cause) {
+        return switch (cause) {
+            case ERROR, UNKNOWN_JOB, OTHER -> AttemptOutcome.FAILED;
+            case DONE -> AttemptOutcome.DONE;
+            case STOPPED, NO_ROOM, BUSY -> AttemptOutcome.STOPPED;
+        };
+    }
+
+    private void report(JobRecord job, AttemptId id, AttemptOutcome outcome, AgentState agent, Instant now) {
+        agent.wakeAt(now.plus(RETRY_INTERVAL));
+        String writer = recordWriter(job);
+        boolean writesHere = self.node().equals(writer);
+        if (writesHere || agent.completionReports().isReportedBefore(id, now.minus(WRITER_TIMEOUT))) {
+            completionBuffer.add(id, outcome, now);
         }
-        if (keeper != null && !self.node().equals(keeper) && agent.shouldReport(id, now, TELL_AGAIN)) {
-            notices.computeIfAbsent(keeper, k -> new ArrayList<>())
-                    .add(new AttemptCompletion(id.task(), id.attempt(), (byte) end.ordinal()));
+        if (writer != null && !writesHere && agent.completionReports().shouldReport(id, now, RETRY_INTERVAL)) {
+            pendingByWriter
+                    .computeIfAbsent(writer, w -> new ArrayList<>())
+                    .add(new AttemptCompletion(id.task(), id.attempt(), (byte) outcome.ordinal()));
         }
     }
 
-    /** Ends to be told to the keepers of their jobs, by node; each batch is asked for once. */
+    /** The controller that writes the job's record, or null while there is no leader for a reserved job. */
+    private String recordWriter(JobRecord job) {
+        if (!job.isReserved()) {
+            return job.owner();
+        }
+        Incarnation leader = clusterState.leader();
+        return leader == null ? null : leader.node();
+    }
+
+    /** Completions to be sent to the writers of their jobs' records, by controller; each is returned once. */
     Map<String, List<AttemptCompletion>> drainCompletions() {
-        Map<String, List<AttemptCompletion>> drained = new TreeMap<>(notices);
-        notices.clear();
+        Map<String, List<AttemptCompletion>> drained = new TreeMap<>(pendingByWriter);
+        pendingByWriter.clear();
         return drained;
     }
 
-    /** Ends that the controller of a machine has seen. */
-    void onCompletions(Collection<AttemptCompletion> ends, Instant now) {
-        for (AttemptCompletion notice : ends) {
-            if (notice.outcome() >= 0 && notice.outcome() < AttemptOutcome.values().length) {
+    /** Takes completions that another controller has seen; outcomes unknown to this version are ignored. */
+    void onCompletions(Collection<AttemptCompletion> completions, Instant now) {
+        for (AttemptCompletion completion : completions) {
+            if (completion.outcome() >= 0 && completion.outcome() < OUTCOMES.length) {
                 completionBuffer.add(
-                        new AttemptId(notice.task(), notice.attempt()), AttemptOutcome.values()[notice.outcome()], now);
+                        new AttemptId(completion.task(), completion.attempt()), OUTCOMES[completion.outcome()], now);
             }
         }
     }
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
@@ -0,0 +1,100 @@
+package org.gullway.coordination.agents;
+
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import org.gullway.coordination.cancellation.CancellationEnforcer;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.Incarnation;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.protocol.AgentCommand;
+import org.gullway.protocol.Heartbeat;
+
+/**
+ * Takes agents' messages and decides how a heartbeat is answered. Accepting it renews the agent's lease, so each such
+ * response carries the stops of cancelled tasks.
+ */
+final class HeartbeatReceiver {
+    private final ClusterState clusterState;
+    private final Incarnation self;
+    private final AgentRegistry agents;
+    private final AgentEpochRecorder agentEpochs;
+    private final CommandPlanner planner;
+    private final RerouteAdmission reroutes;
+    private final CancellationEnforcer cancellationEnforcer;
+
+    HeartbeatReceiver(
+            ClusterState clusterState,
+            Incarnation self,
+            AgentRegistry agents,
+            AgentEpochRecorder agentEpochs,
+            CommandPlanner planner,
+            RerouteAdmission reroutes,
+            CancellationEnforcer cancellationEnforcer) {
+        this.clusterState = clusterState;
+        this.self = self;
+        this.agents = agents;
+        this.agentEpochs = agentEpochs;
+        this.planner = planner;
+        this.reroutes = reroutes;
+        this.cancellationEnforcer = cancellationEnforcer;
+    }
+
+    HeartbeatResponse onHeartbeat(Heartbeat heartbeat, Instant now) {
+        if (heartbeat.fencingToken() > clusterState.fencingToken()) {
+            return new HeartbeatResponse.NotReady();
+        }
+        MachineRecord record = clusterState.machine(heartbeat.machine());
+        if (record == null) {
+            // Only the cloud's response or list puts a machine on record: a heartbeat may be an old copy.
+            return accepted(cancellationEnforcer.stopCommands(heartbeat), false);
+        }
+        if (!self.equals(record.controller())) {
+            Optional<String> responsible = reroutes.responsibleController(record);
+            if (responsible.isEmpty() || !self.node().equals(responsible.get())) {
+                return onForeignHeartbeat(heartbeat, record, responsible, now);
+            }
+        }
+        return onOwnHeartbeat(heartbeat, record, now);
+    }
+
+    private HeartbeatResponse accepted(List<AgentCommand> commands, boolean changed) {
+        return new HeartbeatResponse.Accepted(clusterState.fencingToken(), commands, changed);
+    }
+
+    private HeartbeatResponse onForeignHeartbeat(
+            Heartbeat heartbeat, MachineRecord record, Optional<String> responsible, Instant now) {
+        if (reroutes.accepts(record, now)) {
+            // Until its shard is taken over this renews the lease; a redirect to its controller would only fail.
+            return accepted(cancellationEnforcer.stopCommands(heartbeat), true);
+        }
+        return responsible.isPresent()
+                ? new HeartbeatResponse.Redirect(responsible.get())
+                : new HeartbeatResponse.RedirectToAny();
+    }
+
+    private HeartbeatResponse onOwnHeartbeat(Heartbeat heartbeat, MachineRecord record, Instant now) {
+        AgentState agent = agents.getOrCreate(heartbeat.machine(), now);
+        boolean changed = agent.onHeartbeat(heartbeat, now) && agent.isDue(now);
+        agents.updateRecordChangeCandidates(heartbeat.machine(), agent);
+        changed |= agentEpochs.observe(record, heartbeat);
+        agent.reroute().end();
+        List<AgentCommand> commands = new ArrayList<>(cancellationEnforcer.stopCommands(heartbeat));
+        if (agents.isInContact(record, agent) && agent.isFenced(record)) {
+            commands.addAll(planner.forgets(record, agent));
+        }
+        return accepted(commands, changed);
+    }
+
+    /** Takes the agent's response to a command. */
+    void onCommandResponse(Heartbeat response, Instant now) {
+        AgentState agent = agents.find(response.machine());
+        MachineRecord record = clusterState.machine(response.machine());
+        if (agent != null && record != null) {
+            agent.onCommandResponse(response, now);
+            agents.updateRecordChangeCandidates(response.machine(), agent);
+            agentEpochs.observe(record, response);
+        }
+    }
+}
--- a/src/main/java/org/gullway/coordination/agents/JobFailureTracker.java
+++ b/src/main/java/org/gullway/coordination/agents/JobFailureTracker.java
@@ -9,11 +9,11 @@
 import org.gullway.coordination.model.JobRecord;
 
 /**
- * Tells machines that fail the tasks of any job from jobs that fail on any machine. Jobs that were submitted with a
- * mistake do so until they are cancelled, which says nothing of the machines.
+ * Distinguishes machines that fail the tasks of any job from jobs that fail on any machine. Jobs that were submitted
+ * with a mistake fail until they are cancelled, which says nothing about the machines.
  */
 final class JobFailureTracker {
-    private static final Duration ERROR_WINDOW = Duration.ofMinutes(2);
+    private static final Duration FAILURE_WINDOW = Duration.ofMinutes(2);
     /** A machine that failed tasks of so many other jobs, with no success in between, is faulty. */
     private static final int JOBS_OF_A_FAULTY_MACHINE = 2;
     /** A job that failed on so many machines here and has completed nothing fails by itself, not by the machines. */
@@ -27,15 +27,17 @@
         this.clusterState = clusterState;
     }
 
-    /** Looks at the failures of the last minutes on these workers, which must be all that have any. */
+    /** Updates the failing jobs from the recent failures of these agents, which must be all that have any. */
     void update(Collection<AgentState> agents, Instant now) {
-        Map<String, Integer> machinesOf = new HashMap<>();
+        Map<String, Integer> machineCounts = new HashMap<>();
         for (AgentState agent : agents) {
-            agent.recentlyFailedJobs(now, ERROR_WINDOW).forEach(job -> machinesOf.merge(job, 1, Integer::sum));
+            agent.failures()
+                    .recentlyFailedJobs(now, FAILURE_WINDOW)
+                    .forEach(job -> machineCounts.merge(job, 1, Integer::sum));
         }
-        // What was found stays, while any machine remembers the job: its record may end before.
-        failsEverywhere.keySet().retainAll(machinesOf.keySet());
-        machinesOf.forEach((id, machines) -> {
+        // A verdict is kept while any machine remembers the job, whose record may end before that.
+        failsEverywhere.keySet().retainAll(machineCounts.keySet());
+        machineCounts.forEach((id, machines) -> {
             JobRecord job = clusterState.job(id);
             if (job != null) {
                 boolean everywhere = machines >= MACHINES_OF_A_FAILING_JOB
@@ -45,9 +47,9 @@
         });
     }
 
-    /** Whether the failures on this worker's machine are its own. */
+    /** Whether the failures on this agent's machine are the machine's own. */
     boolean isFaulty(AgentState agent, Instant now) {
-        long jobs = agent.recentlyFailedJobs(now, ERROR_WINDOW).stream()
+        long jobs = agent.failures().recentlyFailedJobs(now, FAILURE_WINDOW).stream()
                 .filter(job -> !failsEverywhere.getOrDefault(job, false))
                 .count();
         return jobs >= JOBS_OF_A_FAULTY_MACHINE;
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
@@ -0,0 +1,76 @@
+package org.gullway.coordination.agents;
+
+import org.gullway.coordination.cancellation.CancellationEnforcer;
+import org.gullway.coordination.model.AttemptId;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.Incarnation;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.model.MachineRecord.MachineLifecycle;
+import org.gullway.coordination.model.Placement;
+import org.gullway.coordination.model.Transaction;
+import org.gullway.protocol.TaskStatus;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Declares machines lost on which tasks of a cancelled job may still be when its limit is nearly over. The limit runs
+ * from the cancellation, whoever has led or commanded since and however often the failure detector began anew.
+ */
+final class OverdueCancellationPlanner {
+    private static final Logger LOG = LoggerFactory.getLogger(OverdueCancellationPlanner.class);
+
+    private final ClusterState clusterState;
+    private final Incarnation self;
+    private final AgentRegistry agents;
+    private final CancellationEnforcer cancellationEnforcer;
+
+    OverdueCancellationPlanner(
+            ClusterState clusterState,
+            Incarnation self,
+            AgentRegistry agents,
+            CancellationEnforcer cancellationEnforcer) {
+        this.clusterState = clusterState;
+        this.self = self;
+        this.agents = agents;
+        this.cancellationEnforcer = cancellationEnforcer;
+    }
+
+    void plan(Transaction transaction) {
+        for (JobRecord job : clusterState.jobs()) {
+            if (cancellationEnforcer.isOverdue(job, transaction.timeOfDay())) {
+                for (Placement placement : job.livePlacements()) {
+                    declareLostUnlessGone(transaction, job, placement);
+                }
+            }
+        }
+    }
+
+    private void declareLostUnlessGone(Transaction transaction, JobRecord job, Placement placement) {
+        MachineRecord record = transaction.machine(placement.machine());
+        if (record != null
+                && self.equals(record.controller())
+                && record.agentEpoch() == placement.agentEpoch()
+                && record.lifecycle() != MachineLifecycle.LOST
+                && transaction.canPutMachine(record.name())
+                && !isConfirmedGone(record, AttemptId.of(job, placement))) {
+            LOG.info(
+                    "declared a machine lost: a task of a cancelled job is overdue machine={} job={}",
+                    record.name(),
+                    job.request().id());
+            transaction.putMachine(record.withLifecycle(MachineLifecycle.LOST));
+        }
+    }
+
+    /** Whether the attempt has ended, and no command that could still arrive can start it. */
+    private boolean isConfirmedGone(MachineRecord record, AttemptId id) {
+        AgentState agent = agents.find(record.name());
+        if (!agents.isInContact(record, agent)
+                || !agent.isFenced(record)
+                || agent.commands().isInFlight()) {
+            return false;
+        }
+        TaskStatus task = agent.tasks().get(id);
+        return task == null || task.isEnded();
+    }
+}
--- a/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
+++ b/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
@@ -1,5 +1,6 @@
 package org.gullway.coordination.agents;
 
+import java.util.Optional;
 import org.gullway.coordination.command.CommandBatch;
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.Incarnation;
@@ -10,9 +11,9 @@
 import org.gullway.protocol.AgentCommand;
 
 /**
- * Decides at the moment of sending whether a task may be started: its placement is on record, the machine is this
- * controller's in that session, and the token is the present epoch. Whether the controller is entitled to act at all is
- * the caller's to check.
+ * Decides at the moment of sending whether a task may be started: its placement is on record, this controller commands
+ * the machine in that agent epoch, and the fencing token is the present one. Whether the controller holds a valid lease
+ * is the caller's to check.
  */
 public final class StartAuthorization {
     private final ClusterState clusterState;
@@ -23,34 +24,38 @@
         this.self = self;
     }
 
-    /** Why the start must not be sent; null if it may be. */
-    public String denialReason(CommandBatch batch, AgentCommand start) {
+    /** Why the start must not be sent; empty if it may be. */
+    public Optional<String> denialReason(CommandBatch batch, AgentCommand start) {
         MachineRecord machine = clusterState.machine(batch.machine());
         if (machine == null || !machine.isUp() || !self.equals(machine.controller())) {
-            return "the machine is not commanded here";
+            return Optional.of("the machine is not commanded here");
         }
         if (batch.agentEpoch() != machine.agentEpoch()) {
-            return "the machine is in session " + machine.agentEpoch();
+            return Optional.of("the machine is in session " + machine.agentEpoch());
         }
         if (batch.fencingToken() != clusterState.fencingToken()) {
-            return "the epoch is " + clusterState.fencingToken();
+            return Optional.of("the epoch is " + clusterState.fencingToken());
         }
         JobRecord job = clusterState.job(start.task().job());
-        if (job == null || job.isCancelled()) {
-            return job == null ? "the job is not on record" : "the job is cancelled";
+        if (job == null) {
+            return Optional.of("the job is not on record");
         }
-        Placement placement = job.placementOf(start.task().index(), start.attempt());
-        if (placement == null
-                || !placement.machine().equals(batch.machine())
-                || placement.agentEpoch() != batch.agentEpoch()
-                || placement.stopping()) {
-            return "the record has no such placement";
+        if (job.isCancelled()) {
+            return Optional.of("the job is cancelled");
         }
-        return null;
+        return hasPlacement(job, batch, start) ? Optional.empty() : Optional.of("the record has no such placement");
+    }
+
+    private static boolean hasPlacement(JobRecord job, CommandBatch batch, AgentCommand start) {
+        Placement placement = job.placementOf(start.task().index(), start.attempt());
+        return placement != null
+                && placement.machine().equals(batch.machine())
+                && placement.agentEpoch() == batch.agentEpoch()
+                && !placement.stopping();
     }
 
-    /** Revision of the record that allows the start. */
-    public long revision(AgentCommand start) {
-        return clusterState.version(StoreKeys.job(start.task().job()));
+    /** Revision of the job's record that the command follows. */
+    public long revision(AgentCommand command) {
+        return clusterState.version(StoreKeys.job(command.task().job()));
     }
 }
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/agents/TaskFailures.java
@@ -0,0 +1,31 @@
+package org.gullway.coordination.agents;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+
+/** The jobs of which tasks failed on one machine, with no successful task there since. */
+final class TaskFailures {
+    private final Map<String, Instant> lastFailureByJob = new HashMap<>();
+
+    void onFailed(String job, Instant now) {
+        lastFailureByJob.put(job, now);
+    }
+
+    void onSucceeded() {
+        lastFailureByJob.clear();
+    }
+
+    boolean isEmpty() {
+        return lastFailureByJob.isEmpty();
+    }
+
+    /** Jobs that failed within the window; older failures are dropped. */
+    Set<String> recentlyFailedJobs(Instant now, Duration window) {
+        lastFailureByJob.values().removeIf(at -> at.plus(window).isBefore(now));
+        return new HashSet<>(lastFailureByJob.keySet());
+    }
+}
--- a/src/main/java/org/gullway/coordination/agents/WakeupQueue.java
+++ b/src/main/java/org/gullway/coordination/agents/WakeupQueue.java
@@ -6,28 +6,28 @@
 import java.util.PriorityQueue;
 
 /**
- * When machines have to be looked at. Finding those that are due takes time in proportion to their number, not to the
+ * When machines have to be reconciled. Finding those that are due takes time in proportion to their number, not to the
  * number of all machines.
  */
 final class WakeupQueue {
-    private record Entry(Instant at, long order, String machine) implements Comparable<Entry> {
+    private record Wakeup(Instant at, long order, String machine) implements Comparable<Wakeup> {
         @Override
-        public int compareTo(Entry other) {
+        public int compareTo(Wakeup other) {
             int byTime = at.compareTo(other.at);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
-    private final PriorityQueue<Entry> queue = new PriorityQueue<>();
-    private long order;
+    private final PriorityQueue<Wakeup> queue = new PriorityQueue<>();
+    private long nextOrder;
 
     void add(String machine, Instant at) {
-        queue.add(new Entry(at, order++, machine));
+        queue.add(new Wakeup(at, nextOrder++, machine));
     }
 
     /**
-     * Takes out all entries that are due by now, the earliest first. A machine may be among them several times, and
-     * may have been looked at since.
+     * Takes out all entries that are due by now, the earliest first. A machine may be among them several times, and may
+     * have been reconciled since it was added.
      */
     List<String> pollDue(Instant now) {
         List<String> due = new ArrayList<>();
--- a/src/main/java/org/gullway/worker/CommandSender.java
+++ b/src/main/java/org/gullway/worker/CommandSender.java
@@ -4,6 +4,7 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.gullway.coordination.agents.AgentReconciler;
@@ -101,10 +102,11 @@
             LOG.debug("no start of {} on {}: not entitled any more", start.task(), batch.machine());
             return false;
         }
-        String objection = authorization.denialReason(batch, start);
-        if (objection != null) {
+        Optional<String> denialReason = authorization.denialReason(batch, start);
+        if (denialReason.isPresent()) {
             invariants.onViolation("start of " + start.task() + " attempt " + start.attempt() + " on " + batch.machine()
-                    + " in session " + batch.agentEpoch() + " under epoch " + batch.fencingToken() + ": " + objection);
+                    + " in session " + batch.agentEpoch() + " under epoch " + batch.fencingToken() + ": "
+                    + denialReason.get());
             return false;
         }
         return true;
--- a/src/main/java/org/gullway/worker/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/worker/HeartbeatHandler.java
@@ -103,6 +103,8 @@
             }
         } else if (answer instanceof HeartbeatResponse.Redirect elsewhere) {
             exchange.respond(421, AgentCommand.encodeRedirect(elsewhere.controller()));
+        } else if (answer instanceof HeartbeatResponse.RedirectToAny) {
+            exchange.respond(421, AgentCommand.encodeRedirect(null));
         } else {
             exchange.reject(503, RETRY_AFTER);
         }
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -4,9 +4,7 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.Incarnation;
 import org.gullway.coordination.model.JobRecord;
@@ -23,15 +21,15 @@
 /** Reports are due every 4 s: late after 7 s, given up after 12 s, in a cut zone after 52 s, all alike after 28 s. */
 class FailureDetectorTest {
     private final ClusterState clusterState = TestFixtures.view();
-    private final Map<String, AgentState> agents = new HashMap<>();
-    private final FailureDetector silent = new FailureDetector(
-            clusterState, TestFixtures.SELF, Duration.ofSeconds(4), TestFixtures.NEIGHBOURS, agents);
+    private final AgentRegistry agents = new AgentRegistry(clusterState, TestFixtures.SELF);
+    private final FailureDetector detector =
+            new FailureDetector(clusterState, Duration.ofSeconds(4), TestFixtures.NEIGHBOURS, agents);
     private Instant now = Instant.EPOCH;
     private long sequence;
     private long revision = 100;
 
     FailureDetectorTest() {
-        silent.onLeaseStatus(true, now);
+        detector.onLeaseStatus(true, now);
     }
 
     private void machine(String name, String zone) {
@@ -50,12 +48,12 @@
                         MachineLifecycle.ACTIVE,
                         machine.provisionedAt()),
                 ++revision);
-        agents.put(name, new AgentState(now, at -> {}));
+        agents.getOrCreate(name, now);
     }
 
     private void hear(String... names) {
         for (String name : names) {
-            agents.get(name)
+            agents.find(name)
                     .onHeartbeat(
                             new Heartbeat(
                                     name, "10.1.0.1:9000", "large", "a", false, 1, ++sequence, 1, null, List.of()),
@@ -70,7 +68,7 @@
             hear(heard);
             Transaction transaction =
                     new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
-            silent.plan(transaction, now);
+            detector.plan(transaction, now);
             TestFixtures.commit(clusterState, transaction, ++revision);
         }
     }
@@ -167,9 +165,9 @@
     void silenceBeforeReportsAreTakenSaysNothing() {
         machine("vm-1", "a");
         machine("vm-2", "a");
-        silent.onLeaseStatus(false, now);
+        detector.onLeaseStatus(false, now);
         pass(20);
-        silent.onLeaseStatus(true, now);
+        detector.onLeaseStatus(true, now);
         pass(7, "vm-1");
         assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
         pass(4, "vm-1");
@@ -182,23 +180,23 @@
         machine("vm-1", "a");
         machine("vm-2", "a");
         pass(8, "vm-1", "vm-2");
-        agents.get("vm-2").onCommandResponse(report("vm-2", 1), now);
+        agents.find("vm-2").onCommandResponse(report("vm-2", 1), now);
         pass(1, "vm-1");
         assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
-        agents.get("vm-2").onCommandResponse(report("vm-2", 2), now);
+        agents.find("vm-2").onCommandResponse(report("vm-2", 2), now);
         pass(1, "vm-1");
         assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
-        agents.get("vm-2").onCommandResponse(report("vm-2", 2), now);
+        agents.find("vm-2").onCommandResponse(report("vm-2", 2), now);
         pass(1, "vm-1");
         assertThat(fate("vm-2"))
                 .as("answers do not show that it reaches anybody")
                 .isEqualTo(MachineLifecycle.UNRESPONSIVE);
-        agents.get("vm-2")
+        agents.find("vm-2")
                 .onHeartbeat(
                         new Heartbeat("vm-2", "10.1.0.1:9000", "large", "a", false, 1, 1, 1, null, List.of()), now);
         pass(1, "vm-1");
         assertThat(fate("vm-2")).as("nor does an old copy").isEqualTo(MachineLifecycle.UNRESPONSIVE);
-        agents.get("vm-2").onHeartbeat(report("vm-2", 2), now);
+        agents.find("vm-2").onHeartbeat(report("vm-2", 2), now);
         pass(1, "vm-1");
         assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
     }
