--- a/src/main/java/org/gullway/coordination/command/CommandBatch.java
+++ b/src/main/java/org/gullway/coordination/command/CommandBatch.java
@@ -4,7 +4,14 @@
 import java.util.List;
 import org.gullway.protocol.AgentCommand;
 
-/** Commands to be sent to one worker together. */
+/**
+ * Commands to be sent to one agent together.
+ *
+ * @param address where the agent takes commands
+ * @param fencingToken the token that the agent compares with the highest one it knows
+ * @param agentEpoch the agent epoch for which the commands are meant; in any other the agent refuses them
+ * @param sentAt when the batch was planned, which is just before it is sent
+ */
 public record CommandBatch(
         String machine,
         String address,
@@ -14,11 +21,11 @@
         Instant sentAt) {
     /** Whether any of the commands starts an attempt. */
     public boolean hasStarts() {
-        return commands.stream().anyMatch(c -> c.kind() == AgentCommand.Kind.START);
+        return commands.stream().anyMatch(command -> command.kind() == AgentCommand.Kind.START);
     }
 
-    /** The same with these commands instead. */
-    public CommandBatch withCommands(List<AgentCommand> others) {
-        return new CommandBatch(machine, address, fencingToken, agentEpoch, others, sentAt);
+    /** The same batch with these commands instead. */
+    public CommandBatch withCommands(List<AgentCommand> replacement) {
+        return new CommandBatch(machine, address, fencingToken, agentEpoch, replacement, sentAt);
     }
 }
--- a/src/main/java/org/gullway/coordination/command/CommandOutcome.java
+++ b/src/main/java/org/gullway/coordination/command/CommandOutcome.java
@@ -1,11 +1,13 @@
 package org.gullway.coordination.command;
 
-/** What became of a batch of commands. */
+/** What is known of a batch of commands after it was sent. */
 public enum CommandOutcome {
+    /** The agent has responded, be it to refuse the commands. */
     ANSWERED,
-    /** This controller had no socket for it, which says nothing about the worker. */
+    /** This controller had no free socket, which says nothing about the agent. */
     NO_SOCKET,
+    /** The agent could not be connected to, so it certainly got none of the commands. */
     NOT_SENT,
-    /** The worker may have got it, or may still get it. */
+    /** The agent may have got the commands, or may still get them. */
     UNKNOWN
 }
--- a/src/main/java/org/gullway/worker/CommandSender.java
+++ b/src/main/java/org/gullway/worker/CommandSender.java
@@ -2,9 +2,6 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.gullway.coordination.agents.AgentReconciler;
@@ -21,28 +18,28 @@
 import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpResponse;
+import org.gullway.transport.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends commands to workers and passes on what became of them and what the workers answered. */
+/** Sends commands to agents and passes on their outcomes and the agents' responses. */
 public final class CommandSender {
     private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
     private static final String PATH = "/do";
-    private static final Duration LIMIT = Duration.ofSeconds(4);
+    private static final Duration TIMEOUT = Duration.ofSeconds(4);
 
     private final EventLoop loop;
     private final HttpClient httpClient;
     private final AgentReconciler agentReconciler;
     private final CancellationEnforcer cancellationEnforcer;
     private final StartAuthorization authorization;
-    private final BooleanSupplier holdsValidLease;
-    private final InvariantMonitor invariants;
+    private final StartGate startGate;
     private final Metrics metrics;
     private final Runnable schedule;
 
     /**
-     * @param entitled whether this controller may act at this moment
-     * @param schedule asks for a round, after every outcome
+     * @param holdsValidLease whether this controller may start tasks at this moment
+     * @param schedule asks for a scheduling cycle, after every outcome
      */
     public CommandSender(
             EventLoop loop,
@@ -59,111 +56,84 @@
         this.agentReconciler = agentReconciler;
         this.cancellationEnforcer = cancellationEnforcer;
         this.authorization = authorization;
-        this.holdsValidLease = holdsValidLease;
-        this.invariants = invariants;
+        this.startGate = new StartGate(authorization, holdsValidLease, invariants);
         this.metrics = metrics;
         this.schedule = schedule;
     }
 
     /** Sends commands to a machine that this controller commands. */
     public void send(CommandBatch batch) {
-        command(
+        send(
                 batch,
                 outcome -> agentReconciler.onCommandOutcome(batch, outcome, loop.now()),
-                answer -> agentReconciler.onCommandResponse(answer, loop.now()));
+                response -> agentReconciler.onCommandResponse(response, loop.now()));
     }
 
-    /** Sends the stops of cancelled tasks that are due while the state service is away, whoever commands the machine. */
+    /** Sends the stops of cancelled tasks that are due during an outage of the store, whoever commands the machine. */
     public void sendCancellationStops(Instant now) {
         cancellationEnforcer
                 .stopsToRetry(now)
-                .forEach(batch -> command(
+                .forEach(batch -> send(
                         batch,
                         outcome -> cancellationEnforcer.onStopOutcome(batch, loop.now()),
                         cancellationEnforcer::onCommandResponse));
     }
 
-    /** The same push with only those starts that are allowed at this moment. */
-    private CommandBatch authorized(CommandBatch batch) {
-        if (!batch.hasStarts()) {
-            return batch;
+    private void send(CommandBatch planned, Consumer<CommandOutcome> onOutcome, Consumer<Heartbeat> onResponse) {
+        CommandBatch batch = startGate.authorized(planned);
+        if (LOG.isDebugEnabled() && !batch.commands().isEmpty()) {
+            log(batch);
         }
-        List<AgentCommand> allowed = new ArrayList<>();
-        for (AgentCommand command : batch.commands()) {
-            if (command.kind() != AgentCommand.Kind.START || isStartAllowed(batch, command)) {
-                allowed.add(command);
+        metrics.commandSent();
+        byte[] body = AgentCommand.encodeDirect(batch.fencingToken(), batch.agentEpoch(), batch.commands());
+        httpClient.call(batch.address(), HttpRequest.post(PATH, body, TIMEOUT), response -> {
+            CommandOutcome outcome = outcomeOf(response);
+            onOutcome.accept(outcome);
+            if (outcome == CommandOutcome.ANSWERED) {
+                parse(batch, response, onResponse);
             }
-        }
-        return batch.withCommands(allowed);
-    }
-
-    private boolean isStartAllowed(CommandBatch batch, AgentCommand start) {
-        if (!holdsValidLease.getAsBoolean()) {
-            LOG.debug("no start of {} on {}: not entitled any more", start.task(), batch.machine());
-            return false;
-        }
-        Optional<String> denialReason = authorization.denialReason(batch, start);
-        if (denialReason.isPresent()) {
-            invariants.onViolation("start of " + start.task() + " attempt " + start.attempt() + " on " + batch.machine()
-                    + " in session " + batch.agentEpoch() + " under epoch " + batch.fencingToken() + ": "
-                    + denialReason.get());
-            return false;
-        }
-        return true;
+            schedule.run();
+        });
     }
 
-    /** One line for all commands: a line costs more than what it says. */
+    /** One line for all commands: a line costs more than its content. */
     private void log(CommandBatch batch) {
         StringBuilder commands = new StringBuilder();
         for (AgentCommand command : batch.commands()) {
             commands.append(commands.isEmpty() ? "" : ", ")
                     .append(command.kind())
-                    .append(' ')
+                    .append(" task=")
                     .append(command.task())
-                    .append('#')
+                    .append(" attempt=")
                     .append(command.attempt())
-                    .append(" by revision ")
+                    .append(" revision=")
                     .append(authorization.revision(command));
         }
         LOG.debug(
-                "to {} in session {} under epoch {}: {}",
+                "sending commands machine={} agent_epoch={} fencing_token={} commands=[{}]",
                 batch.machine(),
                 batch.agentEpoch(),
                 batch.fencingToken(),
                 commands);
     }
 
-    private void command(CommandBatch wanted, Consumer<CommandOutcome> ended, Consumer<Heartbeat> answers) {
-        CommandBatch batch = authorized(wanted);
-        if (LOG.isDebugEnabled() && !batch.commands().isEmpty()) {
-            log(batch);
-        }
-        metrics.commandSent();
-        byte[] body = AgentCommand.encodeDirect(batch.fencingToken(), batch.agentEpoch(), batch.commands());
-        httpClient.call(batch.address(), HttpRequest.post(PATH, body, LIMIT), response -> {
-            boolean answered = response.outcome() == HttpResponse.Outcome.ANSWERED
-                    && (response.status() == 200 || response.status() == 409);
-            ended.accept(answered ? CommandOutcome.ANSWERED : outcomeWithoutAnswer(response.outcome()));
-            if (answered) {
-                passOn(batch, response, answers);
-            }
-            schedule.run();
-        });
-    }
-
-    private static CommandOutcome outcomeWithoutAnswer(HttpResponse.Outcome kind) {
-        return switch (kind) {
+    /** An agent that refuses a fencing token or agent epoch answers with its state too. */
+    private static CommandOutcome outcomeOf(HttpResponse response) {
+        return switch (response.outcome()) {
+            case ANSWERED -> response.status() == HttpStatus.OK || response.status() == HttpStatus.CONFLICT
+                    ? CommandOutcome.ANSWERED
+                    : CommandOutcome.UNKNOWN;
             case NO_SOCKET -> CommandOutcome.NO_SOCKET;
             case NOT_SENT -> CommandOutcome.NOT_SENT;
-            default -> CommandOutcome.UNKNOWN;
+            case UNKNOWN -> CommandOutcome.UNKNOWN;
         };
     }
 
-    private void passOn(CommandBatch batch, HttpResponse response, Consumer<Heartbeat> answers) {
+    private void parse(CommandBatch batch, HttpResponse response, Consumer<Heartbeat> onResponse) {
         try {
-            answers.accept(Heartbeat.parse(response.body(), agentReconciler::lastHeartbeat));
+            onResponse.accept(Heartbeat.parse(response.body(), agentReconciler::lastHeartbeat));
         } catch (MalformedMessageException e) {
-            LOG.info("the answer of {} cannot be read: {}", batch.machine(), e.getMessage());
+            LOG.info("ignored a malformed command response machine={} error={}", batch.machine(), e.getMessage());
         }
     }
 }
--- a/src/main/java/org/gullway/worker/HeartbeatAdmission.java
+++ b/src/main/java/org/gullway/worker/HeartbeatAdmission.java
@@ -7,74 +7,77 @@
 import java.util.function.Consumer;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpExchange;
+import org.gullway.transport.HttpStatus;
 
 /**
- * Takes workers' reports in turns of limited time. After a restart of all controllers every worker reports within a
- * second or two; without turns the answers of the state service waited behind them for five seconds, and with them
- * every commit (senderos-altos-fleet restart).
+ * Limits the part of the event loop's time that heartbeats take; those beyond it wait in a queue. After a restart of all
+ * controllers every agent sends a heartbeat at once, and the state store's responses, and with them every transaction,
+ * would otherwise wait behind them.
  */
 public final class HeartbeatAdmission {
-    private static final Duration LONGEST_TURN = Duration.ofMillis(20);
-    private static final Duration PAUSE = Duration.ofMillis(10);
-    /** Time for reports that each moment spent on anything else earns. */
-    private static final int EARNED = 2;
-    /** A worker gives a report up after 4 s. */
-    private static final Duration LONGEST_WAIT = Duration.ofMillis(3500);
+    private static final Duration MAX_BUDGET = Duration.ofMillis(20);
+    private static final Duration QUEUE_INTERVAL = Duration.ofMillis(10);
+    /** How much budget each moment spent on anything else adds, as a multiple of that moment. */
+    private static final int REFILL_FACTOR = 2;
+    /** Below the timeout after which an agent no longer waits for a response. */
+    private static final Duration MAX_QUEUE_TIME = Duration.ofMillis(3500);
+
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final EventLoop loop;
     private final Consumer<HttpExchange> handler;
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
-    /** Time that reports may take now; the last one of a turn may make it negative. */
-    private Duration left = LONGEST_TURN;
+    private final Deque<QueuedHeartbeat> queue = new ArrayDeque<>();
+    /** Time that heartbeats may take now; negative after one that took longer than was left. */
+    private Duration budget = MAX_BUDGET;
 
-    private Instant earnedAt;
+    private Instant refilledAt;
 
-    private record Waiting(HttpExchange exchange, Instant came) {}
+    private record QueuedHeartbeat(HttpExchange exchange, Instant receivedAt) {}
 
     public HeartbeatAdmission(EventLoop loop, Consumer<HttpExchange> handler) {
         this.loop = loop;
         this.handler = handler;
-        this.earnedAt = loop.now();
+        this.refilledAt = loop.now();
     }
 
-    /** Handles the report now, or in one of the next turns. */
+    /** Handles the heartbeat now or, if the budget is spent, later and in order. */
     public void admit(HttpExchange exchange) {
-        if (waiting.isEmpty() && mayHandle()) {
+        if (queue.isEmpty() && hasBudget()) {
             handle(exchange);
             return;
         }
-        waiting.add(new Waiting(exchange, loop.now()));
-        if (waiting.size() == 1) {
-            loop.after(PAUSE, this::turn);
+        queue.add(new QueuedHeartbeat(exchange, loop.now()));
+        if (queue.size() == 1) {
+            loop.after(QUEUE_INTERVAL, this::handleQueued);
         }
     }
 
-    private void turn() {
-        while (!waiting.isEmpty() && mayHandle()) {
-            Waiting next = waiting.poll();
-            if (next.came().plus(LONGEST_WAIT).isBefore(loop.now())) {
-                next.exchange().reject(503, Duration.ofSeconds(1));
+    private void handleQueued() {
+        while (!queue.isEmpty() && hasBudget()) {
+            QueuedHeartbeat next = queue.poll();
+            if (next.receivedAt().plus(MAX_QUEUE_TIME).isBefore(loop.now())) {
+                next.exchange().reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
             } else {
                 handle(next.exchange());
             }
         }
-        if (!waiting.isEmpty()) {
-            loop.after(PAUSE, this::turn);
+        if (!queue.isEmpty()) {
+            loop.after(QUEUE_INTERVAL, this::handleQueued);
         }
     }
 
-    private boolean mayHandle() {
+    private boolean hasBudget() {
         Instant now = loop.now();
-        left = left.plus(Duration.between(earnedAt, now).multipliedBy(EARNED));
-        left = left.compareTo(LONGEST_TURN) > 0 ? LONGEST_TURN : left;
-        earnedAt = now;
-        return !left.isNegative() && !left.isZero();
+        budget = budget.plus(Duration.between(refilledAt, now).multipliedBy(REFILL_FACTOR));
+        budget = budget.compareTo(MAX_BUDGET) > 0 ? MAX_BUDGET : budget;
+        refilledAt = now;
+        return !budget.isNegative() && !budget.isZero();
     }
 
     private void handle(HttpExchange exchange) {
-        Instant began = loop.now();
+        Instant startedAt = loop.now();
         handler.accept(exchange);
-        earnedAt = loop.now();
-        left = left.minus(Duration.between(began, earnedAt));
+        refilledAt = loop.now();
+        budget = budget.minus(Duration.between(startedAt, refilledAt));
     }
 }
--- a/src/main/java/org/gullway/worker/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/worker/HeartbeatHandler.java
@@ -2,6 +2,7 @@
 
 import java.time.Duration;
 import java.time.Instant;
+import java.util.List;
 import org.gullway.coordination.agents.AgentReconciler;
 import org.gullway.coordination.agents.HeartbeatResponse;
 import org.gullway.coordination.cancellation.CancellationEnforcer;
@@ -15,10 +16,14 @@
 import org.gullway.storage.ReplicatedState;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpExchange;
+import org.gullway.transport.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers the reports of workers. An answer with 200 renews the worker's lease. */
+/**
+ * Answers agents' heartbeats. A response with status 200 renews the agent's lease, so none is given while a cancellation
+ * confirmed elsewhere may be unknown here.
+ */
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -35,7 +40,7 @@
     private final HeartbeatResponseEncoder responses = new HeartbeatResponseEncoder();
     private boolean heldLeaseBefore;
 
-    /** @param schedule asks for a round, after a report that changed something */
+    /** @param schedule asks for a scheduling cycle, after a heartbeat that changed something */
     public HeartbeatHandler(
             EventLoop loop,
             ClusterState clusterState,
@@ -55,7 +60,7 @@
         this.schedule = schedule;
     }
 
-    /** From now on reports are read also in times without entitlement. */
+    /** From now on heartbeats are read also while this controller holds no valid lease. */
     public void onLeaseAcquired() {
         heldLeaseBefore = true;
     }
@@ -64,49 +69,57 @@
     public void handle(HttpExchange exchange) {
         Instant now = loop.now();
         boolean holdsValidLease = replicatedState.holdsValidLease();
-        if (!leaseRenewal.mayRenew(cancellationWatermark.knownThrough(replicatedState.knownThrough()), now)
-                || !holdsValidLease && !heldLeaseBefore) {
-            // Before the body is read: after a restart all workers ask again every second, and reading comes first.
-            exchange.reject(503, RETRY_AFTER);
+        boolean mayRenew =
+                leaseRenewal.mayRenew(cancellationWatermark.knownThrough(replicatedState.knownThrough()), now);
+        if (!mayRenew || !holdsValidLease && !heldLeaseBefore) {
+            // Before the body is read: after a restart all agents retry every second, and joining must not wait for
+            // that.
+            exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
             return;
         }
         Heartbeat heartbeat;
         try {
-            heartbeat = read(exchange);
+            heartbeat = parse(exchange);
         } catch (MalformedMessageException e) {
-            LOG.info("a report cannot be read: {}", e.getMessage());
-            exchange.respond(400, EMPTY);
+            LOG.info("rejected a malformed heartbeat error={}", e.getMessage());
+            exchange.respond(HttpStatus.BAD_REQUEST, EMPTY);
             return;
         }
         if (holdsValidLease) {
-            handle(exchange, agentReconciler.onHeartbeat(heartbeat, loop.now()));
-        } else if (leaseRenewal.mayRenewDuringOutage(heartbeat, loop.now())) {
-            exchange.respond(
-                    200, responses.encode(clusterState.fencingToken(), cancellationEnforcer.stopCommands(heartbeat)));
+            respond(exchange, agentReconciler.onHeartbeat(heartbeat, loop.now()));
         } else {
-            exchange.reject(503, RETRY_AFTER);
+            respondDuringOutage(exchange, heartbeat);
         }
     }
 
-    private Heartbeat read(HttpExchange exchange) throws MalformedMessageException {
+    private Heartbeat parse(HttpExchange exchange) throws MalformedMessageException {
         if (exchange.body() == null) {
             throw new MalformedMessageException("the body is larger than allowed");
         }
         return Heartbeat.parse(exchange.body(), agentReconciler::lastHeartbeat);
     }
 
-    private void handle(HttpExchange exchange, HeartbeatResponse answer) {
-        if (answer instanceof HeartbeatResponse.Accepted commands) {
-            exchange.respond(200, responses.encode(commands.fencingToken(), commands.commands()));
-            if (commands.changed()) {
+    private void respondDuringOutage(HttpExchange exchange, Heartbeat heartbeat) {
+        if (leaseRenewal.mayRenewDuringOutage(heartbeat, loop.now())) {
+            List<AgentCommand> stops = cancellationEnforcer.stopCommands(heartbeat);
+            exchange.respond(HttpStatus.OK, responses.encode(clusterState.fencingToken(), stops));
+        } else {
+            exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
+        }
+    }
+
+    private void respond(HttpExchange exchange, HeartbeatResponse response) {
+        if (response instanceof HeartbeatResponse.Accepted accepted) {
+            exchange.respond(HttpStatus.OK, responses.encode(accepted.fencingToken(), accepted.commands()));
+            if (accepted.changed()) {
                 schedule.run();
             }
-        } else if (answer instanceof HeartbeatResponse.Redirect elsewhere) {
-            exchange.respond(421, AgentCommand.encodeRedirect(elsewhere.controller()));
-        } else if (answer instanceof HeartbeatResponse.RedirectToAny) {
-            exchange.respond(421, AgentCommand.encodeRedirect(null));
+        } else if (response instanceof HeartbeatResponse.Redirect redirect) {
+            exchange.respond(HttpStatus.MISDIRECTED, AgentCommand.encodeRedirect(redirect.controller()));
+        } else if (response instanceof HeartbeatResponse.RedirectToAny) {
+            exchange.respond(HttpStatus.MISDIRECTED, AgentCommand.encodeRedirect(null));
         } else {
-            exchange.reject(503, RETRY_AFTER);
+            exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/org/gullway/worker/StartGate.java
@@ -0,0 +1,64 @@
+package org.gullway.worker;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.BooleanSupplier;
+import org.gullway.coordination.agents.StartAuthorization;
+import org.gullway.coordination.command.CommandBatch;
+import org.gullway.observability.InvariantMonitor;
+import org.gullway.protocol.AgentCommand;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Leaves out of a batch the starts that are not allowed at the moment of sending. */
+final class StartGate {
+    private static final Logger LOG = LoggerFactory.getLogger(StartGate.class);
+
+    private final StartAuthorization authorization;
+    private final BooleanSupplier holdsValidLease;
+    private final InvariantMonitor invariants;
+
+    StartGate(StartAuthorization authorization, BooleanSupplier holdsValidLease, InvariantMonitor invariants) {
+        this.authorization = authorization;
+        this.holdsValidLease = holdsValidLease;
+        this.invariants = invariants;
+    }
+
+    /** The same batch with only those starts that are allowed now. */
+    CommandBatch authorized(CommandBatch batch) {
+        if (!batch.hasStarts()) {
+            return batch;
+        }
+        List<AgentCommand> allowed = new ArrayList<>();
+        for (AgentCommand command : batch.commands()) {
+            if (command.kind() != AgentCommand.Kind.START || isAllowed(batch, command)) {
+                allowed.add(command);
+            }
+        }
+        return batch.withCommands(allowed);
+    }
+
+    private boolean isAllowed(CommandBatch batch, AgentCommand start) {
+        if (!holdsValidLease.getAsBoolean()) {
+            // The lease may expire while a long cycle sends commands, so this is no defect.
+            LOG.debug(
+                    "left out a start: the lease is no longer valid machine={} task={} attempt={}",
+                    batch.machine(),
+                    start.task(),
+                    start.attempt());
+            return false;
+        }
+        Optional<String> denialReason = authorization.denialReason(batch, start);
+        if (denialReason.isPresent()) {
+            invariants.onViolation(describe(batch, start, denialReason.get()));
+            return false;
+        }
+        return true;
+    }
+
+    private static String describe(CommandBatch batch, AgentCommand start, String reason) {
+        return "left out a start: " + reason + " machine=" + batch.machine() + " task=" + start.task() + " attempt="
+                + start.attempt() + " agent_epoch=" + batch.agentEpoch() + " fencing_token=" + batch.fencingToken();
+    }
+}
--- a/src/test/java/org/gullway/worker/HeartbeatAdmissionTest.java
+++ b/src/test/java/org/gullway/worker/HeartbeatAdmissionTest.java
@@ -14,50 +14,50 @@
 class HeartbeatAdmissionTest {
     private final SimulatedTime time = new SimulatedTime();
     private final SimulatedTime.Process loop = time.process();
-    private final List<Integer> answers = new ArrayList<>();
+    private final List<Integer> responses = new ArrayList<>();
     private int handled;
 
-    private HttpExchange report() {
+    private HttpExchange heartbeat() {
         return new SimulatedNetwork.Message(
-                "vm-000001", "POST", "/agent/beat", "", new byte[0], response -> answers.add(response.status()));
+                "vm-000001", "POST", "/agent/beat", "", new byte[0], response -> responses.add(response.status()));
     }
 
-    private HeartbeatAdmission intake(Duration each) {
+    private HeartbeatAdmission admission(Duration handlingTime) {
         return new HeartbeatAdmission(loop, exchange -> {
-            time.spend(each);
+            time.spend(handlingTime);
             handled++;
             exchange.respond(200, new byte[0]);
         });
     }
 
     @Test
-    void handlesReportsAtOnceWhileThereIsTime() {
-        HeartbeatAdmission intake = intake(Duration.ofMillis(1));
+    void handlesHeartbeatsAtOnceWithinTheBudget() {
+        HeartbeatAdmission admission = admission(Duration.ofMillis(1));
         for (int i = 0; i < 100; i++) {
-            intake.admit(report());
+            admission.admit(heartbeat());
             time.spend(Duration.ofMillis(20));
             assertThat(handled).isEqualTo(i + 1);
         }
     }
 
-    /** A thousand reports at once: what else is due never waits for more than one turn, and all are answered in order. */
+    /** A thousand heartbeats at once: other tasks of the event loop are hardly delayed, and all get a response. */
     @Test
-    void aFloodOfReportsDoesNotHoldUpTheRest() {
-        HeartbeatAdmission intake = intake(Duration.ofMillis(3));
+    void aFloodOfHeartbeatsDoesNotDelayOtherTasks() {
+        HeartbeatAdmission admission = admission(Duration.ofMillis(3));
         List<Duration> delays = new ArrayList<>();
         for (int i = 1; i <= 300; i++) {
             Instant due = Instant.EPOCH.plusMillis(10L * i);
             loop.after(Duration.ofMillis(10L * i), () -> delays.add(Duration.between(due, time.now())));
         }
         for (int i = 0; i < 1000; i++) {
-            intake.admit(report());
+            admission.admit(heartbeat());
         }
         time.runUntil(Instant.EPOCH.plusSeconds(10));
         assertThat(delays).hasSize(300).allSatisfy(d -> assertThat(d).isLessThan(Duration.ofMillis(30)));
-        assertThat(answers).hasSize(1000);
-        assertThat(answers.stream().filter(status -> status == 503))
-                .as("given up by their workers")
+        assertThat(responses).hasSize(1000);
+        assertThat(responses.stream().filter(status -> status == 503))
+                .as("rejected, since their agents no longer wait")
                 .isNotEmpty();
-        assertThat(handled).as("of 3.5 s, two thirds").isGreaterThan(700);
+        assertThat(handled).as("two thirds of the longest queue time").isGreaterThan(700);
     }
 }
