--- a/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
+++ b/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
@@ -3,6 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.time.Instant;
+import java.util.Collections;
+import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import net.jqwik.api.Example;
@@ -25,7 +27,7 @@
     private final ClusterState clusterState = TestFixtures.view();
     private long revision = 100;
 
-    private void job(String id, int placed) {
+    private void putOrphanedJob(String id, int placed) {
         JobRecord job = JobRecord.accepted(
                 TestFixtures.request(id, "red", Priority.NORMAL, 20, 4), "perch-9", TestFixtures.DAY);
         clusterState.put(
@@ -33,15 +35,15 @@
                 TestFixtures.placed(
                         job,
                         TestFixtures.DAY,
-                        java.util.Collections.nCopies(placed, "vm-1").toArray(String[]::new)),
+                        Collections.nCopies(placed, "vm-1").toArray(String[]::new)),
                 ++revision);
     }
 
-    private void repair(int seed, int rounds) {
+    private void reconcile(int seed, int cycles) {
         Reconciliation reconciliation =
                 new Reconciliation(clusterState, TestFixtures.quotas(), "perch-0", new SplittableRandom(seed));
         Instant now = Instant.EPOCH;
-        for (int i = 0; i < rounds; i++) {
+        for (int i = 0; i < cycles; i++) {
             now = now.plusSeconds(1);
             Transaction transaction =
                     new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
@@ -50,7 +52,7 @@
         }
     }
 
-    private double cap(String node) {
+    private double quotaOf(String node) {
         return clusterState
                 .quotaPartitions()
                 .getOrDefault(StoreKeys.quotaPartition(node), QuotaPartition.EMPTY)
@@ -59,35 +61,35 @@
     }
 
     /**
-     * The lost owner held 24 processors. Of 8 tasks of 4 on record two had ended, which it knew and used again: which
-     * of its jobs they belong to nobody else knows. Whichever they are, no new owner may end up with less than it runs.
+     * The lost owner held 24 processors. Two of the 8 tasks of 4 on record had ended, and it had used their processors
+     * again; no other controller knows which two. Whichever they are, no new owner may hold less quota than its jobs use.
      */
     @Property(tries = 40, seed = "41")
-    void aShareThatIsOverdrawnOnRecordIsNotDividedBetweenNewOwners(
-            @ForAll @IntRange(min = 0, max = 8) int first, @ForAll @IntRange(max = 1000) int seed) {
+    void anOverdrawnQuotaPartitionIsNotDividedBetweenNewOwners(
+            @ForAll @IntRange(min = 0, max = 8) int firstJobTasks, @ForAll @IntRange(max = 1000) int seed) {
         clusterState.put(StoreKeys.member("perch-2"), THIRD, ++revision);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), ++revision);
         clusterState.put(
                 StoreKeys.quotaPartition("perch-9"),
                 QuotaPartition.EMPTY.with("red", new QuotaPartition.Amount(24, 0)),
                 ++revision);
-        for (String node : java.util.List.of("perch-0", "perch-1", "perch-2")) {
+        for (String node : List.of("perch-0", "perch-1", "perch-2")) {
             clusterState.put(StoreKeys.quotaPartition(node), QuotaPartition.EMPTY, ++revision);
         }
-        job("run-000001", first);
-        job("run-000002", 8 - first);
-        repair(seed, 3);
-        for (String id : java.util.List.of("run-000001", "run-000002")) {
+        putOrphanedJob("run-000001", firstJobTasks);
+        putOrphanedJob("run-000002", 8 - firstJobTasks);
+        reconcile(seed, 3);
+        for (String id : List.of("run-000001", "run-000002")) {
             assertThat(clusterState.job(id).owner())
-                    .as("handed on before the ends are on record")
+                    .as("not transferred before the completions are on record")
                     .isEqualTo("perch-9");
         }
-        assertThat(cap("perch-9")).isEqualTo(24);
-        // The ends come on record: what is left fits into the share, and goes along with the jobs.
-        String with = first >= 2 ? "run-000001" : "run-000002";
-        JobRecord job = clusterState.job(with);
+        assertThat(quotaOf("perch-9")).isEqualTo(24);
+        // With the completions on record the remaining tasks fit into the quota, which is transferred with the jobs.
+        String completed = firstJobTasks >= 2 ? "run-000001" : "run-000002";
+        JobRecord job = clusterState.job(completed);
         clusterState.put(
-                StoreKeys.job(with),
+                StoreKeys.job(completed),
                 job.withCompletions(Map.of(
                         job.livePlacements().get(0),
                         JobRecord.AttemptOutcome.DONE,
@@ -95,21 +97,21 @@
                         JobRecord.AttemptOutcome.DONE)),
                 ++revision);
         clusterState.advanceTo(revision);
-        repair(seed, 3);
-        double sum = 0;
-        for (String id : java.util.List.of("run-000001", "run-000002")) {
-            JobRecord handed = clusterState.job(id);
-            assertThat(handed.owner()).isNotEqualTo("perch-9");
-            assertThat(clusterState.quotaUsage(StoreKeys.quotaPartition(handed.owner()), "red").cpus)
-                    .isLessThanOrEqualTo(cap(handed.owner()));
+        reconcile(seed, 3);
+        double totalQuota = 0;
+        for (String id : List.of("run-000001", "run-000002")) {
+            JobRecord transferred = clusterState.job(id);
+            assertThat(transferred.owner()).isNotEqualTo("perch-9");
+            assertThat(clusterState.quotaUsage(StoreKeys.quotaPartition(transferred.owner()), "red").cpus)
+                    .isLessThanOrEqualTo(quotaOf(transferred.owner()));
         }
-        for (String node : java.util.List.of("perch-0", "perch-1", "perch-2", "perch-9")) {
-            sum += cap(node);
+        for (String node : List.of("perch-0", "perch-1", "perch-2", "perch-9")) {
+            totalQuota += quotaOf(node);
         }
-        assertThat(sum).isLessThanOrEqualTo(24);
+        assertThat(totalQuota).isLessThanOrEqualTo(24);
     }
 
-    private void repairAt(Reconciliation reconciliation, int second) {
+    private void reconcileAt(Reconciliation reconciliation, int second) {
         Transaction transaction =
                 new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
         reconciliation.plan(transaction, PlanningContext.of(Instant.EPOCH.plusSeconds(second), false, true));
@@ -118,8 +120,8 @@
 
     /** Placements are checked when their job's record or their machine has changed, and only then. */
     @Example
-    void checksOnlyWhatHasChangedAndStillFindsWhatIsLostLater() {
-        for (String machine : java.util.List.of("vm-1", "vm-2")) {
+    void checksOnlyChangedPlacementsAndStillFindsThoseLostLater() {
+        for (String machine : List.of("vm-1", "vm-2")) {
             TestFixtures.put(clusterState, TestFixtures.machine(machine, "large", TestFixtures.SELF), ++revision);
         }
         for (int i = 1; i <= 40; i++) {
@@ -135,27 +137,29 @@
         }
         Reconciliation reconciliation =
                 new Reconciliation(clusterState, TestFixtures.quotas(), "perch-0", new SplittableRandom(1));
-        repairAt(reconciliation, 1);
+        reconcileAt(reconciliation, 1);
         assertThat(reconciliation.checkedPlacements()).isEqualTo(80);
         for (int second = 2; second < 50; second++) {
             TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), ++revision);
-            repairAt(reconciliation, second);
+            reconcileAt(reconciliation, second);
         }
-        assertThat(reconciliation.checkedPlacements()).as("nothing new").isEqualTo(80);
+        assertThat(reconciliation.checkedPlacements())
+                .as("unchanged placements")
+                .isEqualTo(80);
         TestFixtures.put(
                 clusterState,
                 TestFixtures.machine("vm-2", "large", TestFixtures.SELF).withAgentEpoch(2, "10.1.0.1:9000"),
                 ++revision);
-        repairAt(reconciliation, 50);
+        reconcileAt(reconciliation, 50);
         assertThat(reconciliation.checkedPlacements()).as("the jobs on vm-2").isEqualTo(80 + 20);
         assertThat(clusterState.placementsOn("vm-2")).isEmpty();
         assertThat(clusterState.placementsOn("vm-1")).hasSize(60);
         clusterState.remove(StoreKeys.shard("g-vm-1"), ++revision);
         for (int second = 51; second < 60; second++) {
-            repairAt(reconciliation, second);
+            reconcileAt(reconciliation, second);
         }
         assertThat(clusterState.placementsOn("vm-1"))
-                .as("more than one commit can hold")
+                .as("more than one transaction can hold")
                 .isEmpty();
     }
 }
