--- /dev/null
+++ b/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
@@ -0,0 +1,99 @@
+package org.gullway.coordination.agents;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import java.util.stream.Stream;
+import org.gullway.coordination.cancellation.CancellationEnforcer;
+import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.MachineRecord.MachineLifecycle;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.TestFixtures;
+import org.gullway.coordination.model.Transaction;
+import org.gullway.protocol.Heartbeat;
+import org.gullway.protocol.JobRequest;
+import org.gullway.protocol.TaskId;
+import org.gullway.protocol.TaskStatus;
+import org.gullway.protocol.TaskStatus.Cause;
+import org.gullway.protocol.TaskStatus.Phase;
+
+/** An agent reconciler with two members in its cluster state, and the means to plan, place and send heartbeats. */
+abstract class AgentReconcilerFixture {
+    static final TaskId TASK = new TaskId("run-000001", 0);
+
+    final ClusterState clusterState = TestFixtures.view();
+    final CompletionBuffer completionBuffer = new CompletionBuffer(clusterState);
+    final AgentReconciler reconciler = new AgentReconciler(
+            clusterState,
+            TestFixtures.SELF,
+            Duration.ofSeconds(3),
+            TestFixtures.NEIGHBOURS,
+            completionBuffer,
+            new CancellationEnforcer(clusterState, TestFixtures.NEIGHBOURS.cancelLimit()));
+    Instant now = Instant.EPOCH;
+    long sequence;
+    long revision = 100;
+
+    AgentReconcilerFixture() {
+        reconciler.onLeaseStatus(true, now);
+    }
+
+    Heartbeat heartbeat(long agentEpoch, long fencingToken, Duration notice, TaskStatus... tasks) {
+        return new Heartbeat(
+                "vm-1",
+                "10.1.0.1:9000",
+                "large",
+                "a",
+                true,
+                agentEpoch,
+                ++sequence,
+                fencingToken,
+                notice,
+                List.of(tasks));
+    }
+
+    /** One scheduling cycle's steps for agents and completions, committed. */
+    Transaction plan() {
+        Transaction transaction =
+                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
+        reconciler.commandsDue(now);
+        reconciler.plan(transaction, TestFixtures.leaderContext(now));
+        completionBuffer.planFinishedJobs(transaction);
+        completionBuffer.plan(transaction, TestFixtures.leaderContext(now));
+        TestFixtures.commit(clusterState, transaction, ++revision);
+        return transaction;
+    }
+
+    /** Puts the job on record with one live attempt on each of these machines. */
+    void place(JobRequest request, String... machines) {
+        JobRecord accepted = JobRecord.accepted(request, "perch-0", TestFixtures.DAY);
+        clusterState.put(
+                StoreKeys.job(request.id()), TestFixtures.placed(accepted, TestFixtures.DAY, machines), ++revision);
+        clusterState.advanceTo(revision);
+    }
+
+    /** Records the cancellation of a job without advancing the watch. */
+    void cancel(String job, Instant at) {
+        clusterState.put(StoreKeys.job(job), clusterState.job(job).withCancellation(at), ++revision);
+    }
+
+    MachineLifecycle lifecycle(String machine) {
+        return clusterState.machine(machine).lifecycle();
+    }
+
+    void sendUnchangedHeartbeat(String machine) {
+        reconciler.onHeartbeat(
+                new Heartbeat(machine, "10.1.0.1:9000", "large", "a", true, 1, ++sequence, 1, null, List.of()), now);
+    }
+
+    /** The machine's agent lists a failed attempt of this task of each job. */
+    void failTasks(String machine, int task, String... jobs) {
+        List<TaskStatus> tasks = Stream.of(jobs)
+                .map(job -> new TaskStatus(new TaskId(job, task), task + 1, Phase.ENDED, Cause.ERROR, false))
+                .toList();
+        reconciler.onHeartbeat(
+                new Heartbeat(machine, "10.1.0.1:9000", "large", "a", true, 1, ++sequence, 1, null, tasks), now);
+        reconciler.commandsDue(now);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
@@ -0,0 +1,92 @@
+package org.gullway.coordination.agents;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.gullway.coordination.command.CommandBatch;
+import org.gullway.coordination.command.CommandOutcome;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.model.TestFixtures;
+import org.gullway.protocol.Priority;
+import org.gullway.protocol.TaskStatus;
+import org.gullway.protocol.TaskStatus.Phase;
+import org.junit.jupiter.api.Test;
+
+/** When agents are visited, and which commands they are sent. */
+class CommandDispatcherTest extends AgentReconcilerFixture {
+    @Test
+    void recordsAnAgentEpochBeforeItStartsTasksInIt() {
+        TestFixtures.put(
+                clusterState,
+                MachineRecord.booting("vm-1", "large", "a", true, TestFixtures.DAY, TestFixtures.SELF, 1),
+                10);
+        assertThat(reconciler.onHeartbeat(heartbeat(1, 0, null), now)).isInstanceOf(HeartbeatResponse.Accepted.class);
+        assertThat(reconciler.commandsDue(now)).isEmpty();
+        plan();
+        assertThat(clusterState.machine("vm-1").agentEpoch()).isEqualTo(1);
+        place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
+        assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> {
+            assertThat(batch.commands())
+                    .as("asks for a confirmation of the fencing token first")
+                    .isEmpty();
+            reconciler.onCommandResponse(heartbeat(1, 1, null), now);
+            reconciler.onCommandOutcome(batch, CommandOutcome.ANSWERED, now);
+        });
+        assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> {
+            assertThat(batch.hasStarts()).isTrue();
+            assertThat(batch.fencingToken()).isEqualTo(1);
+        });
+    }
+
+    /** An agent whose epoch is not on record yet must not be probed again after every response. */
+    @Test
+    void doesNotProbeAnAgentInANewEpochRepeatedly() {
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
+        reconciler.onHeartbeat(heartbeat(2, 1, null), now);
+        for (int i = 0; i < 20; i++) {
+            now = now.plusMillis(50);
+            reconciler.onHeartbeat(heartbeat(2, 1, null, new TaskStatus(TASK, i, Phase.RUNNING, null, false)), now);
+            assertThat(reconciler.commandsDue(now)).isEmpty();
+        }
+    }
+
+    /** After a start with unknown outcome the fencing token rises; its confirmation rules out that the start still arrives. */
+    @Test
+    void raisesTheFencingTokenAfterAStartWithUnknownOutcome() {
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
+        reconciler.onHeartbeat(heartbeat(1, 1, null), now);
+        place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
+        CommandBatch start = reconciler.commandsDue(now).get(0);
+        reconciler.onCommandOutcome(start, CommandOutcome.UNKNOWN, now);
+        plan();
+        assertThat(clusterState.fencingToken()).isEqualTo(2);
+        now = now.plusSeconds(1);
+        assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.commands())
+                .isEmpty());
+    }
+
+    /** A cycle costs as much as has changed: unchanged heartbeats of a thousand agents cause no visit. */
+    @Test
+    void visitsOnlyAgentsOfWhichSomethingHasChanged() {
+        int machines = 1000;
+        for (int i = 1; i <= machines; i++) {
+            TestFixtures.put(clusterState, TestFixtures.machine("vm-" + i, "large", TestFixtures.SELF), ++revision);
+            sendUnchangedHeartbeat("vm-" + i);
+        }
+        plan();
+        long before = reconciler.visits();
+        for (int cycle = 0; cycle < 50; cycle++) {
+            now = now.plusMillis(60);
+            for (int i = 1 + cycle * 20; i <= (cycle + 1) * 20; i++) {
+                sendUnchangedHeartbeat("vm-" + i);
+            }
+            assertThat(reconciler.commandsDue(now)).isEmpty();
+        }
+        assertThat(reconciler.visits() - before)
+                .as("visits of unchanged agents")
+                .isZero();
+        place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
+        assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.hasStarts())
+                .isTrue());
+        assertThat(reconciler.visits() - before).isLessThanOrEqualTo(2);
+    }
+}
--- a/src/test/java/org/gullway/coordination/agents/CommandWindowTest.java
+++ b/src/test/java/org/gullway/coordination/agents/CommandWindowTest.java
@@ -7,22 +7,22 @@
 import org.junit.jupiter.api.Test;
 
 class CommandWindowTest {
-    private static final Duration QUICK = Duration.ofMillis(20);
-    private static final Duration LATE = CommandWindow.SLOW_RESPONSE.plusMillis(1);
+    private static final Duration FAST = Duration.ofMillis(20);
+    private static final Duration SLOW = CommandWindow.SLOW_RESPONSE.plusMillis(1);
 
     private final CommandWindow window = new CommandWindow();
     private Instant now = Instant.EPOCH;
 
-    /** Sends one command and ends it after so long. */
-    private void play(Duration took, boolean answered) {
+    /** One command with its outcome after this time. */
+    private void sendAndComplete(Duration elapsed, boolean answered) {
         window.onSent();
-        Instant sent = now;
-        now = now.plus(took);
-        window.onOutcome(sent, answered, now);
+        Instant sentAt = now;
+        now = now.plus(elapsed);
+        window.onOutcome(sentAt, answered, now);
         now = now.plusMillis(1);
     }
 
-    /** How many commands it lets go out at a time. */
+    /** How many commands may be in flight. */
     private int size() {
         int sent = 0;
         while (!window.isFull()) {
@@ -36,53 +36,53 @@
     }
 
     @Test
-    void quickAnswersKeepItOpen() {
+    void fastResponsesKeepTheLargestSize() {
         for (int i = 0; i < 500; i++) {
-            play(QUICK, true);
+            sendAndComplete(FAST, true);
         }
         assertThat(size()).isEqualTo(CommandWindow.MAX_SIZE);
         assertThat(window.inFlight()).isZero();
     }
 
     @Test
-    void lateAnswersCloseItButNeverQuite() {
-        play(LATE, true);
+    void slowResponsesDecreaseTheSizeDownToTheSmallest() {
+        sendAndComplete(SLOW, true);
         assertThat(size()).isLessThan(CommandWindow.MAX_SIZE);
         for (int i = 0; i < 50; i++) {
-            play(LATE, true);
+            sendAndComplete(SLOW, true);
         }
         assertThat(size()).isEqualTo(CommandWindow.MIN_SIZE);
     }
 
     @Test
-    void itOpensAgainAnswerByAnswer() {
+    void eachFastResponseIncreasesTheSizeByOne() {
         for (int i = 0; i < 50; i++) {
-            play(LATE, true);
+            sendAndComplete(SLOW, true);
         }
         for (int i = 0; i < 10; i++) {
-            play(QUICK, true);
+            sendAndComplete(FAST, true);
         }
         assertThat(size()).isEqualTo(CommandWindow.MIN_SIZE + 10);
     }
 
     @Test
-    void oneLateMomentCountsOnce() {
+    void slowResponsesOfTheSameMomentCountOnce() {
         int commands = 20;
-        Instant sent = now;
+        Instant sentAt = now;
         for (int i = 0; i < commands; i++) {
             window.onSent();
         }
-        now = now.plus(LATE);
+        now = now.plus(SLOW);
         for (int i = 0; i < commands; i++) {
-            window.onOutcome(sent, true, now);
+            window.onOutcome(sentAt, true, now);
         }
         assertThat(size()).isEqualTo(CommandWindow.MAX_SIZE * 3 / 4);
     }
 
     @Test
-    void machinesThatDoNotAnswerLeaveItOpen() {
+    void missingResponsesDoNotChangeTheSize() {
         for (int i = 0; i < 50; i++) {
-            play(Duration.ofSeconds(4), false);
+            sendAndComplete(Duration.ofSeconds(4), false);
         }
         assertThat(size()).isEqualTo(CommandWindow.MAX_SIZE);
     }
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -18,7 +18,10 @@
 import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Reports are due every 4 s: late after 7 s, given up after 12 s, in a cut zone after 52 s, all alike after 28 s. */
+/**
+ * Heartbeats are due every 4 s. A machine is unresponsive 7 s after the last one and lost after 12 s, in a partitioned
+ * zone after 52 s, and after 28 s if no machine is responsive.
+ */
 class FailureDetectorTest {
     private final ClusterState clusterState = TestFixtures.view();
     private final AgentRegistry agents = new AgentRegistry(clusterState, TestFixtures.SELF);
@@ -32,7 +35,7 @@
         detector.onLeaseStatus(true, now);
     }
 
-    private void machine(String name, String zone) {
+    private void addMachine(String name, String zone) {
         MachineRecord machine = TestFixtures.machine(name, "large", TestFixtures.SELF);
         TestFixtures.put(
                 clusterState,
@@ -51,21 +54,17 @@
         agents.getOrCreate(name, now);
     }
 
-    private void hear(String... names) {
+    private void sendHeartbeats(String... names) {
         for (String name : names) {
-            agents.find(name)
-                    .onHeartbeat(
-                            new Heartbeat(
-                                    name, "10.1.0.1:9000", "large", "a", false, 1, ++sequence, 1, null, List.of()),
-                            now);
+            agents.find(name).onHeartbeat(heartbeat(name, 1), now);
         }
     }
 
-    /** Seconds pass in which only these are heard. */
-    private void pass(int seconds, String... heard) {
+    /** Seconds pass in which only these machines send heartbeats. */
+    private void pass(int seconds, String... responsive) {
         for (int i = 0; i < seconds; i++) {
             now = now.plusSeconds(1);
-            hear(heard);
+            sendHeartbeats(responsive);
             Transaction transaction =
                     new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
             detector.plan(transaction, now);
@@ -73,82 +72,84 @@
         }
     }
 
-    private MachineLifecycle fate(String name) {
+    private MachineLifecycle lifecycle(String name) {
         return clusterState.machine(name).lifecycle();
     }
 
-    /** Once, the leader booked urgent tasks on silent machines until these were given up (senderos-altos-fleet zone). */
+    /** The leader must not place reserved tasks on a machine that is likely to be declared lost. */
     @Test
-    void aMachineThatMissedAReportTakesNoTasksUntilItIsHeard() {
-        machine("vm-1", "a");
-        machine("vm-2", "a");
+    void aMachineThatMissedAHeartbeatTakesNoTasksUntilTheNextOne() {
+        addMachine("vm-1", "a");
+        addMachine("vm-2", "a");
         pass(7, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
         pass(1, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
         assertThat(clusterState.machine("vm-2").isSchedulable()).isFalse();
         pass(1, "vm-1", "vm-2");
-        assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
         pass(13, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.LOST);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.LOST);
     }
 
     @Test
-    void allSilentAtOnceAreNotGivenUpSoFast() {
-        machine("vm-1", "a");
-        machine("vm-2", "a");
+    void machinesAreDeclaredLostLaterIfNoneIsResponsive() {
+        addMachine("vm-1", "a");
+        addMachine("vm-2", "a");
         pass(27);
-        assertThat(List.of(fate("vm-1"), fate("vm-2"))).containsOnly(MachineLifecycle.UNRESPONSIVE);
+        assertThat(List.of(lifecycle("vm-1"), lifecycle("vm-2"))).containsOnly(MachineLifecycle.UNRESPONSIVE);
         pass(2);
-        assertThat(List.of(fate("vm-1"), fate("vm-2"))).containsOnly(MachineLifecycle.LOST);
+        assertThat(List.of(lifecycle("vm-1"), lifecycle("vm-2"))).containsOnly(MachineLifecycle.LOST);
     }
 
-    /** perch-2 is the only controller of zone b and not a member: it may keep the work there alive. */
+    /** perch-2 is the only controller of zone b and not a member: it may still renew the leases there. */
     @Test
-    void aZoneThatIsCutOffWithItsControllerIsWaitedFor() {
-        machine("vm-1", "a");
-        machine("vm-2", "b");
-        machine("vm-3", "b");
+    void machinesInAPartitionedZoneAreDeclaredLostLater() {
+        addMachine("vm-1", "a");
+        addMachine("vm-2", "b");
+        addMachine("vm-3", "b");
         pass(50, "vm-1");
-        assertThat(List.of(fate("vm-2"), fate("vm-3"))).containsOnly(MachineLifecycle.UNRESPONSIVE);
+        assertThat(List.of(lifecycle("vm-2"), lifecycle("vm-3"))).containsOnly(MachineLifecycle.UNRESPONSIVE);
         pass(4, "vm-1");
-        assertThat(List.of(fate("vm-2"), fate("vm-3"))).as("not for ever").containsOnly(MachineLifecycle.LOST);
+        assertThat(List.of(lifecycle("vm-2"), lifecycle("vm-3")))
+                .as("not for ever")
+                .containsOnly(MachineLifecycle.LOST);
     }
 
     @Test
-    void oneMachineHeardShowsThatTheZoneIsNotCutOff() {
-        machine("vm-2", "b");
-        machine("vm-3", "b");
+    void aZoneWithAResponsiveMachineIsNotPartitioned() {
+        addMachine("vm-2", "b");
+        addMachine("vm-3", "b");
         pass(14, "vm-2");
-        assertThat(fate("vm-3")).isEqualTo(MachineLifecycle.LOST);
+        assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** Groups of the controller that is cut off are taken over at the same time; nothing is heard of those either. */
+    /** Shards of the partitioned controller are taken over at the same time; no heartbeat of their machines has come yet. */
     @Test
-    void aMachineThatWasJustTakenOverIsNoSignOfLife() {
-        machine("vm-1", "a");
-        machine("vm-2", "b");
+    void aMachineJustTakenOverDoesNotCountAsResponsive() {
+        addMachine("vm-1", "a");
+        addMachine("vm-2", "b");
         pass(8, "vm-1");
-        machine("vm-3", "b");
+        addMachine("vm-3", "b");
         pass(7, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
     }
 
     @Test
-    void aZoneWhoseControllerIsAMemberIsNotCutOff() {
+    void aZoneWhoseControllerIsAMemberIsNotPartitioned() {
         clusterState.put(StoreKeys.member("perch-2"), new Incarnation("perch-2", 5), ++revision);
-        machine("vm-1", "a");
-        machine("vm-3", "b");
+        addMachine("vm-1", "a");
+        addMachine("vm-3", "b");
         pass(14, "vm-1");
-        assertThat(fate("vm-3")).isEqualTo(MachineLifecycle.LOST);
+        assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
     /** Its tasks must be gone in time, and only the cloud can end them there. */
     @Test
-    void aMachineWithACancelledTaskIsGivenUpAlsoInAZoneThatIsCutOff() {
-        machine("vm-1", "a");
-        machine("vm-2", "b");
-        machine("vm-3", "b");
+    void aMachineWithACancelledTaskIsDeclaredLostAlsoInAPartitionedZone() {
+        addMachine("vm-1", "a");
+        addMachine("vm-2", "b");
+        addMachine("vm-3", "b");
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
         clusterState.put(
                 StoreKeys.job(request.id()),
@@ -156,52 +157,52 @@
                         .withCancellation(TestFixtures.DAY),
                 ++revision);
         pass(14, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
-        assertThat(fate("vm-3")).isEqualTo(MachineLifecycle.LOST);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
+        assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** A controller that was not entitled has refused reports: it has to listen again first. */
+    /** A controller without a valid lease has refused heartbeats: it first has to wait for new ones. */
     @Test
-    void silenceBeforeReportsAreTakenSaysNothing() {
-        machine("vm-1", "a");
-        machine("vm-2", "a");
+    void heartbeatsMissingBeforeTheLeaseIsValidDoNotCount() {
+        addMachine("vm-1", "a");
+        addMachine("vm-2", "a");
         detector.onLeaseStatus(false, now);
         pass(20);
         detector.onLeaseStatus(true, now);
         pass(7, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
         pass(4, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
     }
 
-    /** Its commands are answered, so it is not silent; but no lease is renewed, and all that is placed there is lost. */
+    /** Its commands are answered, but no lease is renewed, and tasks that are placed there end with the lease. */
     @Test
-    void aMachineWhoseReportsReachNobodyTakesNoTasks() {
-        machine("vm-1", "a");
-        machine("vm-2", "a");
+    void aMachineWithAnOutboundPartitionTakesNoTasks() {
+        addMachine("vm-1", "a");
+        addMachine("vm-2", "a");
         pass(8, "vm-1", "vm-2");
-        agents.find("vm-2").onCommandResponse(report("vm-2", 1), now);
+        agents.find("vm-2").onCommandResponse(heartbeat("vm-2", 1), now);
         pass(1, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
-        agents.find("vm-2").onCommandResponse(report("vm-2", 2), now);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
+        agents.find("vm-2").onCommandResponse(heartbeat("vm-2", 2), now);
         pass(1, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
-        agents.find("vm-2").onCommandResponse(report("vm-2", 2), now);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
+        agents.find("vm-2").onCommandResponse(heartbeat("vm-2", 2), now);
         pass(1, "vm-1");
-        assertThat(fate("vm-2"))
-                .as("answers do not show that it reaches anybody")
+        assertThat(lifecycle("vm-2"))
+                .as("responses to commands do not show that its heartbeats arrive")
                 .isEqualTo(MachineLifecycle.UNRESPONSIVE);
         agents.find("vm-2")
                 .onHeartbeat(
                         new Heartbeat("vm-2", "10.1.0.1:9000", "large", "a", false, 1, 1, 1, null, List.of()), now);
         pass(1, "vm-1");
-        assertThat(fate("vm-2")).as("nor does an old copy").isEqualTo(MachineLifecycle.UNRESPONSIVE);
-        agents.find("vm-2").onHeartbeat(report("vm-2", 2), now);
+        assertThat(lifecycle("vm-2")).as("nor does an old copy").isEqualTo(MachineLifecycle.UNRESPONSIVE);
+        agents.find("vm-2").onHeartbeat(heartbeat("vm-2", 2), now);
         pass(1, "vm-1");
-        assertThat(fate("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
     }
 
-    private Heartbeat report(String name, long agentEpoch) {
+    private Heartbeat heartbeat(String name, long agentEpoch) {
         return new Heartbeat(name, "10.1.0.1:9000", "large", "a", false, agentEpoch, ++sequence, 1, null, List.of());
     }
 }
--- /dev/null
+++ b/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
@@ -0,0 +1,100 @@
+package org.gullway.coordination.agents;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import java.util.List;
+import org.gullway.coordination.model.FencingToken;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.TestFixtures;
+import org.gullway.protocol.AgentCommand;
+import org.gullway.protocol.Heartbeat;
+import org.gullway.protocol.JobRequest;
+import org.gullway.protocol.Priority;
+import org.gullway.protocol.TaskId;
+import org.gullway.protocol.TaskStatus;
+import org.gullway.protocol.TaskStatus.Cause;
+import org.gullway.protocol.TaskStatus.Phase;
+import org.junit.jupiter.api.Test;
+
+/** How heartbeats are answered, and what an agent may forget. */
+class HeartbeatReceiverTest extends AgentReconcilerFixture {
+    /** The commands in the response to a heartbeat, which has to be accepted. */
+    private List<AgentCommand> acceptedCommands(Heartbeat heartbeat) {
+        return ((HeartbeatResponse.Accepted) reconciler.onHeartbeat(heartbeat, now)).commands();
+    }
+
+    /** A heartbeat of a machine that is not on record may be an old copy; only the cloud's responses put one on record. */
+    @Test
+    void aHeartbeatAloneDoesNotPutAMachineOnRecord() {
+        assertThat(reconciler.onHeartbeat(heartbeat(1, 1, null), now))
+                .isEqualTo(new HeartbeatResponse.Accepted(1, List.of(), false));
+        assertThat(plan().isEmpty()).isTrue();
+        assertThat(reconciler.schedulableMachines(now)).isEmpty();
+    }
+
+    @Test
+    void redirectsAnAgentOnceAndThenTakesItsShardOverUnderAHigherFencingToken() {
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 10);
+        assertThat(reconciler.onHeartbeat(heartbeat(1, 1, null), now))
+                .isEqualTo(new HeartbeatResponse.Redirect("perch-1"));
+        now = now.plusSeconds(5);
+        assertThat(reconciler.onHeartbeat(heartbeat(1, 1, null), now))
+                .as("its lease is renewed until the shard is taken over")
+                .isEqualTo(new HeartbeatResponse.Accepted(1, List.of(), true));
+        now = now.plusSeconds(3);
+        assertThat(reconciler.onHeartbeat(heartbeat(1, 1, null), now))
+                .as("but the agent must not stay where no controller commands it")
+                .isEqualTo(new HeartbeatResponse.Redirect("perch-1"));
+        plan();
+        assertThat(clusterState.fencingToken()).isEqualTo(2);
+        assertThat(clusterState.machine("vm-1").fencingToken()).isEqualTo(2);
+        assertThat(clusterState.machine("vm-1").controller()).isEqualTo(TestFixtures.SELF);
+    }
+
+    /** A duplicate start would run a forgotten attempt again. */
+    @Test
+    void letsAnAgentForgetAStoppedAttemptOnlyUnderAHigherFencingToken() {
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
+        TaskStatus ended = new TaskStatus(TASK, 1, Phase.ENDED, Cause.STOPPED, false);
+        TaskStatus done = new TaskStatus(new TaskId("run-000002", 0), 1, Phase.ENDED, Cause.DONE, false);
+        reconciler.onHeartbeat(heartbeat(1, 1, null, ended, done), now);
+        assertThat(acceptedCommands(heartbeat(1, 1, null, ended, done)))
+                .containsExactly(AgentCommand.forget(done.task(), 1));
+        clusterState.put(StoreKeys.FENCING_TOKEN, new FencingToken(2), ++revision);
+        assertThat(acceptedCommands(heartbeat(1, 2, null, ended))).containsExactly(AgentCommand.forget(TASK, 1));
+    }
+
+    @Test
+    void anOlderHeartbeatChangesNothing() {
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
+        place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 2, 4), "vm-1");
+        Heartbeat late = heartbeat(1, 1, null, new TaskStatus(TASK, 1, Phase.ENDED, Cause.ERROR, false));
+        reconciler.onHeartbeat(heartbeat(1, 1, null, new TaskStatus(TASK, 1, Phase.RUNNING, null, false)), now);
+        reconciler.onHeartbeat(late, now);
+        plan();
+        assertThat(clusterState.job("run-000001").livePlacements()).hasSize(1);
+    }
+
+    /** Command batches may be lost while heartbeats get through, and another controller may command the machine. */
+    @Test
+    void everyResponseThatRenewsALeaseStopsCancelledTasks() {
+        JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
+        place(request, "vm-1");
+        cancel(request.id(), TestFixtures.DAY);
+        clusterState.advanceTo(revision);
+        AgentCommand stop = AgentCommand.stop(TASK, 1, Duration.ZERO);
+        TaskStatus running = new TaskStatus(TASK, 1, Phase.RUNNING, null, false);
+        assertThat(acceptedCommands(heartbeat(1, 1, null, running))).contains(stop);
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), ++revision);
+        reconciler.onHeartbeat(heartbeat(1, 1, null, running), now);
+        assertThat(acceptedCommands(heartbeat(1, 1, null, running)))
+                .as("an agent that cannot reach its controller")
+                .contains(stop);
+        clusterState.remove(StoreKeys.shard("g-vm-1"), ++revision);
+        assertThat(acceptedCommands(heartbeat(1, 1, null, running)))
+                .as("a machine that is not on record")
+                .contains(stop);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
@@ -0,0 +1,162 @@
+package org.gullway.coordination.agents;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import org.gullway.coordination.command.CommandOutcome;
+import org.gullway.coordination.model.MachineRecord;
+import org.gullway.coordination.model.MachineRecord.MachineLifecycle;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.TestFixtures;
+import org.gullway.coordination.model.Transaction;
+import org.gullway.protocol.Heartbeat;
+import org.gullway.protocol.JobRequest;
+import org.gullway.protocol.Priority;
+import org.gullway.protocol.TaskStatus;
+import org.gullway.protocol.TaskStatus.Cause;
+import org.gullway.protocol.TaskStatus.Phase;
+import org.junit.jupiter.api.Test;
+
+/** Which machines are drained or declared lost for what their agents show. */
+class MachineLifecycleTest extends AgentReconcilerFixture {
+    /** Its heartbeats arrive, but no command is answered: it takes no more tasks and is declared lost in the end. */
+    @Test
+    void aMachineWithAnInboundPartitionIsDeclaredLost() {
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.SELF), 11);
+        reconciler.onHeartbeat(heartbeat(1, 1, null), now);
+        assertThat(reconciler.schedulableMachines(now)).hasSize(1);
+        place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
+        for (int i = 0; i < 5; i++) {
+            reconciler.onHeartbeat(heartbeat(1, 1, null), now);
+            reconciler.onHeartbeat(
+                    new Heartbeat("vm-2", "10.1.0.2:9000", "large", "a", true, 1, ++sequence, 1, null, List.of()), now);
+            Instant sentAt = now;
+            now = now.plusSeconds(3);
+            reconciler.commandsDue(sentAt).stream()
+                    .filter(batch -> batch.machine().equals("vm-1"))
+                    .forEach(batch -> reconciler.onCommandOutcome(batch, CommandOutcome.UNKNOWN, now));
+            assertThat(reconciler.schedulableMachines(now))
+                    .extracting(MachineRecord::name)
+                    .doesNotContain("vm-1");
+            plan();
+        }
+        assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.LOST);
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
+        assertThat(clusterState.job("run-000001").livePlacements())
+                .as("its task is placed anew only when the machine is gone")
+                .hasSize(1);
+    }
+
+    @Test
+    void savesTasksWithinTheSpotNoticeAndReleasesTheMachineAfterIt() {
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
+        JobRequest template = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
+        JobRequest withCheckpoints = new JobRequest(
+                template.id(),
+                template.jobClass(),
+                template.team(),
+                template.shape(),
+                template.priority(),
+                1,
+                4,
+                0,
+                4,
+                template.image(),
+                template.imageGb(),
+                null,
+                null,
+                false,
+                false,
+                true,
+                template.estimatedRunTime(),
+                Duration.ofSeconds(20),
+                Duration.ofSeconds(2),
+                null);
+        place(withCheckpoints, "vm-1");
+        TaskStatus running = new TaskStatus(TASK, 1, Phase.RUNNING, null, false);
+        reconciler.onHeartbeat(heartbeat(1, 1, Duration.ofSeconds(15), running), now);
+        plan();
+        assertThat(clusterState.machine("vm-1").isSchedulable()).isFalse();
+        assertThat(clusterState.job("run-000001").livePlacements().get(0).stopping())
+                .isFalse();
+        now = now.plusSeconds(10);
+        reconciler.onHeartbeat(heartbeat(1, 1, Duration.ofSeconds(5), running), now);
+        plan();
+        assertThat(clusterState.job("run-000001").livePlacements().get(0).stopping())
+                .isTrue();
+        now = now.plusSeconds(6);
+        plan();
+        assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.LOST);
+    }
+
+    /** The failure detector begins anew with each change of controller, the limit of a cancelled job does not. */
+    @Test
+    void theLimitOfACancelledJobRunsOnAcrossFailovers() {
+        JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
+        place(request, "vm-1");
+        cancel(request.id(), TestFixtures.DAY.minusSeconds(29));
+        clusterState.advanceTo(revision);
+        reconciler.onLeaseStatus(false, now);
+        reconciler.onLeaseStatus(true, now);
+        plan();
+        assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.ACTIVE);
+        cancel(request.id(), TestFixtures.DAY.minusSeconds(31));
+        plan();
+        assertThat(lifecycle("vm-1")).as("the first cancellation counts").isEqualTo(MachineLifecycle.ACTIVE);
+        Transaction later =
+                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY.plusSeconds(2));
+        reconciler.plan(later, TestFixtures.leaderContext(now));
+        assertThat(later.machine("vm-1").lifecycle()).isEqualTo(MachineLifecycle.LOST);
+    }
+
+    /** The task has ended and only the record is late, which is no reason to release the machine. */
+    @Test
+    void aMachineWhoseCancelledTaskIsConfirmedGoneIsKept() {
+        JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
+        place(request, "vm-1");
+        cancel(request.id(), TestFixtures.DAY.minusSeconds(35));
+        clusterState.advanceTo(revision);
+        reconciler.onHeartbeat(heartbeat(1, 1, null, new TaskStatus(TASK, 1, Phase.ENDED, Cause.STOPPED, false)), now);
+        Transaction transaction =
+                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
+        reconciler.plan(transaction, TestFixtures.leaderContext(now));
+        assertThat(transaction.machine("vm-1").lifecycle()).isEqualTo(MachineLifecycle.ACTIVE);
+    }
+
+    /** Two jobs with a mistake fail on all machines; two others that fail on one machine alone show that it is faulty. */
+    @Test
+    void jobsThatFailEverywhereDoNotMakeMachinesFaulty() {
+        for (int machine = 1; machine <= 3; machine++) {
+            TestFixtures.put(
+                    clusterState, TestFixtures.machine("vm-" + machine, "large", TestFixtures.SELF), 9 + machine);
+        }
+        for (int job = 1; job <= 2; job++) {
+            String id = "run-00000" + job;
+            place(TestFixtures.request(id, "red", Priority.NORMAL, 6, 4), "vm-1", "vm-2", "vm-3");
+        }
+        for (int machine = 1; machine <= 3; machine++) {
+            failTasks("vm-" + machine, machine - 1, "run-000001", "run-000002");
+        }
+        plan();
+        assertThat(clusterState.machines()).extracting(MachineRecord::lifecycle).containsOnly(MachineLifecycle.ACTIVE);
+        // Their users cancel them; the verdict is kept.
+        clusterState.remove(StoreKeys.job("run-000001"), ++revision);
+        clusterState.remove(StoreKeys.job("run-000002"), ++revision);
+        clusterState.advanceTo(revision);
+        plan();
+        assertThat(clusterState.machines()).extracting(MachineRecord::lifecycle).containsOnly(MachineLifecycle.ACTIVE);
+        for (int job = 3; job <= 4; job++) {
+            String id = "run-00000" + job;
+            place(TestFixtures.request(id, "red", Priority.NORMAL, 6, 4), "vm-2");
+        }
+        failTasks("vm-2", 0, "run-000003", "run-000004");
+        plan();
+        assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.DRAINING);
+        assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.ACTIVE);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
@@ -0,0 +1,87 @@
+package org.gullway.coordination.agents;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.gullway.coordination.model.Incarnation;
+import org.gullway.coordination.model.StoreKeys;
+import org.gullway.coordination.model.TestFixtures;
+import org.gullway.coordination.model.Transaction;
+import org.gullway.protocol.Priority;
+import org.gullway.protocol.TaskStatus;
+import org.gullway.protocol.TaskStatus.Cause;
+import org.gullway.protocol.TaskStatus.Phase;
+import org.junit.jupiter.api.Test;
+
+/** Failover of shards, and fencing of the former controller. */
+class ShardFailoverTest extends AgentReconcilerFixture {
+    @Test
+    void takesOverTheShardsOfALostControllerWithoutWaitingForHeartbeats() {
+        clusterState.remove(StoreKeys.member("perch-1"), 50);
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 60);
+        plan();
+        assertThat(clusterState.machine("vm-1").controller()).isEqualTo(TestFixtures.SELF);
+        assertThat(clusterState.fencingToken()).isEqualTo(2);
+        assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.commands())
+                .isEmpty());
+    }
+
+    /** One new fencing token serves all shards of controllers lost before it; a later loss needs another. */
+    @Test
+    void raisesTheFencingTokenOnceForAllShardsLostBefore() {
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 60);
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.PEER), 61);
+        clusterState.remove(StoreKeys.member("perch-1"), 62);
+        clusterState.advanceTo(62);
+        Transaction small = new Transaction(
+                clusterState, TestFixtures.SELF, new Transaction.Limits(3, 16 * 1024), TestFixtures.DAY);
+        reconciler.plan(small, TestFixtures.leaderContext(now));
+        TestFixtures.commit(clusterState, small, ++revision);
+        Transaction second = plan();
+        assertThat(clusterState.fencingToken()).isEqualTo(2);
+        assertThat(second.conditions())
+                .as("the lost member has not come back")
+                .contains(StoreKeys.member("perch-1"), StoreKeys.FENCING_TOKEN);
+        assertThat(List.of(clusterState.machine("vm-1"), clusterState.machine("vm-2")))
+                .allSatisfy(machine -> {
+                    assertThat(machine.controller()).isEqualTo(TestFixtures.SELF);
+                    assertThat(machine.fencingToken()).isEqualTo(2);
+                });
+        clusterState.put(StoreKeys.member("perch-1"), TestFixtures.PEER, ++revision);
+        clusterState.remove(StoreKeys.member("perch-1"), ++revision);
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-3", "large", TestFixtures.PEER), ++revision);
+        plan();
+        assertThat(clusterState.machine("vm-3").fencingToken()).isEqualTo(3);
+    }
+
+    /** A start of the former controller may still arrive until the agent has confirmed the new fencing token. */
+    @Test
+    void recordsACompletionOnlyOnceTheFormerControllerIsFenced() {
+        clusterState.remove(StoreKeys.member("perch-1"), 50);
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", new Incarnation("perch-2", 3)), 10);
+        place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
+        TaskStatus ended = new TaskStatus(TASK, 1, Phase.ENDED, Cause.STOPPED, false);
+        reconciler.onHeartbeat(heartbeat(1, 1, null, ended), now);
+        plan();
+        plan();
+        assertThat(clusterState.job("run-000001").livePlacements()).hasSize(1);
+        reconciler.onCommandResponse(heartbeat(1, 2, null, ended), now);
+        plan();
+        assertThat(clusterState.job("run-000001").livePlacements()).isEmpty();
+        assertThat(clusterState.job("run-000001").waitingTasks()).isEqualTo(1);
+    }
+
+    /** Shards are checked again only when shards or members have changed, and then they are. */
+    @Test
+    void claimsTheShardsOfAControllerThatIsLostAfterUnchangedCycles() {
+        TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 60);
+        for (int cycle = 0; cycle < 3; cycle++) {
+            plan();
+        }
+        assertThat(clusterState.machine("vm-1").controller()).isEqualTo(TestFixtures.PEER);
+        clusterState.remove(StoreKeys.member("perch-1"), ++revision);
+        clusterState.advanceTo(revision);
+        plan();
+        assertThat(clusterState.machine("vm-1").controller()).isEqualTo(TestFixtures.SELF);
+    }
+}
--- a/src/test/java/org/gullway/coordination/agents/WakeupQueueTest.java
+++ b/src/test/java/org/gullway/coordination/agents/WakeupQueueTest.java
@@ -9,17 +9,17 @@
     private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
 
     @Test
-    void takesWhatIsDueInOrderAndLeavesTheRest() {
-        WakeupQueue times = new WakeupQueue();
+    void pollsWhatIsDueInOrderAndKeepsTheRest() {
+        WakeupQueue queue = new WakeupQueue();
         for (int i = 0; i < 1000; i++) {
-            times.add("later-" + i, NOW.plusMillis(1 + i));
+            queue.add("later-" + i, NOW.plusMillis(1 + i));
         }
-        times.add("second", NOW);
-        times.add("third", NOW);
-        times.add("first", Instant.MIN);
-        assertThat(times.pollDue(NOW)).containsExactly("first", "second", "third");
-        assertThat(times.pollDue(NOW)).isEmpty();
-        assertThat(times.size()).isEqualTo(1000);
-        assertThat(times.pollDue(NOW.plusMillis(2))).containsExactly("later-0", "later-1");
+        queue.add("second", NOW);
+        queue.add("third", NOW);
+        queue.add("first", Instant.MIN);
+        assertThat(queue.pollDue(NOW)).containsExactly("first", "second", "third");
+        assertThat(queue.pollDue(NOW)).isEmpty();
+        assertThat(queue.size()).isEqualTo(1000);
+        assertThat(queue.pollDue(NOW.plusMillis(2))).containsExactly("later-0", "later-1");
     }
 }
