--- a/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
@@ -2,7 +2,6 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
@@ -28,11 +27,6 @@
  * <p>This is the entrance to the package; the work is done by the classes that it wires together.
  */
 public final class AgentReconciler implements PlanningStep {
-    /** An agent gets tasks only if its last contact is no older than so many heartbeat intervals. */
-    private static final int CONTACT_INTERVALS = 2;
-
-    private final ClusterState clusterState;
-    private final Duration heartbeatInterval;
     private final AgentRegistry agents;
     private final HeartbeatReceiver heartbeatReceiver;
     private final CommandDispatcher commandDispatcher;
@@ -42,6 +36,7 @@
     private final AgentConditionPlanner agentConditions;
     private final FailureDetector failureDetector;
     private final OverdueCancellationPlanner overdueCancellations;
+    private final SchedulableMachines schedulableMachines;
 
     public AgentReconciler(
             ClusterState clusterState,
@@ -50,21 +45,20 @@
             PeerZones peerZones,
             CompletionBuffer completionBuffer,
             CancellationEnforcer cancellationEnforcer) {
-        this.clusterState = clusterState;
-        this.heartbeatInterval = heartbeatInterval;
+        HeartbeatTiming timing = new HeartbeatTiming(heartbeatInterval);
         this.agents = new AgentRegistry(clusterState, self);
         CommandPlanner planner = new CommandPlanner(clusterState);
         this.shardFailover = new ShardFailover(clusterState, self, this::isRerouted);
         this.agentEpochs = new AgentEpochRecorder(clusterState, self, agents);
-        RerouteAdmission reroutes = new RerouteAdmission(clusterState, heartbeatInterval, agents, shardFailover);
+        RerouteAdmission reroutes = new RerouteAdmission(clusterState, timing, agents, shardFailover);
         this.heartbeatReceiver =
                 new HeartbeatReceiver(clusterState, self, agents, agentEpochs, planner, reroutes, cancellationEnforcer);
         this.completionReporter = new CompletionReporter(clusterState, self, completionBuffer);
-        this.commandDispatcher =
-                new CommandDispatcher(clusterState, heartbeatInterval, agents, planner, completionReporter);
+        this.commandDispatcher = new CommandDispatcher(clusterState, timing, agents, planner, completionReporter);
         this.agentConditions = new AgentConditionPlanner(clusterState, agents);
-        this.failureDetector = new FailureDetector(clusterState, heartbeatInterval, peerZones, agents);
+        this.failureDetector = new FailureDetector(clusterState, timing, peerZones, agents);
         this.overdueCancellations = new OverdueCancellationPlanner(clusterState, self, agents, cancellationEnforcer);
+        this.schedulableMachines = new SchedulableMachines(clusterState, timing, agents);
     }
 
     private boolean isRerouted(String machine) {
@@ -98,7 +92,7 @@
         commandDispatcher.onCommandOutcome(batch, outcome, now);
     }
 
-    /** All commands that are due now, one batch for each machine; completions that are seen are noted for their writers. */
+    /** All commands that are due now, one batch for each machine; completions that are seen become due for their writers. */
     public List<CommandBatch> commandsDue(Instant now) {
         return commandDispatcher.commandsDue(now);
     }
@@ -131,21 +125,7 @@
 
     /** Machines commanded here that can be given tasks now. */
     public List<MachineRecord> schedulableMachines(Instant now) {
-        List<MachineRecord> schedulable = new ArrayList<>();
-        Instant oldestContact = now.minus(heartbeatInterval.multipliedBy(CONTACT_INTERVALS));
-        for (Map.Entry<String, AgentState> entry : agents.entries()) {
-            MachineRecord record = clusterState.machine(entry.getKey());
-            AgentState agent = entry.getValue();
-            if (!agent.commands().isUnanswered()
-                    && !agent.isOutboundPartitioned()
-                    && agent.lastContact().isAfter(oldestContact)
-                    && agents.isInContact(record, agent)
-                    && record.isSchedulable()
-                    && agent.isFenced(record)) {
-                schedulable.add(record);
-            }
-        }
-        return schedulable;
+        return schedulableMachines.list(now);
     }
 
     /** Drops what is kept of machines that are gone or that another controller commands. */
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -26,11 +26,9 @@
     private static final Duration REVISIT_DELAY = Duration.ofMillis(50);
     /** With so many commands in flight, agents are not asked for what their heartbeats will say anyway. */
     private static final int MAX_COMMANDS_BEFORE_PROBES = 8;
-    /** An agent without contact for so many heartbeat intervals is not sent commands. */
-    private static final int CONTACT_INTERVALS = 2;
 
     private final ClusterState clusterState;
-    private final Duration heartbeatInterval;
+    private final HeartbeatTiming timing;
     private final AgentRegistry agents;
     private final CommandPlanner planner;
     private final CompletionReporter completionReporter;
@@ -39,12 +37,12 @@
 
     CommandDispatcher(
             ClusterState clusterState,
-            Duration heartbeatInterval,
+            HeartbeatTiming timing,
             AgentRegistry agents,
             CommandPlanner planner,
             CompletionReporter completionReporter) {
         this.clusterState = clusterState;
-        this.heartbeatInterval = heartbeatInterval;
+        this.timing = timing;
         this.agents = agents;
         this.planner = planner;
         this.completionReporter = completionReporter;
@@ -87,9 +85,9 @@
             completionReporter.observe(record, agent, now);
             agents.updateRecordChangeCandidates(record.name(), agent);
         }
-        if (agent.lastContact().isBefore(now.minus(heartbeatInterval.multipliedBy(CONTACT_INTERVALS)))) {
+        if (agent.lastContact().isBefore(now.minus(timing.contactTimeout()))) {
             // It is most likely gone; a heartbeat would wake it at once.
-            agent.wakeAt(now.plus(heartbeatInterval));
+            agent.wakeAt(now.plus(timing.interval()));
             return Optional.empty();
         }
         if (agent.commands().isInFlight()) {
--- a/src/main/java/org/gullway/coordination/agents/FailureDetector.java
+++ b/src/main/java/org/gullway/coordination/agents/FailureDetector.java
@@ -25,7 +25,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
     /** An agent waits so long for a response before it turns to another controller. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(4);
-    /** For a heartbeat's way here, beyond the quarter of an interval by which it may be late. */
+    /** For a heartbeat's way here, beyond the longest interval between two of them. */
     private static final Duration HEARTBEAT_MARGIN = Duration.ofSeconds(2);
     /** A command unanswered for so long was not just cut short by a connection that ended. */
     private static final Duration UNANSWERED_LIMIT = Duration.ofSeconds(3);
@@ -33,7 +33,7 @@
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
 
     private final ClusterState clusterState;
-    private final Duration heartbeatInterval;
+    private final HeartbeatTiming timing;
     private final PeerZones peerZones;
     private final AgentRegistry agents;
     /** When each zone was last seen partitioned. */
@@ -43,9 +43,9 @@
     /** Since when heartbeats are accepted without a break; a heartbeat missing before says nothing about its agent. */
     private Instant listeningSince = Instant.MAX;
 
-    FailureDetector(ClusterState clusterState, Duration heartbeatInterval, PeerZones peerZones, AgentRegistry agents) {
+    FailureDetector(ClusterState clusterState, HeartbeatTiming timing, PeerZones peerZones, AgentRegistry agents) {
         this.clusterState = clusterState;
-        this.heartbeatInterval = heartbeatInterval;
+        this.timing = timing;
         this.peerZones = peerZones;
         this.agents = agents;
     }
@@ -72,7 +72,7 @@
 
     /** How long a machine has to be unreachable before it is declared lost, if others are responsive. */
     private Duration lostAfter() {
-        return heartbeatInterval.multipliedBy(2).plus(RESPONSE_TIMEOUT);
+        return timing.intervals(2).plus(RESPONSE_TIMEOUT);
     }
 
     void plan(Transaction transaction, Instant now) {
@@ -80,8 +80,7 @@
             return;
         }
         checkedAt = now;
-        Instant overdue =
-                now.minus(heartbeatInterval.multipliedBy(5).dividedBy(4)).minus(HEARTBEAT_MARGIN);
+        Instant overdue = now.minus(timing.longestInterval()).minus(HEARTBEAT_MARGIN);
         if (!listeningSince.isBefore(overdue)) {
             // During an outage of the state store the heartbeats of all agents were refused.
             return;
@@ -137,7 +136,7 @@
      */
     private void declareLost(Transaction transaction, Findings findings, Instant now) {
         updatePartitionedZones(findings.zoneResponsive, now);
-        Instant limitIfNoneResponsive = now.minus(lostAfter()).minus(heartbeatInterval.multipliedBy(4));
+        Instant limitIfNoneResponsive = now.minus(lostAfter()).minus(timing.intervals(4));
         for (MachineRecord record : findings.unreachable) {
             Instant since = agents.find(record.name()).unreachableSince();
             if ((findings.anyResponsive || since.isBefore(limitIfNoneResponsive))
--- a/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
+++ b/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
@@ -15,14 +15,14 @@
     private static final int REROUTE_INTERVALS = 10;
 
     private final ClusterState clusterState;
-    private final Duration heartbeatInterval;
+    private final HeartbeatTiming timing;
     private final AgentRegistry agents;
     private final ShardFailover shardFailover;
 
     RerouteAdmission(
-            ClusterState clusterState, Duration heartbeatInterval, AgentRegistry agents, ShardFailover shardFailover) {
+            ClusterState clusterState, HeartbeatTiming timing, AgentRegistry agents, ShardFailover shardFailover) {
         this.clusterState = clusterState;
-        this.heartbeatInterval = heartbeatInterval;
+        this.timing = timing;
         this.agents = agents;
         this.shardFailover = shardFailover;
     }
@@ -37,7 +37,7 @@
     /** Whether an agent that was redirected is back, since it cannot reach its controller, and is accepted once. */
     boolean accepts(MachineRecord record, Instant now) {
         RerouteState reroute = agents.getOrCreate(record.name(), now).reroute();
-        if (!reroute.isStartedWithin(heartbeatInterval.multipliedBy(REROUTE_INTERVALS), now)) {
+        if (!reroute.isStartedWithin(timing.intervals(REROUTE_INTERVALS), now)) {
             reroute.start(now);
             return false;
         }
@@ -46,8 +46,7 @@
         }
         // An agent that no response reaches is rerouted as well. Its shard would change controllers again and again,
         // and each time the failure detector would begin anew.
-        Duration longestInterval = heartbeatInterval.multipliedBy(5).dividedBy(4);
-        if (reroute.wasAcceptedWithin(longestInterval.plus(REROUTE_MARGIN), now)) {
+        if (reroute.wasAcceptedWithin(timing.longestInterval().plus(REROUTE_MARGIN), now)) {
             shardFailover.onRerouted(clusterState.shardOf(record.name()));
         }
         return reroute.acceptsNextHeartbeat(now);
--- a/src/main/java/org/gullway/coordination/command/CommandBatch.java
+++ b/src/main/java/org/gullway/coordination/command/CommandBatch.java
@@ -8,8 +8,8 @@
  * Commands to be sent to one agent together.
  *
  * @param address where the agent takes commands
- * @param fencingToken the token that the agent compares with the highest one it knows
- * @param agentEpoch the agent epoch for which the commands are meant; in any other the agent refuses them
+ * @param fencingToken the agent refuses the commands if it knows a higher one
+ * @param agentEpoch the only agent epoch in which the agent executes the commands
  * @param sentAt when the batch was planned, which is just before it is sent
  */
 public record CommandBatch(
--- a/src/main/java/org/gullway/worker/HeartbeatAdmission.java
+++ b/src/main/java/org/gullway/worker/HeartbeatAdmission.java
@@ -27,7 +27,7 @@
     private final EventLoop loop;
     private final Consumer<HttpExchange> handler;
     private final Deque<QueuedHeartbeat> queue = new ArrayDeque<>();
-    /** Time that heartbeats may take now; negative after one that took longer than was left. */
+    /** Time that heartbeats may take now; negative after one that took longer than the rest of it. */
     private Duration budget = MAX_BUDGET;
 
     private Instant refilledAt;
--- a/src/main/java/org/gullway/worker/StartGate.java
+++ b/src/main/java/org/gullway/worker/StartGate.java
@@ -43,7 +43,7 @@
         if (!holdsValidLease.getAsBoolean()) {
             // The lease may expire while a long cycle sends commands, so this is no defect.
             LOG.debug(
-                    "left out a start: the lease is no longer valid machine={} task={} attempt={}",
+                    "start denied: the lease is no longer valid machine={} task={} attempt={}",
                     batch.machine(),
                     start.task(),
                     start.attempt());
@@ -58,7 +58,7 @@
     }
 
     private static String describe(CommandBatch batch, AgentCommand start, String reason) {
-        return "left out a start: " + reason + " machine=" + batch.machine() + " task=" + start.task() + " attempt="
+        return "start denied: " + reason + " machine=" + batch.machine() + " task=" + start.task() + " attempt="
                 + start.attempt() + " agent_epoch=" + batch.agentEpoch() + " fencing_token=" + batch.fencingToken();
     }
 }
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -25,8 +25,8 @@
 class FailureDetectorTest {
     private final ClusterState clusterState = TestFixtures.view();
     private final AgentRegistry agents = new AgentRegistry(clusterState, TestFixtures.SELF);
-    private final FailureDetector detector =
-            new FailureDetector(clusterState, Duration.ofSeconds(4), TestFixtures.NEIGHBOURS, agents);
+    private final FailureDetector detector = new FailureDetector(
+            clusterState, new HeartbeatTiming(Duration.ofSeconds(4)), TestFixtures.NEIGHBOURS, agents);
     private Instant now = Instant.EPOCH;
     private long sequence;
     private long revision = 100;
