--- a/src/main/java/org/gullway/coordination/agents/CommandChannel.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandChannel.java
@@ -58,8 +58,8 @@
         unansweredSince = null;
     }
 
-    /** Whether a batch without commands may be sent now, which counts as sent; limits the rate to an unresponsive agent. */
-    boolean mayProbe(Instant now) {
+    /** Whether a batch without commands may be sent now, and if so counts it: limits their rate to an unresponsive agent. */
+    boolean tryProbe(Instant now) {
         if (probedAt.plus(PROBE_INTERVAL).isAfter(now)) {
             return false;
         }
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -109,7 +109,7 @@
         boolean probe = needsProbe(record, agent, inContact, fenced);
         if (probe
                 && (window.inFlight() >= MAX_COMMANDS_BEFORE_PROBES
-                        || !agent.commands().mayProbe(now))) {
+                        || !agent.commands().tryProbe(now))) {
             // Its heartbeat will most likely say the same: after a failover hundreds need it at once.
             probe = false;
             agent.wakeAt(now.plus(RETRY_DELAY));
--- a/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
@@ -26,8 +26,6 @@
     /** After that the completion is recorded here: the writer may be unreachable, or change again and again. */
     private static final Duration WRITER_TIMEOUT = Duration.ofSeconds(4);
 
-    private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
-
     private final ClusterState clusterState;
     private final Incarnation self;
     private final CompletionBuffer completionBuffer;
@@ -84,10 +82,10 @@
         if (writesHere || agent.completionReports().isReportedBefore(id, now.minus(WRITER_TIMEOUT))) {
             completionBuffer.add(id, outcome, now);
         }
-        if (writer != null && !writesHere && agent.completionReports().shouldReport(id, now, RETRY_INTERVAL)) {
+        if (writer != null && !writesHere && agent.completionReports().tryReport(id, now, RETRY_INTERVAL)) {
             pendingByWriter
                     .computeIfAbsent(writer, w -> new ArrayList<>())
-                    .add(new AttemptCompletion(id.task(), id.attempt(), (byte) outcome.ordinal()));
+                    .add(new AttemptCompletion(id.task(), id.attempt(), OutcomeCode.of(outcome)));
         }
     }
 
@@ -110,10 +108,8 @@
     /** Takes completions that another controller has seen; outcomes unknown to this version are ignored. */
     void onCompletions(Collection<AttemptCompletion> completions, Instant now) {
         for (AttemptCompletion completion : completions) {
-            if (completion.outcome() >= 0 && completion.outcome() < OUTCOMES.length) {
-                completionBuffer.add(
-                        new AttemptId(completion.task(), completion.attempt()), OUTCOMES[completion.outcome()], now);
-            }
+            AttemptId id = new AttemptId(completion.task(), completion.attempt());
+            OutcomeCode.toOutcome(completion.outcome()).ifPresent(outcome -> completionBuffer.add(id, outcome, now));
         }
     }
 }
--- a/src/main/java/org/gullway/coordination/agents/CompletionReports.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionReports.java
@@ -13,8 +13,8 @@
 
     private final Map<AttemptId, Report> reports = new HashMap<>();
 
-    /** Whether the completion is to be reported now, which counts as reported; repeated after the interval. */
-    boolean shouldReport(AttemptId id, Instant now, Duration retryInterval) {
+    /** Whether the completion is to be reported now, and if so notes it as reported; repeated after the interval. */
+    boolean tryReport(AttemptId id, Instant now, Duration retryInterval) {
         Report before = reports.get(id);
         if (before != null && before.last().plus(retryInterval).isAfter(now)) {
             return false;
--- a/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
@@ -65,7 +65,7 @@
 
     private HeartbeatResponse onForeignHeartbeat(
             Heartbeat heartbeat, MachineRecord record, Optional<String> responsible, Instant now) {
-        if (reroutes.accepts(record, now)) {
+        if (reroutes.tryAccept(record, now)) {
             // Until its shard is taken over this renews the lease; a redirect to its controller would only fail.
             return accepted(cancellationEnforcer.stopCommands(heartbeat), true);
         }
--- a/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
+++ b/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
@@ -34,8 +34,8 @@
                 : shardFailover.successor(clusterState.shard(clusterState.shardOf(record.name())));
     }
 
-    /** Whether an agent that was redirected is back, since it cannot reach its controller, and is accepted once. */
-    boolean accepts(MachineRecord record, Instant now) {
+    /** Whether an agent that was redirected is back, since it cannot reach its controller, and is accepted this time. */
+    boolean tryAccept(MachineRecord record, Instant now) {
         RerouteState reroute = agents.getOrCreate(record.name(), now).reroute();
         if (!reroute.isStartedWithin(timing.intervals(REROUTE_INTERVALS), now)) {
             reroute.start(now);
@@ -49,6 +49,6 @@
         if (reroute.wasAcceptedWithin(timing.longestInterval().plus(REROUTE_MARGIN), now)) {
             shardFailover.onRerouted(clusterState.shardOf(record.name()));
         }
-        return reroute.acceptsNextHeartbeat(now);
+        return reroute.tryAccept(now);
     }
 }
--- a/src/main/java/org/gullway/coordination/agents/RerouteState.java
+++ b/src/main/java/org/gullway/coordination/agents/RerouteState.java
@@ -43,7 +43,7 @@
     }
 
     /** Accepts every other heartbeat: an agent cut off from its controller alone must not stay where none commands it. */
-    boolean acceptsNextHeartbeat(Instant now) {
+    boolean tryAccept(Instant now) {
         acceptedLast = !acceptedLast;
         acceptedAt = acceptedLast ? now : null;
         return acceptedLast;
--- a/src/main/java/org/gullway/worker/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/worker/HeartbeatHandler.java
@@ -31,14 +31,11 @@
 
     private final EventLoop loop;
     private final ClusterState clusterState;
-    private final ReplicatedState replicatedState;
     private final AgentReconciler agentReconciler;
     private final CancellationEnforcer cancellationEnforcer;
-    private final CancellationWatermark cancellationWatermark;
-    private final LeaseRenewalPolicy leaseRenewal;
+    private final LeaseRenewalGate leaseRenewals;
     private final Runnable schedule;
     private final HeartbeatResponseEncoder responses = new HeartbeatResponseEncoder();
-    private boolean heldLeaseBefore;
 
     /** @param schedule asks for a scheduling cycle, after a heartbeat that changed something */
     public HeartbeatHandler(
@@ -52,26 +49,22 @@
             Runnable schedule) {
         this.loop = loop;
         this.clusterState = clusterState;
-        this.replicatedState = replicatedState;
         this.agentReconciler = agentReconciler;
         this.cancellationEnforcer = cancellationEnforcer;
-        this.cancellationWatermark = cancellationWatermark;
-        this.leaseRenewal = leaseRenewal;
+        this.leaseRenewals = new LeaseRenewalGate(replicatedState, cancellationWatermark, leaseRenewal);
         this.schedule = schedule;
     }
 
     /** From now on heartbeats are read also while this controller holds no valid lease. */
     public void onLeaseAcquired() {
-        heldLeaseBefore = true;
+        leaseRenewals.onLeaseAcquired();
     }
 
     /** Answers one heartbeat. */
     public void handle(HttpExchange exchange) {
         Instant now = loop.now();
-        boolean holdsValidLease = replicatedState.holdsValidLease();
-        boolean mayRenew =
-                leaseRenewal.mayRenew(cancellationWatermark.knownThrough(replicatedState.knownThrough()), now);
-        if (!mayRenew || !holdsValidLease && !heldLeaseBefore) {
+        boolean holdsValidLease = leaseRenewals.holdsValidLease();
+        if (leaseRenewals.isClosed(holdsValidLease, now)) {
             // Before the body is read: after a restart all agents retry every second, and joining must not wait for
             // that.
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
@@ -100,7 +93,7 @@
     }
 
     private void respondDuringOutage(HttpExchange exchange, Heartbeat heartbeat) {
-        if (leaseRenewal.mayRenewDuringOutage(heartbeat, loop.now())) {
+        if (leaseRenewals.mayRenewDuringOutage(heartbeat, loop.now())) {
             List<AgentCommand> stops = cancellationEnforcer.stopCommands(heartbeat);
             exchange.respond(HttpStatus.OK, responses.encode(clusterState.fencingToken(), stops));
         } else {
--- a/src/test/java/org/gullway/worker/HeartbeatAdmissionTest.java
+++ b/src/test/java/org/gullway/worker/HeartbeatAdmissionTest.java
@@ -9,6 +9,7 @@
 import org.gullway.fake.SimulatedNetwork;
 import org.gullway.fake.SimulatedTime;
 import org.gullway.transport.HttpExchange;
+import org.gullway.transport.HttpStatus;
 import org.junit.jupiter.api.Test;
 
 class HeartbeatAdmissionTest {
@@ -26,7 +27,7 @@
         return new HeartbeatAdmission(loop, exchange -> {
             time.spend(handlingTime);
             handled++;
-            exchange.respond(200, new byte[0]);
+            exchange.respond(HttpStatus.OK, new byte[0]);
         });
     }
 
@@ -55,7 +56,7 @@
         time.runUntil(Instant.EPOCH.plusSeconds(10));
         assertThat(delays).hasSize(300).allSatisfy(d -> assertThat(d).isLessThan(Duration.ofMillis(30)));
         assertThat(responses).hasSize(1000);
-        assertThat(responses.stream().filter(status -> status == 503))
+        assertThat(responses.stream().filter(status -> status == HttpStatus.SERVICE_UNAVAILABLE))
                 .as("rejected, since their agents no longer wait")
                 .isNotEmpty();
         assertThat(handled).as("two thirds of the longest queue time").isGreaterThan(700);
