--- a/src/main/java/org/gullway/worker/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/worker/HeartbeatHandler.java
@@ -65,8 +65,7 @@
         Instant now = loop.now();
         boolean holdsValidLease = leaseRenewals.holdsValidLease();
         if (leaseRenewals.isClosed(holdsValidLease, now)) {
-            // Before the body is read: after a restart all agents retry every second, and joining must not wait for
-            // that.
+            // The body is not read: after a restart all agents retry every second, which must not delay joining.
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
             return;
         }
