--- /dev/null
+++ b/src/main/java/org/gullway/storage/FencingTokenFormat.java
@@ -0,0 +1,21 @@
+package org.gullway.storage;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.gullway.coordination.model.FencingToken;
+import org.gullway.protocol.Cbor;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.protocol.MessageFields;
+
+/** The stored form of the cluster's fencing token. */
+final class FencingTokenFormat implements RecordFormat<FencingToken> {
+    @Override
+    public ObjectNode encode(FencingToken token) {
+        return Cbor.map().put("epoch", token.value());
+    }
+
+    @Override
+    public FencingToken decode(String name, JsonNode value) throws MalformedMessageException {
+        return new FencingToken(MessageFields.of(value).count("epoch"));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/storage/IncarnationFormat.java
@@ -0,0 +1,29 @@
+package org.gullway.storage;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.gullway.coordination.model.Incarnation;
+import org.gullway.protocol.Cbor;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.protocol.MessageFields;
+
+/** The stored form of a controller's incarnation: a record of its own, and a field of a shard. */
+final class IncarnationFormat implements RecordFormat<Incarnation> {
+    @Override
+    public ObjectNode encode(Incarnation incarnation) {
+        return toNode(incarnation);
+    }
+
+    @Override
+    public Incarnation decode(String name, JsonNode value) throws MalformedMessageException {
+        return fromFields(MessageFields.of(value));
+    }
+
+    static ObjectNode toNode(Incarnation incarnation) {
+        return Cbor.map().put("node", incarnation.node()).put("number", incarnation.number());
+    }
+
+    static Incarnation fromFields(MessageFields fields) throws MalformedMessageException {
+        return new Incarnation(fields.text("node"), fields.count("number"));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/gullway/storage/JobFormat.java
@@ -0,0 +1,125 @@
+package org.gullway.storage;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.gullway.coordination.model.IntegerRanges;
+import org.gullway.coordination.model.JobRecord;
+import org.gullway.coordination.model.Placement;
+import org.gullway.protocol.Cbor;
+import org.gullway.protocol.JobRequest;
+import org.gullway.protocol.MalformedMessageException;
+import org.gullway.protocol.MessageFields;
+
+/** The stored form of a job that has not ended. */
+final class JobFormat implements RecordFormat<JobRecord> {
+    /** Positions in a list of placements: these three, then a task and its attempt alternately. */
+    private static final int MACHINE = 0;
+
+    private static final int AGENT_EPOCH = 1;
+    private static final int MILLIS_SINCE_SUBMISSION = 2;
+    private static final int FIRST_TASK = 3;
+
+    @Override
+    public ObjectNode encode(JobRecord job) {
+        ObjectNode node = Cbor.map();
+        node.set("request", job.request().toNode());
+        if (job.owner() != null) {
+            node.put("owner", job.owner());
+        }
+        if (job.isCancelled()) {
+            node.put("cancelled", job.cancelledAt().toEpochMilli());
+        }
+        node.put("submitted", job.submittedAt().toEpochMilli())
+                .put("attempts", job.attemptCount())
+                .put("errors", job.consecutiveErrors());
+        ArrayNode completed = node.putArray("done");
+        for (int bound : job.completedTasks().bounds()) {
+            completed.add(bound);
+        }
+        encodePlacements(job, node);
+        return node;
+    }
+
+    /** Placements of one machine and moment together; times count from the submission, which keeps them short. */
+    private static void encodePlacements(JobRecord job, ObjectNode node) {
+        Map<List<Object>, ArrayNode> byMachineAndTime = new HashMap<>();
+        ArrayNode live = node.putArray("live");
+        ArrayNode stopping = null;
+        for (Placement placement : job.livePlacements()) {
+            long sinceSubmission =
+                    placement.placedAt().toEpochMilli() - job.submittedAt().toEpochMilli();
+            byMachineAndTime
+                    .computeIfAbsent(
+                            List.of(placement.machine(), placement.agentEpoch(), sinceSubmission),
+                            key -> live.addArray()
+                                    .add(placement.machine())
+                                    .add(placement.agentEpoch())
+                                    .add(sinceSubmission))
+                    .add(placement.task())
+                    .add(placement.attempt());
+            if (placement.stopping()) {
+                stopping = stopping == null ? node.putArray("stopping") : stopping;
+                stopping.add(placement.task());
+            }
+        }
+    }
+
+    @Override
+    public JobRecord decode(String name, JsonNode value) throws MalformedMessageException {
+        MessageFields fields = MessageFields.of(value);
+        Instant submittedAt = time(fields, "submitted");
+        List<Placement> live = decodePlacements(value, submittedAt);
+        IntegerRanges completed = decodeRanges("done", value.path("done"));
+        return new JobRecord(
+                JobRequest.parse(value.path("request")),
+                fields.textOrNull("owner"),
+                submittedAt,
+                fields.has("cancelled") ? time(fields, "cancelled") : null,
+                completed,
+                fields.count("attempts"),
+                fields.countUpTo("errors", Integer.MAX_VALUE),
+                live);
+    }
+
+    private static Instant time(MessageFields fields, String name) throws MalformedMessageException {
+        return Instant.ofEpochMilli(fields.count(name));
+    }
+
+    private static List<Placement> decodePlacements(JsonNode value, Instant submittedAt) {
+        Set<Integer> stopping = new HashSet<>();
+        value.path("stopping").forEach(task -> stopping.add(task.asInt()));
+        List<Placement> live = new ArrayList<>();
+        for (JsonNode entry : value.path("live")) {
+            String machine = entry.path(MACHINE).asText();
+            long agentEpoch = entry.path(AGENT_EPOCH).asLong();
+            Instant placedAt =
+                    submittedAt.plusMillis(entry.path(MILLIS_SINCE_SUBMISSION).asLong());
+            for (int i = FIRST_TASK; i + 1 < entry.size(); i += 2) {
+                int task = entry.get(i).asInt();
+                long attempt = entry.get(i + 1).asLong();
+                live.add(new Placement(task, attempt, machine, agentEpoch, stopping.contains(task), placedAt));
+            }
+        }
+        return List.copyOf(live);
+    }
+
+    private static IntegerRanges decodeRanges(String field, JsonNode value) throws MalformedMessageException {
+        int[] bounds = new int[value.size()];
+        for (int i = 0; i < bounds.length; i++) {
+            bounds[i] = value.get(i).asInt();
+        }
+        try {
+            return IntegerRanges.of(bounds);
+        } catch (IllegalArgumentException e) {
+            throw new MalformedMessageException(field + ": " + e.getMessage());
+        }
+    }
+}
