--- a/src/main/java/org/gullway/coordination/membership/Membership.java
+++ b/src/main/java/org/gullway/coordination/membership/Membership.java
@@ -53,7 +53,7 @@
         trustedUntil = Instant.MIN;
     }
 
-    public boolean isTrusted(Instant now) {
+    public boolean isLeaseValid(Instant now) {
         return now.isBefore(trustedUntil);
     }
 }
--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -174,6 +174,17 @@
         return true;
     }
 
+    /** Applies the changes of a transaction that was committed at a revision. */
+    public void apply(Map<String, StoreRecord> changes, long revision) {
+        changes.forEach((key, value) -> {
+            if (value == null) {
+                remove(key, revision);
+            } else if (key.startsWith(StoreKeys.LIVE)) {
+                put(key, value, revision);
+            }
+        });
+    }
+
     private void replaceShard(String id, MachineShard next, long version) {
         shardsAndMembersVersion++;
         MachineShard before = next == null ? shards.remove(id) : shards.put(id, next);
--- a/src/main/java/org/gullway/storage/ConflictHistory.java
+++ b/src/main/java/org/gullway/storage/ConflictHistory.java
@@ -5,35 +5,36 @@
 import java.util.Set;
 import org.gullway.coordination.model.StoreKeys;
 
-/** Remembers failed guards since the last commit that succeeded, to notice keys about which the view is wrong. */
+/** Remembers failed conditions since the last transaction that was applied, to notice keys that are wrong here. */
 final class ConflictHistory {
-    private record Refusal(long version, long revision) {}
+    private record Conflict(long expectedVersion, long revision) {}
 
-    private final Map<String, Refusal> refusals = new HashMap<>();
+    private final Map<String, Conflict> lastConflicts = new HashMap<>();
 
     void clear() {
-        refusals.clear();
+        lastConflicts.clear();
     }
 
     /**
-     * Notes a refused commit. A refusal for the same mark of a key, though the watch has passed the first one, means
-     * that the view is wrong about that key; it would be refused for ever.
+     * Records the failed conditions of a transaction. A key that fails for the same version again, though the watch has
+     * passed the first conflict, is wrong in the cluster state, and every transaction on it would fail.
      *
-     * @param failed the keys whose guards failed
-     * @param marks the marks with which the commit was guarded
-     * @param revision of the refusal
-     * @param knownTo the revision that the watch had reached when the commit was sent
-     * @return whether the view is wrong about any of the keys
+     * @param failed the keys whose conditions failed
+     * @param expectedVersions the versions that the transaction expected
+     * @param revision at which the conditions failed
+     * @param watchedRevision the revision that the watch had reached when the transaction was sent
+     * @return whether the cluster state is wrong about any of the keys
      */
-    boolean repeated(Set<String> failed, Map<String, Long> marks, long revision, long knownTo) {
+    boolean record(Set<String> failed, Map<String, Long> expectedVersions, long revision, long watchedRevision) {
         boolean wrong = false;
         for (String key : failed) {
-            Refusal before = refusals.put(key, new Refusal(marks.get(key), revision));
+            long expected = expectedVersions.get(key);
+            Conflict previous = lastConflicts.put(key, new Conflict(expected, revision));
             wrong |= key.startsWith(StoreKeys.LIVE)
-                    && before != null
-                    && before.version() > 0
-                    && before.version() == marks.get(key)
-                    && knownTo >= before.revision();
+                    && previous != null
+                    && previous.expectedVersion() > 0
+                    && previous.expectedVersion() == expected
+                    && watchedRevision >= previous.revision();
         }
         return wrong;
     }
--- a/src/main/java/org/gullway/storage/LinearizableReader.java
+++ b/src/main/java/org/gullway/storage/LinearizableReader.java
@@ -7,31 +7,32 @@
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.transport.TokenBucket;
 
-/** Confirms that records of the view are the newest, by commits that have guards but no changes. */
+/** Confirms that records of the cluster state are the newest, by transactions with conditions but without changes. */
 final class LinearizableReader {
     private final StateStoreClient store;
     private final ClusterState clusterState;
-    private final TokenBucket requests;
+    private final TokenBucket requestLimit;
 
-    LinearizableReader(StateStoreClient store, ClusterState clusterState, TokenBucket requests) {
+    LinearizableReader(StateStoreClient store, ClusterState clusterState, TokenBucket requestLimit) {
         this.store = store;
         this.clusterState = clusterState;
-        this.requests = requests;
+        this.requestLimit = requestLimit;
     }
 
     /** See {@link ReplicatedState#confirmVersions}. */
-    void verify(Set<String> keys, Consumer<LinearizableRead> callback) {
-        requests.consume(1);
+    void confirmVersions(Set<String> keys, Consumer<LinearizableRead> callback) {
+        requestLimit.consume(1);
         store.commit(
                 keys, clusterState::version, Map.of(), 0, outcome -> callback.accept(LinearizableRead.of(outcome)));
     }
 
-    Duration pause() {
-        return requests.batchingDelay();
+    /** See {@link ReplicatedState#confirmationDelay}. */
+    Duration batchingDelay() {
+        return requestLimit.batchingDelay();
     }
 
-    /** How long it takes until so many verifications may have been sent. */
-    Duration waitFor(int count) {
-        return requests.timeUntilAvailable(count);
+    /** See {@link ReplicatedState#timeUntilConfirmation}. */
+    Duration timeUntilAvailable(int count) {
+        return requestLimit.timeUntilAvailable(count);
     }
 }
--- a/src/main/java/org/gullway/storage/MembershipLease.java
+++ b/src/main/java/org/gullway/storage/MembershipLease.java
@@ -1,5 +1,6 @@
 package org.gullway.storage;
 
+import java.time.Duration;
 import java.time.Instant;
 import java.util.Map;
 import java.util.Set;
@@ -8,16 +9,15 @@
 import org.gullway.coordination.model.Incarnation;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.transport.EventLoop;
-import org.gullway.transport.HttpResponse;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes this controller's member key on a lease, renews the lease, and joins anew once it has ended. */
+/** Writes this controller's member key on a lease, renews the lease, and joins again once it has ended. */
 final class MembershipLease {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
-    private static final int RENEWALS_PER_LIFE = 5;
-    private static final int RENEWAL_LIMIT_DIVISOR = 3;
-    private static final int MOST_RENEWALS_IN_FLIGHT = 2;
+    private static final int RENEWALS_PER_LEASE_DURATION = 5;
+    private static final int RENEWAL_TIMEOUT_DIVISOR = 3;
+    private static final int MAX_RENEWALS_IN_FLIGHT = 2;
 
     private enum Phase {
         OUTSIDE,
@@ -30,20 +30,20 @@
     private final ClusterState clusterState;
     private final Membership membership;
     private final Runnable onJoined;
-    private final Runnable changed;
+    private final Runnable onStateChanged;
     private Phase phase = Phase.OUTSIDE;
-    /** Revision at which the own member key was written; a reading that is older shows a former one. */
-    private long memberSince;
-    /** The same for the beginning of the present membership. */
-    private long joinedAt;
-    /** Counts memberships: an answer to a commit of an earlier one says nothing of what is on its way now. */
+    /** Revision at which the own member key was last written. */
+    private long memberKeyRevision;
+    /** Revision at which the present membership began. */
+    private long joinedRevision;
+    /** Counts memberships: the outcome of a transaction of an earlier one says nothing about the one in flight. */
     private int term;
 
-    private int renewals;
+    private int renewalsInFlight;
 
     /**
      * @param onJoined runs whenever a membership begins
-     * @param changed runs, after {@code onJoined}, whenever this controller may have become entitled to act
+     * @param onStateChanged runs, after {@code onJoined}, whenever this controller may have come to hold a valid lease
      */
     MembershipLease(
             EventLoop loop,
@@ -51,26 +51,26 @@
             ClusterState clusterState,
             Membership membership,
             Runnable onJoined,
-            Runnable changed) {
+            Runnable onStateChanged) {
         this.loop = loop;
         this.store = store;
         this.clusterState = clusterState;
         this.membership = membership;
         this.onJoined = onJoined;
-        this.changed = changed;
+        this.onStateChanged = onStateChanged;
     }
 
     void start() {
         join();
-        loop.every(membership.leaseDuration().dividedBy(RENEWALS_PER_LIFE), this::renew);
+        loop.every(membership.leaseDuration().dividedBy(RENEWALS_PER_LEASE_DURATION), this::renew);
     }
 
-    /** Whether the member key is written and its lease is surely not over. */
-    boolean trusted() {
-        return phase == Phase.MEMBER && membership.isTrusted(loop.now());
+    /** Whether the member key is written and its lease has certainly not expired. */
+    boolean isValid() {
+        return phase == Phase.MEMBER && membership.isLeaseValid(loop.now());
     }
 
-    /** Whether the membership with this lease is the present one, trusted or not. */
+    /** Whether the membership with this lease is the present one, expired or not. */
     boolean isCurrent(long lease) {
         return lease == membership.lease() && phase == Phase.MEMBER;
     }
@@ -87,25 +87,25 @@
         return term;
     }
 
-    long memberSince() {
-        return memberSince;
+    long memberKeyRevision() {
+        return memberKeyRevision;
     }
 
-    long joinedAt() {
-        return joinedAt;
+    long joinedRevision() {
+        return joinedRevision;
     }
 
-    String key() {
+    String memberKey() {
         return StoreKeys.member(self().node());
     }
 
-    /** Records that the member key was written anew, under the same lease. */
-    void rewritten(long revision) {
-        memberSince = revision;
-        clusterState.put(key(), self(), revision);
+    /** Records that the member key was written again, on the same lease. */
+    void onMemberKeyWritten(long revision) {
+        memberKeyRevision = revision;
+        clusterState.put(memberKey(), self(), revision);
     }
 
-    /** Joins anew, unless that is under way: two at a time would end each other's lease (incident inc-9df7). */
+    /** Joins again, unless that is in progress: two at a time would revoke each other's lease. */
     void join() {
         if (phase != Phase.JOINING) {
             phase = Phase.JOINING;
@@ -115,89 +115,90 @@
     }
 
     private void tryToJoin() {
-        store.get(key(), outcome -> {
-            if (outcome.is(200) && outcome.body().hasNonNull("tether")) {
-                // Only this node writes this key, so an earlier process or membership of its own left it there.
-                endFormerLease(outcome.body().path("tether").asLong());
-            } else if (outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 404) {
-                enter();
+        store.get(memberKey(), outcome -> {
+            if (outcome.isOkWithBody() && outcome.hasLease()) {
+                // Only this controller writes this key, so it is from an earlier process or membership of its own.
+                revokeFormerLease(outcome.lease());
+            } else if (outcome.isNotFound()) {
+                requestLease();
             } else {
-                rejoinSoon();
+                retryJoin();
             }
         });
     }
 
-    private void endFormerLease(long lease) {
-        store.end(lease, outcome -> {
-            if (outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 200) {
+    private void revokeFormerLease(long lease) {
+        store.revokeLease(lease, outcome -> {
+            if (outcome.isOk()) {
                 tryToJoin();
             } else {
-                rejoinSoon();
+                retryJoin();
             }
         });
     }
 
-    private void rejoinSoon() {
-        loop.after(StateStoreClient.RETRY, this::tryToJoin);
+    private void retryJoin() {
+        loop.after(StateStoreClient.RETRY_DELAY, this::tryToJoin);
     }
 
-    private void enter() {
-        Instant sent = loop.now();
-        store.grant(membership.leaseDuration(), outcome -> {
-            if (outcome.is(200)) {
-                writeKey(outcome.body().path("tether").asLong(), sent);
+    private void requestLease() {
+        Instant sentAt = loop.now();
+        store.grantLease(membership.leaseDuration(), outcome -> {
+            if (outcome.isOkWithBody()) {
+                writeMemberKey(outcome.lease(), sentAt);
             } else {
-                rejoinSoon();
+                retryJoin();
             }
         });
     }
 
-    private void writeKey(long lease, Instant sent) {
-        store.commit(Set.of(key()), key -> 0, Map.of(key(), self()), lease, outcome -> {
-            if (outcome.is(200)) {
-                joined(lease, sent, outcome.revision());
+    private void writeMemberKey(long lease, Instant requestedAt) {
+        store.commit(Set.of(memberKey()), key -> 0, Map.of(memberKey(), self()), lease, outcome -> {
+            if (outcome.isOkWithBody()) {
+                joined(lease, requestedAt, outcome.revision());
             } else {
-                rejoinSoon();
+                retryJoin();
             }
         });
     }
 
-    private void joined(long lease, Instant sent, long revision) {
-        membership.onJoined(lease, sent);
-        joinedAt = revision;
-        rewritten(revision);
+    private void joined(long lease, Instant requestedAt, long revision) {
+        membership.onJoined(lease, requestedAt);
+        joinedRevision = revision;
+        onMemberKeyWritten(revision);
         phase = Phase.MEMBER;
         term++;
         onJoined.run();
-        LOG.info("joined as {} with lease {}", self(), lease);
-        changed.run();
+        LOG.info("joined the cluster incarnation={} lease={}", self(), lease);
+        onStateChanged.run();
     }
 
     private void renew() {
-        if (phase != Phase.MEMBER || renewals >= MOST_RENEWALS_IN_FLIGHT) {
+        if (phase != Phase.MEMBER || renewalsInFlight >= MAX_RENEWALS_IN_FLIGHT) {
             return;
         }
         long lease = membership.lease();
-        Instant sent = loop.now();
-        renewals++;
-        store.renew(lease, membership.leaseDuration().dividedBy(RENEWAL_LIMIT_DIVISOR), outcome -> {
-            renewals--;
+        Instant sentAt = loop.now();
+        Duration timeout = membership.leaseDuration().dividedBy(RENEWAL_TIMEOUT_DIVISOR);
+        renewalsInFlight++;
+        store.renewLease(lease, timeout, outcome -> {
+            renewalsInFlight--;
             if (isCurrent(lease)) {
-                renewalAnswered(outcome, sent);
+                onRenewalAnswered(outcome, sentAt);
             }
         });
     }
 
-    private void renewalAnswered(StateStoreClient.Outcome outcome, Instant sent) {
-        if (outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 200) {
-            boolean before = membership.isTrusted(loop.now());
-            membership.onRenewed(sent);
-            if (!before) {
-                LOG.info("membership is trusted again");
-                changed.run();
+    private void onRenewalAnswered(StateStoreClient.Outcome outcome, Instant sentAt) {
+        if (outcome.isOk()) {
+            boolean wasValid = membership.isLeaseValid(loop.now());
+            membership.onRenewed(sentAt);
+            if (!wasValid) {
+                LOG.info("the membership lease is valid again lease={}", membership.lease());
+                onStateChanged.run();
             }
-        } else if (outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 404) {
-            LOG.info("membership ended");
+        } else if (outcome.isNotFound()) {
+            LOG.info("the membership lease has expired lease={}", membership.lease());
             join();
         }
     }
--- a/src/main/java/org/gullway/storage/ReplicatedState.java
+++ b/src/main/java/org/gullway/storage/ReplicatedState.java
@@ -11,18 +11,18 @@
 import org.gullway.transport.TokenBucket;
 
 /**
- * Keeps the view up to date with the state store, keeps this controller a member, and commits drafts, one at a time.
- * All calls come from the thread of the event loop, on which the callbacks run too.
+ * Keeps the cluster state up to date with the state store, keeps this controller a member, and commits transactions,
+ * one at a time. All calls come from the thread of the event loop, on which the callbacks run too.
  *
- * <p>A commit without an answer may still be carried out, at any later time. It is ruled out by writing the own
- * member key anew: every commit is guarded by that key's mark. Only then does the next commit go out.
+ * <p>A transaction without a response may still be applied, at any later time. It is fenced by writing the own member
+ * key again: the version of that key is a condition of every transaction. Only then is the next one sent.
  */
 public final class ReplicatedState {
     /**
-     * What became of a draft; one that was not committed never will be.
+     * Outcome of a transaction; one that was not committed never will be.
      *
-     * @param failed guards that failed
-     * @param revision of the state service at which it was committed
+     * @param failedConditions keys whose conditions failed
+     * @param revision of the state store at which it was committed
      */
     public record CommitResult(boolean committed, Set<String> failedConditions, long revision) {
         static final CommitResult REFUSED = refused(Set.of());
@@ -31,47 +31,52 @@
             return new CommitResult(true, Set.of(), revision);
         }
 
-        static CommitResult refused(Set<String> failed) {
-            return new CommitResult(false, failed, 0);
+        static CommitResult refused(Set<String> failedConditions) {
+            return new CommitResult(false, failedConditions, 0);
         }
     }
 
-    /** What the state service allows all controllers together, and how many they are. */
+    /** What the state store allows all controllers together, and how many they are. */
     public record StoreRateLimits(double changesPerSecond, double requestsPerSecond, int controllers) {
-        /** Part of the changes that each takes while the store refuses none. */
+        /** Fraction of the changes that each controller takes while the store refuses none. */
         static final double UNCONTENDED_SHARE = 0.6;
-        /** The leader books most of the work; the others share the rest. */
+        /** The leader writes most of the changes; the others divide the rest. */
         private static final double LEADER_SHARE = 0.55;
 
         private static final double OTHERS_SHARE = 0.4;
-        // Parts of a controller's requests; what is left goes to the renewal of its membership.
+        // Fractions of a controller's requests; the rest is for the renewal of its membership lease.
         static final double WATCH_SHARE = 0.38;
         static final double COMMIT_SHARE = 0.35;
-        /** Verifications of what users who ask are told. */
+        /** Confirmations of the versions that responses to users are based on. */
         static final double CONFIRMATION_SHARE = 0.075;
-        /** Readings of single jobs for users who ask. */
+        /** Reads of single jobs for status queries. */
         static final double QUERY_READ_SHARE = 0.12;
-        /** Readings of single jobs for submissions and cancellations, which never wait for those of questions. */
+        /** Reads of single jobs for submissions and cancellations, which never wait for those of status queries. */
         static final double REQUEST_READ_SHARE = 0.06;
 
         double contendedShare(boolean leading) {
             return leading ? LEADER_SHARE : OTHERS_SHARE / Math.max(1, controllers - 1);
         }
+
+        private TokenBucket requestLimit(EventLoop loop, double share) {
+            return new TokenBucket(loop, requestsPerSecond / controllers, share);
+        }
     }
 
     private final StateStoreClient store;
     private final ClusterState clusterState;
     private final MembershipLease membershipLease;
     private final WatchStream watchStream;
+    private final CommitPacing commitPacing;
     private final TransactionCommitter committer;
-    private final LinearizableReader verification;
+    private final LinearizableReader linearizableReader;
     private final TokenBucket queryReadLimit;
     private final TokenBucket requestReadLimit;
 
     /**
-     * @param pace what the state service allows
-     * @param watchWait how long the state service holds back the answer to a watch while nothing changes
-     * @param changed runs on the event loop whenever a new round of decisions may have something to do
+     * @param rateLimits what the state store allows
+     * @param watchWait how long the state store holds back the response to a watch while nothing changes
+     * @param onStateChanged runs on the event loop whenever a new scheduling cycle may have something to do
      */
     public ReplicatedState(
             EventLoop loop,
@@ -80,25 +85,30 @@
             Membership membership,
             StoreRateLimits rateLimits,
             Duration watchWait,
-            Runnable changed) {
+            Runnable onStateChanged) {
         this.store = store;
         this.clusterState = clusterState;
-        double requests = rateLimits.requestsPerSecond() / rateLimits.controllers();
-        TokenBucket watchRequests = new TokenBucket(loop, requests, StoreRateLimits.WATCH_SHARE);
-        TokenBucket commitRequests = new TokenBucket(loop, requests, StoreRateLimits.COMMIT_SHARE);
-        TokenBucket verificationRequests = new TokenBucket(loop, requests, StoreRateLimits.CONFIRMATION_SHARE);
-        this.queryReadLimit = new TokenBucket(loop, requests, StoreRateLimits.QUERY_READ_SHARE);
-        this.requestReadLimit = new TokenBucket(loop, requests, StoreRateLimits.REQUEST_READ_SHARE);
-        this.watchStream = new WatchStream(loop, store, clusterState, watchRequests, watchWait, changed);
+        this.queryReadLimit = rateLimits.requestLimit(loop, StoreRateLimits.QUERY_READ_SHARE);
+        this.requestReadLimit = rateLimits.requestLimit(loop, StoreRateLimits.REQUEST_READ_SHARE);
+        this.watchStream = new WatchStream(
+                loop,
+                store,
+                clusterState,
+                rateLimits.requestLimit(loop, StoreRateLimits.WATCH_SHARE),
+                watchWait,
+                onStateChanged);
         this.membershipLease =
-                new MembershipLease(loop, store, clusterState, membership, this::membershipBegan, changed);
+                new MembershipLease(loop, store, clusterState, membership, this::onJoined, onStateChanged);
+        this.commitPacing = new CommitPacing(
+                loop, rateLimits, rateLimits.requestLimit(loop, StoreRateLimits.COMMIT_SHARE), onStateChanged);
         this.committer = new TransactionCommitter(
-                loop, store, clusterState, membershipLease, watchStream, rateLimits, commitRequests, changed);
-        this.verification = new LinearizableReader(store, clusterState, verificationRequests);
+                loop, store, clusterState, membershipLease, watchStream, commitPacing, onStateChanged);
+        this.linearizableReader = new LinearizableReader(
+                store, clusterState, rateLimits.requestLimit(loop, StoreRateLimits.CONFIRMATION_SHARE));
     }
 
-    private void membershipBegan() {
-        committer.membershipBegan();
+    private void onJoined() {
+        committer.onJoined();
     }
 
     /** Begins to read the store, to join, and to renew the membership. To be called once, on the event loop. */
@@ -107,76 +117,76 @@
         membershipLease.start();
     }
 
-    /** Whether the view is recent and this controller is entitled to act. */
+    /** Whether this controller may act: its lease has not expired, and the cluster state is fresh. */
     public boolean holdsValidLease() {
-        // A view from before the joining may lack what others have claimed and placed meanwhile.
-        return membershipLease.trusted()
-                && watchStream.fresh()
-                && clusterState.watchedRevision() >= membershipLease.joinedAt();
+        // A cluster state from before the joining may lack what other controllers have placed until then.
+        return membershipLease.isValid()
+                && watchStream.isFresh()
+                && clusterState.watchedRevision() >= membershipLease.joinedRevision();
     }
 
-    /** Whether the view follows the store without a gap. */
+    /** Whether the cluster state follows the store without a gap. */
     public boolean isFresh() {
-        return watchStream.fresh();
+        return watchStream.isFresh();
     }
 
     /**
-     * The moment up to which all commits of all controllers are surely known here: when the last watch or reading that
-     * was answered had been sent. An answer may be held back for long, and an open watch just waits in an outage.
+     * The moment up to which all transactions of all controllers are surely known here: when the last watch or read
+     * that was answered had been sent. A response may be held back for long, and an open watch just waits in an outage.
      */
     public Instant knownThrough() {
-        return watchStream.knownUntil();
+        return watchStream.knownThrough();
     }
 
-    /** Takes the part of the changes that a leader, or another controller, may use now. */
+    /** Takes the share of the changes that a leader, or another controller, may use now. */
     public void setWriteShare(boolean leading) {
-        committer.share(leading);
+        commitPacing.setWriteShare(leading);
     }
 
-    /** How many changes a commit may hold now: what comes next should never wait long for the budget to recover. */
+    /** How many changes a transaction may hold now, so that the next one need not wait long for the rate limit. */
     public int availableChanges() {
-        return committer.changesLeft();
+        return commitPacing.availableChanges();
     }
 
     /** Whether changes that could wait may be committed as well. */
     public boolean hasSurplusChanges() {
-        return committer.plenty();
+        return commitPacing.hasSurplusChanges();
     }
 
-    /** Whether a draft could be committed now. */
+    /** Whether a transaction could be committed now. */
     public boolean canCommit() {
-        return holdsValidLease() && committer.ready();
+        return holdsValidLease() && committer.isReady();
     }
 
     /**
-     * Sends the draft. To be called only while {@link #ready()}, and on the event loop; the callback runs there too, once
-     * the outcome is certain: after an unknown outcome that is when a later execution has been ruled out.
+     * Sends the transaction. To be called only while {@link #canCommit()}, and on the event loop; the callback runs
+     * there too, once the outcome is certain: if it was unknown, after the transaction has been fenced.
      */
     public void commit(Transaction transaction, Consumer<CommitResult> callback) {
         committer.commit(transaction, callback);
     }
 
-    /** Asks whether the view's marks of these keys are the newest; a key that is not in the view must not exist. */
+    /** Asks whether these versions are the newest; a key that is not in the cluster state must not exist. */
     public void confirmVersions(Set<String> keys, Consumer<LinearizableRead> callback) {
-        verification.verify(keys, callback);
+        linearizableReader.confirmVersions(keys, callback);
     }
 
-    /** How long questions should be gathered before the next verification. */
+    /** How long queries should be batched before the next confirmation. */
     public Duration confirmationDelay() {
-        return verification.pause();
+        return linearizableReader.batchingDelay();
     }
 
-    /** How long it takes until so many verifications may have been sent. */
+    /** How long it takes until so many confirmations may have been sent. */
     public Duration timeUntilConfirmation(int count) {
-        return verification.waitFor(count);
+        return linearizableReader.timeUntilAvailable(count);
     }
 
-    /** What readings of single jobs for users who ask may use. */
+    /** Limit of the reads of single jobs for status queries. */
     public TokenBucket queryReadLimit() {
         return queryReadLimit;
     }
 
-    /** What readings of single jobs for submissions and cancellations may use. */
+    /** Limit of the reads of single jobs for submissions and cancellations. */
     public TokenBucket requestReadLimit() {
         return requestReadLimit;
     }
--- a/src/main/java/org/gullway/storage/StateStoreClient.java
+++ b/src/main/java/org/gullway/storage/StateStoreClient.java
@@ -17,14 +17,15 @@
 import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpResponse;
+import org.gullway.transport.HttpStatus;
 
-/** The state service's calls. Every answer that is not of the stated form counts as unknown. */
+/** The calls of the state store. A response that is not of the stated form counts as unknown. */
 public final class StateStoreClient {
-    private static final Duration LIMIT = Duration.ofSeconds(3);
+    private static final Duration TIMEOUT = Duration.ofSeconds(3);
     /** The pause before a call that failed is tried again. */
-    static final Duration RETRY = Duration.ofMillis(250);
+    static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-    private static final int PAGE = 500;
+    private static final int PAGE_SIZE = 500;
 
     private final HttpClient httpClient;
     private final String address;
@@ -34,32 +35,90 @@
         this.address = address;
     }
 
-    /** Outcome of a call; the body is null unless the status came with a map. */
+    /**
+     * Outcome of a call.
+     *
+     * @param kind whether the call was answered, and if not, whether it may have been carried out
+     * @param status 0 unless the call was answered
+     * @param body null unless the response came with a map
+     */
     public record Outcome(HttpResponse.Outcome kind, int status, ObjectNode body) {
-        boolean is(int expected) {
-            return kind == HttpResponse.Outcome.ANSWERED && status == expected && body != null;
+        private boolean hasStatus(int expected) {
+            return kind == HttpResponse.Outcome.ANSWERED && status == expected;
+        }
+
+        /** Carried out, whether or not the response could be read. */
+        public boolean isOk() {
+            return hasStatus(HttpStatus.OK);
+        }
+
+        /** Carried out, and the response was read. */
+        boolean isOkWithBody() {
+            return isOk() && body != null;
+        }
+
+        /** Conditions of a transaction failed, and the response names them. */
+        boolean isConflict() {
+            return hasStatus(HttpStatus.CONFLICT) && body != null;
+        }
+
+        /** The key or the lease does not exist. */
+        public boolean isNotFound() {
+            return hasStatus(HttpStatus.NOT_FOUND);
+        }
+
+        /** The store no longer keeps the changes that a watch asked for. */
+        boolean isGone() {
+            return hasStatus(HttpStatus.GONE);
+        }
+
+        /** The request was malformed, or wrote on a lease that has expired. */
+        boolean isBadRequest() {
+            return hasStatus(HttpStatus.BAD_REQUEST);
+        }
+
+        boolean isRateLimited() {
+            return hasStatus(HttpStatus.TOO_MANY_REQUESTS);
         }
 
         /** The request may have been carried out, or may be carried out later. */
         boolean isUnknown() {
-            return kind == HttpResponse.Outcome.UNKNOWN
-                    || kind == HttpResponse.Outcome.ANSWERED
-                            && (status == 200 && body == null
-                                    || status != 200
-                                            && status != 400
-                                            && status != 404
-                                            && status != 409
-                                            && status != 410
-                                            && status != 429
-                                            && status != 503);
-        }
-
-        /** Revision of the state service at which the answer holds, or that of a single key; 0 if it names none. */
+            return switch (kind) {
+                case ANSWERED -> !isConclusive();
+                case NOT_SENT, NO_SOCKET -> false;
+                case UNKNOWN -> true;
+            };
+        }
+
+        private boolean isConclusive() {
+            return switch (status) {
+                case HttpStatus.OK -> body != null;
+                case HttpStatus.BAD_REQUEST,
+                        HttpStatus.NOT_FOUND,
+                        HttpStatus.CONFLICT,
+                        HttpStatus.GONE,
+                        HttpStatus.TOO_MANY_REQUESTS,
+                        HttpStatus.SERVICE_UNAVAILABLE -> true;
+                default -> false;
+            };
+        }
+
+        /** Revision of the store at which the response holds, or that of a single key; 0 if it names none. */
         public long revision() {
             return body == null ? 0 : body.path("logline").asLong(version(body));
         }
 
-        /** The keys whose guards a refused commit names; to be asked only of an outcome with a body. */
+        /** The lease that was granted, or on which the key is held; only for outcomes with a body. */
+        long lease() {
+            return body.path("tether").asLong();
+        }
+
+        /** Whether the key that was read is held on a lease; only for outcomes with a body. */
+        boolean hasLease() {
+            return body.hasNonNull("tether");
+        }
+
+        /** The keys whose conditions failed; only for outcomes with a body. */
         Set<String> failedConditions() {
             Set<String> failed = new HashSet<>();
             body.path("failed").forEach(key -> failed.add(key.asText()));
@@ -68,83 +127,99 @@
     }
 
     private void call(HttpRequest request, Consumer<Outcome> callback) {
-        httpClient.call(address, request, response -> {
-            ObjectNode body = null;
-            if (response.outcome() == HttpResponse.Outcome.ANSWERED && response.body().length > 0) {
-                try {
-                    body = Cbor.decode(response.body());
-                } catch (MalformedMessageException e) {
-                    body = null;
-                }
-            }
-            callback.accept(new Outcome(response.outcome(), response.status(), body));
-        });
+        httpClient.call(
+                address,
+                request,
+                response -> callback.accept(new Outcome(response.outcome(), response.status(), bodyOf(response))));
     }
 
-    public void get(String key, Consumer<Outcome> callback) {
-        call(HttpRequest.get("/store/" + key, LIMIT), callback);
+    private static ObjectNode bodyOf(HttpResponse response) {
+        if (response.outcome() != HttpResponse.Outcome.ANSWERED || response.body().length == 0) {
+            return null;
+        }
+        try {
+            return Cbor.decode(response.body());
+        } catch (MalformedMessageException e) {
+            return null;
+        }
     }
 
-    public void list(String prefix, String from, Consumer<Outcome> callback) {
-        String after = from == null ? "" : "&from=" + from;
-        call(HttpRequest.get("/store?under=" + prefix + after + "&page=" + PAGE, LIMIT), callback);
+    public void get(String key, Consumer<Outcome> callback) {
+        call(HttpRequest.get("/store/" + key, TIMEOUT), callback);
     }
 
     /**
-     * Asks for the changes under the prefix after revision {@code from}; without any, the answer comes after {@code wait}.
+     * Reads one page of the keys with the prefix, in their order.
+     *
+     * @param after the page begins after this key; null for the first page
      */
-    public void watch(String prefix, long from, Duration wait, Consumer<Outcome> callback) {
-        call(
-                HttpRequest.get(
-                        "/watch?under=" + prefix + "&from=" + from + "&block_ms=" + wait.toMillis(), wait.plus(LIMIT)),
-                callback);
+    public void list(String prefix, String after, Consumer<Outcome> callback) {
+        String from = after == null ? "" : "&from=" + after;
+        call(HttpRequest.get("/store?under=" + prefix + from + "&page=" + PAGE_SIZE, TIMEOUT), callback);
     }
 
-    public void grant(Duration life, Consumer<Outcome> callback) {
-        call(HttpRequest.post("/grants", Cbor.encode(Cbor.map().put("life_ms", life.toMillis())), LIMIT), callback);
+    /** Asks for the changes under the prefix after a revision; while there are none, the response takes {@code wait}. */
+    public void watch(String prefix, long afterRevision, Duration wait, Consumer<Outcome> callback) {
+        String path = "/watch?under=" + prefix + "&from=" + afterRevision + "&block_ms=" + wait.toMillis();
+        call(HttpRequest.get(path, wait.plus(TIMEOUT)), callback);
     }
 
-    public void renew(long lease, Duration limit, Consumer<Outcome> callback) {
-        call(HttpRequest.post("/grants/" + lease + "/renew", Cbor.encode(Cbor.map()), limit), callback);
+    /** Asks for a new lease. */
+    public void grantLease(Duration duration, Consumer<Outcome> callback) {
+        byte[] body = Cbor.encode(Cbor.map().put("life_ms", duration.toMillis()));
+        call(HttpRequest.post("/grants", body, TIMEOUT), callback);
     }
 
-    public void end(long lease, Consumer<Outcome> callback) {
-        call(HttpRequest.delete("/grants/" + lease, LIMIT), callback);
+    public void renewLease(long lease, Duration timeout, Consumer<Outcome> callback) {
+        call(HttpRequest.post("/grants/" + lease + "/renew", Cbor.encode(Cbor.map()), timeout), callback);
     }
 
-    /** Commits the changes if all guards hold; keys for which {@code tethered} holds live as long as the lease. */
+    /** Ends a lease at once, with the keys that are held on it. */
+    public void revokeLease(long lease, Consumer<Outcome> callback) {
+        call(HttpRequest.delete("/grants/" + lease, TIMEOUT), callback);
+    }
+
+    /**
+     * Applies the changes if the keys of all conditions have the given versions.
+     *
+     * @param versionOf the expected version of a condition's key; 0 if it must not exist
+     * @param changes keys with their new values; null removes the key
+     * @param lease holds the member key and the leader key, if they are written
+     */
     public void commit(
-            Collection<String> guards,
-            ToLongFunction<String> mark,
+            Collection<String> conditions,
+            ToLongFunction<String> versionOf,
             Map<String, ? extends StoreRecord> changes,
             long lease,
             Consumer<Outcome> callback) {
-        ObjectNode node = Cbor.map();
-        ArrayNode conditions = node.putArray("guards");
-        for (String key : guards) {
-            conditions.addObject().put("k", key).put("mark", mark.applyAsLong(key));
-        }
-        ArrayNode then = node.putArray("then");
-        changes.forEach((key, value) -> {
-            ObjectNode change = then.addObject();
-            if (value == null) {
-                change.put("remove", key);
-            } else {
-                change.put("put", key);
-                change.set("v", RecordCodec.encode(value));
-                if (isTethered(key)) {
-                    change.put("tether", lease);
-                }
-            }
-        });
-        call(HttpRequest.post("/commit", Cbor.encode(node), LIMIT), callback);
+        ObjectNode transaction = Cbor.map();
+        ArrayNode guards = transaction.putArray("guards");
+        for (String key : conditions) {
+            guards.addObject().put("k", key).put("mark", versionOf.applyAsLong(key));
+        }
+        ArrayNode then = transaction.putArray("then");
+        changes.forEach((key, value) -> addChange(then.addObject(), key, value, lease));
+        call(HttpRequest.post("/commit", Cbor.encode(transaction), TIMEOUT), callback);
+    }
+
+    private static void addChange(ObjectNode change, String key, StoreRecord value, long lease) {
+        if (value == null) {
+            change.put("remove", key);
+            return;
+        }
+        change.put("put", key);
+        change.set("v", RecordCodec.encode(value));
+        if (isHeldOnLease(key)) {
+            change.put("tether", lease);
+        }
     }
 
     /** Whether a key is written on the writer's lease, and so goes with its membership. */
-    private static boolean isTethered(String key) {
+    private static boolean isHeldOnLease(String key) {
         return key.startsWith(StoreKeys.MEMBERS) || key.equals(StoreKeys.LEADER);
     }
 
+    /** The version of a key, from an item of a list, an event of a watch, or the response to a read of it. */
     static long version(JsonNode item) {
         return item.path("mark").asLong();
     }
--- a/src/main/java/org/gullway/storage/TransactionCommitter.java
+++ b/src/main/java/org/gullway/storage/TransactionCommitter.java
@@ -8,42 +8,38 @@
 import java.util.function.Consumer;
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.StoreKeys;
-import org.gullway.coordination.model.StoreRecord;
 import org.gullway.coordination.model.Transaction;
+import org.gullway.storage.ReplicatedState.CommitResult;
 import org.gullway.transport.EventLoop;
-import org.gullway.transport.HttpResponse;
-import org.gullway.transport.TokenBucket;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Commits drafts, one at a time. A commit without an answer is ruled out, by writing the own member key anew, before
- * the next one goes out.
+ * Commits transactions, one at a time. One whose outcome is unknown is fenced by {@link TransactionFence} before the
+ * next one is sent.
  */
 final class TransactionCommitter {
     private static final Logger LOG = LoggerFactory.getLogger(TransactionCommitter.class);
-    private static final Duration BUSY_MEMORY = Duration.ofSeconds(10);
-    private static final Duration BUSY_RETRY = Duration.ofMillis(120);
-    private static final Duration REFUSED_RETRY = Duration.ofMillis(20);
 
     private final EventLoop loop;
     private final StateStoreClient store;
     private final ClusterState clusterState;
     private final MembershipLease membershipLease;
     private final WatchStream watchStream;
-    private final ReplicatedState.StoreRateLimits rateLimits;
-    private final TokenBucket changes;
-    private final TokenBucket requests;
-    private final Runnable changed;
-    private final ConflictHistory refusals = new ConflictHistory();
-    private boolean committing;
-    private Instant notBefore = Instant.MIN;
-    /** Until then the store counts as busy, and this controller keeps to its fair part of the changes. */
-    private Instant busyUntil = Instant.MIN;
-
-    /** A commit on its way, with the membership and the marks under which it was sent. */
-    private record Sent(
-            Transaction transaction, Instant at, long lease, int term, long knownTo, Map<String, Long> marks) {}
+    private final CommitPacing pacing;
+    private final Runnable onStateChanged;
+    private final TransactionFence fence;
+    private final ConflictHistory conflicts = new ConflictHistory();
+    private boolean inFlight;
+
+    /** A transaction in flight, with the membership and the cluster state under which it was sent. */
+    private record SentTransaction(
+            Transaction transaction,
+            Instant sentAt,
+            long lease,
+            int term,
+            long watchedRevision,
+            Map<String, Long> expectedVersions) {}
 
     TransactionCommitter(
             EventLoop loop,
@@ -51,196 +47,156 @@
             ClusterState clusterState,
             MembershipLease membershipLease,
             WatchStream watchStream,
-            ReplicatedState.StoreRateLimits rateLimits,
-            TokenBucket requests,
-            Runnable changed) {
+            CommitPacing pacing,
+            Runnable onStateChanged) {
         this.loop = loop;
         this.store = store;
         this.clusterState = clusterState;
         this.membershipLease = membershipLease;
         this.watchStream = watchStream;
-        this.rateLimits = rateLimits;
-        this.changes = new TokenBucket(loop, rateLimits.changesPerSecond());
-        this.requests = requests;
-        this.changed = changed;
+        this.pacing = pacing;
+        this.onStateChanged = onStateChanged;
+        this.fence = new TransactionFence(loop, store, clusterState, membershipLease);
     }
 
-    /** See {@link ReplicatedState#setWriteShare}. */
-    void share(boolean leading) {
-        changes.setShare(
-                loop.now().isBefore(busyUntil)
-                        ? rateLimits.contendedShare(leading)
-                        : ReplicatedState.StoreRateLimits.UNCONTENDED_SHARE);
+    /** Forgets the transaction in flight: its condition on the member key of a former membership fails. */
+    void onJoined() {
+        inFlight = false;
     }
 
-    int changesLeft() {
-        return changes.availableTokens();
-    }
-
-    boolean plenty() {
-        return changes.hasSurplus();
-    }
-
-    /** Forgets the commit in flight: it was guarded by the key of a former membership. */
-    void membershipBegan() {
-        committing = false;
-    }
-
-    /** Whether a draft could be committed now, provided that this controller is entitled to act. */
-    boolean ready() {
-        if (committing || loop.now().isBefore(notBefore) || !changes.hasBatch()) {
+    /** Whether a transaction could be committed now, provided that this controller holds a valid lease. */
+    boolean isReady() {
+        if (inFlight || !pacing.allowsCommit()) {
             return false;
         }
-        // What a former holder of this name, or of the leadership, has placed must be known first.
-        return clusterState.watchedRevision() >= Math.max(membershipLease.memberSince(), leaderSince())
-                && watchStream.reachedAwaited();
+        // What a former incarnation of this controller, or a former leader, has placed must be known first.
+        return clusterState.watchedRevision() >= Math.max(membershipLease.memberKeyRevision(), leaderRevision())
+                && watchStream.hasReachedAwaited();
     }
 
-    private long leaderSince() {
+    private long leaderRevision() {
         return membershipLease.self().equals(clusterState.leader()) ? clusterState.version(StoreKeys.LEADER) : 0;
     }
 
     /** See {@link ReplicatedState#commit}. */
-    void commit(Transaction transaction, Consumer<ReplicatedState.CommitResult> callback) {
-        committing = true;
-        changes.consume(transaction.changes().size());
-        requests.consume(1);
-        Map<String, Long> marks = new HashMap<>();
-        transaction.conditions().forEach(key -> marks.put(key, clusterState.version(key)));
-        Sent sent = new Sent(
+    void commit(Transaction transaction, Consumer<CommitResult> callback) {
+        inFlight = true;
+        pacing.onSent(transaction.changes().size());
+        SentTransaction sent = describe(transaction);
+        store.commit(
+                transaction.conditions(),
+                sent.expectedVersions()::get,
+                transaction.changes(),
+                sent.lease(),
+                outcome -> onAnswered(sent, outcome, callback));
+    }
+
+    private SentTransaction describe(Transaction transaction) {
+        Map<String, Long> expectedVersions = new HashMap<>();
+        transaction.conditions().forEach(key -> expectedVersions.put(key, clusterState.version(key)));
+        return new SentTransaction(
                 transaction,
                 loop.now(),
                 membershipLease.lease(),
                 membershipLease.term(),
                 clusterState.watchedRevision(),
-                marks);
-        store.commit(transaction.conditions(), marks::get, transaction.changes(), sent.lease(), outcome -> {
-            if (outcome.is(200)) {
-                if (LOG.isDebugEnabled()) {
-                    logCarriedOut(sent, outcome.revision());
-                }
-                carriedOut(sent, outcome.revision(), callback);
-            } else if (outcome.isUnknown()) {
-                LOG.info("a commit got no answer; writing the member key anew");
-                ruleOut(() -> callback.accept(ReplicatedState.CommitResult.REFUSED));
-            } else {
-                callback.accept(ReplicatedState.CommitResult.refused(refused(sent, outcome)));
-            }
-        });
-    }
-
-    private void carriedOut(Sent sent, long revision, Consumer<ReplicatedState.CommitResult> callback) {
-        ended(sent.term());
-        refusals.clear();
-        sent.transaction().changes().forEach((key, value) -> applyToView(key, value, revision));
-        pauseFor(requests.batchingDelay());
-        callback.accept(ReplicatedState.CommitResult.committed(revision));
-        changed.run();
-    }
-
-    private void logCarriedOut(Sent sent, long revision) {
-        LOG.debug(
-                "committed at revision {} after {} ms, drafted at revision {}: {}",
-                revision,
-                Duration.between(sent.at(), loop.now()).toMillis(),
-                sent.knownTo(),
-                sent.transaction().changes().keySet());
+                expectedVersions);
+    }
+
+    private void onAnswered(SentTransaction sent, StateStoreClient.Outcome outcome, Consumer<CommitResult> callback) {
+        if (outcome.isOkWithBody()) {
+            onApplied(sent, outcome.revision(), callback);
+        } else if (outcome.isUnknown()) {
+            LOG.info("the outcome of a transaction is unknown; rewriting the member key lease={}", sent.lease());
+            fence.fence((result, term, revision) -> {
+                onFenced(result, term, revision);
+                callback.accept(CommitResult.REFUSED);
+            });
+        } else {
+            callback.accept(CommitResult.refused(onRefused(sent, outcome)));
+        }
     }
 
-    private void applyToView(String key, StoreRecord value, long revision) {
-        if (value == null) {
-            clusterState.remove(key, revision);
-        } else if (key.startsWith(StoreKeys.LIVE)) {
-            clusterState.put(key, value, revision);
+    private void onApplied(SentTransaction sent, long revision, Consumer<CommitResult> callback) {
+        logApplied(sent, revision);
+        onOutcomeKnown(sent.term());
+        conflicts.clear();
+        clusterState.apply(sent.transaction().changes(), revision);
+        pacing.onApplied();
+        callback.accept(CommitResult.committed(revision));
+        onStateChanged.run();
+    }
+
+    private void logApplied(SentTransaction sent, long revision) {
+        if (LOG.isDebugEnabled()) {
+            LOG.debug(
+                    "committed a transaction revision={} elapsed_ms={} watched_revision={} keys={}",
+                    revision,
+                    Duration.between(sent.sentAt(), loop.now()).toMillis(),
+                    sent.watchedRevision(),
+                    sent.transaction().changes().keySet());
         }
     }
 
-    private void pauseFor(Duration pause) {
-        notBefore = loop.now().plus(pause);
-        loop.after(pause, changed);
+    /** The next transaction may be sent, unless this outcome is one of an earlier membership. */
+    private void onOutcomeKnown(int term) {
+        if (term == membershipLease.term()) {
+            inFlight = false;
+        }
     }
 
-    private void ended(int sentIn) {
-        if (sentIn == membershipLease.term()) {
-            committing = false;
+    private void onFenced(TransactionFence.Result result, int term, long revision) {
+        switch (result) {
+            case MEMBER_KEY_REWRITTEN -> {
+                onOutcomeKnown(term);
+                awaitWatch(revision);
+            }
+            case MEMBERSHIP_ENDED -> {
+                // Joining again forgets the transaction.
+            }
+            case MEMBERSHIP_REPLACED -> onOutcomeKnown(term);
         }
     }
 
-    /** Takes an answer that rules out the commit; returns the keys whose guards failed. */
-    private Set<String> refused(Sent sent, StateStoreClient.Outcome outcome) {
-        ended(sent.term());
-        if (outcome.is(409)) {
+    /** Handles a response after which the transaction is certainly not applied; returns the failed conditions. */
+    private Set<String> onRefused(SentTransaction sent, StateStoreClient.Outcome outcome) {
+        onOutcomeKnown(sent.term());
+        if (outcome.isConflict()) {
             Set<String> failed = outcome.failedConditions();
-            guardsFailed(sent, failed, outcome.revision());
+            onConflict(sent, failed, outcome.revision());
             return failed;
         }
-        if (outcome.status() == 429) {
-            busyUntil = loop.now().plus(BUSY_MEMORY);
-        }
-        pauseFor(BUSY_RETRY);
-        if (outcome.status() == 400) {
-            LOG.info("a commit was refused: {}", outcome.body());
+        pacing.onRefused(outcome.isRateLimited());
+        if (outcome.isBadRequest()) {
+            LOG.info("a transaction was refused as malformed or on an expired lease response={}", outcome.body());
         }
         return Set.of();
     }
 
-    private void guardsFailed(Sent sent, Set<String> failed, long revision) {
-        LOG.debug("guards failed at revision {}, drafted at {}: {}", revision, sent.knownTo(), failed);
-        if (failed.contains(membershipLease.key()) && sent.lease() == membershipLease.lease()) {
+    private void onConflict(SentTransaction sent, Set<String> failed, long revision) {
+        LOG.debug(
+                "conditions of a transaction failed revision={} watched_revision={} failed={}",
+                revision,
+                sent.watchedRevision(),
+                failed);
+        if (failed.contains(membershipLease.memberKey()) && sent.lease() == membershipLease.lease()) {
             membershipLease.join();
             return;
         }
-        if (refusals.repeated(failed, sent.marks(), revision, sent.knownTo())) {
-            LOG.error("refused again for {}, which the watch should have brought; reading anew", failed);
-            refusals.clear();
+        if (conflicts.record(failed, sent.expectedVersions(), revision, sent.watchedRevision())) {
+            LOG.error(
+                    "conditions failed again although the watch has passed the conflict; reading all keys failed={}",
+                    failed);
+            conflicts.clear();
             watchStream.readAll();
         } else {
-            await(revision);
+            awaitWatch(revision);
         }
     }
 
-    private void await(long revision) {
+    private void awaitWatch(long revision) {
         if (!watchStream.await(revision)) {
-            pauseFor(REFUSED_RETRY);
-        }
-    }
-
-    /** Makes sure that earlier commits of this controller can no longer be carried out. */
-    private void ruleOut(Runnable then) {
-        long lease = membershipLease.lease();
-        int sentIn = membershipLease.term();
-        store.commit(
-                Set.of(membershipLease.key()),
-                clusterState::version,
-                Map.of(membershipLease.key(), membershipLease.self()),
-                lease,
-                outcome -> {
-                    if (outcome.is(200)) {
-                        membershipLease.rewritten(outcome.revision());
-                        ended(sentIn);
-                        await(outcome.revision());
-                        then.run();
-                    } else if (outcome.is(409)
-                            || outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 400) {
-                        // Either the membership has ended, or an earlier try of this very write was carried out. An
-                        // answer
-                        // that comes after this controller has joined anew says nothing about its present membership.
-                        then.run();
-                        if (lease == membershipLease.lease()) {
-                            membershipLease.join();
-                        }
-                    } else {
-                        loop.after(StateStoreClient.RETRY, () -> ruleOutAgain(lease, sentIn, then));
-                    }
-                });
-    }
-
-    private void ruleOutAgain(long lease, int sentIn, Runnable then) {
-        if (membershipLease.isCurrent(lease)) {
-            ruleOut(then);
-        } else {
-            ended(sentIn);
-            then.run();
+            pacing.onConflict();
         }
     }
 }
--- a/src/main/java/org/gullway/storage/WatchStream.java
+++ b/src/main/java/org/gullway/storage/WatchStream.java
@@ -10,206 +10,208 @@
 import org.gullway.coordination.model.StoreRecord;
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.transport.EventLoop;
-import org.gullway.transport.HttpResponse;
 import org.gullway.transport.TokenBucket;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps the view up to date with the state store: one full reading, then the watch from its revision on. */
+/** Keeps the cluster state up to date with the store: one read of all keys, then the watch from its revision on. */
 final class WatchStream {
     private static final Logger LOG = LoggerFactory.getLogger(WatchStream.class);
-    /** How old the view may be for this controller to act on it. */
-    private static final Duration FRESH = Duration.ofSeconds(10);
+    /** How old the cluster state may be for this controller to act on it. */
+    private static final Duration MAX_AGE = Duration.ofSeconds(10);
 
-    private static final Duration LONGEST_AWAITED = Duration.ofSeconds(5);
-    /** A watch that is answered sooner than this tells of changes that go on. */
-    private static final Duration BUSY = Duration.ofMillis(120);
+    private static final Duration MAX_AWAIT = Duration.ofSeconds(5);
+    /** A watch that is answered sooner than this shows that more changes are to be expected. */
+    private static final Duration PROMPT_ANSWER = Duration.ofMillis(120);
 
     private final EventLoop loop;
     private final StateStoreClient store;
     private final ClusterState clusterState;
-    private final TokenBucket requests;
-    private final Duration wait;
-    private final Runnable changed;
+    private final TokenBucket requestLimit;
+    private final Duration watchWait;
+    private final Runnable onStateChanged;
     private boolean synced;
-    private Instant lastWatched = Instant.MIN;
-    /** When the last reading or watch that was answered had been sent. */
+    private Instant lastAnsweredAt = Instant.MIN;
+    /** When the last read or watch that was answered had been sent. */
     private Instant knownThrough = Instant.MIN;
-    /** Counts full readings: answers that belong to an earlier one are dropped. */
-    private long run;
-    /** Revision that the watch has to reach before the view is good enough for another commit. */
-    private long awaited;
+    /** Counts reads of all keys: responses that belong to an earlier one are dropped. */
+    private long generation;
+    /** Revision that the watch has to reach before the cluster state is good enough for another commit. */
+    private long awaitedRevision;
 
     private Instant awaitedSince;
 
-    /** One full reading of the live keys, page by page. */
-    private record Reading(long run, Instant asked, Map<String, JsonNode> items) {}
+    /** One read of all live keys, page by page. */
+    private record FullRead(long generation, Instant sentAt, Map<String, JsonNode> items) {}
 
     /**
-     * @param requests what watches may use of the requests that the state service allows
-     * @param wait how long the state service holds back the answer to a watch while nothing changes
-     * @param changed runs whenever the view has changed, or has come nearer to an awaited revision
+     * @param requestLimit what watches may use of the requests that the store allows
+     * @param watchWait how long the store holds back the response to a watch while nothing changes
+     * @param onStateChanged runs whenever the cluster state has changed, or has come nearer to an awaited revision
      */
     WatchStream(
             EventLoop loop,
             StateStoreClient store,
             ClusterState clusterState,
-            TokenBucket requests,
-            Duration wait,
-            Runnable changed) {
+            TokenBucket requestLimit,
+            Duration watchWait,
+            Runnable onStateChanged) {
         this.loop = loop;
         this.store = store;
         this.clusterState = clusterState;
-        this.requests = requests;
-        this.wait = wait;
-        this.changed = changed;
+        this.requestLimit = requestLimit;
+        this.watchWait = watchWait;
+        this.onStateChanged = onStateChanged;
     }
 
-    /** Whether the view follows the store without a gap. */
-    boolean fresh() {
-        return synced && loop.now().isBefore(lastWatched.plus(FRESH));
+    /** Whether the cluster state follows the store without a gap. */
+    boolean isFresh() {
+        return synced && loop.now().isBefore(lastAnsweredAt.plus(MAX_AGE));
     }
 
     /** See {@link ReplicatedState#knownThrough()}. */
-    Instant knownUntil() {
+    Instant knownThrough() {
         return knownThrough;
     }
 
-    /** Makes {@link #reachedAwaited()} hold back until the watch has passed the revision; false if it has already. */
+    /** Makes {@link #hasReachedAwaited()} false until the watch has passed the revision; false if it has already. */
     boolean await(long revision) {
         if (clusterState.watchedRevision() >= revision) {
             return false;
         }
-        awaited = revision;
+        awaitedRevision = revision;
         awaitedSince = loop.now();
         return true;
     }
 
-    /** Whether the watch has passed the awaited revision; if it does not for too long, everything is read anew. */
-    boolean reachedAwaited() {
-        if (clusterState.watchedRevision() >= awaited) {
-            awaited = 0;
+    /** Whether the watch has passed the awaited revision; if that takes too long, all keys are read again. */
+    boolean hasReachedAwaited() {
+        if (clusterState.watchedRevision() >= awaitedRevision) {
+            awaitedRevision = 0;
             return true;
         }
-        if (awaitedSince.plus(LONGEST_AWAITED).isBefore(loop.now())) {
-            LOG.info("the watch does not bring revision {}; reading anew", awaited);
-            awaited = 0;
+        if (awaitedSince.plus(MAX_AWAIT).isBefore(loop.now())) {
+            LOG.info("the watch does not reach an awaited revision; reading all keys revision={}", awaitedRevision);
+            awaitedRevision = 0;
             readAll();
         }
         return false;
     }
 
-    /** Reads all live keys; until that is done the view is not fresh. */
+    /** Reads all live keys; until that is done the cluster state is not fresh. */
     void readAll() {
         synced = false;
-        run++;
-        readPage(new Reading(run, loop.now(), new HashMap<>()), null, 0);
+        generation++;
+        readPage(new FullRead(generation, loop.now(), new HashMap<>()), null, 0);
     }
 
-    private void readPage(Reading reading, String from, long firstRevision) {
-        store.list(StoreKeys.LIVE, from, outcome -> {
-            if (reading.run() != run) {
+    private void readPage(FullRead read, String after, long firstRevision) {
+        store.list(StoreKeys.LIVE, after, outcome -> {
+            if (read.generation() != generation) {
                 return;
             }
-            if (outcome.is(200)) {
-                pageRead(reading, outcome, firstRevision);
+            if (outcome.isOkWithBody()) {
+                onPage(read, outcome, firstRevision);
             } else {
-                retry(reading.run(), this::readAll);
+                retry(read.generation(), this::readAll);
             }
         });
     }
 
-    private void pageRead(Reading reading, StateStoreClient.Outcome outcome, long firstRevision) {
-        String last = null;
+    private void onPage(FullRead read, StateStoreClient.Outcome outcome, long firstRevision) {
+        String lastKey = null;
         for (JsonNode item : outcome.body().path("items")) {
-            last = item.path("k").asText();
-            reading.items().put(last, item);
+            lastKey = item.path("k").asText();
+            read.items().put(lastKey, item);
         }
-        // The watch begins at the first page's revision, so that it brings what changed during the reading.
+        // The watch begins at the first page's revision, so that it brings what changed during the read.
         long revision = firstRevision == 0 ? outcome.revision() : firstRevision;
-        if (outcome.body().path("more").asBoolean() && last != null) {
-            readPage(reading, last, revision);
+        if (outcome.body().path("more").asBoolean() && lastKey != null) {
+            readPage(read, lastKey, revision);
         } else {
-            allRead(reading, revision);
+            onLastPage(read, revision);
         }
     }
 
-    private void allRead(Reading reading, long revision) {
+    private void onLastPage(FullRead read, long revision) {
         clusterState.clear();
-        reading.items().forEach(this::take);
+        read.items().forEach(this::put);
         clusterState.onFullRead(revision);
         synced = true;
-        lastWatched = loop.now();
-        knownThrough = reading.asked();
-        LOG.info("read {} keys at revision {}", reading.items().size(), revision);
-        changed.run();
-        watch(reading.run(), revision);
+        lastAnsweredAt = loop.now();
+        knownThrough = read.sentAt();
+        LOG.info("read all keys revision={} keys={}", revision, read.items().size());
+        onStateChanged.run();
+        watch(read.generation(), revision);
     }
 
-    private void retry(long ofRun, Runnable action) {
-        loop.after(StateStoreClient.RETRY, () -> ifCurrent(ofRun, action));
+    private void retry(long ofGeneration, Runnable action) {
+        loop.after(StateStoreClient.RETRY_DELAY, () -> runIfCurrent(ofGeneration, action));
     }
 
-    private void ifCurrent(long ofRun, Runnable action) {
-        if (ofRun == run) {
+    private void runIfCurrent(long ofGeneration, Runnable action) {
+        if (ofGeneration == generation) {
             action.run();
         }
     }
 
-    private void take(String key, JsonNode item) {
+    private void put(String key, JsonNode item) {
         try {
             StoreRecord value = RecordCodec.decode(key, item.path("v"));
             if (value != null) {
                 clusterState.put(key, value, StateStoreClient.version(item));
             }
         } catch (MalformedMessageException e) {
-            LOG.error("{} holds a value that is not of our form: {}", key, e.getMessage());
+            LOG.error("ignored a malformed record error=\"{}\"", e.getMessage());
         }
     }
 
-    private void watch(long ofRun, long from) {
-        Instant asked = loop.now();
-        store.watch(StoreKeys.LIVE, from, wait, outcome -> {
-            if (ofRun != run) {
+    private void watch(long ofGeneration, long afterRevision) {
+        Instant sentAt = loop.now();
+        store.watch(StoreKeys.LIVE, afterRevision, watchWait, outcome -> {
+            if (ofGeneration != generation) {
                 return;
             }
-            if (outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == 410) {
+            if (outcome.isGone()) {
                 readAll();
-            } else if (outcome.is(200)) {
-                watched(ofRun, asked, from, outcome);
+            } else if (outcome.isOkWithBody()) {
+                onWatchAnswered(ofGeneration, sentAt, afterRevision, outcome);
             } else {
-                retry(ofRun, () -> watch(ofRun, from));
+                retry(ofGeneration, () -> watch(ofGeneration, afterRevision));
             }
         });
     }
 
-    private void watched(long ofRun, Instant asked, long from, StateStoreClient.Outcome outcome) {
-        boolean any = false;
+    private void onWatchAnswered(
+            long ofGeneration, Instant sentAt, long afterRevision, StateStoreClient.Outcome outcome) {
+        boolean changed = false;
         for (JsonNode event : outcome.body().path("events")) {
-            any |= apply(event);
+            changed |= apply(event);
         }
-        long to = Math.max(from, outcome.revision());
-        clusterState.advanceTo(to);
-        lastWatched = loop.now();
-        knownThrough = asked;
-        if (any || awaited > 0) {
-            changed.run();
+        long revision = Math.max(afterRevision, outcome.revision());
+        clusterState.advanceTo(revision);
+        lastAnsweredAt = loop.now();
+        knownThrough = sentAt;
+        if (changed || awaitedRevision > 0) {
+            onStateChanged.run();
         }
-        // The store answers at once while changes go on; a short pause gathers them and spares requests.
-        if (asked.plus(BUSY).isAfter(loop.now())) {
-            requests.consume(1);
-            loop.after(requests.batchingDelay(), () -> ifCurrent(ofRun, () -> watch(ofRun, to)));
+        // The store answers at once while there are changes; a short pause batches them and saves requests.
+        if (sentAt.plus(PROMPT_ANSWER).isAfter(loop.now())) {
+            requestLimit.consume(1);
+            loop.after(
+                    requestLimit.batchingDelay(),
+                    () -> runIfCurrent(ofGeneration, () -> watch(ofGeneration, revision)));
         } else {
-            watch(ofRun, to);
+            watch(ofGeneration, revision);
         }
     }
 
     private boolean apply(JsonNode event) {
-        String removed = event.path("remove").asText(null);
-        if (removed != null) {
-            return clusterState.remove(removed, StateStoreClient.version(event));
+        String removedKey = event.path("remove").asText(null);
+        if (removedKey != null) {
+            return clusterState.remove(removedKey, StateStoreClient.version(event));
         }
-        take(event.path("put").asText(), event);
+        put(event.path("put").asText(), event);
         return true;
     }
 }
--- a/src/test/java/org/gullway/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenRecordsTest.java
@@ -117,11 +117,11 @@
         samples.add(new Sample("group", StoreKeys.shard("g-1"), new MachineShard("g-1", CONTROLLER, 9, machines)));
         samples.add(
                 new Sample("group-empty", StoreKeys.shard("g-2"), new MachineShard("g-2", CONTROLLER, 10, List.of())));
-        QuotaPartition share = QuotaPartition.EMPTY
+        QuotaPartition partition = QuotaPartition.EMPTY
                 .with("red", new QuotaPartition.Amount(16.5, 2))
                 .with("blue", new QuotaPartition.Amount(0.25, 0));
-        samples.add(new Sample("share-leader", StoreKeys.LEADER_QUOTA, share));
-        samples.add(new Sample("share-node", StoreKeys.quotaPartition("perch-0"), share));
+        samples.add(new Sample("share-leader", StoreKeys.LEADER_QUOTA, partition));
+        samples.add(new Sample("share-node", StoreKeys.quotaPartition("perch-0"), partition));
         samples.add(new Sample("share-empty", StoreKeys.quotaPartition("perch-1"), QuotaPartition.EMPTY));
         samples.add(new Sample("member", StoreKeys.member("perch-1"), CONTROLLER));
         samples.add(new Sample("leader", StoreKeys.LEADER, CONTROLLER));
--- a/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
@@ -17,7 +17,7 @@
 import org.gullway.transport.HttpResponse;
 import org.junit.jupiter.api.Test;
 
-/** Every call of the state service goes out as an earlier version sent it. */
+/** Every call of the state store goes out as an earlier version sent it. */
 class GoldenStoreCallsTest {
     private static final GoldenFile GOLDEN = GoldenFile.of("store-calls");
     private static final Consumer<StateStoreClient.Outcome> IGNORED = outcome -> {};
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void readingsAreSentAsBefore() {
+    void readsAreSentAsBefore() {
         call("get").get("live/jobs/run-000412", IGNORED);
         call("list-first").list(StoreKeys.LIVE, null, IGNORED);
         call("list-next").list(StoreKeys.LIVE, "live/jobs/run-000412", IGNORED);
@@ -55,13 +55,13 @@
 
     @Test
     void leasesAreSentAsBefore() {
-        call("grant").grant(Duration.ofSeconds(6), IGNORED);
-        call("renew").renew(17, Duration.ofSeconds(2), IGNORED);
-        call("end").end(17, IGNORED);
+        call("grant").grantLease(Duration.ofSeconds(6), IGNORED);
+        call("renew").renewLease(17, Duration.ofSeconds(2), IGNORED);
+        call("end").revokeLease(17, IGNORED);
     }
 
     @Test
-    void commitsAreSentAsBefore() {
+    void transactionsAreSentAsBefore() {
         Incarnation incarnation = new Incarnation("perch-0", 42);
         Map<String, StoreRecord> changes = new LinkedHashMap<>();
         changes.put(StoreKeys.member("perch-0"), incarnation);
--- a/src/test/java/org/gullway/storage/RecordCodecTest.java
+++ b/src/test/java/org/gullway/storage/RecordCodecTest.java
@@ -1,7 +1,9 @@
 package org.gullway.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Instant;
 import java.util.List;
 import java.util.Map;
@@ -29,17 +31,18 @@
 import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
+/** Records are read as they were written, and keep within the sizes that are planned for them. */
 class RecordCodecTest {
-    private static StoreRecord through(String key, StoreRecord value) throws MalformedMessageException {
+    private static StoreRecord roundTrip(String key, StoreRecord value) throws MalformedMessageException {
         return RecordCodec.decode(key, Cbor.decode(Cbor.encode(RecordCodec.encode(value))));
     }
 
     @Property(tries = 300, seed = "5")
-    void jobsSurviveTheStoreAndKeepTheirBound(@ForAll long seed) throws MalformedMessageException {
+    void jobsSurviveTheStoreWithinTheirSizeBound(@ForAll long seed) throws MalformedMessageException {
         SplittableRandom random = new SplittableRandom(seed);
-        IntegerRanges done = IntegerRanges.EMPTY;
+        IntegerRanges completed = IntegerRanges.EMPTY;
         for (int i = random.nextInt(40); i > 0; i--) {
-            done = done.with(random.nextInt(1000));
+            completed = completed.with(random.nextInt(1000));
         }
         Map<Integer, Placement> live = new TreeMap<>();
         Instant submitted = Instant.ofEpochMilli(random.nextLong(1L << 41));
@@ -60,13 +63,13 @@
                 random.nextBoolean() ? "perch-1" : null,
                 submitted,
                 random.nextBoolean() ? submitted.plusMillis(random.nextInt(1_000_000)) : null,
-                done,
+                completed,
                 random.nextLong(1L << 40),
                 random.nextInt(10),
                 List.copyOf(live.values()));
-        JobRecord read = (JobRecord) through(StoreKeys.job("run-000001"), job);
+        JobRecord read = (JobRecord) roundTrip(StoreKeys.job("run-000001"), job);
         assertThat(read.livePlacements()).containsExactlyInAnyOrderElementsOf(job.livePlacements());
-        assertThat(read).usingRecursiveComparison().ignoringFields("live").isEqualTo(job);
+        assertThat(read).usingRecursiveComparison().isEqualTo(job);
         assertThat(RecordCodec.encode(job).toString().length()).isLessThanOrEqualTo(job.maxEncodedBytes());
     }
 
@@ -90,15 +93,35 @@
                         booting,
                         booting.withAgentEpoch(3, "10.1.0.1:9000"),
                         booting.withLifecycle(MachineRecord.MachineLifecycle.LOST)));
-        assertThat(through(StoreKeys.shard("g-1"), shard)).isEqualTo(shard);
-        QuotaPartition share = QuotaPartition.EMPTY.with("red", new QuotaPartition.Amount(16.5, 2));
-        assertThat(through(StoreKeys.LEADER_QUOTA, share)).isEqualTo(share);
-        assertThat(through(StoreKeys.LEADER, incarnation)).isEqualTo(incarnation);
-        assertThat(through(StoreKeys.member("perch-0"), incarnation)).isEqualTo(incarnation);
-        assertThat(through(StoreKeys.FENCING_TOKEN, new FencingToken(41))).isEqualTo(new FencingToken(41));
-        assertThat(through(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1"))))
+        assertThat(roundTrip(StoreKeys.shard("g-1"), shard)).isEqualTo(shard);
+        QuotaPartition partition = QuotaPartition.EMPTY.with("red", new QuotaPartition.Amount(16.5, 2));
+        assertThat(roundTrip(StoreKeys.LEADER_QUOTA, partition)).isEqualTo(partition);
+        assertThat(roundTrip(StoreKeys.LEADER, incarnation)).isEqualTo(incarnation);
+        assertThat(roundTrip(StoreKeys.member("perch-0"), incarnation)).isEqualTo(incarnation);
+        assertThat(roundTrip(StoreKeys.FENCING_TOKEN, new FencingToken(41))).isEqualTo(new FencingToken(41));
+        assertThat(roundTrip(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1"))))
                 .isEqualTo(new CordonedMachines(Set.of("vm-1")));
-        FinalState ended = new FinalState(JobState.DONE, 4, 4);
-        assertThat(RecordCodec.ended(RecordCodec.encode(ended))).isEqualTo(ended);
+        FinalState finalState = new FinalState(JobState.DONE, 4, 4);
+        assertThat(RecordCodec.ended(RecordCodec.encode(finalState))).isEqualTo(finalState);
+    }
+
+    @Test
+    void theErrorOfAMalformedRecordNamesItsKeyAndField() {
+        ObjectNode token = Cbor.map().put("epoch", "high");
+        assertThatThrownBy(() -> RecordCodec.decode(StoreKeys.FENCING_TOKEN, token))
+                .isInstanceOf(MalformedMessageException.class)
+                .hasMessage("live/epoch: epoch is not a count");
+        ObjectNode shard = Cbor.map().put("epoch", 3);
+        shard.putObject("controller").put("node", "perch-0").put("number", 17);
+        shard.putArray("machines").addArray().add("vm-1");
+        assertThatThrownBy(() -> RecordCodec.decode(StoreKeys.shard("g-1"), shard))
+                .isInstanceOf(MalformedMessageException.class)
+                .hasMessageStartingWith("live/groups/g-1: machines: the lifecycle")
+                .hasMessageContaining("vm-1");
+    }
+
+    @Test
+    void aKeyOfNoKnownTypeHasNoRecord() throws MalformedMessageException {
+        assertThat(RecordCodec.decode("live/other", Cbor.map())).isNull();
     }
 }
--- a/src/test/java/org/gullway/storage/ReplicatedStateTest.java
+++ b/src/test/java/org/gullway/storage/ReplicatedStateTest.java
@@ -21,25 +21,26 @@
 import org.gullway.fake.SimulatedTime;
 import org.junit.jupiter.api.Test;
 
+/** Joining, renewing, watching and committing against a simulated state store. */
 class ReplicatedStateTest {
-    private static final String STATE = "10.2.0.1:2379";
+    private static final String STORE_ADDRESS = "10.2.0.1:2379";
     private final SimulatedTime time = new SimulatedTime();
-    private final SimulatedTime.Process process = time.process();
-    private final SimulatedTime.Process own = time.process();
+    private final SimulatedTime.Process storeProcess = time.process();
+    private final SimulatedTime.Process controllerProcess = time.process();
     private final SimulatedNetwork network = new SimulatedNetwork(time, new SplittableRandom(2), 0);
-    private final FakeStateStore store = new FakeStateStore(process);
+    private final FakeStateStore store = new FakeStateStore(storeProcess);
     private final ClusterState clusterState = new ClusterState();
     private final List<String> calls = new ArrayList<>();
     private final ReplicatedState replicatedState;
 
     ReplicatedStateTest() {
-        network.listen(STATE, process, exchange -> {
+        network.listen(STORE_ADDRESS, storeProcess, exchange -> {
             calls.add(exchange.method() + " " + exchange.path());
             store.handle(exchange);
         });
         replicatedState = new ReplicatedState(
-                own,
-                new StateStoreClient(network.client("perch-0", own), STATE),
+                controllerProcess,
+                new StateStoreClient(network.client("perch-0", controllerProcess), STORE_ADDRESS),
                 clusterState,
                 new Membership(TestFixtures.SELF, Duration.ofSeconds(6)),
                 new ReplicatedState.StoreRateLimits(30, 150, 3),
@@ -53,7 +54,7 @@
         time.runUntil(time.now().plusSeconds(seconds));
     }
 
-    private Transaction draft() {
+    private Transaction fencingTokenTransaction() {
         Transaction transaction =
                 new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
         transaction.nextFencingToken();
@@ -64,7 +65,7 @@
     void joinsAndCommits() {
         assertThat(replicatedState.holdsValidLease()).isTrue();
         List<ReplicatedState.CommitResult> results = new ArrayList<>();
-        replicatedState.commit(draft(), results::add);
+        replicatedState.commit(fencingTokenTransaction(), results::add);
         run(1);
         assertThat(results).extracting(ReplicatedState.CommitResult::committed).containsExactly(true);
         assertThat(clusterState.fencingToken()).isEqualTo(1);
@@ -72,32 +73,32 @@
     }
 
     @Test
-    void keepsWithinItsPartOfTheStoresChanges() {
+    void keepsWithinItsShareOfTheStoresWriteRate() {
         int committed = 0;
         for (int i = 0; i < 1000; i++) {
             time.runUntil(time.now().plusMillis(10));
             if (replicatedState.canCommit()) {
-                replicatedState.commit(draft(), result -> {});
+                replicatedState.commit(fencingTokenTransaction(), result -> {});
                 committed++;
             }
         }
         assertThat(committed).isBetween(100, 30 * 10);
     }
 
-    /** Once, a reading that ended after the joining showed the former process's key, and it joined a second time. */
+    /** A full read that ends after the joining may show the former process's member key: no reason to join again. */
     @Property(tries = 40, seed = "12")
-    void joinsOnceThoughItsReadingIsOlder(@ForAll @IntRange(min = 0, max = 400) int millis) {
+    void joinsOnceThoughItsFullReadIsOlder(@ForAll @IntRange(min = 0, max = 400) int millis) {
         ReplicatedStateTest test = new ReplicatedStateTest();
-        ClusterState another = new ClusterState();
+        ClusterState restartedState = new ClusterState();
         Incarnation next = new Incarnation(TestFixtures.SELF.node(), 99);
         test.time.runUntil(test.time.now().plusMillis(millis));
         test.network.slow("/store", Duration.ofMillis(700));
-        test.own.kill();
+        test.controllerProcess.kill();
         SimulatedTime.Process process = test.time.process();
         ReplicatedState restarted = new ReplicatedState(
                 process,
-                new StateStoreClient(test.network.client("perch-0", process), STATE),
-                another,
+                new StateStoreClient(test.network.client("perch-0", process), STORE_ADDRESS),
+                restartedState,
                 new Membership(next, Duration.ofSeconds(6)),
                 new ReplicatedState.StoreRateLimits(30, 150, 3),
                 Duration.ofSeconds(1),
@@ -107,36 +108,36 @@
         for (int i = 0; i < 6000; i++) {
             test.time.runUntil(test.time.now().plusMillis(1));
             if (restarted.canCommit()) {
-                Transaction transaction = new Transaction(another, next, TestFixtures.LIMITS, TestFixtures.DAY);
+                Transaction transaction = new Transaction(restartedState, next, TestFixtures.LIMITS, TestFixtures.DAY);
                 transaction.nextFencingToken();
                 restarted.commit(transaction, result -> {});
             }
         }
-        assertThat(another.fencingToken()).isPositive();
+        assertThat(restartedState.fencingToken()).isPositive();
         assertThat(test.calls).filteredOn(c -> c.equals("POST /grants")).hasSize(1);
     }
 
-    /** Whatever made the view wrong about a key, refusals for it must not go on for ever. */
+    /** Whatever made the cluster state wrong about a key, conflicts on it must not go on for ever. */
     @Test
-    void readsAnewWhenItIsRefusedForAKeyThatItDoesNotKnowBetter() {
+    void readsAllKeysAgainAfterARepeatedConflict() {
         clusterState.put(StoreKeys.LEADER, TestFixtures.PEER, clusterState.watchedRevision() + 1_000_000);
         clusterState.advanceTo(clusterState.watchedRevision());
         for (int i = 0; i < 300 && clusterState.leader() != null; i++) {
             if (replicatedState.canCommit()) {
-                Transaction transaction = draft();
+                Transaction transaction = fencingTokenTransaction();
                 transaction.requireUnchanged(StoreKeys.LEADER);
                 replicatedState.commit(transaction, result -> {});
             }
             time.runUntil(time.now().plusMillis(100));
         }
         assertThat(clusterState.leader()).isNull();
-        replicatedState.commit(draft(), result -> {});
+        replicatedState.commit(fencingTokenTransaction(), result -> {});
         run(1);
         assertThat(clusterState.fencingToken()).isEqualTo(1);
     }
 
     @Test
-    void isNotEntitledWithoutTheStoreAndIsAgainAfterwards() {
+    void holdsNoValidLeaseWithoutTheStoreAndHoldsOneAgainAfterwards() {
         store.setDown(true);
         run(7);
         assertThat(replicatedState.holdsValidLease()).isFalse();
@@ -145,27 +146,27 @@
         assertThat(replicatedState.holdsValidLease()).isTrue();
     }
 
-    /** The commit is held back by the cut and arrives after it; the rewritten member key makes it fail. */
+    /** The transaction is held back by the partition and arrives after it; the rewritten member key makes it fail. */
     @Test
-    void aCommitWithoutAnAnswerIsRuledOutBeforeItsCallerHears() {
+    void aTransactionOfUnknownOutcomeIsFencedBeforeItsCallback() {
         List<ReplicatedState.CommitResult> results = new ArrayList<>();
-        network.cut("perch-0", STATE);
-        replicatedState.commit(draft(), results::add);
+        network.cut("perch-0", STORE_ADDRESS);
+        replicatedState.commit(fencingTokenTransaction(), results::add);
         run(4);
         assertThat(results).isEmpty();
         network.heal();
         run(5);
         assertThat(results).hasSize(1);
-        boolean carriedOut = store.value(StoreKeys.FENCING_TOKEN) != null;
-        assertThat(clusterState.fencingToken()).isEqualTo(carriedOut ? 1 : 0);
+        boolean applied = store.value(StoreKeys.FENCING_TOKEN) != null;
+        assertThat(clusterState.fencingToken()).isEqualTo(applied ? 1 : 0);
     }
 
-    /** Once, two attempts to join ran side by side and each ended the lease of the other (incident inc-9df7). */
+    /** Two attempts to join at a time would revoke each other's lease. */
     @Property(tries = 60, seed = "6")
-    void joinsOnceAfterALongCutWithACommitOnItsWay(@ForAll @IntRange(min = 7_000, max = 30_000) int millis) {
+    void joinsOnceAfterALongPartitionWithATransactionInFlight(@ForAll @IntRange(min = 7_000, max = 30_000) int millis) {
         ReplicatedStateTest test = new ReplicatedStateTest();
-        test.network.cut("perch-0", STATE);
-        test.replicatedState.commit(test.draft(), result -> {});
+        test.network.cut("perch-0", STORE_ADDRESS);
+        test.replicatedState.commit(test.fencingTokenTransaction(), result -> {});
         test.time.runUntil(test.time.now().plusMillis(millis));
         test.network.heal();
         test.calls.clear();
@@ -174,52 +175,52 @@
         assertThat(test.calls).filteredOn(c -> c.equals("POST /grants")).hasSizeLessThanOrEqualTo(1);
     }
 
-    /** It ends with the sending of the last watch that was answered: one that is open, or refused, adds nothing. */
+    /** Only a watch that was answered counts, from its sending on: one that is open, or refused, adds nothing. */
     @Property(tries = 50, seed = "32")
-    void whatIsKnownDoesNotGrowWhileTheStoreIsSilent(@ForAll @IntRange(min = 1, max = 20_000) int millis) {
+    void knownThroughDoesNotAdvanceWhileTheStoreIsDown(@ForAll @IntRange(min = 1, max = 20_000) int millis) {
         ReplicatedStateTest test = new ReplicatedStateTest();
         test.time.runUntil(test.time.now().plusMillis(millis));
         Instant before = test.replicatedState.knownThrough();
         assertThat(before).isBetween(test.time.now().minusMillis(2100), test.time.now());
         test.store.setDown(true);
-        Instant down = test.time.now();
+        Instant downSince = test.time.now();
         test.run(30);
-        assertThat(test.replicatedState.knownThrough()).isBeforeOrEqualTo(down);
+        assertThat(test.replicatedState.knownThrough()).isBeforeOrEqualTo(downSince);
         test.store.setDown(false);
         test.run(10);
-        assertThat(test.replicatedState.knownThrough()).isAfter(down.plusSeconds(30));
+        assertThat(test.replicatedState.knownThrough()).isAfter(downSince.plusSeconds(30));
     }
 
-    /** Until the watch has passed its joining it may not know what others have claimed and placed: nothing is sent. */
+    /** Until the watch has passed the joining, other controllers may have placed tasks that are not known here. */
     @Test
-    void isNotEntitledBeforeItKnowsWhatWasCommittedUntilItJoined() {
+    void holdsNoValidLeaseBeforeTheWatchHasPassedItsJoining() {
         run(2);
         network.slow("/watch", Duration.ofMillis(900));
-        new StateStoreClient(network.client("other", process), STATE).end(1, outcome -> {});
-        int entitled = 0;
+        new StateStoreClient(network.client("other", storeProcess), STORE_ADDRESS).revokeLease(1, outcome -> {});
+        int valid = 0;
         int behind = 0;
         for (int i = 0; i < 6000; i++) {
             time.runUntil(time.now().plusMillis(1));
-            boolean knows =
+            boolean caughtUp =
                     clusterState.watchedRevision() >= clusterState.version(StoreKeys.member(TestFixtures.SELF.node()));
-            behind += knows ? 0 : 1;
-            entitled += replicatedState.holdsValidLease() ? 1 : 0;
-            assertThat(replicatedState.holdsValidLease() && !knows).isFalse();
+            behind += caughtUp ? 0 : 1;
+            valid += replicatedState.holdsValidLease() ? 1 : 0;
+            assertThat(replicatedState.holdsValidLease() && !caughtUp).isFalse();
         }
         assertThat(behind).as("the watch was behind for a while").isPositive();
-        assertThat(entitled).isPositive();
+        assertThat(valid).isPositive();
     }
 
-    /** An answer to a commit of the membership before does not say that the one now on its way has ended. */
+    /** A response to a transaction of the former membership says nothing about the one that is now in flight. */
     @Test
-    void oneCommitIsOnItsWayThoughAnOlderOneIsAnsweredLate() {
+    void oneTransactionIsInFlightThoughAnOlderOneIsAnsweredLate() {
         run(2);
         network.slow("/commit", Duration.ofMillis(2500));
         List<ReplicatedState.CommitResult> results = new ArrayList<>();
-        replicatedState.commit(draft(), results::add);
+        replicatedState.commit(fencingTokenTransaction(), results::add);
         time.runUntil(time.now().plusMillis(50));
         network.slow("", Duration.ZERO);
-        new StateStoreClient(network.client("other", process), STATE).end(1, outcome -> {});
+        new StateStoreClient(network.client("other", storeProcess), STORE_ADDRESS).revokeLease(1, outcome -> {});
         for (int i = 0;
                 i < 2500
                         && !(clusterState.version(StoreKeys.member(TestFixtures.SELF.node())) > 3
@@ -227,14 +228,14 @@
                 i++) {
             time.runUntil(time.now().plusMillis(1));
         }
-        assertThat(replicatedState.canCommit()).as("joined anew").isTrue();
+        assertThat(replicatedState.canCommit()).as("joined again").isTrue();
         assertThat(results).as("the first is still open").isEmpty();
         network.slow("/commit", Duration.ofMillis(2900));
-        replicatedState.commit(draft(), results::add);
+        replicatedState.commit(fencingTokenTransaction(), results::add);
         for (int i = 0; i < 2800; i++) {
             time.runUntil(time.now().plusMillis(1));
             assertThat(replicatedState.canCommit()).as("the second is open").isFalse();
         }
-        assertThat(results).as("the first was answered meanwhile").hasSize(1);
+        assertThat(results).as("the first was answered in between").hasSize(1);
     }
 }
