--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -2,21 +2,19 @@
 
 import java.util.Collection;
 import java.util.Collections;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import java.util.Objects;
 import java.util.Set;
 import java.util.TreeMap;
 import org.gullway.protocol.JobRequest;
 
 /**
- * What the state store holds, as this controller last heard: marks for the guards of commits, records, and the room
- * that placements take, which follows from the records.
+ * This controller's copy of the state store: the records of all watched keys, their versions for the conditions of
+ * transactions, and the indexes that follow from the records.
  */
 public final class ClusterState {
-    /** Room taken, or free. */
+    /** Resources in use, or free. */
     public static final class ResourceUsage {
         public double cpus;
         public double gpus;
@@ -42,31 +40,19 @@
         }
     }
 
-    private static final ResourceUsage NO_USAGE = new ResourceUsage();
     private static final int MAX_CANCELLED_JOBS = 10_000;
 
-    private final Map<String, Long> versions = new HashMap<>();
-    private final Map<String, JobRecord> jobs = new TreeMap<>();
-    private final Map<String, MachineShard> shards = new TreeMap<>();
-    private final Map<String, MachineRecord> machines = new LinkedHashMap<>();
-    private final Map<String, Long> machineVersions = new HashMap<>();
-    private final Map<String, String> shardOf = new HashMap<>();
-    private final Map<String, QuotaPartition> quotaPartitions = new TreeMap<>();
-    private final Map<String, Incarnation> members = new TreeMap<>();
-    private final Map<String, ResourceUsage> machineUsage = new HashMap<>();
-    /** By share and team. */
-    private final Map<String, Map<String, ResourceUsage>> quotaUsage = new HashMap<>();
-    /** Machines whose records or placements have changed since that was last asked. */
+    /** Machines whose records or placements have changed since they were last drained. */
     private final Set<String> changedMachines = new HashSet<>();
 
+    private final KeyVersions versions = new KeyVersions();
+    private final MachineIndex machineIndex = new MachineIndex(changedMachines);
+    private final PlacementIndex placementIndex = new PlacementIndex(changedMachines);
+    private final Map<String, JobRecord> jobs = new TreeMap<>();
     /** Jobs of which a record or the machine of a placement has changed since their placements were last checked. */
     private final Set<String> uncheckedJobs = new HashSet<>();
 
-    private final Map<String, Map<AttemptId, Placement>> placementsByMachine = new HashMap<>();
-    private final Map<String, Set<String>> imagesByMachine = new HashMap<>();
-    /** Removals that the watch has not reached yet, so that an earlier put it still brings does not undo them. */
-    private final Map<String, Long> removedAt = new HashMap<>();
-    /** Jobs known to be cancelled, which they stay: also those whose records have ended or are being read anew. */
+    /** Jobs known to be cancelled, which they stay: also those whose records have ended or are being read again. */
     private final Set<String> cancelledJobs = Collections.newSetFromMap(new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
@@ -74,8 +60,9 @@
         }
     });
 
+    private final Map<String, QuotaPartition> quotaPartitions = new TreeMap<>();
+    private final Map<String, Incarnation> members = new TreeMap<>();
     private long shardsAndMembersVersion;
-    private long watchedRevision;
     /** Revision of the last loss of a member, as far as known. */
     private long lastLossRevision;
 
@@ -83,42 +70,26 @@
     private long fencingToken;
     private Set<String> cordonedMachines = Set.of();
 
-    /** Forgets everything, before a new reading of the store. */
+    /** Forgets all records, before the store is read again. */
     public void clear() {
         versions.clear();
+        machineIndex.clear();
+        placementIndex.clear();
         jobs.clear();
         uncheckedJobs.clear();
-        shards.clear();
-        changedMachines.addAll(machines.keySet());
-        machines.clear();
-        machineVersions.clear();
-        shardsAndMembersVersion++;
-        shardOf.clear();
         quotaPartitions.clear();
         members.clear();
-        machineUsage.clear();
-        quotaUsage.clear();
-        placementsByMachine.clear();
-        imagesByMachine.clear();
-        removedAt.clear();
-        watchedRevision = 0;
+        shardsAndMembersVersion++;
         leader = null;
         fencingToken = 0;
         cordonedMachines = Set.of();
     }
 
-    /**
-     * Takes a value with its mark; an older or equal mark than the known one changes nothing. Nor does one that the
-     * watch has passed: the answer to an own commit can come after another controller's removal of the same key, and
-     * once brought a finished job back for good, whose record then refused every commit (senderos-altos-grown steady).
-     */
+    /** Takes a value with its version; false if that is no news, and nothing has changed. */
     public boolean put(String key, StoreRecord value, long version) {
-        if (version <= watchedRevision
-                || versions.getOrDefault(key, 0L) >= version
-                || removedAt.getOrDefault(key, 0L) >= version) {
+        if (!versions.acceptPut(key, version)) {
             return false;
         }
-        versions.put(key, version);
         if (value instanceof JobRecord job) {
             replaceJob(job.request().id(), job);
         } else if (value instanceof MachineShard shard) {
@@ -141,31 +112,27 @@
             return;
         }
         shardsAndMembersVersion++;
-        Incarnation before = members.put(key.substring(StoreKeys.MEMBERS.length()), incarnation);
-        if (before != null && !before.equals(incarnation)) {
+        Incarnation previous = members.put(key.substring(StoreKeys.MEMBERS.length()), incarnation);
+        if (previous != null && !previous.equals(incarnation)) {
             lastLossRevision = Math.max(lastLossRevision, version);
         }
     }
 
-    /** Takes the removal of a key at a revision. */
-    public boolean remove(String key, long version) {
-        if (versions.getOrDefault(key, 0L) >= version) {
+    /** Takes the removal of a key at a revision; false if that is no news, and nothing has changed. */
+    public boolean remove(String key, long revision) {
+        if (!versions.acceptRemoval(key, revision)) {
             return false;
         }
-        versions.remove(key);
-        if (version > watchedRevision) {
-            removedAt.put(key, version);
-        }
         if (key.startsWith(StoreKeys.JOBS)) {
             replaceJob(key.substring(StoreKeys.JOBS.length()), null);
         } else if (key.startsWith(StoreKeys.SHARDS)) {
-            replaceShard(key.substring(StoreKeys.SHARDS.length()), null, version);
+            replaceShard(key.substring(StoreKeys.SHARDS.length()), null, revision);
         } else if (key.startsWith(StoreKeys.QUOTA_PARTITIONS)) {
             quotaPartitions.remove(key);
         } else if (key.startsWith(StoreKeys.MEMBERS)) {
             shardsAndMembersVersion++;
             members.remove(key.substring(StoreKeys.MEMBERS.length()));
-            lastLossRevision = Math.max(lastLossRevision, version);
+            lastLossRevision = Math.max(lastLossRevision, revision);
         } else if (key.equals(StoreKeys.LEADER)) {
             leader = null;
         } else if (key.equals(StoreKeys.CORDONED)) {
@@ -187,100 +154,37 @@
 
     private void replaceShard(String id, MachineShard next, long version) {
         shardsAndMembersVersion++;
-        MachineShard before = next == null ? shards.remove(id) : shards.put(id, next);
-        if (before != null) {
-            for (MachineRecord machine : before.machines()) {
-                if (id.equals(shardOf.get(machine.name()))) {
-                    machines.remove(machine.name());
-                    machineVersions.remove(machine.name());
-                    shardOf.remove(machine.name());
-                    changedMachines.add(machine.name());
-                }
-            }
-        }
-        if (next != null) {
-            for (MachineRecord machine : next.machines()) {
-                machines.put(machine.name(), machine);
-                machineVersions.put(machine.name(), version);
-                shardOf.put(machine.name(), id);
-                changedMachines.add(machine.name());
+        MachineShard previous = machineIndex.replace(id, next, version);
+        if (previous != null) {
+            for (MachineRecord machine : previous.machines()) {
+                onMachineReplaced(machine);
             }
         }
-        if (before != null) {
-            before.machines().stream()
-                    .map(MachineRecord::name)
-                    .filter(name -> !machines.containsKey(name))
-                    .forEach(imagesByMachine::remove);
-            before.machines().forEach(this::markPlacementsUnchecked);
-        }
     }
 
-    /** Placements on a machine that is gone, or in a later session than before, have to be checked. */
-    private void markPlacementsUnchecked(MachineRecord before) {
-        MachineRecord now = machines.get(before.name());
-        if (now == null || now.agentEpoch() > before.agentEpoch()) {
-            placementsOn(before.name())
-                    .keySet()
-                    .forEach(id -> uncheckedJobs.add(id.task().job()));
+    /** Placements on a machine that is gone, or in a later agent epoch than before, have to be checked. */
+    private void onMachineReplaced(MachineRecord previous) {
+        MachineRecord present = machineIndex.machine(previous.name());
+        if (present == null) {
+            placementIndex.forgetImages(previous.name());
+        }
+        if (present == null || present.agentEpoch() > previous.agentEpoch()) {
+            for (AttemptId attempt : placementsOn(previous.name()).keySet()) {
+                uncheckedJobs.add(attempt.task().job());
+            }
         }
     }
 
-    /** Only what differs is counted anew: most changes of a record leave most of its placements as they are. */
     private void replaceJob(String id, JobRecord next) {
-        JobRecord before = next == null ? jobs.remove(id) : jobs.put(id, next);
+        JobRecord previous = next == null ? jobs.remove(id) : jobs.put(id, next);
         if (next == null) {
             uncheckedJobs.remove(id);
         } else {
             uncheckedJobs.add(id);
         }
-        boolean sameShare = before != null
-                && next != null
-                && Objects.equals(before.owner(), next.owner())
-                && before.isCancelled() == next.isCancelled();
-        Set<Placement> kept = Set.of();
-        if (sameShare && !before.livePlacements().isEmpty()) {
-            kept = new HashSet<>(before.livePlacements());
-            kept.retainAll(new HashSet<>(next.livePlacements()));
-        }
-        if (before != null) {
-            addUsage(before, kept, -1);
-        }
-        if (next != null) {
-            addUsage(next, kept, 1);
-            if (next.isCancelled()) {
-                cancelledJobs.add(id);
-            }
-        }
-    }
-
-    private void addUsage(JobRecord job, Set<Placement> except, int sign) {
-        JobRequest request = job.request();
-        for (Placement placement : job.livePlacements()) {
-            if (except.contains(placement)) {
-                continue;
-            }
-            changedMachines.add(placement.machine());
-            machineUsage
-                    .computeIfAbsent(placement.machine(), m -> new ResourceUsage())
-                    .add(request, sign);
-            quotaUsage
-                    .computeIfAbsent(StoreKeys.quotaPartitionOf(job), s -> new HashMap<>())
-                    .computeIfAbsent(request.team(), t -> new ResourceUsage())
-                    .add(request, sign);
-            Map<AttemptId, Placement> there =
-                    placementsByMachine.computeIfAbsent(placement.machine(), m -> new HashMap<>());
-            if (sign > 0) {
-                there.put(AttemptId.of(job, placement), placement);
-                imagesByMachine
-                        .computeIfAbsent(placement.machine(), m -> new HashSet<>())
-                        .add(request.image());
-            } else {
-                there.remove(AttemptId.of(job, placement));
-                if (there.isEmpty()) {
-                    placementsByMachine.remove(placement.machine());
-                    machineUsage.remove(placement.machine());
-                }
-            }
+        placementIndex.replace(previous, next);
+        if (next != null && next.isCancelled()) {
+            cancelledJobs.add(id);
         }
     }
 
@@ -297,29 +201,31 @@
         advanceTo(revision);
     }
 
-    /** Whether the epoch has risen after the last loss of any member. */
+    /** Whether the fencing token has risen after the last loss of any member. */
     public boolean isFencingTokenNewerThanLastLoss() {
         return version(StoreKeys.FENCING_TOKEN) > lastLossRevision;
     }
 
+    /** Version of the key; 0 if it does not exist. */
     public long version(String key) {
-        return versions.getOrDefault(key, 0L);
+        return versions.versionOf(key);
     }
 
     public Collection<JobRecord> jobs() {
         return jobs.values();
     }
 
+    /** The job that has not ended, or null. */
     public JobRecord job(String id) {
         return jobs.get(id);
     }
 
-    /** Whether a placement of the job may be on a machine that is gone, or in an earlier session of one. */
+    /** Whether a placement of the job may be on a machine that is gone, or in an earlier agent epoch. */
     public boolean hasUncheckedPlacements(String job) {
         return uncheckedJobs.contains(job);
     }
 
-    /** All placements of the job's present record are on machines in their present sessions. */
+    /** All placements of the job's present record are on machines in their present agent epochs. */
     public void markPlacementsChecked(String job) {
         uncheckedJobs.remove(job);
     }
@@ -330,41 +236,44 @@
     }
 
     public Collection<MachineRecord> machines() {
-        return machines.values();
+        return machineIndex.machines();
     }
 
+    /** The machine, or null if it is not on record. */
     public MachineRecord machine(String name) {
-        return machines.get(name);
+        return machineIndex.machine(name);
     }
 
     public Collection<MachineShard> shards() {
-        return shards.values();
+        return machineIndex.shards();
     }
 
+    /** The shard, or null if it is not on record. */
     public MachineShard shard(String id) {
-        return shards.get(id);
+        return machineIndex.shard(id);
     }
 
-    /** The group that the machine belongs to, or null. */
+    /** Id of the shard that the machine belongs to, or null. */
     public String shardOf(String machine) {
-        return shardOf.get(machine);
+        return machineIndex.shardOf(machine);
     }
 
-    /** Mark of the record that holds the machine. */
+    /** Version of the record that holds the machine. */
     public long machineVersion(String machine) {
-        return machineVersions.getOrDefault(machine, 0L);
+        return machineIndex.versionOf(machine);
     }
 
-    /** All shares by their keys. */
+    /** All quota partitions by their keys. */
     public Map<String, QuotaPartition> quotaPartitions() {
         return quotaPartitions;
     }
 
+    /** The present incarnation of each member by its name. */
     public Map<String, Incarnation> members() {
         return members;
     }
 
-    /** Rises with every change of a group or a member. */
+    /** Rises with every change of a shard or a member. */
     public long shardsAndMembersVersion() {
         return shardsAndMembersVersion;
     }
@@ -373,6 +282,7 @@
         return incarnation != null && incarnation.equals(members.get(incarnation.node()));
     }
 
+    /** The leader, or null if there is none. */
     public Incarnation leader() {
         return leader;
     }
@@ -386,34 +296,32 @@
         return cordonedMachines;
     }
 
+    /** Resources that the placements on a machine use. */
     public ResourceUsage usageOn(String machine) {
-        return machineUsage.getOrDefault(machine, NO_USAGE);
+        return placementIndex.usageOn(machine);
     }
 
-    /** What a team's tasks take of one share. */
-    public ResourceUsage quotaUsage(String share, String team) {
-        return quotaUsage.getOrDefault(share, Map.of()).getOrDefault(team, NO_USAGE);
+    /** Resources that a team's tasks use of one quota partition. */
+    public ResourceUsage quotaUsage(String partition, String team) {
+        return placementIndex.quotaUsage(partition, team);
     }
 
-    /** Whether the image was already fetched there for an earlier task, as far as the records show. */
+    /** Whether the machine has fetched the image for an earlier task, as far as the records show. */
     public boolean hasImage(String machine, String image) {
-        return imagesByMachine.getOrDefault(machine, Set.of()).contains(image);
+        return placementIndex.hasImage(machine, image);
     }
 
     /** Attempts that may be on a machine. */
     public Map<AttemptId, Placement> placementsOn(String machine) {
-        return placementsByMachine.getOrDefault(machine, Map.of());
+        return placementIndex.placementsOn(machine);
     }
 
     /** Every change up to this revision has been brought by the watch. */
     public void advanceTo(long revision) {
-        if (revision > watchedRevision) {
-            watchedRevision = revision;
-            removedAt.values().removeIf(mark -> mark <= revision);
-        }
+        versions.advanceTo(revision);
     }
 
     public long watchedRevision() {
-        return watchedRevision;
+        return versions.watchedRevision();
     }
 }
--- /dev/null
+++ b/src/main/java/org/gullway/coordination/model/MachineIndex.java
@@ -0,0 +1,93 @@
+package org.gullway.coordination.model;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+
+/** Shards by their ids, and the machines in them by their names. */
+final class MachineIndex {
+    private final Map<String, MachineShard> shards = new TreeMap<>();
+    private final Map<String, MachineRecord> machines = new LinkedHashMap<>();
+    private final Map<String, Long> machineVersions = new HashMap<>();
+    private final Map<String, String> shardOf = new HashMap<>();
+    private final Set<String> changedMachines;
+
+    /** @param changedMachines collects the names of machines whose records change */
+    MachineIndex(Set<String> changedMachines) {
+        this.changedMachines = changedMachines;
+    }
+
+    void clear() {
+        changedMachines.addAll(machines.keySet());
+        shards.clear();
+        machines.clear();
+        machineVersions.clear();
+        shardOf.clear();
+    }
+
+    /**
+     * Replaces a shard and its machines. A machine that has moved to another shard before stays there.
+     *
+     * @param next the shard's new record, or null if it is removed
+     * @return the shard's former record, or null
+     */
+    MachineShard replace(String id, MachineShard next, long version) {
+        MachineShard previous = next == null ? shards.remove(id) : shards.put(id, next);
+        if (previous != null) {
+            removeMachines(id, previous);
+        }
+        if (next != null) {
+            addMachines(id, next, version);
+        }
+        return previous;
+    }
+
+    private void removeMachines(String id, MachineShard shard) {
+        for (MachineRecord machine : shard.machines()) {
+            String name = machine.name();
+            if (id.equals(shardOf.get(name))) {
+                machines.remove(name);
+                machineVersions.remove(name);
+                shardOf.remove(name);
+                changedMachines.add(name);
+            }
+        }
+    }
+
+    private void addMachines(String id, MachineShard shard, long version) {
+        for (MachineRecord machine : shard.machines()) {
+            String name = machine.name();
+            machines.put(name, machine);
+            machineVersions.put(name, version);
+            shardOf.put(name, id);
+            changedMachines.add(name);
+        }
+    }
+
+    Collection<MachineRecord> machines() {
+        return machines.values();
+    }
+
+    MachineRecord machine(String name) {
+        return machines.get(name);
+    }
+
+    Collection<MachineShard> shards() {
+        return shards.values();
+    }
+
+    MachineShard shard(String id) {
+        return shards.get(id);
+    }
+
+    String shardOf(String machine) {
+        return shardOf.get(machine);
+    }
+
+    long versionOf(String machine) {
+        return machineVersions.getOrDefault(machine, 0L);
+    }
+}
