--- a/src/main/java/org/gullway/coordination/model/Incarnation.java
+++ b/src/main/java/org/gullway/coordination/model/Incarnation.java
@@ -3,8 +3,8 @@
 /**
  * One run of a controller's process: its name and a number that no other run has.
  *
- * <p>It is compared for each machine in each round. Like the other records that are compared or hashed so often, it says
- * how itself: what a record does by default is put together at run time, in a start's dearest moments.
+ * <p>Records that are compared or hashed for each machine in each scheduling cycle write out {@code equals} and
+ * {@code hashCode}: the default methods of records are linked at run time, which slows a controller's start.
  */
 public record Incarnation(String node, long number) implements StoreRecord {
     @Override
--- a/src/main/java/org/gullway/coordination/model/IntegerRanges.java
+++ b/src/main/java/org/gullway/coordination/model/IntegerRanges.java
@@ -23,17 +23,21 @@
         this.size = count;
     }
 
-    /** Builds a set from alternating first and last numbers; refuses lists that are not in order. */
+    /**
+     * Builds a set from alternating first and last numbers.
+     *
+     * @throws IllegalArgumentException if the bounds are not ascending with gaps between the ranges
+     */
     public static IntegerRanges of(int... bounds) {
-        int before = -2;
         if (bounds.length % 2 != 0) {
             throw new IllegalArgumentException("an odd number of bounds");
         }
+        int previousLast = -2;
         for (int i = 0; i < bounds.length; i += 2) {
-            if (bounds[i] <= before + 1 || bounds[i + 1] < bounds[i]) {
+            if (bounds[i] <= previousLast + 1 || bounds[i + 1] < bounds[i]) {
                 throw new IllegalArgumentException("bounds out of order: " + Arrays.toString(bounds));
             }
-            before = bounds[i + 1];
+            previousLast = bounds[i + 1];
         }
         return new IntegerRanges(bounds.clone());
     }
@@ -42,24 +46,28 @@
     public static IntegerRanges of(BitSet numbers) {
         IntList bounds = new IntArrayList();
         for (int first = numbers.nextSetBit(0); first >= 0; ) {
-            int after = numbers.nextClearBit(first);
+            int end = numbers.nextClearBit(first);
             bounds.add(first);
-            bounds.add(after - 1);
-            first = numbers.nextSetBit(after);
+            bounds.add(end - 1);
+            first = numbers.nextSetBit(end);
         }
         return new IntegerRanges(bounds.toIntArray());
     }
 
+    /** How many numbers the set has. */
     public int size() {
         return size;
     }
 
     public boolean contains(int number) {
-        int at = rangeAtOrAfter(number);
-        return at < bounds.length && bounds[at] <= number;
+        return startsAtOrBefore(rangeAtOrAfter(number), number);
     }
 
-    /** Index of the first range whose last number is not below the number. */
+    private boolean startsAtOrBefore(int range, int number) {
+        return range < bounds.length && bounds[range] <= number;
+    }
+
+    /** Index in {@link #bounds} of the first range whose last number is not below the number. */
     private int rangeAtOrAfter(int number) {
         int low = 0;
         int high = bounds.length / 2;
@@ -76,42 +84,44 @@
 
     /** This set and the number. */
     public IntegerRanges with(int number) {
-        int at = rangeAtOrAfter(number);
-        if (at < bounds.length && bounds[at] <= number) {
+        int range = rangeAtOrAfter(number);
+        if (startsAtOrBefore(range, number)) {
             return this;
         }
-        boolean joinsBefore = at > 0 && bounds[at - 1] == number - 1;
-        boolean joinsAfter = at < bounds.length && bounds[at] == number + 1;
+        boolean extendsPrevious = range > 0 && bounds[range - 1] == number - 1;
+        boolean extendsNext = range < bounds.length && bounds[range] == number + 1;
         IntList next = new IntArrayList(bounds.length + 2);
-        next.addElements(0, bounds, 0, joinsBefore ? at - 1 : at);
-        if (!joinsBefore) {
+        next.addElements(0, bounds, 0, extendsPrevious ? range - 1 : range);
+        if (!extendsPrevious) {
             next.add(number);
         }
-        if (!joinsAfter) {
+        if (!extendsNext) {
             next.add(number);
         }
-        int rest = joinsAfter ? at + 1 : at;
-        next.addElements(next.size(), bounds, rest, bounds.length - rest);
+        int remaining = extendsNext ? range + 1 : range;
+        next.addElements(next.size(), bounds, remaining, bounds.length - remaining);
         return new IntegerRanges(next.toIntArray());
     }
 
     /** The smallest number at or after {@code from} that is not in the set. */
     public int firstMissing(int from) {
-        int at = rangeAtOrAfter(from);
-        return at < bounds.length && bounds[at] <= from ? bounds[at + 1] + 1 : from;
+        int range = rangeAtOrAfter(from);
+        return startsAtOrBefore(range, from) ? bounds[range + 1] + 1 : from;
     }
 
+    /** Alternating first and last numbers of the ranges, ascending. */
     public int[] bounds() {
         return bounds.clone();
     }
 
-    public int count() {
+    /** How many ranges the set consists of. */
+    int rangeCount() {
         return bounds.length / 2;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof IntegerRanges r && Arrays.equals(bounds, r.bounds);
+        return other instanceof IntegerRanges ranges && Arrays.equals(bounds, ranges.bounds);
     }
 
     @Override
--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -16,13 +16,14 @@
 import org.gullway.protocol.Priority;
 
 /**
- * The one state record of a job that has not ended.
+ * The one record of a job that has not ended.
  *
- * @param owner controller whose queue holds the job; null for reserved-class jobs, which are the leader's
- * @param submitted time of day of the acceptance
+ * @param owner controller whose queue holds the job; null for reserved jobs, which are the leader's
+ * @param submittedAt time of day of the acceptance
  * @param cancelledAt time of day before the cancellation was confirmed to anybody; null if the job is not cancelled
- * @param attempts number of attempts that were placed so far, which numbers the next one
- * @param errors attempts that failed since the last one that did not
+ * @param attemptCount number of attempts that were placed so far, which numbers the next one
+ * @param consecutiveErrors attempts that failed since the last one that did not
+ * @param livePlacements attempts that may be on machines
  */
 public record JobRecord(
         JobRequest request,
@@ -35,14 +36,14 @@
         List<Placement> livePlacements)
         implements StoreRecord {
 
-    /** Generous size of one placement in the record, counted as the state store counts. */
+    /** Upper bound for one placement's part of the record, counted as the state store counts. */
     public static final int PLACEMENT_BYTES = 36;
 
     private static final Duration STALLED_AFTER = Duration.ofSeconds(100);
     private static final int RANGE_BYTES = 10;
     private static final int FIXED_BYTES = 1500;
 
-    /** Which of the jobs that stall comes first: one that has not begun, then the largest task, then the oldest. */
+    /** Order of stalled jobs: first those without a completed task, then the largest task, then the oldest. */
     public static final Comparator<JobRecord> STALLED_ORDER = Comparator.<JobRecord>comparingInt(
                     job -> job.completedTasks().size() == 0 ? 0 : 1)
             .thenComparingDouble(job -> -job.request().cpus())
@@ -58,25 +59,24 @@
         FAILED
     }
 
-    /** The one place that says which jobs the leader books and which wait in private queues. */
+    /** Whether the leader places the job; the others wait in the queues of their owners. */
     public static boolean isReserved(JobRequest request) {
         return request.shape() != Shape.ARRAY
                 || request.priority() == Priority.PROD
                 || request.priority() == Priority.HIGH;
     }
 
-    public static JobRecord accepted(JobRequest request, String owner, Instant submitted) {
-        return new JobRecord(request, owner, submitted, null, IntegerRanges.EMPTY, 0, 0, List.of());
+    public static JobRecord accepted(JobRequest request, String owner, Instant submittedAt) {
+        return new JobRecord(request, owner, submittedAt, null, IntegerRanges.EMPTY, 0, 0, List.of());
     }
 
     public boolean isReserved() {
         return isReserved(request);
     }
 
-    /** Upper bound of the record's size in the state store. */
     @Override
     public int maxEncodedBytes() {
-        return FIXED_BYTES + livePlacements.size() * PLACEMENT_BYTES + completedTasks.count() * RANGE_BYTES;
+        return FIXED_BYTES + livePlacements.size() * PLACEMENT_BYTES + completedTasks.rangeCount() * RANGE_BYTES;
     }
 
     public boolean isCancelled() {
@@ -84,15 +84,19 @@
     }
 
     public boolean isFinished() {
-        return isCancelled() ? livePlacements.isEmpty() : completedTasks.size() == request.tasks();
+        return isCancelled() ? livePlacements.isEmpty() : isComplete();
     }
 
-    /** The state that users are told. */
+    private boolean isComplete() {
+        return completedTasks.size() == request.tasks();
+    }
+
+    /** The state as users see it. */
     public JobState state() {
         if (isCancelled()) {
             return JobState.CANCELLED;
         }
-        if (completedTasks.size() == request.tasks()) {
+        if (isComplete()) {
             return JobState.DONE;
         }
         return livePlacements.isEmpty() ? JobState.PENDING : JobState.RUNNING;
@@ -102,18 +106,19 @@
         return new JobStatus(request.id(), state(), completedTasks.size(), livePlacements.size());
     }
 
-    /** Whether no task runs although the job was accepted long ago: it then gets one task before all others. */
+    /** Whether no task is placed although the job was accepted long ago: it then gets one task before all others. */
     public boolean isStalledAt(Instant timeOfDay) {
         return livePlacements.isEmpty()
                 && waitingTasks() > 0
                 && submittedAt.plus(STALLED_AFTER).isBefore(timeOfDay);
     }
 
-    /** Tasks that are neither done nor placed. */
+    /** Tasks that are neither completed nor placed. */
     public int waitingTasks() {
         return isCancelled() ? 0 : Math.max(0, request.tasks() - completedTasks.size() - livePlacements.size());
     }
 
+    /** Tasks that are still to be completed, or for a cancelled job to be stopped. */
     public int unfinishedTasks() {
         return isCancelled() ? livePlacements.size() : request.tasks() - completedTasks.size();
     }
@@ -133,98 +138,87 @@
     }
 
     /**
-     * Records one attempt on each of these machines, for the lowest tasks that are neither done nor placed. Those of
-     * a gang, which are placed together, carry the same number.
+     * Records one attempt on each of these machines, for the lowest tasks that are neither completed nor placed. Those
+     * of a gang, which are placed together, carry the same number.
      */
     public JobRecord withPlacements(List<MachineRecord> machines, Instant timeOfDay) {
-        BitSet taken = new BitSet();
-        livePlacements.forEach(p -> taken.set(p.task()));
+        BitSet placedTasks = new BitSet();
+        livePlacements.forEach(placement -> placedTasks.set(placement.task()));
         List<Placement> next = new ArrayList<>(livePlacements.size() + machines.size());
         next.addAll(livePlacements);
         long attempt = attemptCount;
         int task = -1;
         for (MachineRecord machine : machines) {
-            do {
-                task = completedTasks.firstMissing(taken.nextClearBit(task + 1));
-            } while (taken.get(task));
+            task = nextWaitingTask(task + 1, placedTasks);
             if (task >= request.tasks()) {
-                throw new IllegalStateException("more placements than waiting tasks of " + request.id());
+                throw new IllegalStateException("more placements than waiting tasks of job " + request.id());
             }
             attempt = isGang() && attempt > attemptCount ? attempt : attempt + 1;
             next.add(new Placement(task, attempt, machine.name(), machine.agentEpoch(), false, timeOfDay));
         }
-        return new JobRecord(
-                request,
-                owner,
-                submittedAt,
-                cancelledAt,
-                completedTasks,
-                attempt,
-                consecutiveErrors,
-                List.copyOf(next));
+        return with(completedTasks, attempt, consecutiveErrors, List.copyOf(next));
     }
 
-    /** How many more attempts the record has room for. */
+    /** The lowest task from {@code from} on that is neither completed nor placed. */
+    private int nextWaitingTask(int from, BitSet placedTasks) {
+        int task = completedTasks.firstMissing(placedTasks.nextClearBit(from));
+        while (placedTasks.get(task)) {
+            task = completedTasks.firstMissing(placedTasks.nextClearBit(task + 1));
+        }
+        return task;
+    }
+
+    /** How many more placements the record can hold. */
     public int remainingPlacements(int valueBytes) {
         return Math.max(0, (valueBytes - maxEncodedBytes()) / PLACEMENT_BYTES);
     }
 
-    /** Records the ends of attempts; what did not complete its task waits again. A service has no end of its own. */
-    public JobRecord withCompletions(Map<Placement, AttemptOutcome> ends) {
-        IntegerRanges nextDone = completedTasks;
+    /** Records how attempts ended; a task that is not completed by it waits again. A service is never complete. */
+    public JobRecord withCompletions(Map<Placement, AttemptOutcome> outcomes) {
+        IntegerRanges nextCompleted = completedTasks;
         int nextErrors = consecutiveErrors;
-        List<Placement> left = new ArrayList<>(livePlacements.size());
+        List<Placement> remaining = new ArrayList<>(livePlacements.size());
         for (Placement placement : livePlacements) {
-            AttemptOutcome end = ends.get(placement);
-            if (end == null) {
-                left.add(placement);
-            } else if (end == AttemptOutcome.DONE && request.shape() != Shape.SERVICE) {
-                nextDone = nextDone.with(placement.task());
+            AttemptOutcome outcome = outcomes.get(placement);
+            if (outcome == null) {
+                remaining.add(placement);
+            } else if (outcome == AttemptOutcome.DONE && request.shape() != Shape.SERVICE) {
+                nextCompleted = nextCompleted.with(placement.task());
                 nextErrors = 0;
-            } else if (end == AttemptOutcome.FAILED) {
+            } else if (outcome == AttemptOutcome.FAILED) {
                 nextErrors++;
             }
         }
-        return new JobRecord(
-                request, owner, submittedAt, cancelledAt, nextDone, attemptCount, nextErrors, List.copyOf(left));
+        return with(nextCompleted, attemptCount, nextErrors, List.copyOf(remaining));
     }
 
     /** This record with the matching live attempts marked as being stopped. */
-    public JobRecord withStopping(Predicate<Placement> which) {
-        UnaryOperator<Placement> stop = p -> which.test(p) ? p.asStopping() : p;
-        return new JobRecord(
-                request,
-                owner,
-                submittedAt,
-                cancelledAt,
-                completedTasks,
-                attemptCount,
-                consecutiveErrors,
-                livePlacements.stream().map(stop).toList());
+    public JobRecord withStopping(Predicate<Placement> matching) {
+        UnaryOperator<Placement> stop = placement -> matching.test(placement) ? placement.asStopping() : placement;
+        List<Placement> next = livePlacements.stream().map(stop).toList();
+        return with(completedTasks, attemptCount, consecutiveErrors, next);
+    }
+
+    private JobRecord with(IntegerRanges completed, long attempts, int errors, List<Placement> live) {
+        return new JobRecord(request, owner, submittedAt, cancelledAt, completed, attempts, errors, live);
     }
 
     /** The first cancellation counts: from it on the limit runs for the job's tasks to be gone. */
     public JobRecord withCancellation(Instant timeOfDay) {
-        return isCancelled()
-                ? this
-                : new JobRecord(
-                        request,
-                        owner,
-                        submittedAt,
-                        timeOfDay,
-                        completedTasks,
-                        attemptCount,
-                        consecutiveErrors,
-                        livePlacements);
+        return isCancelled() ? this : with(owner, timeOfDay);
     }
 
     /** This record in the queue of another controller. */
     public JobRecord withOwner(String controller) {
+        return with(controller, cancelledAt);
+    }
+
+    private JobRecord with(String newOwner, Instant newCancelledAt) {
         return new JobRecord(
                 request,
-                controller,
+                newOwner,
                 submittedAt,
-                cancelledAt,
+                newCancelledAt,
                 completedTasks,
                 attemptCount,
                 consecutiveErrors,
--- a/src/main/java/org/gullway/coordination/model/MachineRecord.java
+++ b/src/main/java/org/gullway/coordination/model/MachineRecord.java
@@ -3,13 +3,13 @@
 import java.time.Instant;
 
 /**
- * A machine that is ours, from its rental until the cloud has confirmed that it is gone.
+ * A provisioned machine, until the cloud has confirmed that it is gone.
  *
- * @param address where its worker takes commands; null until the worker has reported
- * @param controller incarnation of the controller that commands it, which is its group's
- * @param session session in which tasks may be placed; 0 until the worker has reported
- * @param epoch its group's epoch
- * @param rented time of day of the rental, as far as known
+ * @param address where its agent takes commands; null until the first heartbeat
+ * @param controller incarnation of the controller that commands it, which is its shard's
+ * @param agentEpoch agent epoch in which tasks may be placed; 0 until the first heartbeat
+ * @param fencingToken its shard's fencing token
+ * @param provisionedAt time of day of the provisioning request, as far as known
  */
 public record MachineRecord(
         String name,
@@ -23,30 +23,32 @@
         MachineLifecycle lifecycle,
         Instant provisionedAt) {
 
-    /** What is meant to become of a machine. */
+    /** What a machine may take, and what happens to it next. */
     public enum MachineLifecycle {
+        /** Takes tasks. */
         ACTIVE,
-        /** Has missed a report, or does not hear: takes no more tasks until it is heard again. */
+        /** Has missed a heartbeat, or does not answer commands: takes no more tasks until it does again. */
         UNRESPONSIVE,
-        /** Takes no more tasks and is returned when it has none. */
+        /** Takes no more tasks and is released when it has none. */
         DRAINING,
-        /** Is returned at once, with all that is on it. */
+        /** Is released at once, with all that is on it. */
         LOST
     }
 
+    /** A machine that has been provisioned and whose agent has sent no heartbeat yet. */
     public static MachineRecord booting(
             String name,
             String type,
             String zone,
             boolean spot,
-            Instant rented,
+            Instant provisionedAt,
             Incarnation controller,
             long fencingToken) {
         return new MachineRecord(
-                name, null, type, zone, spot, controller, 0, fencingToken, MachineLifecycle.ACTIVE, rented);
+                name, null, type, zone, spot, controller, 0, fencingToken, MachineLifecycle.ACTIVE, provisionedAt);
     }
 
-    /** Names are unique, and machines with room are kept in maps in each round. */
+    /** Names are unique, and machines are keys of maps in each scheduling cycle. */
     @Override
     public int hashCode() {
         return name.hashCode();
@@ -60,12 +62,13 @@
         return isUp() && lifecycle == MachineLifecycle.ACTIVE;
     }
 
-    public MachineRecord claimedBy(Incarnation by, long newFencingToken) {
+    /** This machine under another controller. */
+    public MachineRecord claimedBy(Incarnation newController, long newFencingToken) {
         return new MachineRecord(
-                name, address, type, zone, spot, by, agentEpoch, newFencingToken, lifecycle, provisionedAt);
+                name, address, type, zone, spot, newController, agentEpoch, newFencingToken, lifecycle, provisionedAt);
     }
 
-    /** The worker has reported that this session has begun, so every earlier one is over. */
+    /** This machine in an agent epoch that has begun, so that every earlier one is over. */
     public MachineRecord withAgentEpoch(long newAgentEpoch, String reportedAddress) {
         return new MachineRecord(
                 name,
@@ -80,6 +83,7 @@
                 provisionedAt);
     }
 
+    /** This machine in another state of its lifecycle. */
     public MachineRecord withLifecycle(MachineLifecycle next) {
         return new MachineRecord(
                 name, address, type, zone, spot, controller, agentEpoch, fencingToken, next, provisionedAt);
--- a/src/main/java/org/gullway/coordination/model/MachineShard.java
+++ b/src/main/java/org/gullway/coordination/model/MachineShard.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * Machines that one controller commands together. A group is one record, so that claiming or handing over many
- * machines changes few keys.
+ * Machines that one controller commands together. A shard is one record, so that a failover of many machines changes
+ * few keys.
  *
  * @param controller incarnation of the controller that commands the machines
- * @param epoch epoch at which it took them over; commands of earlier controllers are fenced once a worker has
- *     confirmed this epoch
+ * @param fencingToken token under which it took them over; an agent that has confirmed it refuses commands of earlier
+ *     controllers
  */
 public record MachineShard(String id, Incarnation controller, long fencingToken, List<MachineRecord> machines)
         implements StoreRecord {
-    /** Small enough that a change of one machine costs little, large enough that a third of a fleet is few groups. */
+    /** Small enough that a change of one machine costs little, large enough that a third of a fleet is few shards. */
     public static final int MAX_MACHINES = 16;
 
-    /** Bound for one machine's part of the record. */
+    /** Upper bound for one machine's part of the record. */
     private static final int MACHINE_BYTES = 120;
 
     @Override
@@ -24,7 +24,17 @@
         return SMALL_RECORD_BYTES + machines.size() * MACHINE_BYTES;
     }
 
-    /** This group with the machine added, or replaced if it has one of that name. */
+    /** The machine of that name, or null if it is not in this shard. */
+    MachineRecord machine(String name) {
+        for (MachineRecord machine : machines) {
+            if (machine.name().equals(name)) {
+                return machine;
+            }
+        }
+        return null;
+    }
+
+    /** This shard with the machine added, or replaced if it has one of that name. */
     public MachineShard with(MachineRecord machine) {
         List<MachineRecord> next = new ArrayList<>(machines.size() + 1);
         boolean replaced = false;
@@ -36,24 +46,28 @@
         if (!replaced) {
             next.add(machine);
         }
-        return new MachineShard(id, controller, fencingToken, List.copyOf(next));
+        return withMachines(List.copyOf(next));
     }
 
-    /** This group without the machine of that name. */
+    /** This shard without the machine of that name. */
     public MachineShard without(String name) {
-        return new MachineShard(
-                id,
-                controller,
-                fencingToken,
-                machines.stream().filter(m -> !m.name().equals(name)).toList());
+        return withMachines(machines.stream()
+                .filter(machine -> !machine.name().equals(name))
+                .toList());
+    }
+
+    private MachineShard withMachines(List<MachineRecord> next) {
+        return new MachineShard(id, controller, fencingToken, next);
     }
 
-    /** This group and its machines under another controller, which rules out commands of earlier epochs. */
-    public MachineShard claimedBy(Incarnation by, long newFencingToken) {
+    /** This shard and its machines under another controller, which fences commands under earlier tokens. */
+    public MachineShard claimedBy(Incarnation newController, long newFencingToken) {
         return new MachineShard(
                 id,
-                by,
+                newController,
                 newFencingToken,
-                machines.stream().map(m -> m.claimedBy(by, newFencingToken)).toList());
+                machines.stream()
+                        .map(machine -> machine.claimedBy(newController, newFencingToken))
+                        .toList());
     }
 }
--- a/src/main/java/org/gullway/coordination/model/QuotaPartition.java
+++ b/src/main/java/org/gullway/coordination/model/QuotaPartition.java
@@ -4,18 +4,19 @@
 import java.util.TreeMap;
 
 /**
- * How much of each team's limit the holder of a share may use. The shares of a team never sum to more than its limit,
- * so holders place without asking each other.
+ * The part of each team's quota that the holder of the partition may use. The partitions of a team never sum to more
+ * than its quota, so holders place without asking each other.
  */
 public record QuotaPartition(Map<String, Amount> amountByTeam) implements StoreRecord {
     public static final QuotaPartition EMPTY = new QuotaPartition(Map.of());
 
-    /** Processors and cards. */
+    /** Processors and GPUs. */
     public record Amount(double cpus, double gpus) {
         public static final Amount NONE = new Amount(0, 0);
 
-        public Amount plus(double moreCpus, double moreCards) {
-            return new Amount(Math.max(0, cpus + moreCpus), Math.max(0, gpus + moreCards));
+        /** This amount with more, or less if negative, but never below zero. */
+        public Amount plus(double moreCpus, double moreGpus) {
+            return new Amount(Math.max(0, cpus + moreCpus), Math.max(0, gpus + moreGpus));
         }
     }
 
@@ -23,7 +24,7 @@
         return amountByTeam.getOrDefault(team, Amount.NONE);
     }
 
-    /** This record with another amount for one team. */
+    /** This partition with another amount for one team. */
     public QuotaPartition with(String team, Amount amount) {
         Map<String, Amount> next = new TreeMap<>(amountByTeam);
         if (amount.equals(Amount.NONE)) {
--- a/src/main/java/org/gullway/coordination/model/StoreKeys.java
+++ b/src/main/java/org/gullway/coordination/model/StoreKeys.java
@@ -1,6 +1,6 @@
 package org.gullway.coordination.model;
 
-/** Names of the keys in the state store. Everything under {@link #LIVE} is watched by every controller. */
+/** Keys of the state store; their names are stored, and stay as they are. Everything under {@link #LIVE} is watched by every controller. */
 public final class StoreKeys {
     public static final String LIVE = "live/";
     public static final String LEADER = LIVE + "leader";
@@ -10,7 +10,7 @@
     public static final String JOBS = LIVE + "jobs/";
     public static final String SHARDS = LIVE + "groups/";
     public static final String QUOTA_PARTITIONS = LIVE + "shares/";
-    /** The share for all that the leader books. */
+    /** The quota partition for all reserved jobs, which the leader places. */
     public static final String LEADER_QUOTA = QUOTA_PARTITIONS + "leader";
 
     private static final String NODE_QUOTAS = QUOTA_PARTITIONS + "node/";
@@ -18,6 +18,7 @@
 
     private StoreKeys() {}
 
+    /** The key that a member holds on its lease. */
     public static String member(String node) {
         return MEMBERS + node;
     }
@@ -30,17 +31,17 @@
         return SHARDS + id;
     }
 
-    /** The share of the controller of this name, for the best-effort jobs that it owns. */
+    /** The quota partition of the controller of this name, for the best-effort jobs that it owns. */
     public static String quotaPartition(String node) {
         return NODE_QUOTAS + node;
     }
 
-    /** The name of the controller that holds the share of this key; null for the leader's. */
-    public static String quotaHolder(String share) {
-        return share.startsWith(NODE_QUOTAS) ? share.substring(NODE_QUOTAS.length()) : null;
+    /** The name of the controller that holds the quota partition of this key; null for the leader's. */
+    public static String quotaHolder(String key) {
+        return key.startsWith(NODE_QUOTAS) ? key.substring(NODE_QUOTAS.length()) : null;
     }
 
-    /** The share that a job's placements count for. */
+    /** The quota partition that a job's placements count for. */
     public static String quotaPartitionOf(JobRecord job) {
         return job.isReserved() ? LEADER_QUOTA : quotaPartition(job.owner());
     }
--- a/src/main/java/org/gullway/coordination/model/Transaction.java
+++ b/src/main/java/org/gullway/coordination/model/Transaction.java
@@ -1,63 +1,56 @@
 package org.gullway.coordination.model;
 
 import java.time.Instant;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.gullway.coordination.model.ClusterState.ResourceUsage;
-import org.gullway.protocol.JobRequest;
-import org.gullway.protocol.JobState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One commit in the making. Every key that it changes or relies on is guarded by the mark under which this
- * controller knows it, and the whole by the controller's membership, so that a commit that comes late, or from a
- * controller that has been given up, changes nothing.
+ * A compare-and-swap transaction in the making. The version of every key that it changes or depends on is a condition,
+ * and so is the version of the controller's member key: a transaction that comes late, or from a controller whose
+ * membership has ended, changes nothing.
  *
- * <p>A placement guards the job but not the machine: a machine that is gone, or in a newer session, never gets the
- * start, and the placement is taken back. It does not guard the use of the team either: only the holder of a share
- * places on it, and it has one commit on its way at a time.
+ * <p>A placement makes the job's version a condition, but not the machine's: a machine that is gone, or in a newer agent
+ * epoch, never gets the start command, and the placement is removed again. Nor is the usage of the team a condition:
+ * only the holder of a quota partition places on it, and it has one transaction in flight at a time.
  */
 public final class Transaction {
-    /** Limits of one commit of the state store. */
+    /** Limits of one transaction of the state store. */
     public record Limits(int changes, int conditions, int valueBytes) {
-        private static final int COMMIT_BYTES = 48 * 1024;
+        /** Below the store's limit by as much as the last change may add. */
+        static final int MAX_BYTES = 48 * 1024;
 
-        /** The limits that the state service sets: four conditions for each change. */
+        private static final int CONDITIONS_PER_CHANGE = 4;
+        /** A job that ends changes two keys. */
+        private static final int MIN_CHANGES = 2;
+
+        /** The limits that the state store sets. */
         public Limits(int changes, int valueBytes) {
-            this(changes, 4 * changes, valueBytes);
+            this(changes, CONDITIONS_PER_CHANGE * changes, valueBytes);
         }
 
-        /** The same for a commit of fewer changes; two are the least that can end a job. */
-        public Limits withMaxChanges(int fewer) {
-            return new Limits(Math.max(2, Math.min(changes, fewer)), conditions, valueBytes);
+        /** The same for a transaction of fewer changes. */
+        public Limits withMaxChanges(int maxChanges) {
+            return new Limits(Math.max(MIN_CHANGES, Math.min(changes, maxChanges)), conditions, valueBytes);
         }
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Transaction.class);
 
     private final ClusterState clusterState;
-    private final Incarnation self;
     private final Limits limits;
     private final Instant timeOfDay;
-    private final Map<String, StoreRecord> changes = new LinkedHashMap<>();
-    private final Set<String> conditions = new LinkedHashSet<>();
-    private final Map<String, ResourceUsage> machineDelta = new HashMap<>();
-    /** By share and team. */
-    private final Map<String, ResourceUsage> quotaDelta = new HashMap<>();
-
-    private int bytes;
+    private final ChangeSet changeSet;
+    private final UsageDelta usageDelta = new UsageDelta();
 
     public Transaction(ClusterState clusterState, Incarnation self, Limits limits, Instant timeOfDay) {
         this.clusterState = clusterState;
-        this.self = self;
         this.limits = limits;
         this.timeOfDay = timeOfDay;
-        conditions.add(StoreKeys.member(self.node()));
+        this.changeSet = new ChangeSet(limits);
+        changeSet.requireUnchanged(StoreKeys.member(self.node()));
     }
 
     public Instant timeOfDay() {
@@ -65,82 +58,73 @@
     }
 
     public boolean isEmpty() {
-        return changes.isEmpty();
+        return changeSet.changes().isEmpty();
     }
 
     /** Keys with their new values; a null value removes the key. */
     public Map<String, StoreRecord> changes() {
-        return changes;
+        return changeSet.changes();
     }
 
+    /** Keys whose versions must be unchanged. */
     public Set<String> conditions() {
-        return conditions;
+        return changeSet.conditions();
     }
 
-    /** Whether so many further changes, each with a further guard beside it, fit into this commit. */
+    /** Whether so many further changes, each with one condition besides its own, fit into this transaction. */
     public boolean hasCapacityFor(int more) {
-        return changes.size() + more <= limits.changes()
-                && conditions.size() + 2 * more <= limits.conditions()
-                && bytes < Limits.COMMIT_BYTES;
+        return changeSet.hasCapacityFor(more);
     }
 
-    /** Makes the commit depend on a key that it does not change. */
+    /** Makes the transaction depend on a key that it does not change. */
     public void requireUnchanged(String key) {
-        conditions.add(key);
+        changeSet.requireUnchanged(key);
     }
 
     public void put(String key, StoreRecord value) {
-        conditions.add(key);
-        bytes += size(value) - size(changes.get(key));
-        changes.put(key, value);
-    }
-
-    private static int size(StoreRecord value) {
-        return value == null ? 0 : value.maxEncodedBytes();
+        changeSet.put(key, value);
     }
 
     public void remove(String key) {
-        conditions.add(key);
-        bytes -= size(changes.get(key));
-        changes.put(key, null);
+        changeSet.remove(key);
     }
 
-    /** The job as this commit leaves it, or null. */
+    /** The job as this transaction leaves it, or null. */
     public JobRecord job(String id) {
         String key = StoreKeys.job(id);
-        return changes.containsKey(key) ? (JobRecord) changes.get(key) : clusterState.job(id);
+        return changeSet.isChanged(key) ? (JobRecord) changeSet.valueOf(key) : clusterState.job(id);
     }
 
     /** Whether a change of the job still fits, given that it may end and so change two keys. */
     public boolean canPutJob(String id) {
-        return hasCapacityFor(changes.containsKey(StoreKeys.job(id)) ? 1 : 2);
+        return hasCapacityFor(changeSet.isChanged(StoreKeys.job(id)) ? 1 : 2);
     }
 
-    /** Records the job; one that is over moves to where final states are kept. */
+    /**
+     * Records the job; one that is over moves to where final states are kept.
+     *
+     * @throws IllegalStateException if this transaction has ended the job before, which must stay final
+     */
     public void putJob(JobRecord job) {
         String id = job.request().id();
-        if (changes.containsKey(StoreKeys.job(id)) && changes.get(StoreKeys.job(id)) == null) {
-            // It was once possible to record a job as ended and to keep it running in one commit.
-            throw new IllegalStateException(id + " has ended in this commit");
+        if (changeSet.isRemoved(StoreKeys.job(id))) {
+            throw new IllegalStateException("job " + id + " has ended in this transaction");
         }
         if (job.isFinished()) {
             remove(StoreKeys.job(id));
-            JobState state = job.state();
-            put(
-                    StoreKeys.finalState(id),
-                    new FinalState(
-                            state, job.request().tasks(), job.completedTasks().size()));
+            put(StoreKeys.finalState(id), FinalState.of(job));
         } else {
             put(StoreKeys.job(id), job);
         }
     }
 
+    /** The shard as this transaction leaves it, or null. */
     public MachineShard shard(String id) {
         String key = StoreKeys.shard(id);
-        return changes.containsKey(key) ? (MachineShard) changes.get(key) : clusterState.shard(id);
+        return changeSet.isChanged(key) ? (MachineShard) changeSet.valueOf(key) : clusterState.shard(id);
     }
 
-    /** Records the group; one without machines is removed. */
+    /** Records the shard; one without machines is removed. */
     public void putShard(MachineShard shard) {
         if (shard.machines().isEmpty()) {
             remove(StoreKeys.shard(shard.id()));
@@ -149,24 +133,17 @@
         }
     }
 
-    /** The machine as this commit leaves it, or null. */
+    /** The machine as this transaction leaves it, or null. */
     public MachineRecord machine(String name) {
         String id = clusterState.shardOf(name);
         MachineShard shard = id == null ? null : shard(id);
-        if (shard != null) {
-            for (MachineRecord machine : shard.machines()) {
-                if (machine.name().equals(name)) {
-                    return machine;
-                }
-            }
-        }
-        return null;
+        return shard == null ? null : shard.machine(name);
     }
 
     /** Whether a change of this machine's record still fits. */
     public boolean canPutMachine(String name) {
         String id = clusterState.shardOf(name);
-        return id != null && (changes.containsKey(StoreKeys.shard(id)) || hasCapacityFor(1));
+        return id != null && (changeSet.isChanged(StoreKeys.shard(id)) || hasCapacityFor(1));
     }
 
     /** Changes a machine that is on record. */
@@ -178,113 +155,79 @@
         putShard(shard(clusterState.shardOf(name)).without(name));
     }
 
+    /** The fencing token as this transaction leaves it. */
     public long fencingToken() {
-        StoreRecord planned = changes.get(StoreKeys.FENCING_TOKEN);
+        StoreRecord planned = changeSet.valueOf(StoreKeys.FENCING_TOKEN);
         return planned == null ? clusterState.fencingToken() : ((FencingToken) planned).value();
     }
 
-    /** Raises the epoch, once for all that this commit does. */
+    /** Raises the fencing token, once for all that this transaction does. */
     public long nextFencingToken() {
-        if (!changes.containsKey(StoreKeys.FENCING_TOKEN)) {
+        if (!changeSet.isChanged(StoreKeys.FENCING_TOKEN)) {
             put(StoreKeys.FENCING_TOKEN, new FencingToken(clusterState.fencingToken()).next());
         }
         return fencingToken();
     }
 
     public double cpusUsedOn(String machine) {
-        return clusterState.usageOn(machine).cpus + deltaOf(machineDelta, machine).cpus;
+        return clusterState.usageOn(machine).cpus + usageDelta.onMachine(machine).cpus;
     }
 
     public double memoryUsedOn(String machine) {
-        return clusterState.usageOn(machine).memoryGb + deltaOf(machineDelta, machine).memoryGb;
+        return clusterState.usageOn(machine).memoryGb + usageDelta.onMachine(machine).memoryGb;
     }
 
     public double gpusUsedOn(String machine) {
-        return clusterState.usageOn(machine).gpus + deltaOf(machineDelta, machine).gpus;
+        return clusterState.usageOn(machine).gpus + usageDelta.onMachine(machine).gpus;
     }
 
-    /** A share as this commit leaves it. */
+    /** The quota partition of this key as this transaction leaves it. */
     public QuotaPartition quotaPartition(String key) {
-        StoreRecord planned = changes.get(key);
+        StoreRecord planned = changeSet.valueOf(key);
         return planned != null
                 ? (QuotaPartition) planned
                 : clusterState.quotaPartitions().getOrDefault(key, QuotaPartition.EMPTY);
     }
 
-    public double quotaCpusUsed(String share, String team) {
-        return clusterState.quotaUsage(share, team).cpus + deltaOf(quotaDelta, share + '\n' + team).cpus;
-    }
-
-    public double quotaGpusUsed(String share, String team) {
-        return clusterState.quotaUsage(share, team).gpus + deltaOf(quotaDelta, share + '\n' + team).gpus;
+    public double quotaCpusUsed(String partition, String team) {
+        return clusterState.quotaUsage(partition, team).cpus + usageDelta.ofQuota(partition, team).cpus;
     }
 
-    private static final ResourceUsage NO_DELTA = new ResourceUsage();
-
-    private static ResourceUsage deltaOf(Map<String, ResourceUsage> extras, String name) {
-        return extras.getOrDefault(name, NO_DELTA);
+    public double quotaGpusUsed(String partition, String team) {
+        return clusterState.quotaUsage(partition, team).gpus + usageDelta.ofQuota(partition, team).gpus;
     }
 
-    /** How many more attempts of this job fit into this commit and the job's record. */
+    /** How many more attempts of this job fit into this transaction and the job's record. */
     public int placeableTasks(JobRecord job) {
-        String key = StoreKeys.job(job.request().id());
-        if (!changes.containsKey(key) && !hasCapacityFor(1) || bytes >= Limits.COMMIT_BYTES) {
-            return 0;
-        }
-        return job.remainingPlacements(limits.valueBytes());
+        boolean fits = changeSet.isChanged(StoreKeys.job(job.request().id())) || hasCapacityFor(1);
+        return fits && changeSet.hasFreeBytes() ? job.remainingPlacements(limits.valueBytes()) : 0;
     }
 
-    /** Counts the room of one more task, whose placement is to be recorded in this commit. */
+    /** Counts the resources of one more task, whose placement is to be recorded in this transaction. */
     public void reserve(JobRecord job, MachineRecord machine) {
-        addDelta(machineDelta, machine.name(), job.request(), 1);
-        addDelta(
-                quotaDelta,
-                StoreKeys.quotaPartitionOf(job) + '\n' + job.request().team(),
-                job.request(),
-                1);
+        usageDelta.addTask(job, machine.name());
     }
 
-    /** Gives back what was taken for a task that is not placed after all. */
+    /** Takes back a reservation for a task that is not placed after all. */
     public void unreserve(JobRecord job, MachineRecord machine) {
-        addDelta(machineDelta, machine.name(), job.request(), -1);
-        addDelta(
-                quotaDelta,
-                StoreKeys.quotaPartitionOf(job) + '\n' + job.request().team(),
-                job.request(),
-                -1);
-    }
-
-    /** The job's tasks count for another share from this commit on. */
-    public void moveQuotaUsage(JobRecord job, String to) {
-        for (int i = job.livePlacements().size(); i > 0; i--) {
-            addDelta(
-                    quotaDelta,
-                    StoreKeys.quotaPartitionOf(job) + '\n' + job.request().team(),
-                    job.request(),
-                    -1);
-            addDelta(quotaDelta, to + '\n' + job.request().team(), job.request(), 1);
-        }
+        usageDelta.removeTask(job, machine.name());
     }
 
-    /** Room and share of an attempt that has certainly ended are free, although its end is not on record yet. */
-    public void releaseResources(JobRecord job, String machine) {
-        addDelta(machineDelta, machine, job.request(), -1);
-        addDelta(
-                quotaDelta,
-                StoreKeys.quotaPartitionOf(job) + '\n' + job.request().team(),
-                job.request(),
-                -1);
+    /** The job's tasks count for another quota partition from this transaction on. */
+    public void moveQuotaUsage(JobRecord job, String toPartition) {
+        usageDelta.moveQuota(job, toPartition);
     }
 
-    private static void addDelta(Map<String, ResourceUsage> extras, String name, JobRequest request, int sign) {
-        extras.computeIfAbsent(name, n -> new ResourceUsage()).change(request, sign);
+    /** Frees the resources and quota of an attempt that has certainly ended, although that is not on record yet. */
+    public void releaseResources(JobRecord job, String machine) {
+        usageDelta.removeTask(job, machine);
     }
 
-    /** Places one task on each of these machines, on which room was taken before. */
+    /** Places one task on each of these machines, on which resources were reserved before. */
     public void place(JobRecord job, List<MachineRecord> machines) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
-                    "{} of {}: {} tasks from attempt {} on go to {}",
+                    "placing tasks job={} job_class={} tasks={} attempt={} machines={}",
                     job.request().id(),
                     job.request().jobClass(),
                     machines.size(),
