--- a/src/main/java/org/gullway/coordination/membership/Membership.java
+++ b/src/main/java/org/gullway/coordination/membership/Membership.java
@@ -5,23 +5,24 @@
 import org.gullway.coordination.model.Incarnation;
 
 /**
- * This controller's own place among the members. It is trusted by the steady clock alone: from the moment at which
- * the last successful renewal was sent, for the lease's life less the clocks' drift.
+ * This controller's own membership lease. Its validity is decided by the monotonic clock alone: from the moment at which
+ * the last successful renewal was sent, for the lease's duration less the drift between clocks.
  */
 public final class Membership {
-    /** Steady clocks may differ by 0.05% each; twice that, and a little for the timer steps. */
+    /** Twice the drift that two monotonic clocks may have, which is 0.05% each. */
     private static final long DRIFT_DIVISOR = 500;
 
-    private static final Duration CLOCK_SLACK = Duration.ofMillis(50);
+    /** Allows for the granularity of timers. */
+    private static final Duration TIMER_MARGIN = Duration.ofMillis(50);
 
     private final Incarnation self;
     private final Duration leaseDuration;
     private long lease;
-    private Instant trustedUntil = Instant.MIN;
+    private Instant validUntil = Instant.MIN;
 
-    public Membership(Incarnation self, Duration life) {
+    public Membership(Incarnation self, Duration leaseDuration) {
         this.self = self;
-        this.leaseDuration = life;
+        this.leaseDuration = leaseDuration;
     }
 
     public Incarnation self() {
@@ -32,28 +33,32 @@
         return leaseDuration;
     }
 
+    /** Id of the present or last lease in the state store; 0 before the first. */
     public long lease() {
         return lease;
     }
 
-    public void onJoined(long newLease, Instant requestSent) {
+    /** A membership has begun, on a lease that was requested at this moment. */
+    public void onJoined(long newLease, Instant requestSentAt) {
         lease = newLease;
-        onRenewed(requestSent);
+        onRenewed(requestSentAt);
     }
 
     /** The lease was renewed by a request that was sent at this moment. */
-    public void onRenewed(Instant requestSent) {
-        trustedUntil = requestSent
+    public void onRenewed(Instant requestSentAt) {
+        validUntil = requestSentAt
                 .plus(leaseDuration)
                 .minus(leaseDuration.dividedBy(DRIFT_DIVISOR))
-                .minus(CLOCK_SLACK);
+                .minus(TIMER_MARGIN);
     }
 
+    /** The membership has ended. */
     public void onLost() {
-        trustedUntil = Instant.MIN;
+        validUntil = Instant.MIN;
     }
 
+    /** Whether the lease has certainly not expired. */
     public boolean isLeaseValid(Instant now) {
-        return now.isBefore(trustedUntil);
+        return now.isBefore(validUntil);
     }
 }
--- a/src/main/java/org/gullway/coordination/membership/StoreOutageDetector.java
+++ b/src/main/java/org/gullway/coordination/membership/StoreOutageDetector.java
@@ -8,22 +8,22 @@
 import java.util.Map;
 
 /**
- * Whether the state service answers none of the controllers, as far as they tell each other. A controller cannot tell
- * an outage from refusals that it alone gets, but its peers can.
+ * Tells an outage of the state store, which affects all controllers, from refusals that one controller alone gets, by
+ * what the controllers say to each other.
  *
- * <p>In an outage of all it stays healthy for the load balancer, since no other controller could serve its users any
- * better. The balancer takes a node back only after a pause that doubles with each removal: when outages of 52 s came
- * every 70 s, users found no healthy node in the first seconds after each and gave up (hunted day hunt-c4d1-5).
+ * <p>In an outage a controller stays healthy for the load balancer, since no other one could serve its users any better.
+ * The balancer takes a controller back only after a pause that doubles with each removal, so that short outages in a row
+ * would leave users without any healthy controller after each.
  */
 public final class StoreOutageDetector {
     /** Watches last a second, so an answer that is older shows that later requests had none. */
-    private static final Duration LONGEST_WITHOUT_ANSWER = Duration.ofSeconds(3);
-    /** Peers are asked every second; this is how long an answer counts. */
-    private static final Duration ANSWER_COUNTS = Duration.ofSeconds(4);
+    private static final Duration MAX_ANSWER_AGE = Duration.ofSeconds(3);
+    /** Peers are asked every second; this is how long a notice of theirs counts. */
+    private static final Duration PEER_NOTICE_VALIDITY = Duration.ofSeconds(4);
 
     private final List<String> peers;
-    /** By peer: when it last said that the state service does not answer it. */
-    private final Map<String, Instant> withoutStateAt = new HashMap<>();
+    /** By peer: when it last said that the state store does not answer it. */
+    private final Map<String, Instant> peerUnreachableAt = new HashMap<>();
 
     /** @param peers names of all other controllers of the deployment */
     public StoreOutageDetector(Collection<String> peers) {
@@ -31,24 +31,28 @@
     }
 
     /**
-     * Whether a controller has to say that the state service does not answer it.
+     * Whether a controller has to say that the state store does not answer it.
      *
-     * @param answered when the last request that the state service has answered was sent
+     * @param answeredRequestSentAt when the last request that the state store has answered was sent
      */
-    public static boolean isStoreUnreachable(Instant answered, Instant now) {
-        return answered.plus(LONGEST_WITHOUT_ANSWER).isBefore(now);
+    public static boolean isStoreUnreachable(Instant answeredRequestSentAt, Instant now) {
+        return answeredRequestSentAt.plus(MAX_ANSWER_AGE).isBefore(now);
     }
 
-    /** Notes that a peer has just said that the state service does not answer it. */
+    /** Records that a peer has just said that the state store does not answer it. */
     public void onPeerWithoutStore(String peer, Instant now) {
-        withoutStateAt.put(peer, now);
+        peerUnreachableAt.put(peer, now);
     }
 
-    /** Whether all peers have said lately that the state service does not answer them. */
+    /** Whether all peers have lately said that the state store does not answer them. */
     public boolean isSharedByAllPeers(Instant now) {
-        return peers.stream().allMatch(peer -> withoutStateAt
+        return peers.stream().allMatch(peer -> hasLatelySaidSo(peer, now));
+    }
+
+    private boolean hasLatelySaidSo(String peer, Instant now) {
+        return peerUnreachableAt
                 .getOrDefault(peer, Instant.MIN)
-                .plus(ANSWER_COUNTS)
-                .isAfter(now));
+                .plus(PEER_NOTICE_VALIDITY)
+                .isAfter(now);
     }
 }
--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -61,11 +61,8 @@
     });
 
     private final Map<String, QuotaPartition> quotaPartitions = new TreeMap<>();
-    private final Map<String, Incarnation> members = new TreeMap<>();
+    private final MemberIndex members = new MemberIndex();
     private long shardsAndMembersVersion;
-    /** Revision of the last loss of a member, as far as known. */
-    private long lastLossRevision;
-
     private Incarnation leader;
     private long fencingToken;
     private Set<String> cordonedMachines = Set.of();
@@ -112,10 +109,7 @@
             return;
         }
         shardsAndMembersVersion++;
-        Incarnation previous = members.put(key.substring(StoreKeys.MEMBERS.length()), incarnation);
-        if (previous != null && !previous.equals(incarnation)) {
-            lastLossRevision = Math.max(lastLossRevision, version);
-        }
+        members.put(key.substring(StoreKeys.MEMBERS.length()), incarnation, version);
     }
 
     /** Takes the removal of a key at a revision; false if that is no news, and nothing has changed. */
@@ -131,8 +125,7 @@
             quotaPartitions.remove(key);
         } else if (key.startsWith(StoreKeys.MEMBERS)) {
             shardsAndMembersVersion++;
-            members.remove(key.substring(StoreKeys.MEMBERS.length()));
-            lastLossRevision = Math.max(lastLossRevision, revision);
+            members.remove(key.substring(StoreKeys.MEMBERS.length()), revision);
         } else if (key.equals(StoreKeys.LEADER)) {
             leader = null;
         } else if (key.equals(StoreKeys.CORDONED)) {
@@ -197,13 +190,13 @@
 
     /** The store was read as of this revision; a member may have been lost at any time before. */
     public void onFullRead(long revision) {
-        lastLossRevision = Math.max(lastLossRevision, revision);
+        members.lostAt(revision);
         advanceTo(revision);
     }
 
     /** Whether the fencing token has risen after the last loss of any member. */
     public boolean isFencingTokenNewerThanLastLoss() {
-        return version(StoreKeys.FENCING_TOKEN) > lastLossRevision;
+        return version(StoreKeys.FENCING_TOKEN) > members.lastLossRevision();
     }
 
     /** Version of the key; 0 if it does not exist. */
@@ -270,7 +263,7 @@
 
     /** The present incarnation of each member by its name. */
     public Map<String, Incarnation> members() {
-        return members;
+        return members.byName();
     }
 
     /** Rises with every change of a shard or a member. */
@@ -279,7 +272,7 @@
     }
 
     public boolean isMember(Incarnation incarnation) {
-        return incarnation != null && incarnation.equals(members.get(incarnation.node()));
+        return members.contains(incarnation);
     }
 
     /** The leader, or null if there is none. */
--- a/src/main/java/org/gullway/coordination/model/MachineRecord.java
+++ b/src/main/java/org/gullway/coordination/model/MachineRecord.java
@@ -27,7 +27,7 @@
     public enum MachineLifecycle {
         /** Takes tasks. */
         ACTIVE,
-        /** Has missed a heartbeat, or does not answer commands: takes no more tasks until it does again. */
+        /** Has missed a heartbeat, or does not answer commands: takes no more tasks until it is responsive again. */
         UNRESPONSIVE,
         /** Takes no more tasks and is released when it has none. */
         DRAINING,
@@ -69,18 +69,9 @@
     }
 
     /** This machine in an agent epoch that has begun, so that every earlier one is over. */
-    public MachineRecord withAgentEpoch(long newAgentEpoch, String reportedAddress) {
+    public MachineRecord withAgentEpoch(long newAgentEpoch, String newAddress) {
         return new MachineRecord(
-                name,
-                reportedAddress,
-                type,
-                zone,
-                spot,
-                controller,
-                newAgentEpoch,
-                fencingToken,
-                lifecycle,
-                provisionedAt);
+                name, newAddress, type, zone, spot, controller, newAgentEpoch, fencingToken, lifecycle, provisionedAt);
     }
 
     /** This machine in another state of its lifecycle. */
--- a/src/main/java/org/gullway/storage/StateStoreClient.java
+++ b/src/main/java/org/gullway/storage/StateStoreClient.java
@@ -22,7 +22,7 @@
 /** The calls of the state store. A response that is not of the stated form counts as unknown. */
 public final class StateStoreClient {
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
-    /** The pause before a call that failed is tried again. */
+    /** The pause before a call that failed is repeated. */
     static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
     private static final int PAGE_SIZE = 500;
@@ -126,7 +126,7 @@
         }
     }
 
-    private void call(HttpRequest request, Consumer<Outcome> callback) {
+    private void send(HttpRequest request, Consumer<Outcome> callback) {
         httpClient.call(
                 address,
                 request,
@@ -145,7 +145,7 @@
     }
 
     public void get(String key, Consumer<Outcome> callback) {
-        call(HttpRequest.get("/store/" + key, TIMEOUT), callback);
+        send(HttpRequest.get("/store/" + key, TIMEOUT), callback);
     }
 
     /**
@@ -155,28 +155,28 @@
      */
     public void list(String prefix, String after, Consumer<Outcome> callback) {
         String from = after == null ? "" : "&from=" + after;
-        call(HttpRequest.get("/store?under=" + prefix + from + "&page=" + PAGE_SIZE, TIMEOUT), callback);
+        send(HttpRequest.get("/store?under=" + prefix + from + "&page=" + PAGE_SIZE, TIMEOUT), callback);
     }
 
     /** Asks for the changes under the prefix after a revision; while there are none, the response takes {@code wait}. */
     public void watch(String prefix, long afterRevision, Duration wait, Consumer<Outcome> callback) {
         String path = "/watch?under=" + prefix + "&from=" + afterRevision + "&block_ms=" + wait.toMillis();
-        call(HttpRequest.get(path, wait.plus(TIMEOUT)), callback);
+        send(HttpRequest.get(path, wait.plus(TIMEOUT)), callback);
     }
 
     /** Asks for a new lease. */
     public void grantLease(Duration duration, Consumer<Outcome> callback) {
         byte[] body = Cbor.encode(Cbor.map().put("life_ms", duration.toMillis()));
-        call(HttpRequest.post("/grants", body, TIMEOUT), callback);
+        send(HttpRequest.post("/grants", body, TIMEOUT), callback);
     }
 
     public void renewLease(long lease, Duration timeout, Consumer<Outcome> callback) {
-        call(HttpRequest.post("/grants/" + lease + "/renew", Cbor.encode(Cbor.map()), timeout), callback);
+        send(HttpRequest.post("/grants/" + lease + "/renew", Cbor.encode(Cbor.map()), timeout), callback);
     }
 
     /** Ends a lease at once, with the keys that are held on it. */
     public void revokeLease(long lease, Consumer<Outcome> callback) {
-        call(HttpRequest.delete("/grants/" + lease, TIMEOUT), callback);
+        send(HttpRequest.delete("/grants/" + lease, TIMEOUT), callback);
     }
 
     /**
@@ -199,7 +199,7 @@
         }
         ArrayNode then = transaction.putArray("then");
         changes.forEach((key, value) -> addChange(then.addObject(), key, value, lease));
-        call(HttpRequest.post("/commit", Cbor.encode(transaction), TIMEOUT), callback);
+        send(HttpRequest.post("/commit", Cbor.encode(transaction), TIMEOUT), callback);
     }
 
     private static void addChange(ObjectNode change, String key, StoreRecord value, long lease) {
--- a/src/test/java/org/gullway/coordination/model/ClusterStateTest.java
+++ b/src/test/java/org/gullway/coordination/model/ClusterStateTest.java
@@ -12,10 +12,11 @@
 import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
+/** The cluster state follows the records, in whatever order their changes become known. */
 class ClusterStateTest {
-    /** Once, the answer to an own commit came after the watch had brought the key's removal, and the job came back. */
+    /** The outcome of an own transaction may come after the watch has brought the removal of a key by another. */
     @Test
-    void aLateAnswerDoesNotBringBackWhatWasRemoved() {
+    void aLateOutcomeDoesNotBringBackARemovedKey() {
         ClusterState clusterState = TestFixtures.view();
         JobRecord job = JobRecord.accepted(
                 TestFixtures.request("run-000001", "red", Priority.HIGH, 1, 4), null, TestFixtures.DAY);
@@ -27,19 +28,19 @@
         assertThat(clusterState.version(StoreKeys.job("run-000001"))).isZero();
     }
 
-    /** Only what differs between two records of a job is counted; the sums must stay those of a fresh count. */
+    /** Only what differs between two records of a job is counted; the usage must stay that of a full count. */
     @Property(tries = 100, seed = "11")
-    void sumsFollowTheRecords(@ForAll long seed) {
+    void usageFollowsTheRecords(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ClusterState clusterState = TestFixtures.view();
-        Map<String, JobRecord> truth = new HashMap<>();
+        Map<String, JobRecord> expected = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             String id = "run-00000" + random.nextInt(4);
-            JobRecord job = truth.getOrDefault(
+            JobRecord job = expected.getOrDefault(
                     id,
                     JobRecord.accepted(
                             TestFixtures.request(id, "red", Priority.NORMAL, 9, 2), "perch-0", TestFixtures.DAY));
-            JobRecord known = job;
+            JobRecord present = job;
             JobRecord next =
                     switch (random.nextInt(6)) {
                         case 0 -> job.waitingTasks() > 0
@@ -51,25 +52,25 @@
                         case 4 -> job.livePlacements().isEmpty()
                                 ? job
                                 : job.withCompletions(
-                                        Map.of(known.livePlacements().get(0), JobRecord.AttemptOutcome.STOPPED));
+                                        Map.of(present.livePlacements().get(0), JobRecord.AttemptOutcome.STOPPED));
                         default -> job.waitingTasks() > 1
                                 ? TestFixtures.placed(
                                         job, TestFixtures.DAY, "vm-" + random.nextInt(3), "vm-" + random.nextInt(3))
                                 : job;
                     };
-            truth.put(id, next);
+            expected.put(id, next);
             clusterState.put(StoreKeys.job(id), next, 2000 + i);
         }
         for (String machine : List.of("vm-0", "vm-1", "vm-2")) {
-            List<Placement> there = new ArrayList<>();
-            truth.values().forEach(job -> job.livePlacements().stream()
+            List<Placement> placements = new ArrayList<>();
+            expected.values().forEach(job -> job.livePlacements().stream()
                     .filter(p -> p.machine().equals(machine))
-                    .forEach(there::add));
-            assertThat(clusterState.placementsOn(machine).values()).containsExactlyInAnyOrderElementsOf(there);
-            assertThat(clusterState.usageOn(machine).cpus).isEqualTo(2.0 * there.size());
+                    .forEach(placements::add));
+            assertThat(clusterState.placementsOn(machine).values()).containsExactlyInAnyOrderElementsOf(placements);
+            assertThat(clusterState.usageOn(machine).cpus).isEqualTo(2.0 * placements.size());
         }
         for (String owner : List.of("perch-0", "perch-1")) {
-            int tasks = truth.values().stream()
+            int tasks = expected.values().stream()
                     .filter(j -> j.owner().equals(owner))
                     .mapToInt(j -> j.livePlacements().size())
                     .sum();
--- a/src/test/java/org/gullway/coordination/model/IntegerRangesTest.java
+++ b/src/test/java/org/gullway/coordination/model/IntegerRangesTest.java
@@ -11,29 +11,30 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Ranges hold the same numbers as a plain expected. */
 class IntegerRangesTest {
     @Property(tries = 500, seed = "4")
-    void behaveLikeASet(@ForAll @Size(max = 60) List<@IntRange(min = 0, max = 40) Integer> numbers) {
+    void containTheSameNumbersAsASet(@ForAll @Size(max = 60) List<@IntRange(min = 0, max = 40) Integer> numbers) {
         IntegerRanges ranges = IntegerRanges.EMPTY;
-        TreeSet<Integer> set = new TreeSet<>();
+        TreeSet<Integer> expected = new TreeSet<>();
         for (int number : numbers) {
             ranges = ranges.with(number);
-            set.add(number);
-            assertThat(ranges.size()).isEqualTo(set.size());
+            expected.add(number);
+            assertThat(ranges.size()).isEqualTo(expected.size());
         }
         int missing = 0;
-        while (set.contains(missing)) {
+        while (expected.contains(missing)) {
             missing++;
         }
         assertThat(ranges.firstMissing(0)).isEqualTo(missing);
         for (int i = 0; i <= 41; i++) {
-            assertThat(ranges.contains(i)).isEqualTo(set.contains(i));
+            assertThat(ranges.contains(i)).isEqualTo(expected.contains(i));
         }
         assertThat(IntegerRanges.of(ranges.bounds())).isEqualTo(ranges);
     }
 
     @Test
-    void refuseBoundsOutOfOrder() {
+    void rejectBoundsOutOfOrder() {
         assertThatThrownBy(() -> IntegerRanges.of(0, 3, 4, 5)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> IntegerRanges.of(3, 2)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> IntegerRanges.of(3)).isInstanceOf(IllegalArgumentException.class);
--- a/src/test/java/org/gullway/coordination/model/TestFixtures.java
+++ b/src/test/java/org/gullway/coordination/model/TestFixtures.java
@@ -4,6 +4,7 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Stream;
 import org.gullway.coordination.cycle.PlanningContext;
 import org.gullway.coordination.placement.MachineTypeCatalog;
 import org.gullway.coordination.placement.PlacementConstraints;
@@ -17,7 +18,7 @@
 public final class TestFixtures {
     public static final Incarnation SELF = new Incarnation("perch-0", 17);
     public static final Incarnation PEER = new Incarnation("perch-1", 18);
-    /** perch-1 is beside this one, perch-2 in another zone. */
+    /** perch-1 is in the zone of this controller, perch-2 in another. */
     public static final PeerZones NEIGHBOURS =
             new PeerZones(Map.of("perch-1", "a", "perch-2", "b"), Duration.ofSeconds(40));
 
@@ -73,7 +74,7 @@
         return MachineRecord.booting(name, type, "a", true, DAY, controller, 1).withAgentEpoch(1, "10.1.0.1:9000");
     }
 
-    /** Puts a machine into a group of its own. */
+    /** Puts a machine into a shard of its own. */
     public static void put(ClusterState clusterState, MachineRecord machine, long version) {
         clusterState.put(
                 StoreKeys.shard("g-" + machine.name()),
@@ -82,16 +83,13 @@
         clusterState.advanceTo(version);
     }
 
-    /** A job with one task on each of these machines, in session 1. */
-    public static JobRecord placed(JobRecord job, Instant since, String... machines) {
+    /** A job with one task on each of these machines, in agent epoch 1. */
+    public static JobRecord placed(JobRecord job, Instant placedAt, String... machines) {
         return job.withPlacements(
-                java.util.stream.Stream.of(machines)
-                        .map(m -> machine(m, "large", SELF))
-                        .toList(),
-                since);
+                Stream.of(machines).map(name -> machine(name, "large", SELF)).toList(), placedAt);
     }
 
-    /** A view with both controllers as members, the first leading, at epoch 1. */
+    /** A cluster state with two controllers as members, the first leading, at fencing token 1. */
     public static ClusterState view() {
         ClusterState clusterState = new ClusterState();
         clusterState.put(StoreKeys.member(SELF.node()), SELF, 1);
@@ -113,15 +111,9 @@
         return PlanningContext.of(now, true, true);
     }
 
-    /** Applies a draft as if the store had committed it. */
+    /** Applies a transaction as if the store had committed it. */
     public static void commit(ClusterState clusterState, Transaction transaction, long revision) {
-        transaction.changes().forEach((key, value) -> {
-            if (value == null) {
-                clusterState.remove(key, revision);
-            } else if (key.startsWith(StoreKeys.LIVE)) {
-                clusterState.put(key, value, revision);
-            }
-        });
+        clusterState.apply(transaction.changes(), revision);
         clusterState.advanceTo(revision);
     }
 }
