--- a/src/main/java/org/gullway/coordination/membership/Membership.java
+++ b/src/main/java/org/gullway/coordination/membership/Membership.java
@@ -25,10 +25,12 @@
         this.leaseDuration = leaseDuration;
     }
 
+    /** This run of this controller. */
     public Incarnation self() {
         return self;
     }
 
+    /** How long the lease lasts from each renewal on. */
     public Duration leaseDuration() {
         return leaseDuration;
     }
--- a/src/main/java/org/gullway/coordination/model/AttemptId.java
+++ b/src/main/java/org/gullway/coordination/model/AttemptId.java
@@ -4,6 +4,7 @@
 
 /** One attempt of one task. */
 public record AttemptId(TaskId task, long attempt) {
+    /** The attempt that a placement of the job records. */
     public static AttemptId of(JobRecord job, Placement placement) {
         return new AttemptId(new TaskId(job.request().id(), placement.task()), placement.attempt());
     }
--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -40,6 +40,7 @@
         }
     }
 
+    /** Bounds the memory for jobs that ended long ago. */
     private static final int MAX_CANCELLED_JOBS = 10_000;
 
     /** Machines whose records or placements have changed since they were last drained. */
@@ -204,6 +205,7 @@
         return versions.versionOf(key);
     }
 
+    /** All jobs that have not ended, in the order of their ids. */
     public Collection<JobRecord> jobs() {
         return jobs.values();
     }
@@ -228,6 +230,7 @@
         return cancelledJobs.contains(job);
     }
 
+    /** All machines of all shards. */
     public Collection<MachineRecord> machines() {
         return machineIndex.machines();
     }
@@ -237,6 +240,7 @@
         return machineIndex.machine(name);
     }
 
+    /** All shards, in the order of their ids. */
     public Collection<MachineShard> shards() {
         return machineIndex.shards();
     }
@@ -271,6 +275,7 @@
         return shardsAndMembersVersion;
     }
 
+    /** Whether this run of a controller holds a member key; false for null. */
     public boolean isMember(Incarnation incarnation) {
         return members.contains(incarnation);
     }
@@ -280,6 +285,7 @@
         return leader;
     }
 
+    /** The present fencing token; 0 before the first. */
     public long fencingToken() {
         return fencingToken;
     }
@@ -314,6 +320,7 @@
         versions.advanceTo(revision);
     }
 
+    /** The revision up to which the watch has brought every change. */
     public long watchedRevision() {
         return versions.watchedRevision();
     }
--- a/src/main/java/org/gullway/coordination/model/IntegerRanges.java
+++ b/src/main/java/org/gullway/coordination/model/IntegerRanges.java
@@ -59,6 +59,7 @@
         return size;
     }
 
+    /** Whether the number is in the set. */
     public boolean contains(int number) {
         return startsAtOrBefore(rangeAtOrAfter(number), number);
     }
--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -40,7 +40,9 @@
     public static final int PLACEMENT_BYTES = 36;
 
     private static final Duration STALLED_AFTER = Duration.ofSeconds(100);
+    /** Upper bound for one range of completed tasks. */
     private static final int RANGE_BYTES = 10;
+    /** Upper bound for all fields of fixed size. */
     private static final int FIXED_BYTES = 1500;
 
     /** Order of stalled jobs: first those without a completed task, then the largest task, then the oldest. */
@@ -56,6 +58,7 @@
         DONE,
         /** It was stopped, or its machine was lost. */
         STOPPED,
+        /** It failed, mostly because of its machine. */
         FAILED
     }
 
@@ -66,10 +69,12 @@
                 || request.priority() == Priority.HIGH;
     }
 
+    /** A job that has just been accepted, without any placement. */
     public static JobRecord accepted(JobRequest request, String owner, Instant submittedAt) {
         return new JobRecord(request, owner, submittedAt, null, IntegerRanges.EMPTY, 0, 0, List.of());
     }
 
+    /** Whether the leader places this job. */
     public boolean isReserved() {
         return isReserved(request);
     }
@@ -79,10 +84,12 @@
         return FIXED_BYTES + livePlacements.size() * PLACEMENT_BYTES + completedTasks.rangeCount() * RANGE_BYTES;
     }
 
+    /** Whether a user has cancelled the job; its tasks may still be stopping. */
     public boolean isCancelled() {
         return cancelledAt != null;
     }
 
+    /** Whether nothing is left to do: no task remains to be run or, if cancelled, to be stopped. */
     public boolean isFinished() {
         return isCancelled() ? livePlacements.isEmpty() : isComplete();
     }
@@ -102,6 +109,7 @@
         return livePlacements.isEmpty() ? JobState.PENDING : JobState.RUNNING;
     }
 
+    /** The status as users see it. */
     public JobStatus status() {
         return new JobStatus(request.id(), state(), completedTasks.size(), livePlacements.size());
     }
@@ -133,6 +141,7 @@
         return null;
     }
 
+    /** Whether the tasks start only all together. */
     public boolean isGang() {
         return request.shape() == Shape.GANG;
     }
--- a/src/main/java/org/gullway/coordination/model/MachineRecord.java
+++ b/src/main/java/org/gullway/coordination/model/MachineRecord.java
@@ -54,10 +54,12 @@
         return name.hashCode();
     }
 
+    /** Whether its agent has sent a heartbeat. */
     public boolean isUp() {
         return agentEpoch > 0;
     }
 
+    /** Whether tasks may be placed on it. */
     public boolean isSchedulable() {
         return isUp() && lifecycle == MachineLifecycle.ACTIVE;
     }
--- a/src/main/java/org/gullway/coordination/model/QuotaPartition.java
+++ b/src/main/java/org/gullway/coordination/model/QuotaPartition.java
@@ -20,6 +20,7 @@
         }
     }
 
+    /** The amount of one team; nothing if it has none. */
     public Amount of(String team) {
         return amountByTeam.getOrDefault(team, Amount.NONE);
     }
--- a/src/main/java/org/gullway/coordination/model/StoreKeys.java
+++ b/src/main/java/org/gullway/coordination/model/StoreKeys.java
@@ -23,10 +23,12 @@
         return MEMBERS + node;
     }
 
+    /** The key of a job that has not ended. */
     public static String job(String id) {
         return JOBS + id;
     }
 
+    /** The key of a shard of machines. */
     public static String shard(String id) {
         return SHARDS + id;
     }
--- a/src/main/java/org/gullway/coordination/model/Transaction.java
+++ b/src/main/java/org/gullway/coordination/model/Transaction.java
@@ -17,7 +17,13 @@
  * only the holder of a quota partition places on it, and it has one transaction in flight at a time.
  */
 public final class Transaction {
-    /** Limits of one transaction of the state store. */
+    /**
+     * Limits of one transaction of the state store.
+     *
+     * @param changes keys that it may write or remove
+     * @param conditions keys whose versions it may compare
+     * @param valueBytes size of one value
+     */
     public record Limits(int changes, int conditions, int valueBytes) {
         /** Below the store's limit by as much as the last change may add. */
         static final int MAX_BYTES = 48 * 1024;
@@ -53,10 +59,12 @@
         changeSet.requireUnchanged(StoreKeys.member(self.node()));
     }
 
+    /** The time of day that the changes of this transaction record. */
     public Instant timeOfDay() {
         return timeOfDay;
     }
 
+    /** Whether there is nothing to commit. */
     public boolean isEmpty() {
         return changeSet.changes().isEmpty();
     }
@@ -81,10 +89,12 @@
         changeSet.requireUnchanged(key);
     }
 
+    /** Writes a record; its key must be unchanged. */
     public void put(String key, StoreRecord value) {
         changeSet.put(key, value);
     }
 
+    /** Removes a key, which must be unchanged. */
     public void remove(String key) {
         changeSet.remove(key);
     }
@@ -151,6 +161,7 @@
         putShard(shard(clusterState.shardOf(machine.name())).with(machine));
     }
 
+    /** Removes a machine that is on record. */
     public void removeMachine(String name) {
         putShard(shard(clusterState.shardOf(name)).without(name));
     }
@@ -169,14 +180,17 @@
         return fencingToken();
     }
 
+    /** Processors in use on a machine after this transaction. */
     public double cpusUsedOn(String machine) {
         return clusterState.usageOn(machine).cpus + usageDelta.onMachine(machine).cpus;
     }
 
+    /** Memory in use on a machine after this transaction, in GB. */
     public double memoryUsedOn(String machine) {
         return clusterState.usageOn(machine).memoryGb + usageDelta.onMachine(machine).memoryGb;
     }
 
+    /** GPUs in use on a machine after this transaction. */
     public double gpusUsedOn(String machine) {
         return clusterState.usageOn(machine).gpus + usageDelta.onMachine(machine).gpus;
     }
@@ -189,10 +203,12 @@
                 : clusterState.quotaPartitions().getOrDefault(key, QuotaPartition.EMPTY);
     }
 
+    /** Processors that a team uses of a quota partition after this transaction. */
     public double quotaCpusUsed(String partition, String team) {
         return clusterState.quotaUsage(partition, team).cpus + usageDelta.ofQuota(partition, team).cpus;
     }
 
+    /** GPUs that a team uses of a quota partition after this transaction. */
     public double quotaGpusUsed(String partition, String team) {
         return clusterState.quotaUsage(partition, team).gpus + usageDelta.ofQuota(partition, team).gpus;
     }
--- a/src/main/java/org/gullway/storage/ReplicatedState.java
+++ b/src/main/java/org/gullway/storage/ReplicatedState.java
@@ -191,6 +191,7 @@
         return requestReadLimit;
     }
 
+    /** The client, for reads of single keys. */
     public StateStoreClient store() {
         return store;
     }
--- a/src/main/java/org/gullway/storage/StateStoreClient.java
+++ b/src/main/java/org/gullway/storage/StateStoreClient.java
@@ -144,6 +144,7 @@
         }
     }
 
+    /** Reads one key. */
     public void get(String key, Consumer<Outcome> callback) {
         send(HttpRequest.get("/store/" + key, TIMEOUT), callback);
     }
@@ -170,6 +171,7 @@
         send(HttpRequest.post("/grants", body, TIMEOUT), callback);
     }
 
+    /** Extends a lease by its duration. */
     public void renewLease(long lease, Duration timeout, Consumer<Outcome> callback) {
         send(HttpRequest.post("/grants/" + lease + "/renew", Cbor.encode(Cbor.map()), timeout), callback);
     }
--- a/src/main/java/org/gullway/storage/TransactionFence.java
+++ b/src/main/java/org/gullway/storage/TransactionFence.java
@@ -14,7 +14,7 @@
     enum Result {
         /** The member key has a new version. */
         MEMBER_KEY_REWRITTEN,
-        /** The membership has ended, and with it the member key; this controller joins again. */
+        /** The membership has ended, or the member key has a version that is unknown here: this controller joins again. */
         MEMBERSHIP_ENDED,
         /** This controller has left that membership while the member key could not be written. */
         MEMBERSHIP_REPLACED
