--- a/src/main/java/org/gullway/storage/WatchStream.java
+++ b/src/main/java/org/gullway/storage/WatchStream.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
 import java.time.Instant;
-import java.util.HashMap;
 import java.util.Map;
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.StoreKeys;
@@ -41,9 +40,6 @@
 
     private Instant awaitedSince;
 
-    /** One read of all live keys, page by page. */
-    private record FullRead(long generation, Instant sentAt, Map<String, JsonNode> items) {}
-
     /**
      * @param requestLimit what watches may use of the requests that the store allows
      * @param watchWait how long the store holds back the response to a watch while nothing changes
@@ -102,47 +98,36 @@
     void readAll() {
         synced = false;
         generation++;
-        readPage(new FullRead(generation, loop.now(), new HashMap<>()), null, 0);
-    }
-
-    private void readPage(FullRead read, String after, long firstRevision) {
-        store.list(StoreKeys.LIVE, after, outcome -> {
-            if (read.generation() != generation) {
-                return;
-            }
-            if (outcome.isOkWithBody()) {
-                onPage(read, outcome, firstRevision);
-            } else {
-                retry(read.generation(), this::readAll);
+        long ofGeneration = generation;
+        Instant sentAt = loop.now();
+        FullRead.Callback callback = new FullRead.Callback() {
+            @Override
+            public void onRead(Map<String, JsonNode> items, long revision) {
+                onFullRead(ofGeneration, sentAt, items, revision);
             }
-        });
-    }
 
-    private void onPage(FullRead read, StateStoreClient.Outcome outcome, long firstRevision) {
-        String lastKey = null;
-        for (JsonNode item : outcome.body().path("items")) {
-            lastKey = item.path("k").asText();
-            read.items().put(lastKey, item);
-        }
-        // The watch begins at the first page's revision, so that it brings what changed during the read.
-        long revision = firstRevision == 0 ? outcome.revision() : firstRevision;
-        if (outcome.body().path("more").asBoolean() && lastKey != null) {
-            readPage(read, lastKey, revision);
-        } else {
-            onLastPage(read, revision);
-        }
+            @Override
+            public void onFailed() {
+                retry(ofGeneration, WatchStream.this::readAll);
+            }
+        };
+        new FullRead(store, () -> isCurrent(ofGeneration), callback).start();
     }
 
-    private void onLastPage(FullRead read, long revision) {
+    private void onFullRead(long ofGeneration, Instant sentAt, Map<String, JsonNode> items, long revision) {
         clusterState.clear();
-        read.items().forEach(this::put);
+        items.forEach(this::put);
         clusterState.onFullRead(revision);
         synced = true;
         lastAnsweredAt = loop.now();
-        knownThrough = read.sentAt();
-        LOG.info("read all keys revision={} keys={}", revision, read.items().size());
+        knownThrough = sentAt;
+        LOG.info("read all keys revision={} keys={}", revision, items.size());
         onStateChanged.run();
-        watch(read.generation(), revision);
+        watch(ofGeneration, revision);
+    }
+
+    private boolean isCurrent(long ofGeneration) {
+        return ofGeneration == generation;
     }
 
     private void retry(long ofGeneration, Runnable action) {
@@ -150,7 +135,7 @@
     }
 
     private void runIfCurrent(long ofGeneration, Runnable action) {
-        if (ofGeneration == generation) {
+        if (isCurrent(ofGeneration)) {
             action.run();
         }
     }
@@ -169,7 +154,7 @@
     private void watch(long ofGeneration, long afterRevision) {
         Instant sentAt = loop.now();
         store.watch(StoreKeys.LIVE, afterRevision, watchWait, outcome -> {
-            if (ofGeneration != generation) {
+            if (!isCurrent(ofGeneration)) {
                 return;
             }
             if (outcome.isGone()) {
