--- a/src/main/java/org/gullway/api/JobReader.java
+++ b/src/main/java/org/gullway/api/JobReader.java
@@ -15,8 +15,6 @@
 import org.gullway.storage.RecordCodec;
 import org.gullway.storage.StateStoreClient;
 import org.gullway.transport.EventLoop;
-import org.gullway.transport.HttpResponse;
-import org.gullway.transport.HttpStatus;
 import org.gullway.transport.TokenBucket;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -64,10 +62,10 @@
     private void readLiveRecord(Read read) {
         rateLimit.consume(1);
         store.get(StoreKeys.job(read.id()), outcome -> {
-            if (hasStatus(outcome, HttpStatus.OK)) {
+            if (outcome.isOk()) {
                 JobStatus status = statusOfRecord(read.id(), outcome.body().path("v"));
                 read.onResult().accept(found(read, status, outcome.revision()));
-            } else if (hasStatus(outcome, HttpStatus.NOT_FOUND)) {
+            } else if (outcome.isNotFound()) {
                 readFinalState(read);
             } else {
                 read.onFailure().run();
@@ -78,9 +76,9 @@
     private void readFinalState(Read read) {
         rateLimit.consume(1);
         store.get(StoreKeys.finalState(read.id()), outcome -> {
-            if (hasStatus(outcome, HttpStatus.OK)) {
+            if (outcome.isOk()) {
                 completeWithFinalState(read, outcome);
-            } else if (hasStatus(outcome, HttpStatus.NOT_FOUND)) {
+            } else if (outcome.isNotFound()) {
                 read.onResult().accept(new NotFound(read.id(), freshness(read, outcome.revision())));
             } else {
                 read.onFailure().run();
@@ -91,7 +89,7 @@
     private void completeWithFinalState(Read read, StateStoreClient.Outcome outcome) {
         FinalState finalState;
         try {
-            finalState = RecordCodec.ended(outcome.body().path("v"));
+            finalState = RecordCodec.decodeFinalState(outcome.body().path("v"));
         } catch (MalformedMessageException e) {
             read.onFailure().run();
             return;
@@ -109,7 +107,7 @@
             cancellationEnforcer.merge(job, loop.now());
             return job.status();
         } catch (MalformedMessageException e) {
-            LOG.error("could not decode a job record job={} reason={}", id, e.getMessage());
+            LOG.error("could not decode a job record error=\"{}\"", e.getMessage());
             JobState state = value.hasNonNull("cancelled") ? JobState.CANCELLED : JobState.PENDING;
             return new JobStatus(id, state, 0, 0);
         }
@@ -125,8 +123,4 @@
     private static ReadFreshness freshness(Read read, long revision) {
         return new ReadFreshness(ReadFreshness.Source.READ, revision, read.sentAt());
     }
-
-    private static boolean hasStatus(StateStoreClient.Outcome outcome, int status) {
-        return outcome.kind() == HttpResponse.Outcome.ANSWERED && outcome.status() == status;
-    }
 }
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -81,7 +81,7 @@
         this.requests = RequestComponents.create(
                 environment, replicatedState, placement, agents, monitoring, random.split(), this::isHealthy);
         this.publicListener = new PublicListener(
-                clusterState, placement.machineTypes(), messaging.peerExchange().nodes());
+                clusterState, placement.machineTypes(), messaging.peerExchange().peerNames());
         this.schedulingCycle = new SchedulingCycle(
                 environment, replicatedState, agents.completionBuffer(), requests.userApi(), monitoring.metrics());
         addPlanningSteps();
@@ -198,7 +198,7 @@
         messaging.commandSender().sendCancellationStops(now);
         Instant timeOfDay = environment.timeOfDay().instant();
         fleet.cloudProvisioner()
-                .releaseWithoutRecord(agents.cancellationEnforcer().machinesToTerminate(timeOfDay));
+                .releaseWithoutRecord(agents.cancellationEnforcer().machinesToRelease(timeOfDay));
     }
 
     private void sendOffers(BestEffortQueue.OutgoingOffers offers) {
--- a/src/main/java/org/gullway/controller/RequestRouter.java
+++ b/src/main/java/org/gullway/controller/RequestRouter.java
@@ -18,7 +18,6 @@
     private static final String CANCEL_SUFFIX = "/withdraw";
     private static final String GET = "GET";
     private static final String POST = "POST";
-    private static final byte[] EMPTY = new byte[0];
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final EventLoop loop;
@@ -55,13 +54,13 @@
         } else if (path.startsWith(JOB_PREFIX)) {
             routeJob(path.substring(JOB_PREFIX.length()), exchange);
         } else {
-            exchange.respond(HttpStatus.NOT_FOUND, EMPTY);
+            exchange.respond(HttpStatus.NOT_FOUND);
         }
     }
 
     private void answerHealthCheck(HttpExchange exchange) {
         if (isHealthy.getAsBoolean()) {
-            exchange.respond(HttpStatus.OK, EMPTY);
+            exchange.respond(HttpStatus.OK);
         } else {
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
         }
@@ -80,7 +79,7 @@
         if (exchange.method().equals(method)) {
             handler.run();
         } else {
-            exchange.respond(HttpStatus.METHOD_NOT_ALLOWED, EMPTY);
+            exchange.respond(HttpStatus.METHOD_NOT_ALLOWED);
         }
     }
 }
--- a/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
+++ b/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
@@ -31,10 +31,10 @@
             return Optional.of("the machine is not commanded here");
         }
         if (batch.agentEpoch() != machine.agentEpoch()) {
-            return Optional.of("the machine is in session " + machine.agentEpoch());
+            return Optional.of("the machine is in agent epoch " + machine.agentEpoch());
         }
         if (batch.fencingToken() != clusterState.fencingToken()) {
-            return Optional.of("the epoch is " + clusterState.fencingToken());
+            return Optional.of("the fencing token is " + clusterState.fencingToken());
         }
         JobRecord job = clusterState.job(start.task().job());
         if (job == null) {
--- a/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
@@ -97,22 +97,22 @@
     }
 
     /** Direct stops for all machines on which cancelled tasks may be, whichever controller commands them. */
-    public List<CommandBatch> stopsToRetry(Instant now) {
+    public List<CommandBatch> directStopsDue(Instant now) {
         return directStops.takeDueBatches(cancellations.remainingAttempts(), now);
     }
 
     /** Called when a direct stop has ended, with or without a response. */
-    public void onStopOutcome(CommandBatch batch, Instant now) {
+    public void onDirectStopEnded(CommandBatch batch, Instant now) {
         directStops.onBatchEnded(batch, now);
     }
 
     /** Takes the response to a direct command; a heartbeat would not do, since it may be an old copy. */
-    public void onCommandResponse(Heartbeat response) {
+    public void onDirectStopResponse(Heartbeat response) {
         directStops.onResponse(response, cancellations.remainingAttempts());
     }
 
     /** Machines to be released now, since their cancelled tasks cannot be stopped otherwise. */
-    public Set<String> machinesToTerminate(Instant timeOfDay) {
+    public Set<String> machinesToRelease(Instant timeOfDay) {
         Set<String> machines = new HashSet<>();
         for (RemainingAttempt attempt : cancellations.remainingAttempts()) {
             if (!directStops.isConfirmedGone(attempt.id()) && isOverdue(attempt.cancelledAt(), timeOfDay)) {
--- a/src/main/java/org/gullway/coordination/failover/Reconciliation.java
+++ b/src/main/java/org/gullway/coordination/failover/Reconciliation.java
@@ -14,7 +14,7 @@
 import org.gullway.coordination.model.MachineRecord;
 import org.gullway.coordination.model.Placement;
 import org.gullway.coordination.model.Transaction;
-import org.gullway.coordination.quota.QuotaPartitioner;
+import org.gullway.coordination.quota.LostMemberQuota;
 import org.gullway.coordination.quota.TeamQuotas;
 
 /**
@@ -59,7 +59,7 @@
             }
         }
         if (context.leader()) {
-            QuotaPartitioner.releaseLostMembers(transaction, clusterState, quotas);
+            LostMemberQuota.releaseUnused(transaction, clusterState, quotas);
             shardBalancer.plan(transaction, now);
         }
     }
@@ -80,7 +80,7 @@
             }
         }
         if (orphaned && !next.isFinished() && !clusterState.members().isEmpty()) {
-            QuotaPartitioner.transferJob(transaction, clusterState, next, randomMember());
+            LostMemberQuota.transferJob(transaction, clusterState, next, randomMember());
         }
     }
 
--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -7,39 +7,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.gullway.protocol.JobRequest;
 
 /**
  * This controller's copy of the state store: the records of all watched keys, their versions for the conditions of
  * transactions, and the indexes that follow from the records.
  */
 public final class ClusterState {
-    /** Resources in use, or free. */
-    public static final class ResourceUsage {
-        public double cpus;
-        public double gpus;
-        public double memoryGb;
-        public int tasks;
-
-        /** Adds to a difference, which may be negative and is not zero when as many tasks came as went. */
-        void change(JobRequest job, int sign) {
-            cpus += sign * job.cpus();
-            gpus += sign * job.gpus();
-            memoryGb += sign * job.memoryGb();
-            tasks += sign;
-        }
-
-        void add(JobRequest job, int sign) {
-            change(job, sign);
-            if (tasks == 0) {
-                // Sums of decimals drift; an empty machine is exactly empty.
-                cpus = 0;
-                gpus = 0;
-                memoryGb = 0;
-            }
-        }
-    }
-
     /** Bounds the memory for jobs that ended long ago. */
     private static final int MAX_CANCELLED_JOBS = 10_000;
 
--- a/src/main/java/org/gullway/coordination/model/PlacementIndex.java
+++ b/src/main/java/org/gullway/coordination/model/PlacementIndex.java
@@ -5,7 +5,6 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import org.gullway.coordination.model.ClusterState.ResourceUsage;
 import org.gullway.protocol.JobRequest;
 
 /** What follows from the placements of all jobs: attempts, usage and images of each machine, and usage of quotas. */
--- a/src/main/java/org/gullway/coordination/model/QuotaUsage.java
+++ b/src/main/java/org/gullway/coordination/model/QuotaUsage.java
@@ -2,7 +2,6 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.gullway.coordination.model.ClusterState.ResourceUsage;
 
 /** Resource usage by quota partition and team. */
 final class QuotaUsage {
--- a/src/main/java/org/gullway/coordination/model/UsageDelta.java
+++ b/src/main/java/org/gullway/coordination/model/UsageDelta.java
@@ -2,7 +2,6 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.gullway.coordination.model.ClusterState.ResourceUsage;
 import org.gullway.protocol.JobRequest;
 
 /** By how much a transaction changes the usage of machines and of quota partitions, beside the cluster state's. */
--- a/src/main/java/org/gullway/coordination/quota/LostMemberQuota.java
+++ b/src/main/java/org/gullway/coordination/quota/LostMemberQuota.java
@@ -6,6 +6,7 @@
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.QuotaPartition;
+import org.gullway.coordination.model.ResourceUsage;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
 import org.gullway.protocol.Settings;
@@ -102,7 +103,7 @@
     }
 
     private static QuotaPartition.Amount usedBy(ClusterState clusterState, String key, String team) {
-        ClusterState.ResourceUsage usage = clusterState.quotaUsage(key, team);
+        ResourceUsage usage = clusterState.quotaUsage(key, team);
         return new QuotaPartition.Amount(usage.cpus, usage.gpus);
     }
 
--- a/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
@@ -14,7 +14,6 @@
 import org.gullway.coordination.cycle.PlanningContext;
 import org.gullway.coordination.cycle.PlanningStep;
 import org.gullway.coordination.model.ClusterState;
-import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.QuotaPartition;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
@@ -192,14 +191,4 @@
         boolean worthwhile = current - reduced > quota * MIN_REDUCTION_FRACTION || reduced == 0 && current > 0;
         return worthwhile ? reduced : current;
     }
-
-    /** Assigns a lost member's job to another member; see {@link LostMemberQuota#transferJob}. */
-    public static void transferJob(Transaction transaction, ClusterState clusterState, JobRecord job, String to) {
-        LostMemberQuota.transferJob(transaction, clusterState, job, to);
-    }
-
-    /** Frees the unused quota of lost members; see {@link LostMemberQuota#releaseUnused}. */
-    public static void releaseLostMembers(Transaction transaction, ClusterState clusterState, TeamQuotas quotas) {
-        LostMemberQuota.releaseUnused(transaction, clusterState, quotas);
-    }
 }
--- a/src/main/java/org/gullway/coordination/scaling/BinPacking.java
+++ b/src/main/java/org/gullway/coordination/scaling/BinPacking.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.ResourceUsage;
 import org.gullway.protocol.JobRequest;
 
 /**
@@ -68,7 +68,7 @@
     }
 
     /** Adds a machine that is up or booting. */
-    void add(MachineOffering machine, ClusterState.ResourceUsage used) {
+    void add(MachineOffering machine, ResourceUsage used) {
         existing.add(new Bin(
                 machine,
                 machine.type().cpus() - used.cpus,
--- a/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
@@ -57,7 +57,7 @@
             if (!transaction.canPutMachine(machine.name())) {
                 continue;
             }
-            MachineType type = constraints.machineTypes().byName().get(machine.type());
+            MachineType type = constraints.typeOf(machine);
             if (!machine.isUp()) {
                 declareLostIfOverdue(transaction, machine, type);
                 continue;
@@ -100,7 +100,7 @@
         List<Candidate> candidates = new ArrayList<>();
         Map<String, Double> utilizations = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
-            MachineType type = constraints.machineTypes().byName().get(machine.type());
+            MachineType type = constraints.typeOf(machine);
             if (type == null
                     || machine.lifecycle() != MachineLifecycle.ACTIVE
                     || !isCandidate(transaction, machine, type)) {
@@ -129,7 +129,7 @@
         double used = 0;
         double cpus = 0;
         for (MachineRecord machine : clusterState.shard(shard).machines()) {
-            MachineType type = constraints.machineTypes().byName().get(machine.type());
+            MachineType type = constraints.typeOf(machine);
             used += clusterState.usageOn(machine.name()).cpus;
             cpus += type == null ? 0 : type.cpus();
         }
--- a/src/main/java/org/gullway/coordination/scaling/ScaleOutPlanner.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleOutPlanner.java
@@ -8,6 +8,7 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.MachineRecord;
 import org.gullway.coordination.model.MachineRecord.MachineLifecycle;
+import org.gullway.coordination.model.ResourceUsage;
 import org.gullway.coordination.placement.MachineTypeCatalog;
 import org.gullway.coordination.quota.QuotaHeadroom;
 import org.gullway.coordination.quota.TeamQuotas;
@@ -55,7 +56,7 @@
         for (MachineRecord machine : clusterState.machines()) {
             MachineType type = machineTypes.byName().get(machine.type());
             if (type != null && machine.lifecycle() == MachineLifecycle.ACTIVE) {
-                ClusterState.ResourceUsage used = clusterState.usageOn(machine.name());
+                ResourceUsage used = clusterState.usageOn(machine.name());
                 if (used.cpus + smallestTask <= type.cpus() + EPSILON) {
                     packing.add(new MachineOffering(type, machine.zone(), machine.spot()), used);
                 }
--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -23,8 +23,6 @@
  */
 public final class PeerExchange {
     private static final Duration OUTAGE_POLL_INTERVAL = Duration.ofSeconds(1);
-    private static final byte[] EMPTY = new byte[0];
-
     private final EventLoop loop;
     private final PeerClient client;
     private final PeerMessageTargets targets;
@@ -55,7 +53,7 @@
     }
 
     /** The names of all other controllers. */
-    public Set<String> nodes() {
+    public Set<String> peerNames() {
         return client.names();
     }
 
@@ -69,7 +67,7 @@
         try {
             handleMessage(exchange);
         } catch (MalformedMessageException e) {
-            exchange.respond(HttpStatus.BAD_REQUEST, EMPTY);
+            exchange.respond(HttpStatus.BAD_REQUEST);
         }
     }
 
@@ -87,12 +85,12 @@
                 acknowledge(exchange);
             }
             case PeerPaths.CANCELLATIONS -> cancellationExchange.respond(exchange);
-            default -> exchange.respond(HttpStatus.NOT_FOUND, EMPTY);
+            default -> exchange.respond(HttpStatus.NOT_FOUND);
         }
     }
 
     private void acknowledge(HttpExchange exchange) {
-        exchange.respond(HttpStatus.OK, EMPTY);
+        exchange.respond(HttpStatus.OK);
         schedule.run();
     }
 
--- a/src/main/java/org/gullway/peer/StoreOutageMonitor.java
+++ b/src/main/java/org/gullway/peer/StoreOutageMonitor.java
@@ -15,8 +15,6 @@
  */
 final class StoreOutageMonitor {
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
-    private static final byte[] EMPTY = new byte[0];
-
     private final EventLoop loop;
     private final PeerClient client;
     private final Supplier<Instant> storeKnownThrough;
@@ -35,7 +33,7 @@
         if (StoreOutageDetector.isStoreUnreachable(storeKnownThrough.get(), loop.now())) {
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
         } else {
-            exchange.respond(HttpStatus.OK, EMPTY);
+            exchange.respond(HttpStatus.OK);
         }
     }
 
--- a/src/main/java/org/gullway/protocol/AgentCommand.java
+++ b/src/main/java/org/gullway/protocol/AgentCommand.java
@@ -57,12 +57,13 @@
         return Cbor.encode(node);
     }
 
-    /** Encodes a redirect of the agent to another controller; null lets it try the next one. */
+    /** Encodes a redirect of the agent to another controller, which it tries next. */
     public static byte[] encodeRedirect(String controller) {
-        ObjectNode node = Cbor.map();
-        if (controller != null) {
-            node.put("roost", controller);
-        }
-        return Cbor.encode(node);
+        return Cbor.encode(Cbor.map().put("roost", controller));
+    }
+
+    /** Encodes a redirect of the agent to any other controller. */
+    public static byte[] encodeRedirectToAny() {
+        return Cbor.encode(Cbor.map());
     }
 }
--- a/src/main/java/org/gullway/storage/RecordCodec.java
+++ b/src/main/java/org/gullway/storage/RecordCodec.java
@@ -81,7 +81,7 @@
     }
 
     /** Reads the record of a job that is over, which is kept outside the watched keys. */
-    public static FinalState ended(JsonNode value) throws MalformedMessageException {
+    public static FinalState decodeFinalState(JsonNode value) throws MalformedMessageException {
         return FINAL_STATE.decode("", value);
     }
 }
--- a/src/main/java/org/gullway/transport/HttpExchange.java
+++ b/src/main/java/org/gullway/transport/HttpExchange.java
@@ -17,6 +17,11 @@
 
     void respond(int status, byte[] content);
 
+    /** Responds without a body. */
+    default void respond(int status) {
+        respond(status, new byte[0]);
+    }
+
     /** Rejects the request for now, with {@code Retry-After}. */
     void reject(int status, Duration retryAfter);
 }
--- a/src/main/java/org/gullway/worker/CommandSender.java
+++ b/src/main/java/org/gullway/worker/CommandSender.java
@@ -72,11 +72,11 @@
     /** Sends the stops of cancelled tasks that are due during an outage of the store, whoever commands the machine. */
     public void sendCancellationStops(Instant now) {
         cancellationEnforcer
-                .stopsToRetry(now)
+                .directStopsDue(now)
                 .forEach(batch -> send(
                         batch,
-                        outcome -> cancellationEnforcer.onStopOutcome(batch, loop.now()),
-                        cancellationEnforcer::onCommandResponse));
+                        outcome -> cancellationEnforcer.onDirectStopEnded(batch, loop.now()),
+                        cancellationEnforcer::onDirectStopResponse));
     }
 
     private void send(CommandBatch planned, Consumer<CommandOutcome> onOutcome, Consumer<Heartbeat> onResponse) {
--- a/src/main/java/org/gullway/worker/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/worker/HeartbeatHandler.java
@@ -27,8 +27,6 @@
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
-    private static final byte[] EMPTY = new byte[0];
-
     private final EventLoop loop;
     private final ClusterState clusterState;
     private final AgentReconciler agentReconciler;
@@ -74,7 +72,7 @@
             heartbeat = parse(exchange);
         } catch (MalformedMessageException e) {
             LOG.info("rejected a malformed heartbeat error={}", e.getMessage());
-            exchange.respond(HttpStatus.BAD_REQUEST, EMPTY);
+            exchange.respond(HttpStatus.BAD_REQUEST);
             return;
         }
         if (holdsValidLease) {
@@ -109,7 +107,7 @@
         } else if (response instanceof HeartbeatResponse.Redirect redirect) {
             exchange.respond(HttpStatus.MISDIRECTED, AgentCommand.encodeRedirect(redirect.controller()));
         } else if (response instanceof HeartbeatResponse.RedirectToAny) {
-            exchange.respond(HttpStatus.MISDIRECTED, AgentCommand.encodeRedirect(null));
+            exchange.respond(HttpStatus.MISDIRECTED, AgentCommand.encodeRedirectToAny());
         } else {
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
         }
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -32,7 +32,7 @@
     private static final AgentCommand START = AgentCommand.start(TASK, 1);
     private static final AgentCommand STOP = AgentCommand.stop(new TaskId("run-000002", 0), 1, Duration.ZERO);
 
-    private final ClusterState clusterState = TestFixtures.view();
+    private final ClusterState clusterState = TestFixtures.clusterState();
     private final SimulatedTime.Process loop = new SimulatedTime().process();
     private final Metrics metrics = new Metrics();
     private final InvariantMonitor invariants = new InvariantMonitor(metrics);
@@ -48,7 +48,7 @@
                     clusterState,
                     TestFixtures.SELF,
                     Duration.ofSeconds(3),
-                    TestFixtures.NEIGHBOURS,
+                    TestFixtures.PEER_ZONES,
                     new CompletionBuffer(clusterState),
                     cancellationEnforcer),
             cancellationEnforcer,
@@ -66,9 +66,11 @@
 
     private void put(UnaryOperator<JobRecord> change, long version) {
         JobRecord job = JobRecord.accepted(
-                TestFixtures.request(TASK.job(), "red", Priority.HIGH, 1, 4), null, TestFixtures.DAY);
+                TestFixtures.request(TASK.job(), "red", Priority.HIGH, 1, 4), null, TestFixtures.TIME_OF_DAY);
         clusterState.put(
-                StoreKeys.job(TASK.job()), change.apply(TestFixtures.placed(job, TestFixtures.DAY, "vm-1")), version);
+                StoreKeys.job(TASK.job()),
+                change.apply(TestFixtures.placed(job, TestFixtures.TIME_OF_DAY, "vm-1")),
+                version);
         clusterState.advanceTo(version);
     }
 
@@ -92,7 +94,7 @@
 
     @Test
     void aStartOfACancelledJobIsNotSent() {
-        put(job -> job.withCancellation(TestFixtures.DAY), 12);
+        put(job -> job.withCancellation(TestFixtures.TIME_OF_DAY), 12);
         send(1, 1, START);
         sentBoth(false);
         assertThat(violations).singleElement().asString().contains("the job is cancelled");
@@ -128,8 +130,8 @@
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 12);
         send(1, 1, START);
         assertThat(violations).hasSize(3);
-        assertThat(violations.get(0)).contains("the machine is in session 1");
-        assertThat(violations.get(1)).contains("the epoch is 1");
+        assertThat(violations.get(0)).contains("the machine is in agent epoch 1");
+        assertThat(violations.get(1)).contains("the fencing token is 1");
         assertThat(violations.get(2)).contains("the machine is not commanded here");
     }
 
--- a/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
+++ b/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
@@ -22,15 +22,15 @@
 abstract class AgentReconcilerFixture {
     static final TaskId TASK = new TaskId("run-000001", 0);
 
-    final ClusterState clusterState = TestFixtures.view();
+    final ClusterState clusterState = TestFixtures.clusterState();
     final CompletionBuffer completionBuffer = new CompletionBuffer(clusterState);
     final AgentReconciler reconciler = new AgentReconciler(
             clusterState,
             TestFixtures.SELF,
             Duration.ofSeconds(3),
-            TestFixtures.NEIGHBOURS,
+            TestFixtures.PEER_ZONES,
             completionBuffer,
-            new CancellationEnforcer(clusterState, TestFixtures.NEIGHBOURS.cancelLimit()));
+            new CancellationEnforcer(clusterState, TestFixtures.PEER_ZONES.cancelLimit()));
     Instant now = Instant.EPOCH;
     long sequence;
     long revision = 100;
@@ -56,7 +56,7 @@
     /** One scheduling cycle's steps for agents and completions, committed. */
     Transaction plan() {
         Transaction transaction =
-                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
+                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
         reconciler.commandsDue(now);
         reconciler.plan(transaction, TestFixtures.leaderContext(now));
         completionBuffer.planFinishedJobs(transaction);
@@ -67,9 +67,11 @@
 
     /** Puts the job on record with one live attempt on each of these machines. */
     void place(JobRequest request, String... machines) {
-        JobRecord accepted = JobRecord.accepted(request, "perch-0", TestFixtures.DAY);
+        JobRecord accepted = JobRecord.accepted(request, "perch-0", TestFixtures.TIME_OF_DAY);
         clusterState.put(
-                StoreKeys.job(request.id()), TestFixtures.placed(accepted, TestFixtures.DAY, machines), ++revision);
+                StoreKeys.job(request.id()),
+                TestFixtures.placed(accepted, TestFixtures.TIME_OF_DAY, machines),
+                ++revision);
         clusterState.advanceTo(revision);
     }
 
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -23,10 +23,10 @@
  * zone after 52 s, and after 28 s if no machine is responsive.
  */
 class FailureDetectorTest {
-    private final ClusterState clusterState = TestFixtures.view();
+    private final ClusterState clusterState = TestFixtures.clusterState();
     private final AgentRegistry agents = new AgentRegistry(clusterState, TestFixtures.SELF);
     private final FailureDetector detector = new FailureDetector(
-            clusterState, new HeartbeatTiming(Duration.ofSeconds(4)), TestFixtures.NEIGHBOURS, agents);
+            clusterState, new HeartbeatTiming(Duration.ofSeconds(4)), TestFixtures.PEER_ZONES, agents);
     private Instant now = Instant.EPOCH;
     private long sequence;
     private long revision = 100;
@@ -66,7 +66,7 @@
             now = now.plusSeconds(1);
             sendHeartbeats(responsive);
             Transaction transaction =
-                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
+                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
             detector.plan(transaction, now);
             TestFixtures.commit(clusterState, transaction, ++revision);
         }
@@ -153,8 +153,11 @@
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
         clusterState.put(
                 StoreKeys.job(request.id()),
-                TestFixtures.placed(JobRecord.accepted(request, "perch-0", TestFixtures.DAY), TestFixtures.DAY, "vm-3")
-                        .withCancellation(TestFixtures.DAY),
+                TestFixtures.placed(
+                                JobRecord.accepted(request, "perch-0", TestFixtures.TIME_OF_DAY),
+                                TestFixtures.TIME_OF_DAY,
+                                "vm-3")
+                        .withCancellation(TestFixtures.TIME_OF_DAY),
                 ++revision);
         pass(14, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
--- a/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
@@ -34,7 +34,7 @@
         clusterState.remove(StoreKeys.member("perch-1"), 62);
         clusterState.advanceTo(62);
         Transaction small = new Transaction(
-                clusterState, TestFixtures.SELF, new Transaction.Limits(3, 16 * 1024), TestFixtures.DAY);
+                clusterState, TestFixtures.SELF, new Transaction.Limits(3, 16 * 1024), TestFixtures.TIME_OF_DAY);
         reconciler.plan(small, TestFixtures.leaderContext(now));
         TestFixtures.commit(clusterState, small, ++revision);
         Transaction second = plan();
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
@@ -25,12 +25,12 @@
 class CancellationEnforcerTest {
     private static final TaskId TASK = new TaskId("run-000001", 0);
 
-    private final ClusterState clusterState = TestFixtures.view();
+    private final ClusterState clusterState = TestFixtures.clusterState();
     private final CancellationEnforcer cancellationEnforcer =
             new CancellationEnforcer(clusterState, Duration.ofSeconds(40));
     private final JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
-    private final JobRecord placed =
-            TestFixtures.placed(JobRecord.accepted(request, "perch-0", TestFixtures.DAY), TestFixtures.DAY, "vm-2");
+    private final JobRecord placed = TestFixtures.placed(
+            JobRecord.accepted(request, "perch-0", TestFixtures.TIME_OF_DAY), TestFixtures.TIME_OF_DAY, "vm-2");
     private Instant now = Instant.EPOCH;
 
     CancellationEnforcerTest() {
@@ -39,7 +39,7 @@
     }
 
     private void cancel() {
-        clusterState.put(StoreKeys.job(request.id()), placed.withCancellation(TestFixtures.DAY), 21);
+        clusterState.put(StoreKeys.job(request.id()), placed.withCancellation(TestFixtures.TIME_OF_DAY), 21);
     }
 
     private static Heartbeat heartbeat(long agentEpoch, TaskStatus... tasks) {
@@ -52,7 +52,7 @@
 
     private List<CommandBatch> stopsAfter(int seconds) {
         now = now.plusSeconds(seconds);
-        return cancellationEnforcer.stopsToRetry(now);
+        return cancellationEnforcer.directStopsDue(now);
     }
 
     @Test
@@ -86,20 +86,20 @@
             assertThat(batch.commands()).containsExactly(AgentCommand.stop(TASK, 1, Duration.ZERO));
         });
         assertThat(stopsAfter(9)).as("one in flight for each machine").isEmpty();
-        cancellationEnforcer.onStopOutcome(batches.get(0), now);
-        cancellationEnforcer.onCommandResponse(heartbeat(1, taskIn(Phase.SAVING)));
+        cancellationEnforcer.onDirectStopEnded(batches.get(0), now);
+        cancellationEnforcer.onDirectStopResponse(heartbeat(1, taskIn(Phase.SAVING)));
         assertThat(stopsAfter(1)).hasSize(1);
-        cancellationEnforcer.onStopOutcome(batches.get(0), now);
-        cancellationEnforcer.onCommandResponse(heartbeat(1, taskIn(Phase.ENDED)));
+        cancellationEnforcer.onDirectStopEnded(batches.get(0), now);
+        cancellationEnforcer.onDirectStopResponse(heartbeat(1, taskIn(Phase.ENDED)));
         assertThat(stopsAfter(1)).isEmpty();
-        assertThat(cancellationEnforcer.machinesToTerminate(TestFixtures.DAY.plusSeconds(39)))
+        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(39)))
                 .isEmpty();
     }
 
     @Test
     void aResponseFromANewerAgentEpochShowsThatTheTaskIsGone() {
         cancel();
-        cancellationEnforcer.onCommandResponse(heartbeat(2, taskIn(Phase.RUNNING)));
+        cancellationEnforcer.onDirectStopResponse(heartbeat(2, taskIn(Phase.RUNNING)));
         assertThat(stopsAfter(1)).isEmpty();
     }
 
@@ -108,16 +108,16 @@
     void aMachineWithoutResponsesIsReleasedBeforeTheLimit() {
         cancel();
         assertThat(stopsAfter(1)).hasSize(1);
-        assertThat(cancellationEnforcer.machinesToTerminate(TestFixtures.DAY.plusSeconds(30)))
+        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(30)))
                 .isEmpty();
-        assertThat(cancellationEnforcer.machinesToTerminate(TestFixtures.DAY.plusSeconds(31)))
+        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(31)))
                 .containsExactly("vm-2");
     }
 
     @Test
     void theRecordsCountOnceTheLeaseIsRegained() {
         cancel();
-        cancellationEnforcer.onCommandResponse(heartbeat(1, taskIn(Phase.ENDED)));
+        cancellationEnforcer.onDirectStopResponse(heartbeat(1, taskIn(Phase.ENDED)));
         assertThat(stopsAfter(1)).isEmpty();
         cancellationEnforcer.onLeaseRegained(now);
         assertThat(stopsAfter(1)).hasSize(1);
@@ -128,7 +128,7 @@
     void aCancellationListedByAPeerCountsLikeARecordUntilTheRecordsShowIt() {
         PeerCancellations.CancelledJob job = new PeerCancellations.CancelledJob(
                 request.id(),
-                TestFixtures.DAY.toEpochMilli(),
+                TestFixtures.TIME_OF_DAY.toEpochMilli(),
                 List.of(new PeerCancellations.CancelledAttempt(0, 1, "vm-2", 1)));
         assertThat(cancellationEnforcer.knownCancellations()).isEmpty();
         cancellationEnforcer.merge(job, now);
@@ -140,7 +140,7 @@
         assertThat(cancellationEnforcer.mayStillStart(clusterState.machine("vm-2"), heartbeat(1, taskIn(Phase.ENDED))))
                 .isFalse();
         assertThat(stopsAfter(1)).hasSize(1);
-        assertThat(cancellationEnforcer.machinesToTerminate(TestFixtures.DAY.plusSeconds(31)))
+        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(31)))
                 .containsExactly("vm-2");
         cancellationEnforcer.onLeaseRegained(now.minusSeconds(1));
         assertThat(cancellationEnforcer.knownCancellations())
@@ -156,13 +156,13 @@
         assertThat(cancellationEnforcer.knownCancellations())
                 .as("not cancelled")
                 .isEmpty();
-        cancellationEnforcer.merge(placed.withCancellation(TestFixtures.DAY), now);
+        cancellationEnforcer.merge(placed.withCancellation(TestFixtures.TIME_OF_DAY), now);
         assertThat(cancellationEnforcer.knownCancellations()).hasSize(1);
         cancel();
         assertThat(cancellationEnforcer.knownCancellations())
                 .containsExactly(new PeerCancellations.CancelledJob(
                         request.id(),
-                        TestFixtures.DAY.toEpochMilli(),
+                        TestFixtures.TIME_OF_DAY.toEpochMilli(),
                         List.of(new PeerCancellations.CancelledAttempt(0, 1, "vm-2", 1))));
     }
 }
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationWatermarkTest.java
@@ -14,7 +14,7 @@
     private static final Instant STORE = Instant.ofEpochSecond(100);
     private static final Incarnation THIRD = new Incarnation("perch-2", 19);
 
-    private final ClusterState clusterState = TestFixtures.view();
+    private final ClusterState clusterState = TestFixtures.clusterState();
     private final CancellationWatermark cancellationWatermark =
             new CancellationWatermark(clusterState, List.of("perch-1", "perch-2"));
 
--- a/src/test/java/org/gullway/coordination/cancellation/LeaseRenewalPolicyTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/LeaseRenewalPolicyTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 class LeaseRenewalPolicyTest {
-    private final ClusterState clusterState = TestFixtures.view();
+    private final ClusterState clusterState = TestFixtures.clusterState();
     private final LeaseRenewalPolicy leaseRenewal = new LeaseRenewalPolicy(
             clusterState,
             TestFixtures.SELF,
@@ -99,12 +99,12 @@
     @Test
     void rejectsMachinesOnWhichACancelledTaskMayStillStart() {
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
-        JobRecord job =
-                TestFixtures.placed(JobRecord.accepted(request, "perch-0", TestFixtures.DAY), TestFixtures.DAY, "vm-2");
+        JobRecord job = TestFixtures.placed(
+                JobRecord.accepted(request, "perch-0", TestFixtures.TIME_OF_DAY), TestFixtures.TIME_OF_DAY, "vm-2");
         clusterState.put(StoreKeys.job(request.id()), job, 20);
         assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1), now))
                 .isTrue();
-        clusterState.put(StoreKeys.job(request.id()), job.withCancellation(TestFixtures.DAY), 21);
+        clusterState.put(StoreKeys.job(request.id()), job.withCancellation(TestFixtures.TIME_OF_DAY), 21);
         assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1), now))
                 .isFalse();
         TaskStatus otherAttempt = new TaskStatus(new TaskId(request.id(), 0), 9, TaskStatus.Phase.RUNNING, null, false);
--- a/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
+++ b/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
@@ -24,17 +24,17 @@
 class ReconciliationTest {
     private static final Incarnation THIRD = new Incarnation("perch-2", 19);
 
-    private final ClusterState clusterState = TestFixtures.view();
+    private final ClusterState clusterState = TestFixtures.clusterState();
     private long revision = 100;
 
     private void putOrphanedJob(String id, int placed) {
         JobRecord job = JobRecord.accepted(
-                TestFixtures.request(id, "red", Priority.NORMAL, 20, 4), "perch-9", TestFixtures.DAY);
+                TestFixtures.request(id, "red", Priority.NORMAL, 20, 4), "perch-9", TestFixtures.TIME_OF_DAY);
         clusterState.put(
                 StoreKeys.job(id),
                 TestFixtures.placed(
                         job,
-                        TestFixtures.DAY,
+                        TestFixtures.TIME_OF_DAY,
                         Collections.nCopies(placed, "vm-1").toArray(String[]::new)),
                 ++revision);
     }
@@ -46,7 +46,7 @@
         for (int i = 0; i < cycles; i++) {
             now = now.plusSeconds(1);
             Transaction transaction =
-                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
+                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
             reconciliation.plan(transaction, TestFixtures.leaderContext(now));
             TestFixtures.commit(clusterState, transaction, ++revision);
         }
@@ -113,7 +113,7 @@
 
     private void reconcileAt(Reconciliation reconciliation, int second) {
         Transaction transaction =
-                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
+                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
         reconciliation.plan(transaction, PlanningContext.of(Instant.EPOCH.plusSeconds(second), false, true));
         TestFixtures.commit(clusterState, transaction, ++revision);
     }
@@ -128,11 +128,11 @@
             JobRecord job = JobRecord.accepted(
                     TestFixtures.request("run-%06d".formatted(i), "red", Priority.NORMAL, 2, 1),
                     "perch-0",
-                    TestFixtures.DAY);
+                    TestFixtures.TIME_OF_DAY);
             String machine = i % 4 == 0 ? "vm-2" : "vm-1";
             clusterState.put(
                     StoreKeys.job(job.request().id()),
-                    TestFixtures.placed(job, TestFixtures.DAY, machine, machine),
+                    TestFixtures.placed(job, TestFixtures.TIME_OF_DAY, machine, machine),
                     ++revision);
         }
         Reconciliation reconciliation =
--- a/src/test/java/org/gullway/coordination/model/ClusterStateTest.java
+++ b/src/test/java/org/gullway/coordination/model/ClusterStateTest.java
@@ -17,13 +17,13 @@
     /** The outcome of an own transaction may come after the watch has brought the removal of a key by another. */
     @Test
     void aLateOutcomeDoesNotBringBackARemovedKey() {
-        ClusterState clusterState = TestFixtures.view();
+        ClusterState clusterState = TestFixtures.clusterState();
         JobRecord job = JobRecord.accepted(
-                TestFixtures.request("run-000001", "red", Priority.HIGH, 1, 4), null, TestFixtures.DAY);
+                TestFixtures.request("run-000001", "red", Priority.HIGH, 1, 4), null, TestFixtures.TIME_OF_DAY);
         clusterState.put(StoreKeys.job("run-000001"), job, 1001);
         clusterState.remove(StoreKeys.job("run-000001"), 1003);
         clusterState.advanceTo(1003);
-        clusterState.put(StoreKeys.job("run-000001"), job.withCancellation(TestFixtures.DAY), 1002);
+        clusterState.put(StoreKeys.job("run-000001"), job.withCancellation(TestFixtures.TIME_OF_DAY), 1002);
         assertThat(clusterState.job("run-000001")).isNull();
         assertThat(clusterState.version(StoreKeys.job("run-000001"))).isZero();
     }
@@ -32,30 +32,35 @@
     @Property(tries = 100, seed = "11")
     void usageFollowsTheRecords(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ClusterState clusterState = TestFixtures.view();
+        ClusterState clusterState = TestFixtures.clusterState();
         Map<String, JobRecord> expected = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             String id = "run-00000" + random.nextInt(4);
             JobRecord job = expected.getOrDefault(
                     id,
                     JobRecord.accepted(
-                            TestFixtures.request(id, "red", Priority.NORMAL, 9, 2), "perch-0", TestFixtures.DAY));
+                            TestFixtures.request(id, "red", Priority.NORMAL, 9, 2),
+                            "perch-0",
+                            TestFixtures.TIME_OF_DAY));
             JobRecord present = job;
             JobRecord next =
                     switch (random.nextInt(6)) {
                         case 0 -> job.waitingTasks() > 0
-                                ? TestFixtures.placed(job, TestFixtures.DAY, "vm-" + random.nextInt(3))
+                                ? TestFixtures.placed(job, TestFixtures.TIME_OF_DAY, "vm-" + random.nextInt(3))
                                 : job;
                         case 1 -> job.withStopping(p -> random.nextBoolean());
                         case 2 -> job.withOwner("perch-" + random.nextInt(2));
-                        case 3 -> job.withCancellation(TestFixtures.DAY);
+                        case 3 -> job.withCancellation(TestFixtures.TIME_OF_DAY);
                         case 4 -> job.livePlacements().isEmpty()
                                 ? job
                                 : job.withCompletions(
                                         Map.of(present.livePlacements().get(0), JobRecord.AttemptOutcome.STOPPED));
                         default -> job.waitingTasks() > 1
                                 ? TestFixtures.placed(
-                                        job, TestFixtures.DAY, "vm-" + random.nextInt(3), "vm-" + random.nextInt(3))
+                                        job,
+                                        TestFixtures.TIME_OF_DAY,
+                                        "vm-" + random.nextInt(3),
+                                        "vm-" + random.nextInt(3))
                                 : job;
                     };
             expected.put(id, next);
--- a/src/test/java/org/gullway/coordination/model/TestFixtures.java
+++ b/src/test/java/org/gullway/coordination/model/TestFixtures.java
@@ -19,10 +19,10 @@
     public static final Incarnation SELF = new Incarnation("perch-0", 17);
     public static final Incarnation PEER = new Incarnation("perch-1", 18);
     /** perch-1 is in the zone of this controller, perch-2 in another. */
-    public static final PeerZones NEIGHBOURS =
+    public static final PeerZones PEER_ZONES =
             new PeerZones(Map.of("perch-1", "a", "perch-2", "b"), Duration.ofSeconds(40));
 
-    public static final Instant DAY = Instant.parse("2026-11-20T06:00:00Z");
+    public static final Instant TIME_OF_DAY = Instant.parse("2026-11-20T06:00:00Z");
     public static final Transaction.Limits LIMITS = new Transaction.Limits(24, 16 * 1024);
 
     private TestFixtures() {}
@@ -71,7 +71,8 @@
     }
 
     public static MachineRecord machine(String name, String type, Incarnation controller) {
-        return MachineRecord.booting(name, type, "a", true, DAY, controller, 1).withAgentEpoch(1, "10.1.0.1:9000");
+        return MachineRecord.booting(name, type, "a", true, TIME_OF_DAY, controller, 1)
+                .withAgentEpoch(1, "10.1.0.1:9000");
     }
 
     /** Puts a machine into a shard of its own. */
@@ -90,7 +91,7 @@
     }
 
     /** A cluster state with two controllers as members, the first leading, at fencing token 1. */
-    public static ClusterState view() {
+    public static ClusterState clusterState() {
         ClusterState clusterState = new ClusterState();
         clusterState.put(StoreKeys.member(SELF.node()), SELF, 1);
         clusterState.put(StoreKeys.member(PEER.node()), PEER, 2);
--- a/src/test/java/org/gullway/coordination/quota/TeamQuotasTest.java
+++ b/src/test/java/org/gullway/coordination/quota/TeamQuotasTest.java
@@ -52,19 +52,20 @@
         JobRequest request = TestFixtures.request("run-000001", "guest", Priority.IDLE, 25_000, 32);
         clusterState.put(
                 StoreKeys.job(request.id()),
-                JobRecord.accepted(request, TestFixtures.SELF.node(), TestFixtures.DAY),
+                JobRecord.accepted(request, TestFixtures.SELF.node(), TestFixtures.TIME_OF_DAY),
                 3);
         clusterState.put(
                 StoreKeys.job("run-000002"),
                 JobRecord.accepted(
                         TestFixtures.request("run-000002", "guest", Priority.IDLE, 25_000, 32),
                         TestFixtures.PEER.node(),
-                        TestFixtures.DAY),
+                        TestFixtures.TIME_OF_DAY),
                 4);
         clusterState.advanceTo(4);
         long revision = 4;
         for (Incarnation each : List.of(TestFixtures.SELF, TestFixtures.PEER)) {
-            Transaction transaction = new Transaction(clusterState, each, TestFixtures.LIMITS, TestFixtures.DAY);
+            Transaction transaction =
+                    new Transaction(clusterState, each, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
             new QuotaPartitioner(
                             clusterState,
                             quotas,
@@ -75,7 +76,7 @@
         }
         for (String id : List.of("run-000001", "run-000002")) {
             Transaction transaction =
-                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
+                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
             assertThat(quotas.remainingTasks(clusterState.job(id), transaction)).isGreaterThanOrEqualTo(25_000);
         }
     }
--- a/src/test/java/org/gullway/coordination/scaling/BinPackingTest.java
+++ b/src/test/java/org/gullway/coordination/scaling/BinPackingTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import org.gullway.coordination.model.ClusterState;
+import org.gullway.coordination.model.ResourceUsage;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
 import org.gullway.protocol.Priority;
@@ -71,7 +71,7 @@
         BinPacking batched = new BinPacking(List.of(SPOT, ON_DEMAND));
         BinPacking oneByOne = new BinPacking(List.of(SPOT, ON_DEMAND));
         for (int i = 0; i < existing; i++) {
-            ClusterState.ResourceUsage used = new ClusterState.ResourceUsage();
+            ResourceUsage used = new ResourceUsage();
             used.cpus = i;
             batched.add(i % 2 == 0 ? SPOT : ON_DEMAND, used);
             oneByOne.add(i % 2 == 0 ? SPOT : ON_DEMAND, used);
--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 
 class BestEffortQueueTest {
-    private final ClusterState clusterState = TestFixtures.view();
+    private final ClusterState clusterState = TestFixtures.clusterState();
     private final DeadlinePolicy deadlines =
             new DeadlinePolicy(List.of(new Settings.Objective("finished", "render", Duration.ofSeconds(80))));
     private final ScavengerScheduler scavengerScheduler = new ScavengerScheduler(
@@ -54,12 +54,12 @@
                 JobRecord.accepted(
                         TestFixtures.request(id, team, Priority.NORMAL, tasks, 4),
                         owner,
-                        TestFixtures.DAY.minusSeconds(ageSeconds)),
+                        TestFixtures.TIME_OF_DAY.minusSeconds(ageSeconds)),
                 version);
     }
 
     private Transaction newTransaction() {
-        return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
+        return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
     }
 
     /** Runs the queue on one machine with 16 processors. */
@@ -93,8 +93,8 @@
                 JobRecord.accepted(
                         TestFixtures.request("run-000001", "red", Priority.NORMAL, 5, 4),
                         "perch-0",
-                        TestFixtures.DAY.minusSeconds(90)),
-                TestFixtures.DAY,
+                        TestFixtures.TIME_OF_DAY.minusSeconds(90)),
+                TestFixtures.TIME_OF_DAY,
                 "vm-9");
         clusterState.put(
                 StoreKeys.job("run-000001"),
@@ -126,7 +126,7 @@
                 JobRecord.accepted(
                         TestFixtures.request("run-000001", "red", Priority.NORMAL, 2, 32),
                         "perch-0",
-                        TestFixtures.DAY.minusSeconds(160)),
+                        TestFixtures.TIME_OF_DAY.minusSeconds(160)),
                 13);
         accept("run-000002", "blue", "perch-0", 8, 5, 14);
         Transaction transaction = schedule();
@@ -143,8 +143,10 @@
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.SELF), 11);
         JobRecord small = TestFixtures.placed(
                 JobRecord.accepted(
-                        TestFixtures.request("run-000009", "red", Priority.NORMAL, 8, 4), "perch-0", TestFixtures.DAY),
-                TestFixtures.DAY,
+                        TestFixtures.request("run-000009", "red", Priority.NORMAL, 8, 4),
+                        "perch-0",
+                        TestFixtures.TIME_OF_DAY),
+                TestFixtures.TIME_OF_DAY,
                 "vm-2",
                 "vm-2",
                 "vm-2",
@@ -157,7 +159,9 @@
         clusterState.put(
                 StoreKeys.job("run-000001"),
                 JobRecord.accepted(
-                        TestFixtures.request("run-000001", "red", Priority.NORMAL, 9, 2), "perch-0", TestFixtures.DAY),
+                        TestFixtures.request("run-000001", "red", Priority.NORMAL, 9, 2),
+                        "perch-0",
+                        TestFixtures.TIME_OF_DAY),
                 13);
         CompletionBuffer completionBuffer = new CompletionBuffer(clusterState);
         completionBuffer.add(
@@ -191,7 +195,7 @@
         JobRequest singleZone = TestFixtures.request("run-000001", "red", Priority.NORMAL, 8, 4);
         clusterState.put(
                 StoreKeys.job(singleZone.id()),
-                JobRecord.accepted(withZones(singleZone, true, false), "perch-0", TestFixtures.DAY),
+                JobRecord.accepted(withZones(singleZone, true, false), "perch-0", TestFixtures.TIME_OF_DAY),
                 12);
         Transaction transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine, otherZone), Instant.EPOCH);
@@ -207,7 +211,7 @@
         clusterState.remove(StoreKeys.job(singleZone.id()), 13);
         clusterState.put(
                 StoreKeys.job(spread.id()),
-                JobRecord.accepted(withZones(spread, false, true), "perch-0", TestFixtures.DAY),
+                JobRecord.accepted(withZones(spread, false, true), "perch-0", TestFixtures.TIME_OF_DAY),
                 14);
         transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine, otherZone), Instant.EPOCH);
@@ -277,7 +281,7 @@
                 unused -> {});
         peer.onOffers(offers.get(0).offers(), Instant.EPOCH);
         Transaction peerTransaction =
-                new Transaction(clusterState, TestFixtures.PEER, TestFixtures.LIMITS, TestFixtures.DAY);
+                new Transaction(clusterState, TestFixtures.PEER, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
         peer.schedule(peerTransaction, List::of, Instant.EPOCH);
         assertThat(peerTransaction.job("run-000001").livePlacements()).hasSize(2);
         assertThat(peerTransaction.conditions()).contains(StoreKeys.member("perch-1"), StoreKeys.job("run-000001"));
@@ -289,7 +293,7 @@
                 JobRecord.accepted(
                         TestFixtures.request(id, "blue", Priority.IDLE, tasks, 4),
                         "perch-0",
-                        TestFixtures.DAY.minusSeconds(50)),
+                        TestFixtures.TIME_OF_DAY.minusSeconds(50)),
                 version);
     }
 
@@ -302,9 +306,11 @@
                 .hasSize(4);
 
         JobRecord reserved = JobRecord.accepted(
-                TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 8), null, TestFixtures.DAY);
+                TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 8), null, TestFixtures.TIME_OF_DAY);
         clusterState.put(
-                StoreKeys.job("run-000009"), TestFixtures.placed(reserved, TestFixtures.DAY, "vm-9", "vm-9"), 12);
+                StoreKeys.job("run-000009"),
+                TestFixtures.placed(reserved, TestFixtures.TIME_OF_DAY, "vm-9", "vm-9"),
+                12);
         transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements())
                 .as("8 of the 16 are kept free for reserved jobs")
@@ -323,11 +329,12 @@
         JobRecord scavenger = clusterState.job("run-000001");
         clusterState.put(
                 StoreKeys.job("run-000001"),
-                TestFixtures.placed(scavenger, TestFixtures.DAY, "vm-1", "vm-1", "vm-1"),
+                TestFixtures.placed(scavenger, TestFixtures.TIME_OF_DAY, "vm-1", "vm-1", "vm-1"),
                 12);
         JobRecord normal = JobRecord.accepted(
-                TestFixtures.request("run-000002", "red", Priority.NORMAL, 1, 4), "perch-1", TestFixtures.DAY);
-        clusterState.put(StoreKeys.job("run-000002"), TestFixtures.placed(normal, TestFixtures.DAY, "vm-1"), 13);
+                TestFixtures.request("run-000002", "red", Priority.NORMAL, 1, 4), "perch-1", TestFixtures.TIME_OF_DAY);
+        clusterState.put(
+                StoreKeys.job("run-000002"), TestFixtures.placed(normal, TestFixtures.TIME_OF_DAY, "vm-1"), 13);
         Transaction transaction = newTransaction();
         scavengerScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
         assertThat(transaction.isEmpty()).as("no job waits").isTrue();
--- a/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class ReservedSchedulerTest {
-    private final ClusterState clusterState = TestFixtures.view();
+    private final ClusterState clusterState = TestFixtures.clusterState();
     private final ReservedScheduler reservedScheduler = new ReservedScheduler(
             clusterState,
             TestFixtures.constraints(),
@@ -26,13 +26,14 @@
             new DeadlinePolicy(List.of()));
 
     private Transaction newTransaction() {
-        return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
+        return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
     }
 
     private void accept(String id, String team, Priority priority, int tasks, double cpus, long version) {
         clusterState.put(
                 StoreKeys.job(id),
-                JobRecord.accepted(TestFixtures.request(id, team, priority, tasks, cpus), null, TestFixtures.DAY),
+                JobRecord.accepted(
+                        TestFixtures.request(id, team, priority, tasks, cpus), null, TestFixtures.TIME_OF_DAY),
                 version);
     }
 
@@ -59,8 +60,8 @@
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "small", TestFixtures.PEER), 11);
         JobRecord first = JobRecord.accepted(
-                TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 4), null, TestFixtures.DAY);
-        clusterState.put(StoreKeys.job("run-000009"), TestFixtures.placed(first, TestFixtures.DAY, "vm-1"), 12);
+                TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 4), null, TestFixtures.TIME_OF_DAY);
+        clusterState.put(StoreKeys.job("run-000009"), TestFixtures.placed(first, TestFixtures.TIME_OF_DAY, "vm-1"), 12);
         accept("run-000001", "red", Priority.HIGH, 1, 4, 13);
         Transaction transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements())
@@ -97,7 +98,7 @@
                 JobRecord.accepted(
                         TestFixtures.request("run-000001", "red", Priority.NORMAL, 2, 32),
                         "perch-1",
-                        TestFixtures.DAY.minusSeconds(160)),
+                        TestFixtures.TIME_OF_DAY.minusSeconds(160)),
                 12);
         Transaction transaction = schedule();
         assertThat(transaction.changes()).containsEntry(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-2")));
@@ -109,7 +110,7 @@
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         accept("run-000001", "red", Priority.HIGH, 2, 4, 12);
         Transaction transaction = newTransaction();
-        transaction.putJob(clusterState.job("run-000001").withCancellation(TestFixtures.DAY));
+        transaction.putJob(clusterState.job("run-000001").withCancellation(TestFixtures.TIME_OF_DAY));
         reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
         assertThat(transaction.job("run-000001")).isNull();
         assertThat(transaction.changes().get(StoreKeys.finalState("run-000001")))
@@ -120,15 +121,17 @@
     void preemptsTheBestEffortTaskThatLosesLeast() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "small", TestFixtures.SELF), 10);
         JobRecord old = JobRecord.accepted(
-                TestFixtures.request("run-000008", "blue", Priority.NORMAL, 2, 4), "perch-0", TestFixtures.DAY);
+                TestFixtures.request("run-000008", "blue", Priority.NORMAL, 2, 4), "perch-0", TestFixtures.TIME_OF_DAY);
         old = TestFixtures.placed(
-                TestFixtures.placed(old, TestFixtures.DAY.minusSeconds(60), "vm-1"),
-                TestFixtures.DAY.minusSeconds(5),
+                TestFixtures.placed(old, TestFixtures.TIME_OF_DAY.minusSeconds(60), "vm-1"),
+                TestFixtures.TIME_OF_DAY.minusSeconds(5),
                 "vm-1");
         JobRecord wide = TestFixtures.placed(
                 JobRecord.accepted(
-                        TestFixtures.request("run-000009", "blue", Priority.NORMAL, 1, 8), "perch-0", TestFixtures.DAY),
-                TestFixtures.DAY.minusSeconds(30),
+                        TestFixtures.request("run-000009", "blue", Priority.NORMAL, 1, 8),
+                        "perch-0",
+                        TestFixtures.TIME_OF_DAY),
+                TestFixtures.TIME_OF_DAY.minusSeconds(30),
                 "vm-1");
         clusterState.put(StoreKeys.job("run-000008"), old, 12);
         clusterState.put(StoreKeys.job("run-000009"), wide, 13);
--- a/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -166,7 +166,7 @@
         GOLDEN.check("report-answer-cached", new HeartbeatResponseEncoder().encode(9, List.of()));
         GOLDEN.check("direct-command", AgentCommand.encodeDirect(9, 3, commands));
         GOLDEN.check("redirect", AgentCommand.encodeRedirect("perch-2"));
-        GOLDEN.check("redirect-anywhere", AgentCommand.encodeRedirect(null));
+        GOLDEN.check("redirect-anywhere", AgentCommand.encodeRedirectToAny());
     }
 
     // Cloud
--- a/src/test/java/org/gullway/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenRecordsTest.java
@@ -140,7 +140,7 @@
 
     private static StoreRecord decode(String key, byte[] stored) throws MalformedMessageException {
         JsonNode value = Cbor.decode(stored);
-        return key.startsWith(StoreKeys.LIVE) ? RecordCodec.decode(key, value) : RecordCodec.ended(value);
+        return key.startsWith(StoreKeys.LIVE) ? RecordCodec.decode(key, value) : RecordCodec.decodeFinalState(value);
     }
 
     @ParameterizedTest
--- a/src/test/java/org/gullway/storage/RecordCodecTest.java
+++ b/src/test/java/org/gullway/storage/RecordCodecTest.java
@@ -77,14 +77,15 @@
     @Test
     void theLargestJobsFitIntoOneRecord() {
         JobRecord job = JobRecord.accepted(
-                TestFixtures.request("run-000001", "red", Priority.HIGH, 400, 4), null, TestFixtures.DAY);
+                TestFixtures.request("run-000001", "red", Priority.HIGH, 400, 4), null, TestFixtures.TIME_OF_DAY);
         assertThat(job.remainingPlacements(16 * 1024)).isGreaterThanOrEqualTo(400);
     }
 
     @Test
     void otherRecordsSurviveTheStore() throws MalformedMessageException {
         Incarnation incarnation = new Incarnation("perch-0", Long.MAX_VALUE);
-        MachineRecord booting = MachineRecord.booting("vm-1", "small", "a", true, TestFixtures.DAY, incarnation, 7);
+        MachineRecord booting =
+                MachineRecord.booting("vm-1", "small", "a", true, TestFixtures.TIME_OF_DAY, incarnation, 7);
         MachineShard shard = new MachineShard(
                 "g-1",
                 incarnation,
@@ -102,7 +103,7 @@
         assertThat(roundTrip(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1"))))
                 .isEqualTo(new CordonedMachines(Set.of("vm-1")));
         FinalState finalState = new FinalState(JobState.DONE, 4, 4);
-        assertThat(RecordCodec.ended(RecordCodec.encode(finalState))).isEqualTo(finalState);
+        assertThat(RecordCodec.decodeFinalState(RecordCodec.encode(finalState))).isEqualTo(finalState);
     }
 
     @Test
--- a/src/test/java/org/gullway/storage/ReplicatedStateTest.java
+++ b/src/test/java/org/gullway/storage/ReplicatedStateTest.java
@@ -56,7 +56,7 @@
 
     private Transaction fencingTokenTransaction() {
         Transaction transaction =
-                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.DAY);
+                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
         transaction.nextFencingToken();
         return transaction;
     }
@@ -108,7 +108,8 @@
         for (int i = 0; i < 6000; i++) {
             test.time.runUntil(test.time.now().plusMillis(1));
             if (restarted.canCommit()) {
-                Transaction transaction = new Transaction(restartedState, next, TestFixtures.LIMITS, TestFixtures.DAY);
+                Transaction transaction =
+                        new Transaction(restartedState, next, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
                 transaction.nextFencingToken();
                 restarted.commit(transaction, result -> {});
             }
