--- a/src/main/java/org/gullway/worker/HeartbeatAdmission.java
+++ b/src/main/java/org/gullway/agent/HeartbeatAdmission.java
@@ -1,4 +1,4 @@
-package org.gullway.worker;
+package org.gullway.agent;
 
 import java.time.Duration;
 import java.time.Instant;
--- a/src/main/java/org/gullway/worker/LeaseRenewalGate.java
+++ b/src/main/java/org/gullway/agent/LeaseRenewalGate.java
@@ -1,4 +1,4 @@
-package org.gullway.worker;
+package org.gullway.agent;
 
 import java.time.Instant;
 import org.gullway.coordination.cancellation.CancellationWatermark;
--- a/src/main/java/org/gullway/worker/StartGate.java
+++ b/src/main/java/org/gullway/agent/StartGate.java
@@ -1,4 +1,4 @@
-package org.gullway.worker;
+package org.gullway.agent;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/org/gullway/worker/package-info.java
+++ b/src/main/java/org/gullway/agent/package-info.java
@@ -1,2 +1,2 @@
 /** Communication with the agents on machines: their heartbeats are admitted and answered, commands are sent. */
-package org.gullway.worker;
+package org.gullway.agent;
--- a/src/main/java/org/gullway/controller/MessagingComponents.java
+++ b/src/main/java/org/gullway/controller/MessagingComponents.java
@@ -1,11 +1,11 @@
 package org.gullway.controller;
 
+import org.gullway.agent.CommandSender;
 import org.gullway.coordination.agents.StartAuthorization;
 import org.gullway.coordination.scheduling.BestEffortQueue;
 import org.gullway.peer.PeerExchange;
 import org.gullway.peer.PeerMessageTargets;
 import org.gullway.storage.ReplicatedState;
-import org.gullway.worker.CommandSender;
 
 /** What sends commands to agents, and exchanges messages with other controllers. */
 record MessagingComponents(CommandSender commandSender, PeerExchange peerExchange) {
--- a/src/main/java/org/gullway/controller/RequestComponents.java
+++ b/src/main/java/org/gullway/controller/RequestComponents.java
@@ -2,11 +2,11 @@
 
 import java.util.function.BooleanSupplier;
 import java.util.random.RandomGenerator;
+import org.gullway.agent.HeartbeatAdmission;
+import org.gullway.agent.HeartbeatHandler;
 import org.gullway.api.UserApi;
 import org.gullway.coordination.quota.JobFeasibility;
 import org.gullway.storage.ReplicatedState;
-import org.gullway.worker.HeartbeatAdmission;
-import org.gullway.worker.HeartbeatHandler;
 
 /** What handles the requests that come to the public address. */
 record RequestComponents(UserApi userApi, HeartbeatHandler heartbeatHandler, RequestRouter router) {
--- a/src/main/java/org/gullway/controller/RequestRouter.java
+++ b/src/main/java/org/gullway/controller/RequestRouter.java
@@ -2,12 +2,12 @@
 
 import java.time.Duration;
 import java.util.function.BooleanSupplier;
+import org.gullway.agent.HeartbeatAdmission;
 import org.gullway.api.UserApi;
 import org.gullway.coordination.cancellation.LeaseRenewalPolicy;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpStatus;
-import org.gullway.worker.HeartbeatAdmission;
 
 /** Passes the requests of users, agents and health checks to their handlers, by path and method. */
 final class RequestRouter {
--- a/src/test/java/org/gullway/LayersTest.java
+++ b/src/test/java/org/gullway/LayersTest.java
@@ -95,7 +95,7 @@
                             "protocol",
                             "transport")),
             entry(
-                    "worker",
+                    "agent",
                     Set.of(
                             "coordination.agents",
                             "coordination.cancellation",
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -7,6 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.UnaryOperator;
+import org.gullway.agent.CommandSender;
 import org.gullway.coordination.agents.AgentReconciler;
 import org.gullway.coordination.agents.CompletionBuffer;
 import org.gullway.coordination.agents.StartAuthorization;
@@ -23,7 +24,6 @@
 import org.gullway.protocol.Priority;
 import org.gullway.protocol.TaskId;
 import org.gullway.transport.HttpRequest;
-import org.gullway.worker.CommandSender;
 import org.junit.jupiter.api.Test;
 
 /** A start that the records do not allow at the moment of sending is left out of the command, and reported. */
--- a/src/test/java/org/gullway/worker/HeartbeatAdmissionTest.java
+++ b/src/test/java/org/gullway/agent/HeartbeatAdmissionTest.java
@@ -1,4 +1,4 @@
-package org.gullway.worker;
+package org.gullway.agent;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
