--- a/src/main/java/org/gullway/agent/LeaseRenewalGate.java
+++ b/src/main/java/org/gullway/agent/LeaseRenewalGate.java
@@ -34,7 +34,7 @@
     /** Whether no heartbeat can be accepted now, whatever it contains. */
     boolean isClosed(boolean holdsValidLease, Instant now) {
         Instant knownThrough = cancellationWatermark.knownThrough(replicatedState.knownThrough());
-        return !leaseRenewal.mayRenew(knownThrough, now) || !holdsValidLease && !heldLeaseBefore;
+        return !leaseRenewal.mayRenew(knownThrough, now) || (!holdsValidLease && !heldLeaseBefore);
     }
 
     /** Whether this agent's lease may be renewed while this controller holds no valid lease itself. */
--- a/src/main/java/org/gullway/api/LinearizableResponses.java
+++ b/src/main/java/org/gullway/api/LinearizableResponses.java
@@ -27,6 +27,8 @@
     private final Function<String, Optional<JobStatus>> finalStates;
     private final Consumer<String> onViolation;
 
+    // Bodies are passed on and never compared.
+    @SuppressWarnings("ArrayRecordComponent")
     private record Response(int status, byte[] body) {
         static Response withState(int status, Found result) {
             return new Response(status, UserResponses.encodeState(result.status()));
--- a/src/main/java/org/gullway/api/StatusQueryHandler.java
+++ b/src/main/java/org/gullway/api/StatusQueryHandler.java
@@ -43,7 +43,7 @@
         if (finalState.isPresent()) {
             context.metrics().statusQueries(true, 1);
             respondFinal(request, finalState.get());
-        } else if (!replicatedState.isFresh() || queue.joinable(id).isEmpty() && verifier.isOverloaded(TIMEOUT)) {
+        } else if (!replicatedState.isFresh() || (queue.joinable(id).isEmpty() && verifier.isOverloaded(TIMEOUT))) {
             context.metrics().statusQueries(false, 1);
             UserResponses.rejectTemporarily(request);
         } else {
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -126,7 +126,7 @@
     private boolean needsProbe(MachineRecord record, AgentState agent, boolean inContact, boolean fenced) {
         Heartbeat last = agent.lastHeartbeat();
         boolean epochUnknown = last == null || last.agentEpoch() < record.agentEpoch();
-        return epochUnknown || inContact && !fenced && last.fencingToken() < clusterState.fencingToken();
+        return epochUnknown || (inContact && !fenced && last.fencingToken() < clusterState.fencingToken());
     }
 
     /** Takes the outcome of a batch. */
--- a/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
@@ -97,6 +97,8 @@
                         surplusChanges || pending.since.plus(MAX_DELAY).isBefore(now));
     }
 
+    // Instances are shared while nothing has changed; comparing values would cost as much as the change.
+    @SuppressWarnings("ReferenceEquality")
     private void plan(Transaction transaction, BiPredicate<JobRecord, PendingCompletions> due) {
         Iterator<Map.Entry<String, PendingCompletions>> entries =
                 pendingByJob.entrySet().iterator();
--- a/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
+++ b/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
@@ -100,6 +100,7 @@
     }
 
     private static boolean isGone(RemainingAttempt attempt, long agentEpoch, Set<AttemptId> live) {
-        return agentEpoch > attempt.agentEpoch() || agentEpoch == attempt.agentEpoch() && !live.contains(attempt.id());
+        return agentEpoch > attempt.agentEpoch()
+                || (agentEpoch == attempt.agentEpoch() && !live.contains(attempt.id()));
     }
 }
--- a/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -85,8 +85,8 @@
         Instant previousRequestAt = lastRequestAt.put(heartbeat.machine(), now);
         return !self.node().equals(machine.controller().node())
                 || isCutOff(now)
-                || previousRequestAt != null
-                        && previousRequestAt.plus(RETURN_WINDOW).isAfter(now);
+                || (previousRequestAt != null
+                        && previousRequestAt.plus(RETURN_WINDOW).isAfter(now));
     }
 
     private boolean isSafeToRenew(MachineRecord machine, Heartbeat heartbeat) {
--- a/src/main/java/org/gullway/coordination/failover/Reconciliation.java
+++ b/src/main/java/org/gullway/coordination/failover/Reconciliation.java
@@ -53,7 +53,7 @@
         plannedAt = now;
         for (JobRecord job : clusterState.jobs()) {
             boolean orphaned = !job.isReserved() && !clusterState.members().containsKey(job.owner());
-            boolean responsible = job.isReserved() || orphaned ? context.leader() : self.equals(job.owner());
+            boolean responsible = (job.isReserved() || orphaned) ? context.leader() : self.equals(job.owner());
             if (responsible && transaction.hasCapacityFor(CHANGES_PER_JOB)) {
                 reconcile(transaction, job, orphaned);
             }
@@ -64,6 +64,8 @@
         }
     }
 
+    // Instances are shared while nothing has changed; comparing values would cost as much as the change.
+    @SuppressWarnings("ReferenceEquality")
     private void reconcile(Transaction transaction, JobRecord known, boolean orphaned) {
         String id = known.request().id();
         JobRecord planned = transaction.job(id);
--- a/src/main/java/org/gullway/coordination/model/AttemptId.java
+++ b/src/main/java/org/gullway/coordination/model/AttemptId.java
@@ -11,7 +11,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return this == other || other instanceof AttemptId id && attempt == id.attempt && task.equals(id.task);
+        return this == other || (other instanceof AttemptId id && attempt == id.attempt && task.equals(id.task));
     }
 
     @Override
--- a/src/main/java/org/gullway/coordination/model/Incarnation.java
+++ b/src/main/java/org/gullway/coordination/model/Incarnation.java
@@ -10,9 +10,9 @@
     @Override
     public boolean equals(Object other) {
         return this == other
-                || other instanceof Incarnation incarnation
+                || (other instanceof Incarnation incarnation
                         && number == incarnation.number
-                        && node.equals(incarnation.node);
+                        && node.equals(incarnation.node));
     }
 
     @Override
--- a/src/main/java/org/gullway/coordination/model/Placement.java
+++ b/src/main/java/org/gullway/coordination/model/Placement.java
@@ -14,13 +14,13 @@
     @Override
     public boolean equals(Object other) {
         return this == other
-                || other instanceof Placement placement
+                || (other instanceof Placement placement
                         && task == placement.task
                         && attempt == placement.attempt
                         && agentEpoch == placement.agentEpoch
                         && stopping == placement.stopping
                         && machine.equals(placement.machine)
-                        && placedAt.equals(placement.placedAt);
+                        && placedAt.equals(placement.placedAt));
     }
 
     @Override
--- a/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
@@ -188,7 +188,7 @@
         double current = own.amount();
         double reduced = Math.max(
                 own.used(), Math.min(current, Math.max(target, own.demand().largestStalledTask())));
-        boolean worthwhile = current - reduced > quota * MIN_REDUCTION_FRACTION || reduced == 0 && current > 0;
+        boolean worthwhile = current - reduced > quota * MIN_REDUCTION_FRACTION || (reduced == 0 && current > 0);
         return worthwhile ? reduced : current;
     }
 }
--- a/src/main/java/org/gullway/coordination/scaling/FleetAutoscaler.java
+++ b/src/main/java/org/gullway/coordination/scaling/FleetAutoscaler.java
@@ -93,7 +93,7 @@
         List<String> names = new ArrayList<>();
         for (MachineRecord machine : clusterState.machines()) {
             if (machine.lifecycle() == MachineLifecycle.LOST
-                    || machine.lifecycle() == MachineLifecycle.DRAINING && isKnownEmpty(machine)) {
+                    || (machine.lifecycle() == MachineLifecycle.DRAINING && isKnownEmpty(machine))) {
                 names.add(machine.name());
             }
         }
--- a/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
@@ -66,8 +66,8 @@
             boolean idleAndUnneeded =
                     isIdle(machine, now) && balance.waiting() == 0 && freeCpus - type.cpus() >= balance.required();
             if (idleAndUnneeded
-                    || machineFreeCpus > 0
-                            && type.cpus() <= Math.min(excessCapacity.cpusToDrain(), freeCpus - balance.required())) {
+                    || (machineFreeCpus > 0
+                            && type.cpus() <= Math.min(excessCapacity.cpusToDrain(), freeCpus - balance.required()))) {
                 setLifecycle(transaction, machine, MachineLifecycle.DRAINING);
                 freeCpus -= machineFreeCpus;
                 excessCapacity.onDrained(type.cpus());
@@ -121,7 +121,7 @@
     private boolean isCandidate(Transaction transaction, MachineRecord machine, MachineType type) {
         return !machine.isUp()
                 || clusterState.usageOn(machine.name()).tasks == 0
-                || type.cpus() <= excessCapacity.cpusToDrain() && constraints.freeCpus(machine, transaction) > 0;
+                || (type.cpus() <= excessCapacity.cpusToDrain() && constraints.freeCpus(machine, transaction) > 0);
     }
 
     /** The fraction of the shard's processors that is in use. */
--- a/src/main/java/org/gullway/coordination/scheduling/PlacementAttempt.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PlacementAttempt.java
@@ -36,7 +36,7 @@
     boolean placeOne() {
         Transaction transaction = pass.transaction();
         if (remainingTasks == 0
-                || planned.isEmpty() && transaction.placeableTasks(job) == 0
+                || (planned.isEmpty() && transaction.placeableTasks(job) == 0)
                 || quotas.remainingTasks(job, transaction) == 0) {
             return false;
         }
--- a/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
@@ -138,7 +138,7 @@
         }
         int allowedTasks = Math.min(
                 job.waitingTasks(), Math.min(quotas.remainingTasks(job, transaction), transaction.placeableTasks(job)));
-        if (allowedTasks == 0 || job.isGang() && allowedTasks < job.waitingTasks()) {
+        if (allowedTasks == 0 || (job.isGang() && allowedTasks < job.waitingTasks())) {
             return true;
         }
         List<MachineRecord> reserved = bestFit.reserve(job, allowedTasks, machines, transaction);
--- a/src/main/java/org/gullway/protocol/Heartbeat.java
+++ b/src/main/java/org/gullway/protocol/Heartbeat.java
@@ -37,6 +37,6 @@
 
     /** Whether it is newer in the order of the agent's own messages. */
     public boolean isNewerThan(long otherAgentEpoch, long otherSequence) {
-        return agentEpoch > otherAgentEpoch || agentEpoch == otherAgentEpoch && sequence > otherSequence;
+        return agentEpoch > otherAgentEpoch || (agentEpoch == otherAgentEpoch && sequence > otherSequence);
     }
 }
--- a/src/main/java/org/gullway/protocol/HeartbeatReader.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatReader.java
@@ -91,6 +91,7 @@
     }
 
     /** The list of the last message itself if nothing in it has changed. */
+    @SuppressWarnings("ReferenceEquality")
     private List<TaskStatus> readTasks() throws IOException, MalformedMessageException {
         if (parser.currentToken() != JsonToken.START_ARRAY) {
             throw wrong("legs", "a list");
@@ -119,6 +120,7 @@
     }
 
     /** The status of the task at the same place of the last message, if it is the same. */
+    @SuppressWarnings("ReferenceEquality")
     private TaskStatus readTask(TaskStatus known) throws IOException, MalformedMessageException {
         TaskId task = null;
         long attempt = -1;
--- a/src/main/java/org/gullway/protocol/TaskId.java
+++ b/src/main/java/org/gullway/protocol/TaskId.java
@@ -40,7 +40,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return this == other || other instanceof TaskId id && index == id.index && job.equals(id.job);
+        return this == other || (other instanceof TaskId id && index == id.index && job.equals(id.job));
     }
 
     @Override
--- a/src/main/java/org/gullway/storage/TransactionFence.java
+++ b/src/main/java/org/gullway/storage/TransactionFence.java
@@ -23,6 +23,8 @@
     /** Runs once, when the result is certain. */
     interface Callback {
         /**
+         * The result is certain.
+         *
          * @param term of the membership whose transactions were fenced
          * @param revision at which the member key was rewritten, or 0
          */
--- a/src/main/java/org/gullway/transport/ConnectionPool.java
+++ b/src/main/java/org/gullway/transport/ConnectionPool.java
@@ -60,12 +60,12 @@
     /** Whether the budget lets a connect begin now; if so it counts until it has failed or its connection is discarded. */
     boolean mayConnect(String address) {
         if (!essential.contains(address)) {
-            while (open >= socketBudget.availableForWorkers() && !idle.isEmpty()) {
+            while (open >= socketBudget.availableForAgents() && !idle.isEmpty()) {
                 C oldest = idle.keySet().iterator().next();
                 forget(oldest);
                 discard(oldest);
             }
-            if (open >= socketBudget.availableForWorkers()) {
+            if (open >= socketBudget.availableForAgents()) {
                 return false;
             }
         }
@@ -100,7 +100,7 @@
     void keep(String address, C connection) {
         Deque<C> there = byAddress.computeIfAbsent(address, a -> new ArrayDeque<>());
         if (there.size() >= MAX_IDLE_PER_ADDRESS
-                || open > socketBudget.availableForWorkers() && !essential.contains(address)) {
+                || (open > socketBudget.availableForAgents() && !essential.contains(address))) {
             if (there.isEmpty()) {
                 byAddress.remove(address);
             }
--- a/src/main/java/org/gullway/transport/HttpRequest.java
+++ b/src/main/java/org/gullway/transport/HttpRequest.java
@@ -5,8 +5,10 @@
 /**
  * A request to another process.
  *
- * @param limit how long its caller waits for a response
+ * @param timeout how long its caller waits for a response
  */
+// Bodies are passed on and never compared.
+@SuppressWarnings("ArrayRecordComponent")
 public record HttpRequest(String method, String path, byte[] body, Duration timeout) {
     private static final byte[] EMPTY = new byte[0];
 
--- a/src/main/java/org/gullway/transport/HttpResponse.java
+++ b/src/main/java/org/gullway/transport/HttpResponse.java
@@ -6,6 +6,8 @@
  * @param status 0 unless it was answered
  * @param body empty unless it was answered with one
  */
+// Bodies are passed on and never compared.
+@SuppressWarnings("ArrayRecordComponent")
 public record HttpResponse(Outcome outcome, int status, byte[] body) {
     private static final byte[] EMPTY = new byte[0];
 
--- a/src/main/java/org/gullway/transport/HttpServer.java
+++ b/src/main/java/org/gullway/transport/HttpServer.java
@@ -109,7 +109,7 @@
     /**
      * Begins to listen.
      *
-     * @param sockets what connections may take of the process's sockets
+     * @param socketBudget what connections may take of the process's sockets
      * @param address host and port; for port 0 the system chooses one
      * @return host and port that it listens on
      * @throws UncheckedIOException if the address cannot be listened on
--- a/src/main/java/org/gullway/transport/SocketBudget.java
+++ b/src/main/java/org/gullway/transport/SocketBudget.java
@@ -39,7 +39,7 @@
     }
 
     /** How many connections we may have open, apart from the reserve. */
-    int availableForWorkers() {
+    int availableForAgents() {
         return Math.max(MIN_FOR_AGENTS, (int) (limit * UNRESERVED_SHARE) - accepted);
     }
 }
--- a/src/main/java/org/gullway/transport/UndertowHttpClient.java
+++ b/src/main/java/org/gullway/transport/UndertowHttpClient.java
@@ -29,7 +29,7 @@
     private final ConnectionPool<ClientConnection> connections;
 
     /**
-     * @param sockets what connections may take of the process's sockets
+     * @param socketBudget what connections may take of the process's sockets
      * @param essential addresses that are always called, whatever else is open
      */
     public UndertowHttpClient(
--- a/src/test/java/org/gullway/transport/ConnectionPoolTest.java
+++ b/src/test/java/org/gullway/transport/ConnectionPoolTest.java
@@ -56,7 +56,7 @@
         for (int i = 0; i < 50; i++) {
             pool.mayConnect("10.1.1." + i + ":9000");
         }
-        assertThat(pool.open()).isEqualTo(socketBudget.availableForWorkers());
+        assertThat(pool.open()).isEqualTo(socketBudget.availableForAgents());
         pool.abandon(STATE);
         assertThat(pool.isAbandoned(STATE)).isFalse();
         assertThat(pool.mayConnect(STATE)).isTrue();
@@ -82,7 +82,7 @@
         socketBudget.onAcceptedChange(9);
         assertThat(socketBudget.isCrowded()).isTrue();
         socketBudget.onAcceptedChange(socketBudget.maxAccepted() - 69);
-        assertThat(socketBudget.maxAccepted() + socketBudget.availableForWorkers())
+        assertThat(socketBudget.maxAccepted() + socketBudget.availableForAgents())
                 .as("leaves a reserve")
                 .isLessThanOrEqualTo(86);
     }
@@ -128,7 +128,7 @@
                     }
                 }
             }
-            assertThat(generated.open()).isEqualTo(open.size()).isLessThanOrEqualTo(socketBudget.availableForWorkers());
+            assertThat(generated.open()).isEqualTo(open.size()).isLessThanOrEqualTo(socketBudget.availableForAgents());
         }
     }
 }
