--- a/src/main/java/org/gullway/cloud/CloudClient.java
+++ b/src/main/java/org/gullway/cloud/CloudClient.java
@@ -74,7 +74,7 @@
         try {
             return Optional.of(decoder.decode(response.body()));
         } catch (MalformedMessageException e) {
-            LOG.error("malformed response of the cloud provider path={} cause={}", path, e.getMessage());
+            LOG.error("malformed response of the cloud provider path={} error={}", path, e.getMessage());
             return Optional.empty();
         }
     }
@@ -99,7 +99,7 @@
                 return ProvisioningOutcome.provisioned(CloudMessages.decodeProvisioned(response.body()), response);
             } catch (MalformedMessageException e) {
                 LOG.error(
-                        "malformed response of the cloud provider path={} request={} cause={}",
+                        "malformed response of the cloud provider path={} request={} error={}",
                         MACHINES,
                         requestId,
                         e.getMessage());
