--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -130,12 +130,9 @@
                             client,
                             environment,
                             new SplittableRandom(1),
-                            name,
-                            address,
-                            kind,
+                            new FakeAgent.Machine(name, address, kind),
                             Map.of("perch-0", addresses.node()),
-                            Duration.ofMillis(500),
-                            Duration.ofSeconds(20));
+                            new FakeAgent.Timing(Duration.ofMillis(500), Duration.ofSeconds(20)));
                     HttpServer.start(worker, buffers, socketBudget, address, 65536, machine::handle);
                     return machine;
                 });
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -165,12 +165,9 @@
                 link(name + ">controllers").client(client),
                 machines.up(name, kind),
                 random.split(),
-                name,
-                server.address,
-                kind,
+                new FakeAgent.Machine(name, server.address, kind),
                 publicAddresses,
-                setup.heartbeatInterval(),
-                setup.lease());
+                new FakeAgent.Timing(setup.heartbeatInterval(), setup.lease()));
         server.handler = link("controllers>" + name).server("", machine::handle);
         return machine;
     }
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -95,12 +95,9 @@
                     network.client(name, loop),
                     users,
                     random.split(),
-                    name,
-                    address,
-                    kind,
+                    new FakeAgent.Machine(name, address, kind),
                     addresses,
-                    shape.heartbeatInterval(),
-                    LEASE);
+                    new FakeAgent.Timing(shape.heartbeatInterval(), LEASE));
             network.listen(address, loop, agent::handle);
             invariants.onMachineUp(name, kind);
             return agent;
--- /dev/null
+++ b/src/test/java/org/gullway/fake/AgentTasks.java
@@ -0,0 +1,175 @@
+package org.gullway.fake;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.gullway.protocol.JobRequest;
+import org.gullway.transport.EventLoop;
+
+/** The tasks on one machine with their timers, and the commands that start, stop and forget them. */
+final class AgentTasks {
+    private static final double CPU_TOLERANCE = 1e-6;
+
+    private static final class Task {
+        private final String id;
+        private final long attempt;
+        /** Why the attempt ended; null while it runs. */
+        private String endCause;
+
+        private Runnable cancelTimer = () -> {};
+        private Duration remaining = Duration.ZERO;
+        private Instant runningSince;
+
+        Task(String id, long attempt) {
+            this.id = id;
+            this.attempt = attempt;
+        }
+
+        String job() {
+            return id.substring(0, id.indexOf('/'));
+        }
+
+        boolean running() {
+            return endCause == null;
+        }
+    }
+
+    private final EventLoop loop;
+    private final AgentProcess process;
+    private final FakeAgent.Environment environment;
+    private final String machine;
+    private final double cpus;
+    private final Runnable onTaskEnded;
+    /** By task and attempt. */
+    private final Map<String, Task> tasks = new LinkedHashMap<>();
+
+    /** @param onTaskEnded runs whenever a task completes or is stopped */
+    AgentTasks(
+            EventLoop loop,
+            AgentProcess process,
+            FakeAgent.Environment environment,
+            FakeAgent.Machine machine,
+            Runnable onTaskEnded) {
+        this.loop = loop;
+        this.process = process;
+        this.environment = environment;
+        this.machine = machine.name();
+        this.cpus = machine.kind().cpus();
+        this.onTaskEnded = onTaskEnded;
+    }
+
+    /** Ends and forgets all tasks, as the end of the machine or of its lease does. */
+    void killAll() {
+        for (Task task : tasks.values()) {
+            if (task.running()) {
+                task.cancelTimer.run();
+                environment.onTaskEnded(machine, task.id, false);
+            }
+        }
+        tasks.clear();
+    }
+
+    /** No task makes progress until {@link #resumeAll}. */
+    void pauseAll() {
+        for (Task task : tasks.values()) {
+            if (task.running()) {
+                task.cancelTimer.run();
+                task.remaining = task.remaining.minus(Duration.between(task.runningSince, loop.now()));
+            }
+        }
+    }
+
+    void resumeAll() {
+        tasks.values().stream().filter(Task::running).forEach(this::resume);
+    }
+
+    /** Adds the status of each task. */
+    void addTo(ArrayNode statuses) {
+        for (Task task : tasks.values()) {
+            ObjectNode status = statuses.addObject()
+                    .put("leg", task.id)
+                    .put("launch", task.attempt)
+                    .put("tide", task.running() ? "running" : "ended");
+            if (!task.running()) {
+                status.put("cause", task.endCause);
+            }
+        }
+    }
+
+    void execute(JsonNode command) {
+        String id = command.path("leg").asText();
+        long attempt = command.path("launch").asLong();
+        String key = id + "#" + attempt;
+        Task task = tasks.get(key);
+        switch (command.path("call").asText()) {
+            case "start" -> {
+                if (task == null) {
+                    start(key, new Task(id, attempt));
+                }
+            }
+            case "halt" -> {
+                if (task != null && task.running()) {
+                    end(task, "halted");
+                }
+            }
+            case "forget" -> {
+                if (task != null && !task.running()) {
+                    tasks.remove(key);
+                }
+            }
+            default -> throw new IllegalStateException("unknown command " + command);
+        }
+    }
+
+    private void start(String key, Task task) {
+        tasks.put(key, task);
+        task.endCause = refusal(task);
+        if (task.running()) {
+            environment.onTaskStarted(machine, task.id);
+            task.remaining = environment.runTime(task.job());
+            resume(task);
+        }
+    }
+
+    /** The cause by which the start is refused, or null. */
+    private String refusal(Task task) {
+        JobRequest job = environment.jobOf(task.job());
+        if (job == null) {
+            return "no_such";
+        }
+        double used = 0;
+        for (Task other : tasks.values()) {
+            if (other != task && other.running()) {
+                if (other.id.equals(task.id)) {
+                    return "busy";
+                }
+                used += environment.jobOf(other.job()).cpus();
+            }
+        }
+        if (used + job.cpus() > cpus + CPU_TOLERANCE) {
+            return "full";
+        }
+        // A completed task has its result: started again it exits as soon as it has its image.
+        return environment.isCompleted(task.id) ? "done" : null;
+    }
+
+    private void resume(Task task) {
+        task.runningSince = loop.now();
+        task.cancelTimer = process.after(task.remaining, () -> {
+            if (task.running()) {
+                end(task, environment.fails(machine, task.job()) ? "error" : "done");
+            }
+        });
+    }
+
+    private void end(Task task, String cause) {
+        task.cancelTimer.run();
+        task.endCause = cause;
+        environment.onTaskEnded(machine, task.id, cause.equals("done"));
+        onTaskEnded.run();
+    }
+}
--- a/src/test/java/org/gullway/fake/FakesTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -188,12 +188,9 @@
                 network.client("vm-000007", loop),
                 new MinuteTasks(),
                 new SplittableRandom(1),
-                "vm-000007",
-                MACHINE,
-                new FakeAgent.Kind("small", "a", true, 16),
+                new FakeAgent.Machine("vm-000007", MACHINE, new FakeAgent.Kind("small", "a", true, 16)),
                 Map.of("perch-0", CONTROLLER),
-                Duration.ofSeconds(3),
-                LEASE);
+                new FakeAgent.Timing(Duration.ofSeconds(3), LEASE));
         network.listen(MACHINE, loop, agent::handle);
         command(1, "start", "run-000001/0");
         run(1);
