--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -4,12 +4,9 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
-import java.time.Instant;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
@@ -20,63 +17,41 @@
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpStatus;
 
-/** The state store as its protocol describes it, in memory. */
+/** The state store as its protocol describes it, in memory: the endpoints, and the faults that tests switch on. */
 public final class FakeStateStore {
-    private record Entry(JsonNode value, long version, long lease) {}
-
-    private record Event(String key, JsonNode value, long version) {}
-
-    private static final class Watch {
-        private final String client;
-        private final String prefix;
-        private final long from;
-        private final HttpExchange exchange;
-        private Runnable cancelTimer = () -> {};
-        private boolean timedOut;
-
-        Watch(String client, String prefix, long from, HttpExchange exchange) {
-            this.client = client;
-            this.prefix = prefix;
-            this.from = from;
-            this.exchange = exchange;
-        }
-    }
+    /** Limits of the settings; a transaction beyond them is refused. */
+    public static final int CHANGES_PER_SECOND = 30;
 
-    private static final class Lease {
-        private Duration life;
-        private Instant end;
-    }
+    public static final int CHANGES_PER_COMMIT = 24;
+    public static final int VALUE_BYTES = 16 * 1024;
+
+    private static final Duration EXPIRY_CHECK_INTERVAL = Duration.ofMillis(20);
+    private static final Duration LATE_COMMIT_RETRY = Duration.ofMillis(500);
+    private static final String DEFAULT_PAGE_SIZE = "1000";
 
     private final EventLoop loop;
-    private final TreeMap<String, Entry> entries = new TreeMap<>();
-    private final Map<Long, Lease> leases = new HashMap<>();
-    private final List<Event> history = new ArrayList<>();
-    private final List<Watch> watches = new ArrayList<>();
-    private long revision;
-    private long nextLease;
+    private final StoreContents contents = new StoreContents();
+    private final StoreLeases leases;
+    private final StoreWatches watches;
     private final StoreFaults faults;
     private final CommitLimits limits;
     private final Map<String, Consumer<JsonNode>> listeners = new HashMap<>();
 
-    /** Limits of the settings; what goes over them is refused. */
-    public static final int CHANGES_PER_SECOND = 30;
-
-    public static final int CHANGES_PER_COMMIT = 24;
-    public static final int VALUE_BYTES = 16 * 1024;
-
     public FakeStateStore(EventLoop loop) {
         this.loop = loop;
         this.faults = new StoreFaults(loop);
         this.limits = new CommitLimits(loop);
-        loop.every(Duration.ofMillis(20), this::expire);
+        this.leases = new StoreLeases(loop);
+        this.watches = new StoreWatches(loop, contents, faults::serves);
+        loop.every(EXPIRY_CHECK_INTERVAL, this::expire);
     }
 
     /** In an outage everything is rejected, open watches stay open; afterwards leases have their full time again. */
     public void setDown(boolean value) {
         faults.setDown(value);
         if (!value) {
-            leases.values().forEach(lease -> lease.end = loop.now().plus(lease.life));
-            wake();
+            leases.renewAll();
+            watches.answerDue();
         }
     }
 
@@ -84,7 +59,7 @@
     public void rejectFrom(String client, boolean on) {
         faults.rejectFrom(client, on);
         if (!on) {
-            wake();
+            watches.answerDue();
         }
     }
 
@@ -124,8 +99,9 @@
         listeners.put(key, listener);
     }
 
+    /** The value of this key, or null. */
     public JsonNode value(String key) {
-        Entry entry = entries.get(key);
+        StoreContents.Entry entry = contents.entry(key);
         return entry == null ? null : entry.value();
     }
 
@@ -139,32 +115,19 @@
     }
 
     private void expire() {
-        if (faults.isDown()) {
-            return;
+        if (!faults.isDown()) {
+            leases.expired().forEach(this::endLease);
         }
-        List<Long> over = leases.entrySet().stream()
-                .filter(e -> !loop.now().isBefore(e.getValue().end))
-                .map(Map.Entry::getKey)
-                .toList();
-        over.forEach(this::endLease);
     }
 
     private void endLease(long id) {
         leases.remove(id);
-        List<String> keys = entries.entrySet().stream()
-                .filter(e -> e.getValue().lease() == id)
-                .map(Map.Entry::getKey)
-                .toList();
-        if (!keys.isEmpty()) {
-            revision++;
-            for (String key : keys) {
-                entries.remove(key);
-                history.add(new Event(key, null, revision));
-            }
-            wake();
+        if (contents.removeAttached(id)) {
+            watches.answerDue();
         }
     }
 
+    /** Serves one request by the protocol. */
     public void handle(HttpExchange received) {
         String client = received instanceof SimulatedNetwork.Message message ? message.from() : "";
         HttpExchange exchange = faults.delayed(client, received);
@@ -219,7 +182,7 @@
                 "", exchange.method(), exchange.path(), exchange.query(), exchange.body(), response -> {});
     }
 
-    private ObjectNode item(String key, Entry entry) {
+    private ObjectNode item(String key, StoreContents.Entry entry) {
         ObjectNode node = Cbor.map().put("k", key).put("mark", entry.version());
         node.set("v", entry.value());
         if (entry.lease() != 0) {
@@ -229,9 +192,9 @@
     }
 
     private void get(HttpExchange exchange, String key) {
-        Entry entry = entries.get(key);
+        StoreContents.Entry entry = contents.entry(key);
         if (entry == null) {
-            exchange.respond(HttpStatus.NOT_FOUND, Cbor.encode(Cbor.map().put("logline", revision)));
+            exchange.respond(HttpStatus.NOT_FOUND, Cbor.encode(revision()));
         } else {
             exchange.respond(HttpStatus.OK, Cbor.encode(item(key, entry)));
         }
@@ -239,21 +202,21 @@
 
     private void list(HttpExchange exchange, Map<String, String> query) {
         String prefix = query.getOrDefault("under", "");
-        int page = Integer.parseInt(query.getOrDefault("page", "1000"));
-        ObjectNode node = Cbor.map().put("logline", revision);
+        int page = Integer.parseInt(query.getOrDefault("page", DEFAULT_PAGE_SIZE));
+        ObjectNode node = revision();
         ArrayNode items = node.putArray("items");
         boolean more = false;
-        for (Map.Entry<String, Entry> e : entries.tailMap(
+        for (Map.Entry<String, StoreContents.Entry> entry : contents.entriesFrom(
                         query.getOrDefault("from", prefix), !query.containsKey("from"))
                 .entrySet()) {
-            if (!e.getKey().startsWith(prefix)) {
+            if (!entry.getKey().startsWith(prefix)) {
                 break;
             }
             if (items.size() == page) {
                 more = true;
                 break;
             }
-            items.add(item(e.getKey(), e.getValue()));
+            items.add(item(entry.getKey(), entry.getValue()));
         }
         exchange.respond(HttpStatus.OK, Cbor.encode(node.put("more", more)));
     }
@@ -261,7 +224,7 @@
     /** Applies a transaction that nobody waits for any more; an outage delays it further. */
     private void commitLate(HttpExchange exchange, ObjectNode body) {
         if (faults.isDown()) {
-            loop.after(Duration.ofMillis(500), () -> commitLate(exchange, body));
+            loop.after(LATE_COMMIT_RETRY, () -> commitLate(exchange, body));
         } else {
             commit(unanswered(exchange), body);
         }
@@ -286,8 +249,7 @@
 
     private boolean namesUnknownLease(ObjectNode body) {
         for (JsonNode change : body.path("then")) {
-            if (change.has("tether")
-                    && !leases.containsKey(change.path("tether").asLong())) {
+            if (change.has("tether") && !leases.exists(change.path("tether").asLong())) {
                 return true;
             }
         }
@@ -295,45 +257,27 @@
     }
 
     private void commitIfUnchanged(HttpExchange exchange, ObjectNode body) {
-        ObjectNode failure = Cbor.map();
-        ArrayNode failed = failure.putArray("failed");
-        for (JsonNode condition : body.path("guards")) {
-            Entry entry = entries.get(condition.path("k").asText());
-            if ((entry == null ? 0 : entry.version()) != condition.path("mark").asLong()) {
-                failed.add(condition.path("k").asText());
-            }
-        }
+        List<String> failed = contents.failedConditions(body.path("guards"));
         if (!failed.isEmpty()) {
-            exchange.respond(HttpStatus.CONFLICT, Cbor.encode(failure.put("logline", revision)));
+            ObjectNode failure = Cbor.map();
+            failed.forEach(failure.putArray("failed")::add);
+            exchange.respond(HttpStatus.CONFLICT, Cbor.encode(failure.put("logline", contents.revision())));
             return;
         }
-        if (!body.path("then").isEmpty()) {
-            revision++;
-            body.path("then").forEach(this::apply);
-        }
-        exchange.respond(HttpStatus.OK, Cbor.encode(Cbor.map().put("logline", revision)));
-        wake();
-        notifyListeners(body);
+        JsonNode changes = body.path("then");
+        changes.forEach(change -> limits.count(StoreContents.keyOf(change)));
+        contents.apply(changes);
+        exchange.respond(HttpStatus.OK, Cbor.encode(revision()));
+        watches.answerDue();
+        notifyListeners(changes);
     }
 
-    private void apply(JsonNode change) {
-        if (change.has("remove")) {
-            String key = change.path("remove").asText();
-            limits.count(key);
-            if (entries.remove(key) != null) {
-                history.add(new Event(key, null, revision));
-            }
-            return;
-        }
-        String key = change.path("put").asText();
-        limits.count(key);
-        JsonNode value = change.path("v");
-        entries.put(key, new Entry(value, revision, change.path("tether").asLong()));
-        history.add(new Event(key, value, revision));
+    private ObjectNode revision() {
+        return Cbor.map().put("logline", contents.revision());
     }
 
-    private void notifyListeners(ObjectNode body) {
-        for (JsonNode change : body.path("then")) {
+    private void notifyListeners(JsonNode changes) {
+        for (JsonNode change : changes) {
             Consumer<JsonNode> listener = listeners.get(change.path("put").asText());
             if (listener != null) {
                 listener.accept(change.path("v"));
@@ -342,76 +286,30 @@
     }
 
     private void watch(String client, HttpExchange exchange, Map<String, String> query) {
-        String prefix = query.getOrDefault("under", "");
-        long from = Long.parseLong(query.get("from"));
-        Duration wait = Duration.ofMillis(Long.parseLong(query.getOrDefault("block_ms", "0")));
-        Watch watch = new Watch(client, prefix, from, exchange);
-        watch.cancelTimer = loop.after(wait, () -> {
-            watch.timedOut = true;
-            wake();
-        });
-        watches.add(watch);
-        wake();
-    }
-
-    private boolean pending(Watch watch) {
-        for (int i = history.size() - 1; i >= 0 && history.get(i).version() > watch.from; i--) {
-            if (history.get(i).key().startsWith(watch.prefix)) {
-                return true;
-            }
-        }
-        return false;
+        Duration timeout = Duration.ofMillis(Long.parseLong(query.getOrDefault("block_ms", "0")));
+        watches.open(client, query.getOrDefault("under", ""), Long.parseLong(query.get("from")), timeout, exchange);
     }
 
-    private void answer(Watch watch) {
-        ObjectNode node = Cbor.map().put("logline", revision);
-        ArrayNode events = node.putArray("events");
-        int first = history.size();
-        while (first > 0 && history.get(first - 1).version() > watch.from) {
-            first--;
-        }
-        for (Event event : history.subList(first, history.size())) {
-            if (event.key().startsWith(watch.prefix)) {
-                ObjectNode e = events.addObject().put("mark", event.version());
-                if (event.value() == null) {
-                    e.put("remove", event.key());
-                } else {
-                    e.put("put", event.key()).set("v", event.value());
-                }
-            }
-        }
-        watch.exchange.respond(HttpStatus.OK, Cbor.encode(node));
-    }
-
-    private void wake() {
-        for (Watch watch : List.copyOf(watches)) {
-            if (faults.serves(watch.client) && (watch.timedOut || pending(watch))) {
-                watches.remove(watch);
-                watch.cancelTimer.run();
-                answer(watch);
-            }
-        }
-    }
-
-    private void lease(HttpExchange exchange, String[] parts) throws MalformedMessageException {
-        if (parts.length == 2) {
-            Lease lease = new Lease();
-            lease.life = Duration.ofMillis(
-                    Cbor.decode(exchange.body()).path("life_ms").asLong());
-            lease.end = loop.now().plus(lease.life);
-            leases.put(++nextLease, lease);
-            exchange.respond(HttpStatus.OK, Cbor.encode(Cbor.map().put("tether", nextLease)));
+    /** Serves /grants (a new lease), /grants/id/renew, and the end of /grants/id. */
+    private void lease(HttpExchange exchange, String[] path) throws MalformedMessageException {
+        if (path.length == 2) {
+            long millis = Cbor.decode(exchange.body()).path("life_ms").asLong();
+            respondLease(exchange, leases.grant(Duration.ofMillis(millis)));
             return;
         }
-        Lease lease = leases.get(Long.parseLong(parts[2]));
-        if (lease == null) {
+        long id = Long.parseLong(path[2]);
+        if (!leases.exists(id)) {
             exchange.respond(HttpStatus.NOT_FOUND, new byte[0]);
-        } else if (parts.length == 4) {
-            lease.end = loop.now().plus(lease.life);
-            exchange.respond(HttpStatus.OK, Cbor.encode(Cbor.map().put("tether", Long.parseLong(parts[2]))));
+        } else if (path.length == 4) {
+            leases.renew(id);
+            respondLease(exchange, id);
         } else {
-            endLease(Long.parseLong(parts[2]));
+            endLease(id);
             exchange.respond(HttpStatus.OK, new byte[0]);
         }
     }
+
+    private static void respondLease(HttpExchange exchange, long id) {
+        exchange.respond(HttpStatus.OK, Cbor.encode(Cbor.map().put("tether", id)));
+    }
 }
--- /dev/null
+++ b/src/test/java/org/gullway/fake/StoreContents.java
@@ -0,0 +1,117 @@
+package org.gullway.fake;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SortedMap;
+import java.util.TreeMap;
+
+/** The keys of the state store at its present revision, and all events that led to it. */
+final class StoreContents {
+    /**
+     * The present value of a key.
+     *
+     * @param version the revision at which it was written
+     * @param lease the lease to which the key is attached, or 0
+     */
+    record Entry(JsonNode value, long version, long lease) {}
+
+    /**
+     * One change of a key.
+     *
+     * @param value the value put, or null if the key was removed
+     */
+    record Event(String key, JsonNode value, long revision) {}
+
+    private final TreeMap<String, Entry> entries = new TreeMap<>();
+    private final List<Event> events = new ArrayList<>();
+    private long revision;
+
+    long revision() {
+        return revision;
+    }
+
+    /** The entry of this key, or null. */
+    Entry entry(String key) {
+        return entries.get(key);
+    }
+
+    /** All entries from this key on, in order. */
+    SortedMap<String, Entry> entriesFrom(String key, boolean inclusive) {
+        return entries.tailMap(key, inclusive);
+    }
+
+    /** Keys whose versions are not those of the conditions. */
+    List<String> failedConditions(JsonNode conditions) {
+        List<String> failed = new ArrayList<>();
+        for (JsonNode condition : conditions) {
+            String key = condition.path("k").asText();
+            Entry entry = entries.get(key);
+            if ((entry == null ? 0 : entry.version()) != condition.path("mark").asLong()) {
+                failed.add(key);
+            }
+        }
+        return failed;
+    }
+
+    /** Makes all changes at one new revision; without a change the revision stays. */
+    void apply(JsonNode changes) {
+        if (!changes.isEmpty()) {
+            revision++;
+            changes.forEach(this::applyOne);
+        }
+    }
+
+    private void applyOne(JsonNode change) {
+        String key = keyOf(change);
+        if (change.has("remove")) {
+            if (entries.remove(key) != null) {
+                events.add(new Event(key, null, revision));
+            }
+            return;
+        }
+        JsonNode value = change.path("v");
+        entries.put(key, new Entry(value, revision, change.path("tether").asLong()));
+        events.add(new Event(key, value, revision));
+    }
+
+    static String keyOf(JsonNode change) {
+        return change.path(change.has("remove") ? "remove" : "put").asText();
+    }
+
+    /** Removes all keys attached to the lease, at one new revision; whether there were any. */
+    boolean removeAttached(long lease) {
+        List<String> keys = entries.entrySet().stream()
+                .filter(entry -> entry.getValue().lease() == lease)
+                .map(entry -> entry.getKey())
+                .toList();
+        if (keys.isEmpty()) {
+            return false;
+        }
+        revision++;
+        for (String key : keys) {
+            entries.remove(key);
+            events.add(new Event(key, null, revision));
+        }
+        return true;
+    }
+
+    /** Whether a key with this prefix has changed after this revision. */
+    boolean changedAfter(long from, String prefix) {
+        for (int i = events.size() - 1; i >= 0 && events.get(i).revision() > from; i--) {
+            if (events.get(i).key().startsWith(prefix)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** All events after this revision. */
+    List<Event> eventsAfter(long from) {
+        int first = events.size();
+        while (first > 0 && events.get(first - 1).revision() > from) {
+            first--;
+        }
+        return events.subList(first, events.size());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/gullway/fake/StoreWatches.java
@@ -0,0 +1,82 @@
+package org.gullway.fake;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Predicate;
+import org.gullway.protocol.Cbor;
+import org.gullway.transport.EventLoop;
+import org.gullway.transport.HttpExchange;
+import org.gullway.transport.HttpStatus;
+
+/** The open watches of the state store: each is answered at the next change under its prefix, or at its timeout. */
+final class StoreWatches {
+    private static final class Watch {
+        private final String client;
+        private final String prefix;
+        private final long from;
+        private final HttpExchange exchange;
+        private Runnable cancelTimeout = () -> {};
+        private boolean timedOut;
+
+        Watch(String client, String prefix, long from, HttpExchange exchange) {
+            this.client = client;
+            this.prefix = prefix;
+            this.from = from;
+            this.exchange = exchange;
+        }
+    }
+
+    private final EventLoop loop;
+    private final StoreContents contents;
+    private final Predicate<String> servesClient;
+    private final List<Watch> open = new ArrayList<>();
+
+    /** @param servesClient clients whose watches are answered at present */
+    StoreWatches(EventLoop loop, StoreContents contents, Predicate<String> servesClient) {
+        this.loop = loop;
+        this.contents = contents;
+        this.servesClient = servesClient;
+    }
+
+    /** Opens a watch of all changes under the prefix after this revision. */
+    void open(String client, String prefix, long from, Duration timeout, HttpExchange exchange) {
+        Watch watch = new Watch(client, prefix, from, exchange);
+        watch.cancelTimeout = loop.after(timeout, () -> {
+            watch.timedOut = true;
+            answerDue();
+        });
+        open.add(watch);
+        answerDue();
+    }
+
+    /** Answers the watches that have a change to show or have timed out. */
+    void answerDue() {
+        for (Watch watch : List.copyOf(open)) {
+            if (servesClient.test(watch.client)
+                    && (watch.timedOut || contents.changedAfter(watch.from, watch.prefix))) {
+                open.remove(watch);
+                watch.cancelTimeout.run();
+                answer(watch);
+            }
+        }
+    }
+
+    private void answer(Watch watch) {
+        ObjectNode node = Cbor.map().put("logline", contents.revision());
+        ArrayNode events = node.putArray("events");
+        for (StoreContents.Event event : contents.eventsAfter(watch.from)) {
+            if (event.key().startsWith(watch.prefix)) {
+                ObjectNode item = events.addObject().put("mark", event.revision());
+                if (event.value() == null) {
+                    item.put("remove", event.key());
+                } else {
+                    item.put("put", event.key()).set("v", event.value());
+                }
+            }
+        }
+        watch.exchange.respond(HttpStatus.OK, Cbor.encode(node));
+    }
+}
