--- a/src/test/java/org/gullway/fake/FaultyLink.java
+++ b/src/test/java/org/gullway/fake/FaultyLink.java
@@ -10,19 +10,20 @@
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpResponse;
+import org.gullway.transport.HttpStatus;
 
-/** The way between two parties, on which whole messages are held, lost, delayed, repeated or applied late. */
+/** A link between two parties, on which whole messages are held, lost, delayed, repeated or applied late. */
 public final class FaultyLink {
     /**
      * What happens to the messages on a link.
      *
      * @param lost share of requests that never arrive
-     * @param unanswered share of requests that are applied and whose answer is lost
-     * @param late share of requests that are applied late, unanswered
-     * @param latest how late these arrive at most
-     * @param copied share of requests that are answered and arrive again, up to so late
-     * @param slow share of the other requests whose answers come late
-     * @param slowest how much later these come at most
+     * @param unanswered share of requests that are applied and whose response is lost
+     * @param late share of requests that are applied late, without a response
+     * @param latest the longest delay of late requests and of copies
+     * @param copied share of requests that are answered and arrive a second time
+     * @param slow share of the other requests whose responses are delayed
+     * @param slowest the longest delay of these responses
      */
     public record Conditions(
             double lost,
@@ -35,7 +36,7 @@
         public static final Conditions GOOD = new Conditions(0, 0, 0, Duration.ZERO, 0, 0, Duration.ZERO);
     }
 
-    private static final Duration LEAST_LATE = Duration.ofMillis(200);
+    private static final Duration MIN_DELAY = Duration.ofMillis(200);
 
     private final EventLoop loop;
     private final RandomGenerator random;
@@ -43,11 +44,13 @@
     private Conditions conditions = Conditions.GOOD;
     private boolean cut;
 
+    /** A link without faults. */
     public FaultyLink(EventLoop loop, RandomGenerator random) {
         this.loop = loop;
         this.random = random;
     }
 
+    /** From now on messages meet these conditions. */
     public void set(Conditions next) {
         conditions = next;
     }
@@ -83,7 +86,7 @@
                     if (response.outcome() == HttpResponse.Outcome.ANSWERED) {
                         message.respond(response.status(), response.body());
                     } else if (response.outcome() != HttpResponse.Outcome.UNKNOWN) {
-                        message.respond(503, new byte[0]);
+                        message.respond(HttpStatus.SERVICE_UNAVAILABLE, new byte[0]);
                     }
                 }));
     }
@@ -91,24 +94,10 @@
     /** A client whose requests go through this link. */
     public HttpClient client(HttpClient client) {
         return (address, request, callback) -> {
-            boolean[] finished = new boolean[1];
-            Consumer<HttpResponse> once = response -> {
-                if (!finished[0]) {
-                    finished[0] = true;
-                    callback.accept(response);
-                }
-            };
+            Consumer<HttpResponse> once = once(callback);
             loop.after(request.timeout(), () -> once.accept(HttpResponse.unknown()));
-            int question = request.path().indexOf('?');
-            SimulatedNetwork.Message message = new SimulatedNetwork.Message(
-                    "",
-                    request.method(),
-                    question < 0 ? request.path() : request.path().substring(0, question),
-                    question < 0 ? "" : request.path().substring(question + 1),
-                    request.body(),
-                    once);
             deliver(
-                    message,
+                    SimulatedNetwork.Message.of("", request, once),
                     exchange -> client.call(
                             address,
                             request(exchange, request.timeout()),
@@ -116,6 +105,17 @@
         };
     }
 
+    /** The callback for the first of a response, a repeated response and the timeout. */
+    private static Consumer<HttpResponse> once(Consumer<HttpResponse> callback) {
+        boolean[] finished = new boolean[1];
+        return response -> {
+            if (!finished[0]) {
+                finished[0] = true;
+                callback.accept(response);
+            }
+        };
+    }
+
     private static HttpRequest request(HttpExchange exchange, Duration limit) {
         String path = exchange.query().isEmpty() ? exchange.path() : exchange.path() + "?" + exchange.query();
         return new HttpRequest(exchange.method(), path, exchange.body(), limit);
@@ -148,12 +148,12 @@
 
     private void deliverLater(SimulatedNetwork.Message message, Consumer<HttpExchange> target) {
         Duration delay =
-                LEAST_LATE.plusMillis(random.nextLong(1 + conditions.latest().toMillis()));
+                MIN_DELAY.plusMillis(random.nextLong(1 + conditions.latest().toMillis()));
         loop.after(delay, () -> target.accept(unanswered(message)));
     }
 
     private static SimulatedNetwork.Message unanswered(SimulatedNetwork.Message message) {
-        return withReply(message, response -> {});
+        return message.withReply(response -> {});
     }
 
     private SimulatedNetwork.Message slow(SimulatedNetwork.Message message) {
@@ -161,12 +161,7 @@
             return message;
         }
         Duration delay = Duration.ofMillis(random.nextLong(conditions.slowest().toMillis()));
-        return withReply(
-                message, response -> loop.after(delay, () -> message.reply().accept(response)));
-    }
-
-    private static SimulatedNetwork.Message withReply(SimulatedNetwork.Message message, Consumer<HttpResponse> reply) {
-        return new SimulatedNetwork.Message(
-                message.from(), message.method(), message.path(), message.query(), message.body(), reply);
+        return message.withReply(
+                response -> loop.after(delay, () -> message.reply().accept(response)));
     }
 }
--- a/src/test/java/org/gullway/fake/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/fake/SimulatedNetwork.java
@@ -15,15 +15,44 @@
 import org.gullway.transport.HttpResponse;
 
 /**
- * A network that delays, holds messages back during cuts and delivers them afterwards, loses answers, and now and
+ * A network that delays messages, holds them back during cuts and delivers them afterwards, loses responses, and now and
  * then delivers a request a second time.
  */
 public final class SimulatedNetwork {
+    /** Share of the connections that were open before a cut, over which a request is still sent. */
+    private static final double OPEN_CONNECTION_SHARE = 0.7;
+
+    private static final int MIN_LATENCY_NANOS = 300_000;
+    private static final int LATENCY_RANGE_NANOS = 3_000_000;
+    private static final int MAX_LATE_MS = 9000;
+    private static final int MIN_COPY_DELAY_MS = 20;
+    private static final int COPY_DELAY_RANGE_MS = 20_000;
+    private static final int MIN_LATE_COPY_DELAY_MS = 500;
+    private static final int MIN_REQUEST_DELAY_MS = 2000;
+    private static final int REQUEST_DELAY_RANGE_MS = 14_000;
+    private static final Duration RETRY_DURING_CUT = Duration.ofMillis(500);
+
     private record Host(SimulatedTime.Process process, Consumer<HttpExchange> handler) {}
 
-    private record Held(String from, SimulatedTime.Process process, HttpRequest request) {}
+    /** A request on its way from a client to an address, with the receiver of its response. */
+    private record Delivery(
+            String from,
+            SimulatedTime.Process sender,
+            String address,
+            HttpRequest request,
+            Consumer<HttpResponse> onResponse) {
+        /** A copy whose response reaches nobody. */
+        Delivery unanswered(String to) {
+            return new Delivery(from, sender, to, request, response -> {});
+        }
+    }
+
+    /** Requests that are delivered again, up to so much later, to any of these addresses. */
+    private record LateCopies(PathFault which, Duration maxDelay, List<String> addresses) {
+        private static final LateCopies NONE = new LateCopies(PathFault.NONE, Duration.ZERO, List.of());
+    }
 
-    /** Sees every request as it is sent and every answer as it arrives. */
+    /** Sees every request as it is sent and every response as it arrives. */
     public interface TrafficListener {
         TrafficListener NONE = new TrafficListener() {
             @Override
@@ -41,34 +70,30 @@
     private final SimulatedTime time;
     private final SimulatedTime.Process wires;
     private final RandomGenerator random;
-    private final double trouble;
-    private TrafficListener traffic = TrafficListener.NONE;
+    private final double faultShare;
     private final Map<String, Host> hosts = new HashMap<>();
-    /** Pairs "from>to" of groups that cannot reach each other; a group is an address or a client's name. */
-    private final Set<String> cuts = new HashSet<>();
-
-    private final Set<String> unanswered = new HashSet<>();
-    private final Set<String> mute = new HashSet<>();
-    private final Set<String> heldBack = new HashSet<>();
-    private final List<Held> held = new ArrayList<>();
-    private String slowPath = "";
-    private Duration slowBy = Duration.ZERO;
-    private double copied;
-    private String copiedPath;
-    private Duration copiedLater;
-    private List<String> copiedTo;
-    private double keptShare;
-    private String keptPath = "";
-    private final List<Held> keptCopies = new ArrayList<>();
-    private double heldUpShare;
-    private String heldUpPath = "";
-
-    /** @param trouble share of messages that are late, or repeated */
-    public SimulatedNetwork(SimulatedTime time, RandomGenerator random, double trouble) {
+    private final NetworkPartitions partitions = new NetworkPartitions();
+    private TrafficListener traffic = TrafficListener.NONE;
+
+    private final Set<String> heldClients = new HashSet<>();
+    private final List<Delivery> heldRequests = new ArrayList<>();
+    private LateCopies lateCopies = LateCopies.NONE;
+    private PathFault recorded = PathFault.NONE;
+    private final List<Delivery> recordedCopies = new ArrayList<>();
+    private PathFault delayedRequests = PathFault.NONE;
+    private String delayedResponsePath = "";
+    private Duration responseDelay = Duration.ZERO;
+
+    /** @param faultShare share of messages that are late, or repeated */
+    public SimulatedNetwork(SimulatedTime time, RandomGenerator random, double faultShare) {
         this.time = time;
         this.wires = time.process();
         this.random = random;
-        this.trouble = trouble;
+        this.faultShare = faultShare;
+    }
+
+    public SimulatedTime time() {
+        return time;
     }
 
     /** From now on the listener sees all traffic. */
@@ -76,6 +101,7 @@
         traffic = listener;
     }
 
+    /** Requests for this address are served by the handler. */
     public void listen(String address, SimulatedTime.Process process, Consumer<HttpExchange> handler) {
         hosts.put(address, new Host(process, handler));
     }
@@ -84,228 +110,220 @@
         hosts.remove(address);
     }
 
+    // Faults
+
+    /** Nothing passes in this direction; a party is an address, a client's name, or * for all. */
     public void cut(String from, String to) {
-        cuts.add(from + ">" + to);
+        partitions.cut(from, to);
     }
 
-    public void heal() {
-        cuts.clear();
-        unanswered.clear();
-        mute.clear();
-        heldBack.clear();
-        held.clear();
-        copied = 0;
-        keptShare = 0;
-        keptCopies.clear();
-        heldUpShare = 0;
-        slowBy = Duration.ZERO;
+    public void heal(String from, String to) {
+        partitions.heal(from, to);
     }
 
-    public void heal(String from, String to) {
-        cuts.remove(from + ">" + to);
+    /** Ends all faults but the share of late and repeated messages; what was held back is lost. */
+    public void heal() {
+        partitions.heal();
+        heldClients.clear();
+        heldRequests.clear();
+        lateCopies = LateCopies.NONE;
+        recorded = PathFault.NONE;
+        recordedCopies.clear();
+        delayedRequests = PathFault.NONE;
+        responseDelay = Duration.ZERO;
     }
 
-    /** Answers to requests for exactly this path, apart from its query, come so much later. */
+    /** Responses to requests for exactly this path, apart from its query, come so much later. */
     public void delayResponses(String path, Duration by) {
-        slowPath = path;
-        slowBy = by;
+        delayedResponsePath = path;
+        responseDelay = by;
     }
 
-    /** Requests of this client arrive, but no answer reaches it. */
+    /** Requests of this client arrive, but no response reaches it. */
     public void dropResponses(String client, boolean on) {
-        if (on) {
-            unanswered.add(client);
-        } else {
-            unanswered.remove(client);
-        }
+        partitions.dropResponses(client, on);
     }
 
     /** This client cannot open a connection to anybody, while requests to it are served and answered. */
     public void blockOutbound(String client, boolean on) {
-        if (on) {
-            mute.add(client);
-        } else {
-            mute.remove(client);
-        }
+        partitions.blockOutbound(client, on);
     }
 
-    /** Requests of this client are kept back until {@link #release}; it hears nothing of them. */
+    /** Requests of this client are held back until {@link #release}; it gets no response. */
     public void holdRequests(String client) {
-        heldBack.add(client);
+        heldClients.add(client);
     }
 
-    /** What was held back arrives, in order, at this address; the client has long timed out and hears no answer. */
+    /** What was held back arrives, in order, at this address; the client has long timed out and gets no response. */
     public void release(String client, String address) {
-        heldBack.remove(client);
-        for (Held message : List.copyOf(held)) {
-            if (message.from().equals(client)) {
-                held.remove(message);
-                deliver(client, message.process(), address, message.request(), response -> {}, latency());
+        heldClients.remove(client);
+        for (Delivery delivery : List.copyOf(heldRequests)) {
+            if (delivery.from().equals(client)) {
+                heldRequests.remove(delivery);
+                deliver(delivery.unanswered(address), latency());
             }
         }
     }
 
     /** From now on this share of the requests for a path is delivered again, up to so much later, to any of these. */
-    public void duplicateLate(double share, String path, Duration most, List<String> addresses) {
-        copied = share;
-        copiedPath = path;
-        copiedLater = most;
-        copiedTo = addresses;
+    public void duplicateLate(double share, String path, Duration maxDelay, List<String> addresses) {
+        lateCopies = new LateCopies(new PathFault(share, path), maxDelay, addresses);
     }
 
-    /** From now on a copy of this share of the requests for a path is kept until {@link #releaseCopies}. */
+    /** From now on a copy of this share of the requests for a path is kept until {@link #replayCopies}. */
     public void recordCopies(double share, String path) {
-        keptShare = share;
-        keptPath = path;
+        recorded = new PathFault(share, path);
     }
 
-    /** All copies that were kept arrive at each of these addresses; nobody hears the answers. */
+    /** All copies that were kept arrive at each of these addresses; the responses reach nobody. */
     public void replayCopies(List<String> addresses) {
-        for (Held copy : keptCopies) {
-            addresses.forEach(address ->
-                    deliver(copy.from(), copy.process(), address, copy.request(), response -> {}, latency()));
+        for (Delivery copy : recordedCopies) {
+            addresses.forEach(address -> deliver(copy.unanswered(address), latency()));
         }
-        keptCopies.clear();
+        recordedCopies.clear();
     }
 
     /**
-     * From now on this share of the requests for a path is held up on its way for 2 to 16 s: the sender hears nothing,
+     * From now on this share of the requests for a path is held up on its way for 2 to 16 s: the sender gets no response,
      * and the request arrives once.
      */
     public void delayRequests(double share, String path) {
-        heldUpShare = share;
-        heldUpPath = path;
+        delayedRequests = new PathFault(share, path);
     }
 
-    private boolean isCut(String from, String to) {
-        return cuts.contains(from + ">" + to) || cuts.contains(from + ">*") || cuts.contains("*>" + to);
-    }
+    // Messages
 
+    /** A client of this name, whose callbacks run in the process. */
     public HttpClient client(String from, SimulatedTime.Process process) {
-        return (address, request, callback) -> send(from, process, address, request, callback);
+        return (address, request, callback) -> {
+            traffic.sent(from, address, request);
+            send(new Delivery(from, process, address, request, once(from, address, callback)));
+        };
     }
 
-    private void send(
-            String from,
-            SimulatedTime.Process process,
-            String address,
-            HttpRequest request,
-            Consumer<HttpResponse> callback) {
-        traffic.sent(from, address, request);
+    /** The callback for the first of a response and the timeout. */
+    private Consumer<HttpResponse> once(String from, String address, Consumer<HttpResponse> callback) {
         boolean[] finished = new boolean[1];
-        Consumer<HttpResponse> finish = response -> {
+        return response -> {
             if (!finished[0]) {
                 finished[0] = true;
                 traffic.answered(from, address, response);
                 callback.accept(response);
             }
         };
-        boolean keptConnection = random.nextDouble() < 0.7;
-        if (mute.contains(from)) {
-            process.after(request.timeout(), () -> finish.accept(HttpResponse.notSent()));
-            return;
-        }
-        if (isCut(from, address) && !keptConnection) {
-            process.after(request.timeout(), () -> finish.accept(HttpResponse.notSent()));
-            return;
-        }
-        if (!hosts.containsKey(address)) {
-            process.after(latency(), () -> finish.accept(HttpResponse.notSent()));
+    }
+
+    private void send(Delivery delivery) {
+        boolean hasOpenConnection = random.nextDouble() < OPEN_CONNECTION_SHARE;
+        Duration timeout = delivery.request().timeout();
+        if (partitions.blocksOutbound(delivery.from())
+                || partitions.isCut(delivery.from(), delivery.address()) && !hasOpenConnection) {
+            delivery.sender().after(timeout, () -> delivery.onResponse().accept(HttpResponse.notSent()));
             return;
         }
-        process.after(request.timeout(), () -> finish.accept(HttpResponse.unknown()));
-        if (heldBack.contains(from)) {
-            held.add(new Held(from, process, request));
+        if (!hosts.containsKey(delivery.address())) {
+            delivery.sender().after(latency(), () -> delivery.onResponse().accept(HttpResponse.notSent()));
             return;
         }
-        if (heldUpShare > 0 && request.path().equals(heldUpPath) && random.nextDouble() < heldUpShare) {
-            deliver(from, process, address, request, response -> {}, Duration.ofMillis(2000 + random.nextInt(14_000)));
-            return;
+        delivery.sender().after(timeout, () -> delivery.onResponse().accept(HttpResponse.unknown()));
+        if (heldClients.contains(delivery.from())) {
+            heldRequests.add(delivery);
+        } else if (delayedRequests.strikes(delivery.request(), random)) {
+            Duration delay = Duration.ofMillis(MIN_REQUEST_DELAY_MS + random.nextInt(REQUEST_DELAY_RANGE_MS));
+            deliver(delivery.unanswered(delivery.address()), delay);
+        } else {
+            deliverWithCopies(delivery);
         }
-        if (keptShare > 0 && request.path().equals(keptPath) && random.nextDouble() < keptShare) {
-            keptCopies.add(new Held(from, process, request));
+    }
+
+    private void deliverWithCopies(Delivery delivery) {
+        if (recorded.strikes(delivery.request(), random)) {
+            recordedCopies.add(delivery);
         }
         Duration delay = latency();
-        if (random.nextDouble() < trouble) {
-            delay = Duration.ofMillis(random.nextInt(9000));
+        if (random.nextDouble() < faultShare) {
+            delay = Duration.ofMillis(random.nextInt(MAX_LATE_MS));
         }
-        deliver(from, process, address, request, finish, delay);
-        if (copied > 0 && request.path().equals(copiedPath) && random.nextDouble() < copied) {
-            deliver(
-                    from,
-                    process,
-                    copiedTo.get(random.nextInt(copiedTo.size())),
-                    request,
-                    response -> {},
-                    Duration.ofMillis(500 + random.nextLong(copiedLater.toMillis())));
+        deliver(delivery, delay);
+        if (lateCopies.which().strikes(delivery.request(), random)) {
+            String address = lateCopies
+                    .addresses()
+                    .get(random.nextInt(lateCopies.addresses().size()));
+            long copyDelay = MIN_LATE_COPY_DELAY_MS
+                    + random.nextLong(lateCopies.maxDelay().toMillis());
+            deliver(delivery.unanswered(address), Duration.ofMillis(copyDelay));
         }
-        if (random.nextDouble() < trouble) {
-            deliver(from, process, address, request, response -> {}, Duration.ofMillis(20 + random.nextInt(20_000)));
+        if (random.nextDouble() < faultShare) {
+            Duration copyDelay = Duration.ofMillis(MIN_COPY_DELAY_MS + random.nextInt(COPY_DELAY_RANGE_MS));
+            deliver(delivery.unanswered(delivery.address()), copyDelay);
         }
     }
 
     private Duration latency() {
-        return Duration.ofNanos(300_000 + random.nextInt(3_000_000));
+        return Duration.ofNanos(MIN_LATENCY_NANOS + random.nextInt(LATENCY_RANGE_NANOS));
     }
 
-    private void deliver(
-            String from,
-            SimulatedTime.Process sender,
-            String address,
-            HttpRequest request,
-            Consumer<HttpResponse> finish,
-            Duration delay) {
+    private void deliver(Delivery delivery, Duration delay) {
         wires.after(delay, () -> {
-            if (isCut(from, address)) {
-                deliver(from, sender, address, request, finish, Duration.ofMillis(500));
+            if (partitions.isCut(delivery.from(), delivery.address())) {
+                deliver(delivery, RETRY_DURING_CUT);
                 return;
             }
-            Host host = hosts.get(address);
+            Host host = hosts.get(delivery.address());
             if (host == null || host.process().killed()) {
-                sender.execute(() -> finish.accept(HttpResponse.unknown()));
+                delivery.sender().execute(() -> delivery.onResponse().accept(HttpResponse.unknown()));
                 return;
             }
-            int question = request.path().indexOf('?');
-            Message message = new Message(
-                    from,
-                    request.method(),
-                    question < 0 ? request.path() : request.path().substring(0, question),
-                    question < 0 ? "" : request.path().substring(question + 1),
-                    request.body(),
-                    response -> wires.after(
-                            request.path().split("\\?")[0].equals(slowPath) ? slowBy : Duration.ZERO,
-                            () -> answer(from, sender, address, finish, response)));
-            if (host.process().isFrozen()) {
-                host.process().execute(() -> host.handler().accept(message));
-            } else {
-                host.handler().accept(message);
-            }
+            Message message = message(delivery);
+            runIn(host.process(), () -> host.handler().accept(message));
         });
     }
 
-    private void answer(
-            String from,
-            SimulatedTime.Process sender,
-            String address,
-            Consumer<HttpResponse> finish,
-            HttpResponse response) {
+    private Message message(Delivery delivery) {
+        HttpRequest request = delivery.request();
+        return Message.of(delivery.from(), request, response -> {
+            boolean delayed = request.path().split("\\?")[0].equals(delayedResponsePath);
+            wires.after(delayed ? responseDelay : Duration.ZERO, () -> respond(delivery, response));
+        });
+    }
+
+    private void respond(Delivery delivery, HttpResponse response) {
         wires.after(latency(), () -> {
-            // An answer held back by a cut comes after the sender has timed out, which is the same as never.
-            if (isCut(from, address) || unanswered.contains(from) || sender.killed()) {
-                return;
-            }
-            if (sender.isFrozen()) {
-                sender.execute(() -> finish.accept(response));
-            } else {
-                finish.accept(response);
+            // A response held back by a cut comes after the sender has timed out, which is the same as never.
+            if (!partitions.isCut(delivery.from(), delivery.address())
+                    && !partitions.dropsResponses(delivery.from())
+                    && !delivery.sender().killed()) {
+                runIn(delivery.sender(), () -> delivery.onResponse().accept(response));
             }
         });
     }
 
+    /** Runs the task at once, or when the process goes on if it is frozen. */
+    private static void runIn(SimulatedTime.Process process, Runnable task) {
+        if (process.isFrozen()) {
+            process.execute(task);
+        } else {
+            task.run();
+        }
+    }
+
     /** One request on the simulated network, with the name of the client that sent it. */
     public record Message(
             String from, String method, String path, String query, byte[] body, Consumer<HttpResponse> reply)
             implements HttpExchange {
+        /** The request as its receiver sees it. */
+        static Message of(String from, HttpRequest request, Consumer<HttpResponse> reply) {
+            int question = request.path().indexOf('?');
+            String path = question < 0 ? request.path() : request.path().substring(0, question);
+            String query = question < 0 ? "" : request.path().substring(question + 1);
+            return new Message(from, request.method(), path, query, request.body(), reply);
+        }
+
+        /** The same request with another receiver of its response. */
+        Message withReply(Consumer<HttpResponse> other) {
+            return new Message(from, method, path, query, body, other);
+        }
+
         @Override
         public void respond(int status, byte[] content) {
             reply.accept(HttpResponse.answered(status, content));
@@ -316,8 +334,4 @@
             respond(status, new byte[0]);
         }
     }
-
-    public SimulatedTime time() {
-        return time;
-    }
 }
