--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -85,6 +85,6 @@
             });
         }
         endsWell(cluster, Duration.ofSeconds(50));
-        assertThat(cluster.cloud.rented()).as("machines never returned").isZero();
+        assertThat(cluster.cloud.machineCount()).as("machines never released").isZero();
     }
 }
--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -47,9 +47,9 @@
         assertThat(cluster.startedTasks())
                 .as("starts, with those stopped for urgent work")
                 .isLessThan(tasks * 3 / 2);
-        assertThat(cluster.cloud.rentedEver()).isGreaterThan(1000);
+        assertThat(cluster.cloud.provisionedCount()).isGreaterThan(1000);
         int machineChanges = cluster.store.changes("live/groups");
-        assertThat(machineChanges).as("changes for machines").isLessThan(cluster.cloud.rentedEver());
+        assertThat(machineChanges).as("changes for machines").isLessThan(cluster.cloud.provisionedCount());
         assertThat(cluster.store.changes("live/jobs")).as("changes for jobs").isLessThan(tasks / 5);
         assertThat(cluster.store.changes("live/shares"))
                 .as("changes for shares, less than three a second")
@@ -65,8 +65,8 @@
         SimulatedCluster cluster = world(2, 250);
         work(cluster, 60, Duration.ofMillis(500), 40);
         cluster.run(Duration.ofSeconds(70));
-        int rented = cluster.cloud.rentedEver();
-        assertThat(rented).isGreaterThanOrEqualTo(2000);
+        int provisioned = cluster.cloud.provisionedCount();
+        assertThat(provisioned).isGreaterThanOrEqualTo(2000);
         int before = cluster.store.changes("live/groups");
         List<FakeAgent> silent = cluster.cloud.agents().stream().limit(400).toList();
         for (FakeAgent agent : silent) {
@@ -78,7 +78,9 @@
             });
         }
         cluster.run(Duration.ofSeconds(60));
-        assertThat(cluster.cloud.rentedEver() - rented).as("at most replaced").isLessThanOrEqualTo(400);
+        assertThat(cluster.cloud.provisionedCount() - provisioned)
+                .as("at most replaced")
+                .isLessThanOrEqualTo(400);
         assertThat(cluster.store.changes("live/groups") - before)
                 .as("changes of groups, which all lose machines: silent, given up, gone, new")
                 .isLessThan(6 * 2000 / 16);
@@ -91,7 +93,7 @@
         cluster.run(Duration.ofSeconds(180));
         assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
-        assertThat(cluster.cloud.rentedEver() - rented)
+        assertThat(cluster.cloud.provisionedCount() - provisioned)
                 .as("no machine is replaced for restarts")
                 .isLessThanOrEqualTo(400);
     }
--- a/src/test/java/org/gullway/SimulatedScenariosTest.java
+++ b/src/test/java/org/gullway/SimulatedScenariosTest.java
@@ -76,7 +76,7 @@
         submitJobs(cluster, new SplittableRandom(4), 5, Duration.ofSeconds(20));
         cluster.run(Duration.ofSeconds(300));
         assertThat(cluster.unfinished()).isEmpty();
-        assertThat(cluster.cloud.rented()).isZero();
+        assertThat(cluster.cloud.machineCount()).isZero();
     }
 
     /** Once, after an outage that was longer than the silence allowed, all machines were declared lost (simulated day 99336). */
--- a/src/test/java/org/gullway/fake/FakeCloud.java
+++ b/src/test/java/org/gullway/fake/FakeCloud.java
@@ -15,8 +15,9 @@
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpExchange;
+import org.gullway.transport.HttpStatus;
 
-/** The cloud as its protocol describes it: rents machines, whose agents come up after their boot time. */
+/** The cloud as its protocol describes it: provisions machines, whose agents come up after their boot time. */
 public final class FakeCloud {
     /** Brings up the agent of a machine. */
     @FunctionalInterface
@@ -26,23 +27,27 @@
 
     private static final class Machine {
         private final FakeAgent.Kind kind;
-        private final Instant rented;
+        private final Instant provisionedAt;
         private FakeAgent agent;
 
-        Machine(FakeAgent.Kind kind, Instant rented) {
+        Machine(FakeAgent.Kind kind, Instant provisionedAt) {
             this.kind = kind;
-            this.rented = rented;
+            this.provisionedAt = provisionedAt;
         }
     }
 
+    private static final int PAGE_SIZE = 500;
+
     private final EventLoop loop;
     private final List<MachineType> types;
     private final int capacity;
     private final Boot boot;
     private final TreeMap<String, Machine> machines = new TreeMap<>();
-    private final Map<String, List<String>> charters = new HashMap<>();
-    private int names;
-    private Duration longestBoot = Duration.ofDays(1);
+    /** Names of the machines provisioned by each request: a repeated request gets the same ones. */
+    private final Map<String, List<String>> provisioned = new HashMap<>();
+
+    private int provisionedCount;
+    private Duration maxBootTime = Duration.ofDays(1);
 
     /** @param capacity machines of each type, zone and kind */
     public FakeCloud(EventLoop loop, List<MachineType> types, int capacity, Boot boot) {
@@ -52,10 +57,11 @@
         this.boot = boot;
     }
 
+    /** The agents of all machines that are up, by the machines' names. */
     public List<FakeAgent> agents() {
         return machines.values().stream()
-                .map(m -> m.agent)
-                .filter(w -> w != null && w.alive())
+                .map(machine -> machine.agent)
+                .filter(agent -> agent != null && agent.alive())
                 .toList();
     }
 
@@ -67,15 +73,17 @@
 
     /** From now on machines are up within this time, however long their type usually takes. */
     public void setBootTime(Duration longest) {
-        longestBoot = longest;
+        maxBootTime = longest;
     }
 
-    public int rented() {
+    /** How many machines are provisioned now. */
+    public int machineCount() {
         return machines.size();
     }
 
-    public int rentedEver() {
-        return names;
+    /** How many machines were ever provisioned. */
+    public int provisionedCount() {
+        return provisionedCount;
     }
 
     /** The cloud takes a spot machine back. */
@@ -84,26 +92,27 @@
         machines.remove(agent.name());
     }
 
+    /** Serves one request by the protocol. */
     public void handle(HttpExchange exchange) {
         try {
             switch (exchange.path()) {
-                case "/flavors" -> flavors(exchange);
+                case "/flavors" -> listTypes(exchange);
                 case "/rentals" -> {
                     if (exchange.method().equals("POST")) {
-                        rent(exchange, Cbor.decode(exchange.body()));
+                        provision(exchange, Cbor.decode(exchange.body()));
                     } else {
-                        list(exchange);
+                        listMachines(exchange);
                     }
                 }
-                case "/rentals/return" -> giveBack(exchange, Cbor.decode(exchange.body()));
-                default -> exchange.respond(404, new byte[0]);
+                case "/rentals/return" -> release(exchange, Cbor.decode(exchange.body()));
+                default -> exchange.respond(HttpStatus.NOT_FOUND, new byte[0]);
             }
         } catch (MalformedMessageException e) {
-            exchange.respond(400, new byte[0]);
+            exchange.respond(HttpStatus.BAD_REQUEST, new byte[0]);
         }
     }
 
-    private void flavors(HttpExchange exchange) {
+    private void listTypes(HttpExchange exchange) {
         ObjectNode node = Cbor.map();
         ArrayNode list = node.putArray("breeds");
         for (MachineType type : types) {
@@ -120,71 +129,72 @@
             ArrayNode zones = item.putArray("shores");
             type.zones().forEach(zones::add);
         }
-        exchange.respond(200, Cbor.encode(node));
+        exchange.respond(HttpStatus.OK, Cbor.encode(node));
     }
 
-    private void rent(HttpExchange exchange, JsonNode body) {
-        String charter = body.path("charter").asText();
-        List<String> names = charters.get(charter);
+    private void provision(HttpExchange exchange, JsonNode body) {
+        String request = body.path("charter").asText();
+        List<String> names = provisioned.get(request);
         if (names == null) {
-            MachineType type = types.stream()
-                    .filter(t -> t.name().equals(body.path("breed").asText()))
-                    .findFirst()
-                    .orElseThrow();
-            FakeAgent.Kind kind = new FakeAgent.Kind(
-                    type.name(),
-                    body.path("shore").asText(),
-                    body.path("driftwood").asBoolean(),
-                    type.cpus());
-            long there =
-                    machines.values().stream().filter(m -> m.kind.equals(kind)).count();
-            names = new ArrayList<>();
-            for (int i = 0; i < body.path("count").asInt() && there + i < capacity; i++) {
-                String name = String.format("vm-%06d", names());
-                names.add(name);
-                Machine machine = new Machine(kind, loop.now());
-                machines.put(name, machine);
-                Duration boots = type.bootTime().compareTo(longestBoot) < 0 ? type.bootTime() : longestBoot;
-                loop.after(boots, () -> {
-                    if (machines.get(name) == machine) {
-                        machine.agent = boot.start(name, kind);
-                    }
-                });
-            }
+            names = provisionNew(body);
             if (names.isEmpty()) {
-                exchange.respond(503, Cbor.encode(Cbor.map().put("error", "no capacity")));
+                exchange.respond(
+                        HttpStatus.SERVICE_UNAVAILABLE, Cbor.encode(Cbor.map().put("error", "no capacity")));
                 return;
             }
-            charters.put(charter, names);
+            provisioned.put(request, names);
         }
         ObjectNode node = Cbor.map();
-        ArrayNode list = node.putArray("perches");
-        names.forEach(list::add);
-        exchange.respond(200, Cbor.encode(node));
+        names.forEach(node.putArray("perches")::add);
+        exchange.respond(HttpStatus.OK, Cbor.encode(node));
+    }
+
+    /** Provisions as many machines as are asked for, within the capacity; returns their names. */
+    private List<String> provisionNew(JsonNode body) {
+        MachineType type = types.stream()
+                .filter(t -> t.name().equals(body.path("breed").asText()))
+                .findFirst()
+                .orElseThrow();
+        FakeAgent.Kind kind = new FakeAgent.Kind(
+                type.name(), body.path("shore").asText(), body.path("driftwood").asBoolean(), type.cpus());
+        long present =
+                machines.values().stream().filter(m -> m.kind.equals(kind)).count();
+        List<String> names = new ArrayList<>();
+        for (int i = 0; i < body.path("count").asInt() && present + i < capacity; i++) {
+            String name = String.format("vm-%06d", provisionedCount++);
+            names.add(name);
+            Machine machine = new Machine(kind, loop.now());
+            machines.put(name, machine);
+            Duration bootTime = type.bootTime().compareTo(maxBootTime) < 0 ? type.bootTime() : maxBootTime;
+            loop.after(bootTime, () -> boot(name, machine));
+        }
+        return names;
     }
 
-    private int names() {
-        return names++;
+    private void boot(String name, Machine machine) {
+        if (machines.get(name) == machine) {
+            machine.agent = boot.start(name, machine.kind);
+        }
     }
 
-    private void giveBack(HttpExchange exchange, JsonNode body) {
+    private void release(HttpExchange exchange, JsonNode body) {
         for (JsonNode name : body.path("perches")) {
             Machine machine = machines.remove(name.asText());
             if (machine != null && machine.agent != null) {
                 machine.agent.terminate();
             }
         }
-        exchange.respond(200, Cbor.encode(Cbor.map()));
+        exchange.respond(HttpStatus.OK, Cbor.encode(Cbor.map()));
     }
 
-    private void list(HttpExchange exchange) {
+    private void listMachines(HttpExchange exchange) {
         ObjectNode node = Cbor.map();
         ArrayNode list = node.putArray("perches");
         String from = exchange.query().replaceAll(".*from=([^&]*).*", "$1");
         var rest = machines.tailMap(from, false);
-        node.put("more", rest.size() > 500);
-        rest.entrySet().stream().limit(500).forEach(entry -> add(list, entry.getKey(), entry.getValue()));
-        exchange.respond(200, Cbor.encode(node));
+        node.put("more", rest.size() > PAGE_SIZE);
+        rest.entrySet().stream().limit(PAGE_SIZE).forEach(entry -> add(list, entry.getKey(), entry.getValue()));
+        exchange.respond(HttpStatus.OK, Cbor.encode(node));
     }
 
     private void add(ArrayNode list, String name, Machine machine) {
@@ -195,6 +205,8 @@
                 .put("shore", machine.kind.zone())
                 .put("driftwood", machine.kind.spot())
                 .put("tide", machine.agent == null ? "booting" : machine.agent.alive() ? "running" : "failed")
-                .put("held_s", Duration.between(machine.rented, loop.now()).toMillis() / 1000.0);
+                .put(
+                        "held_s",
+                        Duration.between(machine.provisionedAt, loop.now()).toMillis() / 1000.0);
     }
 }
--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -84,8 +84,8 @@
     }
 
     /** Responses come up to so many milliseconds late, each by another time. */
-    public void addLatency(int mostMillis, RandomGenerator random) {
-        faults.addLatency(mostMillis, random);
+    public void addLatency(int maxMillis, RandomGenerator random) {
+        faults.addLatency(maxMillis, random);
     }
 
     /** Everything is served as usual again. */
--- a/src/test/java/org/gullway/fake/FakesTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -15,7 +15,7 @@
 import org.gullway.transport.HttpRequest;
 import org.junit.jupiter.api.Test;
 
-/** The faults of the stand-ins are those of the protocol: schedules that use them rely on it. */
+/** The faults of the stand-ins behave as the protocol says, on which the fault schedules rely. */
 class FakesTest {
     private static final String STATE = "10.2.0.1:2379";
     private static final String MACHINE = "10.1.0.7:9000";
@@ -29,7 +29,7 @@
     private final HttpClient one = network.client("perch-0", loop);
     private final HttpClient two = network.client("perch-1", loop);
     private final List<String> events = new ArrayList<>();
-    private int reports;
+    private int heartbeats;
     private long fencingToken = 1;
 
     FakesTest() {
@@ -113,7 +113,7 @@
         assertThat(newer).containsExactly(200);
         assertThat(store.value("a/b").asInt()).isEqualTo(2);
         run(12);
-        assertThat(late).as("no answer but the client's own limit").containsExactly(0);
+        assertThat(late).as("no response but the client's own timeout").containsExactly(0);
         assertThat(store.value("a/b").asInt()).isEqualTo(1);
     }
 
@@ -133,7 +133,7 @@
         assertThat(statuses).hasSize(20).containsOnly(404);
     }
 
-    /** Every job has tasks of a minute, whose begin and end are noted. */
+    /** Every job has tasks of a minute, whose starts and ends are recorded. */
     private final class MinuteTasks implements FakeAgent.Environment {
         @Override
         public JobRequest jobOf(String job) {
@@ -180,7 +180,7 @@
     /** An agent with one task of a minute, whose heartbeats are answered under the present token. */
     private FakeAgent working() {
         network.listen(CONTROLLER, loop, exchange -> {
-            reports++;
+            heartbeats++;
             exchange.respond(200, Cbor.encode(Cbor.map().put("baton", fencingToken)));
         });
         FakeAgent agent = new FakeAgent(
@@ -213,15 +213,15 @@
     void aMachineThatHangsWithinItsLeaseResumesTasksThenCommands() {
         FakeAgent agent = working();
         agent.hang(Duration.ofSeconds(12));
-        int before = reports;
+        int before = heartbeats;
         List<Integer> start = command(1, "start", "run-000001/1");
         run(11);
-        assertThat(reports).isEqualTo(before);
+        assertThat(heartbeats).isEqualTo(before);
         assertThat(start).isEmpty();
         assertThat(events).hasSize(1);
         run(2);
         assertThat(start).containsExactly(200);
-        assertThat(reports).isGreaterThan(before);
+        assertThat(heartbeats).isGreaterThan(before);
         run(70);
         assertThat(events)
                 .containsExactly(
@@ -239,7 +239,7 @@
         run(24);
         assertThat(events).as("the task is still there").hasSize(1);
         run(2);
-        assertThat(start).as("of the session before").containsExactly(409);
+        assertThat(start).as("of the former agent epoch").containsExactly(409);
         assertThat(events).containsExactly("run-000001/0 began", "run-000001/0 stopped at 26");
         assertThat(command(2, "start", "run-000001/1")).isEmpty();
         run(1);
@@ -250,10 +250,10 @@
     void aMachineWithAnOutboundPartitionCanBeCommanded() {
         working();
         network.blockOutbound("vm-000007", true);
-        int before = reports;
+        int before = heartbeats;
         List<Integer> stop = command(1, "halt", "run-000001/0");
         run(8);
-        assertThat(reports).isEqualTo(before);
+        assertThat(heartbeats).isEqualTo(before);
         assertThat(stop).containsExactly(200);
         List<Integer> inspected = new ArrayList<>();
         one.call(
@@ -270,9 +270,9 @@
         int[] arrived = new int[1];
         network.listen(OTHER, loop, exchange -> arrived[0]++);
         network.holdRequests("vm-000007");
-        int before = reports;
+        int before = heartbeats;
         run(15);
-        assertThat(reports).isEqualTo(before);
+        assertThat(heartbeats).isEqualTo(before);
         network.release("vm-000007", OTHER);
         run(0.2);
         assertThat(arrived[0]).isBetween(2, 5);
--- a/src/test/java/org/gullway/fake/SimulatedTime.java
+++ b/src/test/java/org/gullway/fake/SimulatedTime.java
@@ -5,7 +5,7 @@
 import java.util.PriorityQueue;
 import org.gullway.transport.EventLoop;
 
-/** Virtual time: runs whatever is due, in order, and jumps to the next. */
+/** Virtual time: runs the tasks that are due, in order, and jumps to the time of the next one. */
 public final class SimulatedTime {
     private record Due(Instant at, long order, Runnable task) implements Comparable<Due> {
         @Override
@@ -53,7 +53,7 @@
             }
         }
 
-        /** It runs nothing for so long while the clocks go on; then all that was due meanwhile, in order. */
+        /** It runs nothing for this span while the clocks go on; then all that came due in it, in order. */
         public void freeze(Duration span) {
             frozenUntil = now.plus(span);
         }
@@ -88,7 +88,7 @@
         now = end.isAfter(now) ? end : now;
     }
 
-    /** The present task takes so long; what is due meanwhile runs after it. */
+    /** The present task takes this long; what comes due in that time runs after it. */
     public void advance(Duration span) {
         now = now.plus(span);
     }
--- a/src/test/java/org/gullway/fake/StoreFaults.java
+++ b/src/test/java/org/gullway/fake/StoreFaults.java
@@ -13,8 +13,8 @@
 
 /** The faults of the state store that are on at present, and what they do to requests and transactions. */
 final class StoreFaults {
-    private static final int LEAST_LATE_MS = 2000;
-    private static final int LATE_RANGE_MS = 10_000;
+    private static final int MIN_COMMIT_DELAY_MS = 2000;
+    private static final int COMMIT_DELAY_RANGE_MS = 10_000;
 
     /** What becomes of a transaction: it is applied after the delay, and its response may be lost. */
     record CommitFate(Duration delay, boolean answered) {
@@ -83,8 +83,8 @@
         responseDelay = delay;
     }
 
-    void addLatency(int mostMillis, RandomGenerator random) {
-        latencyMillis = mostMillis;
+    void addLatency(int maxMillis, RandomGenerator random) {
+        latencyMillis = maxMillis;
         latencyRandom = random;
     }
 
@@ -115,7 +115,8 @@
             return new CommitFate(commitDelay, false);
         }
         if (lateShare > 0 && lateRandom.nextDouble() < lateShare) {
-            return new CommitFate(Duration.ofMillis(LEAST_LATE_MS + lateRandom.nextInt(LATE_RANGE_MS)), false);
+            return new CommitFate(
+                    Duration.ofMillis(MIN_COMMIT_DELAY_MS + lateRandom.nextInt(COMMIT_DELAY_RANGE_MS)), false);
         }
         if (lostShare > 0 && lostRandom.nextDouble() < lostShare) {
             return new CommitFate(Duration.ZERO, false);
