--- /dev/null
+++ b/src/test/java/org/gullway/SimulatedJobs.java
@@ -0,0 +1,105 @@
+package org.gullway;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.time.Duration;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.gullway.fake.SimulatedTime;
+import org.gullway.protocol.Cbor;
+import org.gullway.protocol.JobRequest;
+import org.gullway.protocol.Priority;
+import org.gullway.transport.HttpClient;
+import org.gullway.transport.HttpRequest;
+import org.gullway.transport.HttpStatus;
+
+/** Job arrays of simulated scenarios, and submissions that have to be refused. */
+final class SimulatedJobs {
+    private static final Duration SUBMISSION_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration QUERY_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
+    private static final Duration QUERY_DELAY = Duration.ofSeconds(8);
+    /** Jobs with tasks of this size are of a job class of their own. */
+    private static final double LARGE_TASK_CPUS = 16;
+
+    private static final double LARGER_THAN_ANY_MACHINE = 64;
+
+    private final SimulatedTime.Process loop;
+    private final HttpClient client;
+    private final InvariantChecker invariants;
+    private final SplittableRandom random;
+    private final List<String> addresses;
+
+    /** @param addresses the public addresses of all controllers */
+    SimulatedJobs(
+            SimulatedTime.Process loop,
+            HttpClient client,
+            InvariantChecker invariants,
+            SplittableRandom random,
+            List<String> addresses) {
+        this.loop = loop;
+        this.client = client;
+        this.invariants = invariants;
+        this.random = random;
+        this.addresses = addresses;
+    }
+
+    /** A job array with this number in its name. */
+    static JobRequest array(
+            int number,
+            String team,
+            Priority priority,
+            int tasks,
+            double cpus,
+            Duration runTime,
+            SimulatedCluster.Bounds bounds) {
+        return new JobRequest(
+                String.format("run-%06d", number),
+                cpus >= LARGE_TASK_CPUS ? "survey" : "render",
+                team,
+                JobRequest.Shape.ARRAY,
+                priority,
+                tasks,
+                cpus,
+                0,
+                cpus,
+                "img-" + number % 3,
+                0.5,
+                bounds.types(),
+                bounds.zone(),
+                bounds.oneZone(),
+                bounds.spread(),
+                bounds.spot(),
+                runTime,
+                Duration.ZERO,
+                Duration.ZERO,
+                null);
+    }
+
+    /** A submission that lacks a field, and one that fits no machine; both are refused, and leave no job. */
+    void submitInvalid(int number) {
+        ObjectNode incomplete = array(number, 4).toNode();
+        incomplete.remove("crew");
+        submitInvalid(incomplete, HttpStatus.BAD_REQUEST);
+        submitInvalid(array(number + 1, LARGER_THAN_ANY_MACHINE).toNode(), HttpStatus.UNPROCESSABLE);
+    }
+
+    private static JobRequest array(int number, double cpus) {
+        return array(number, "blue", Priority.HIGH, 2, cpus, Duration.ofSeconds(5), SimulatedCluster.Bounds.SPREAD);
+    }
+
+    private void submitInvalid(ObjectNode job, int expected) {
+        String id = job.path("name_id").asText();
+        String address = addresses.get(random.nextInt(addresses.size()));
+        client.call(address, HttpRequest.post("/v2/runs", Cbor.encode(job), SUBMISSION_TIMEOUT), response -> {
+            if (!invariants.onInvalidSubmission(id, expected, response.status())) {
+                loop.after(RETRY_DELAY, () -> submitInvalid(job, expected));
+            }
+        });
+        loop.after(
+                QUERY_DELAY,
+                () -> client.call(
+                        address,
+                        HttpRequest.get("/v2/runs/" + id, QUERY_TIMEOUT),
+                        response -> invariants.onUnknownJobQueried(id, response.status())));
+    }
+}
