--- a/src/test/java/org/gullway/BadInputTest.java
+++ b/src/test/java/org/gullway/BadInputTest.java
@@ -29,8 +29,8 @@
 /** Whatever is sent to a controller: unfit jobs are never accepted, known ones stay known, and the rest goes on. */
 class BadInputTest {
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
-    private static final Set<String> MAY_BE_MISSING = Set.of("breeds", "shore", "landfall_s");
-    private static final Set<String> NUMBERS =
+    private static final Set<String> OPTIONAL_FIELDS = Set.of("breeds", "shore", "landfall_s");
+    private static final Set<String> NUMERIC_FIELDS =
             Set.of("legs", "cpus", "cards", "mem_gb", "image_gb", "reckon_s", "waypoint_s", "stow_s", "landfall_s");
 
     private static SimulatedCluster shared;
@@ -82,7 +82,7 @@
         return send(cluster, HttpRequest.post("/v2/runs", body, Duration.ofSeconds(5)));
     }
 
-    private static int ask(SimulatedCluster cluster, String id) {
+    private static int query(SimulatedCluster cluster, String id) {
         return send(cluster, HttpRequest.get("/v2/runs/" + id, Duration.ofSeconds(2)));
     }
 
@@ -92,21 +92,21 @@
                 HttpRequest.post("/v2/runs/" + id + "/withdraw", Cbor.encode(Cbor.map()), Duration.ofSeconds(5)));
     }
 
-    private static void assertRefused(SimulatedCluster cluster, ObjectNode node, int expected, String what) {
+    private static void assertRejected(SimulatedCluster cluster, ObjectNode node, int expected, String what) {
         assertThat(submit(cluster, Cbor.encode(node))).as(what).isEqualTo(expected);
         String id = node.path("name_id").asText();
         if (JobRequest.isValidId(id)) {
-            assertThat(ask(cluster, id)).as(what + ", asked about").isEqualTo(404);
+            assertThat(query(cluster, id)).as(what + ", asked about").isEqualTo(404);
             assertThat(cluster.store.value(StoreKeys.job(id))).as(what).isNull();
         }
     }
 
     private static List<JsonNode> wrongValues(String field, JsonNode right) {
         List<JsonNode> wrong = new ArrayList<>(List.of(NODES.arrayNode().add(1), NODES.objectNode()));
-        if (!MAY_BE_MISSING.contains(field)) {
+        if (!OPTIONAL_FIELDS.contains(field)) {
             wrong.add(NODES.nullNode());
         }
-        if (NUMBERS.contains(field)) {
+        if (NUMERIC_FIELDS.contains(field)) {
             wrong.addAll(List.of(
                     NODES.textNode("4"),
                     NODES.booleanNode(true),
@@ -133,23 +133,23 @@
         int number = 1000;
         for (String field : List.copyOf(
                 valid(1).properties().stream().map(entry -> entry.getKey()).toList())) {
-            if (!MAY_BE_MISSING.contains(field)) {
-                ObjectNode lacking = valid(number++);
-                lacking.remove(field);
-                assertRefused(cluster, lacking, 400, field + " is missing");
+            if (!OPTIONAL_FIELDS.contains(field)) {
+                ObjectNode incomplete = valid(number++);
+                incomplete.remove(field);
+                assertRejected(cluster, incomplete, 400, field + " is missing");
             }
             for (JsonNode value : wrongValues(field, valid(1).get(field))) {
                 ObjectNode node = valid(number++);
                 node.set(field, value);
-                assertRefused(cluster, node, 400, field + " is " + value);
+                assertRejected(cluster, node, 400, field + " is " + value);
             }
         }
         for (String field : List.of("legs", "cpus")) {
-            assertRefused(cluster, valid(number++).put(field, 0), 400, field + " is 0");
+            assertRejected(cluster, valid(number++).put(field, 0), 400, field + " is 0");
         }
-        assertRefused(cluster, valid(number++).put("legs", 100_001), 400, "too many tasks");
-        assertRefused(cluster, valid(number++).put("rank", "urgent"), 400, "unknown rank");
-        assertRefused(cluster, valid(number++).put("shape", "swarm"), 400, "unknown shape");
+        assertRejected(cluster, valid(number++).put("legs", 100_001), 400, "too many tasks");
+        assertRejected(cluster, valid(number++).put("rank", "urgent"), 400, "unknown rank");
+        assertRejected(cluster, valid(number++).put("shape", "swarm"), 400, "unknown shape");
         assertThat(submit(cluster, Cbor.encode(valid(number))))
                 .as("a valid one")
                 .isEqualTo(201);
@@ -159,20 +159,20 @@
     void jobsThatCanNeverRunGet422() {
         cluster.run(Duration.ofSeconds(15));
         int number = 1000;
-        assertRefused(cluster, valid(number++).put("crew", "nobody"), 422, "unknown team");
-        assertRefused(cluster, valid(number++).put("cpus", 17), 422, "too many processors for its type");
-        assertRefused(cluster, valid(number++).put("mem_gb", 65), 422, "too much memory for its type");
-        assertRefused(cluster, valid(number++).put("cards", 1), 422, "cards of which there are none");
-        assertRefused(cluster, valid(number++).put("shore", "z"), 422, "unknown zone");
+        assertRejected(cluster, valid(number++).put("crew", "nobody"), 422, "unknown team");
+        assertRejected(cluster, valid(number++).put("cpus", 17), 422, "too many processors for its type");
+        assertRejected(cluster, valid(number++).put("mem_gb", 65), 422, "too much memory for its type");
+        assertRejected(cluster, valid(number++).put("cards", 1), 422, "cards of which there are none");
+        assertRejected(cluster, valid(number++).put("shore", "z"), 422, "unknown zone");
         ObjectNode noType = valid(number++);
         noType.putArray("breeds").add("unheard-of");
-        assertRefused(cluster, noType, 422, "unknown machine type");
+        assertRejected(cluster, noType, 422, "unknown machine type");
         ObjectNode emptyTypes = valid(number++);
         emptyTypes.putArray("breeds");
-        assertRefused(cluster, emptyTypes, 422, "no machine type");
+        assertRejected(cluster, emptyTypes, 422, "no machine type");
         ObjectNode overLimit = valid(number++).put("crew", "red").put("cpus", 25);
         overLimit.remove("breeds");
-        assertRefused(cluster, overLimit, 422, "one task above the team's limit");
+        assertRejected(cluster, overLimit, 422, "one task above the team's limit");
     }
 
     /** Any mix of spoilt fields: accepted if and only if the request can be read, refused with 400 if it cannot. */
@@ -197,7 +197,7 @@
         int status = submit(shared, Cbor.encode(node));
         assertThat(status).isIn(readable ? List.of(201, 422) : List.of(400));
         String id = String.format("run-%06d", number);
-        assertThat(ask(shared, id)).isEqualTo(status == 201 ? 200 : 404);
+        assertThat(query(shared, id)).isEqualTo(status == 201 ? 200 : 404);
     }
 
     @Test
@@ -214,7 +214,7 @@
                 Cbor.encode(NODES.arrayNode()))) {
             assertThat(submit(cluster, body)).isEqualTo(400);
         }
-        assertThat(ask(cluster, "run-000001")).isEqualTo(404);
+        assertThat(query(cluster, "run-000001")).isEqualTo(404);
         assertThat(submit(cluster, whole)).isEqualTo(201);
     }
 
@@ -223,10 +223,10 @@
         cluster.run(Duration.ofSeconds(15));
         for (String id : List.of(
                 "run-999999", "run-", "run--1", "job-000001", "run-0000011111111111111", "", "a/b", "%2e%2e/run-1")) {
-            assertThat(ask(cluster, id)).as("asked: " + id).isEqualTo(404);
+            assertThat(query(cluster, id)).as("asked: " + id).isEqualTo(404);
             assertThat(cancel(cluster, id)).as("cancelled: " + id).isEqualTo(404);
         }
-        assertThat(cluster.responses.of(Kind.QUESTION)).noneMatch(entry -> entry.status() == 200);
+        assertThat(cluster.responses.of(Kind.QUERY)).noneMatch(entry -> entry.status() == 200);
     }
 
     /** The same id with other contents, also such as could not run, is answered with the state of the job. */
@@ -243,23 +243,23 @@
         for (TestUser user : List.of(runs, done, cancelled)) {
             String state = user == runs ? "running" : user == done ? "done" : "aborted";
             ObjectNode node = user.request.toNode();
-            for (ObjectNode odd : List.of(
+            for (ObjectNode altered : List.of(
                     node.deepCopy().put("legs", 7),
                     node.deepCopy().put("cpus", 1000),
                     node.deepCopy().put("crew", "nobody"),
                     node.deepCopy().put("shore", "z"),
                     node.deepCopy().put("rank", "idle"))) {
                 for (String controller : cluster.nodes()) {
-                    List<HttpResponse> replies = new ArrayList<>();
+                    List<HttpResponse> responses = new ArrayList<>();
                     cluster.network
                             .client("users", cluster.time.process())
                             .call(
                                     cluster.address(controller),
-                                    HttpRequest.post("/v2/runs", Cbor.encode(odd), Duration.ofSeconds(5)),
-                                    replies::add);
+                                    HttpRequest.post("/v2/runs", Cbor.encode(altered), Duration.ofSeconds(5)),
+                                    responses::add);
                     cluster.run(Duration.ofSeconds(2));
-                    assertThat(replies.get(0).status()).isEqualTo(200);
-                    assertThat(Cbor.decode(replies.get(0).body()).path("tide").asText())
+                    assertThat(responses.get(0).status()).isEqualTo(200);
+                    assertThat(Cbor.decode(responses.get(0).body()).path("tide").asText())
                             .isEqualTo(state);
                 }
             }
@@ -271,7 +271,7 @@
     @Property(tries = 200, seed = "32")
     void malformedHeartbeatsAreAnsweredAndEndNothing(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ObjectNode report = Cbor.map()
+        ObjectNode heartbeat = Cbor.map()
                 .put("perch", "vm-900000")
                 .put("endpoint", "10.1.9.9:9000")
                 .put("breed", "small")
@@ -281,15 +281,16 @@
                 .put("tally", random.nextInt(100))
                 .put("baton", 0)
                 .put("later_field", "ignored");
-        report.putArray("legs")
+        heartbeat
+                .putArray("legs")
                 .addObject()
                 .put("leg", "run-000001/0")
                 .put("launch", 1)
                 .put("tide", "levitating")
                 .put("cause", "boredom");
         List<String> fields =
-                report.properties().stream().map(entry -> entry.getKey()).toList();
-        JsonNode odd = List.of(
+                heartbeat.properties().stream().map(entry -> entry.getKey()).toList();
+        JsonNode altered = List.of(
                         NODES.nullNode(),
                         NODES.textNode(""),
                         NODES.numberNode(-1),
@@ -298,8 +299,8 @@
                         NODES.arrayNode().add(NODES.objectNode()),
                         NODES.objectNode())
                 .get(random.nextInt(7));
-        report.set(fields.get(random.nextInt(fields.size())), odd);
-        byte[] body = Cbor.encode(report);
+        heartbeat.set(fields.get(random.nextInt(fields.size())), altered);
+        byte[] body = Cbor.encode(heartbeat);
         if (random.nextBoolean()) {
             body[random.nextInt(body.length)] = (byte) random.nextInt(256);
         }
--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -38,7 +38,7 @@
  */
 public final class ClassArchiveTraining {
     private static final int TRIES = 3;
-    private static final Duration PATIENCE = Duration.ofSeconds(40);
+    private static final Duration TIMEOUT = Duration.ofSeconds(40);
 
     private ClassArchiveTraining() {}
 
@@ -81,14 +81,14 @@
                 job("run-000002", Priority.NORMAL),
                 "run-000003",
                 job("run-000003", Priority.IDLE));
-        FakeAgent.Environment environment = new Moments(jobs);
+        FakeAgent.Environment environment = new ShortTasks(jobs);
         Path settings = Files.createTempFile("gullway", ".toml");
         Files.writeString(settings, settings(node, state, cloudAddress));
         loop.execute(() -> listen(
                 worker, buffers, socketBudget, loop, client, environment, new Addresses(node, state, cloudAddress)));
-        List<String> whole = new ArrayList<>(command);
-        whole.addAll(List.of("--config", settings.toString()));
-        Process process = new ProcessBuilder(whole).inheritIO().start();
+        List<String> fullCommand = new ArrayList<>(command);
+        fullCommand.addAll(List.of("--config", settings.toString()));
+        Process process = new ProcessBuilder(fullCommand).inheritIO().start();
         try {
             List<CompletableFuture<Void>> done = new ArrayList<>();
             for (JobRequest job : jobs.values()) {
@@ -96,10 +96,10 @@
                 done.add(future);
                 loop.execute(() -> submit(loop, client, node, job, future));
             }
-            CompletableFuture.allOf(done.toArray(CompletableFuture[]::new)).get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
+            CompletableFuture.allOf(done.toArray(CompletableFuture[]::new)).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         } finally {
             process.destroy();
-            if (!process.waitFor(PATIENCE.toSeconds(), TimeUnit.SECONDS)) {
+            if (!process.waitFor(TIMEOUT.toSeconds(), TimeUnit.SECONDS)) {
                 process.destroyForcibly();
             }
             Files.delete(settings);
@@ -251,7 +251,7 @@
     }
 
     /** Tasks that take a moment and never fail. */
-    private record Moments(Map<String, JobRequest> jobs) implements FakeAgent.Environment {
+    private record ShortTasks(Map<String, JobRequest> jobs) implements FakeAgent.Environment {
         @Override
         public JobRequest jobOf(String job) {
             return jobs.get(job);
--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -1,10 +1,10 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.gullway.FaultCombinationsTest.endsWell;
-import static org.gullway.FaultCombinationsTest.moreWork;
+import static org.gullway.FaultCombinationsTest.assertRecoversAfter;
+import static org.gullway.FaultCombinationsTest.clusterWithRunningJobs;
 import static org.gullway.FaultCombinationsTest.seconds;
-import static org.gullway.FaultCombinationsTest.working;
+import static org.gullway.FaultCombinationsTest.submitSteadily;
 
 import java.time.Duration;
 import net.jqwik.api.ForAll;
@@ -25,10 +25,10 @@
      */
     @Property(tries = 4, seed = "201")
     void commitResponsesAreLostWhileOthersReadTheChanges(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = working(seed, Duration.ofSeconds(30));
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(30));
         cluster.store.dropResponses(0.3, cluster.random.split());
         cluster.onStateChange(user -> cluster.queryInBursts(user, cluster.random));
-        moreWork(cluster, 9, 8);
+        submitSteadily(cluster, 9, 8);
         for (int i = 0; i < 20; i++) {
             int number = 30 + i;
             cluster.after(
@@ -40,7 +40,7 @@
             TestUser user = cluster.users().get(i);
             cluster.after(Duration.ofSeconds(3L * i), user::cancel);
         }
-        endsWell(cluster, Duration.ofSeconds(40));
+        assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
 
     /**
@@ -62,7 +62,7 @@
         cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(40), ANYWHERE);
         cluster.after(
                 seconds(1), () -> cluster.submit(4, "red", Priority.PROD, 1, 20, Duration.ofSeconds(40), ANYWHERE));
-        endsWell(cluster, Duration.ofSeconds(60));
+        assertRecoversAfter(cluster, Duration.ofSeconds(60));
     }
 
     /**
@@ -76,7 +76,7 @@
         cluster.cloud.setBootTime(seconds(0.2 + seed % 18 / 10.0));
         cluster.run(Duration.ofSeconds(5));
         cluster.store.applyLate(0.4, cluster.random.split());
-        moreWork(cluster, 1, 20);
+        submitSteadily(cluster, 1, 20);
         for (int i = 0; i < 4; i++) {
             cluster.after(seconds(2 + 9 * i + seed % 8 / 2.0), () -> {
                 if (cluster.leader() != null) {
@@ -84,7 +84,7 @@
                 }
             });
         }
-        endsWell(cluster, Duration.ofSeconds(50));
+        assertRecoversAfter(cluster, Duration.ofSeconds(50));
         assertThat(cluster.cloud.machineCount()).as("machines never released").isZero();
     }
 }
--- a/src/test/java/org/gullway/ControllerProfile.java
+++ b/src/test/java/org/gullway/ControllerProfile.java
@@ -28,14 +28,14 @@
 public final class ControllerProfile {
     private static final Map<String, Settings.Team> TEAMS = Map.of(
             "red", new Settings.Team("red", 9000, 30_000, 0, 0), "blue", new Settings.Team("blue", 9000, 30_000, 0, 0));
-    private static final Duration REPORT_INTERVAL = Duration.ofSeconds(6);
-    private static final Duration WORKER_LEASE = Duration.ofSeconds(32);
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(6);
+    private static final Duration AGENT_LEASE = Duration.ofSeconds(32);
     private static final Duration CANCEL_LIMIT = Duration.ofSeconds(62);
     private static final Duration MEMBERSHIP_LEASE = Duration.ofSeconds(6);
-    private static final Duration BETWEEN_JOBS = Duration.ofMillis(820);
-    private static final int BURST = 3;
-    private static final int KINDS_OF_MACHINES = 8;
-    private static final int NANOS_IN_A_TICK = 10_000_000;
+    private static final Duration SUBMISSION_INTERVAL = Duration.ofMillis(820);
+    private static final int BURST_FACTOR = 3;
+    private static final int MACHINE_KINDS = 8;
+    private static final int NANOS_PER_TICK = 10_000_000;
     /** Fields of a stat file after the name of the thread. */
     private static final int USER_TICKS = 11;
 
@@ -46,16 +46,16 @@
     private final SplittableRandom random = new SplittableRandom(1);
     private TestUsers users;
     private int jobs;
-    private int jobsAtATime = 1;
+    private int jobsPerSubmission = 1;
     private Map<String, Long> before = Map.of();
 
     private ControllerProfile(int machines, List<String> command) throws IOException {
         LoopbackCluster.Setup setup = new LoopbackCluster.Setup(
-                REPORT_INTERVAL,
-                WORKER_LEASE,
+                HEARTBEAT_INTERVAL,
+                AGENT_LEASE,
                 CANCEL_LIMIT,
                 MEMBERSHIP_LEASE,
-                machines / KINDS_OF_MACHINES,
+                machines / MACHINE_KINDS,
                 TEAMS,
                 machines,
                 command,
@@ -101,9 +101,9 @@
         onLoop(this::submitNext);
         phase("the fleet comes up", Duration.ofSeconds(60));
         phase("calm", Duration.ofSeconds(30));
-        jobsAtATime = BURST;
-        phase("burst, jobs " + BURST + " times as often", Duration.ofSeconds(30));
-        jobsAtATime = 1;
+        jobsPerSubmission = BURST_FACTOR;
+        phase("burst, jobs " + BURST_FACTOR + " times as often", Duration.ofSeconds(30));
+        jobsPerSubmission = 1;
         phase("after the burst", Duration.ofSeconds(20));
         cluster.nodes().forEach(cluster::terminate);
         Thread.sleep(3000);
@@ -128,11 +128,11 @@
     }
 
     private void submitNext() {
-        for (int i = 0; i < jobsAtATime; i++) {
+        for (int i = 0; i < jobsPerSubmission; i++) {
             jobs++;
             users.submit(request(jobs), Duration.ofSeconds(20 + jobs % 60));
         }
-        cluster.loop.after(BETWEEN_JOBS, this::submitNext);
+        cluster.loop.after(SUBMISSION_INTERVAL, this::submitNext);
     }
 
     private static JobRequest request(int number) {
@@ -179,8 +179,8 @@
                 System.out.printf(
                         "  %-20s %7d ms  %6.1f ms a second of one controller%n",
                         thread,
-                        ticks * NANOS_IN_A_TICK / 1_000_000,
-                        ticks * NANOS_IN_A_TICK / 1e6 / length.toMillis() * 1000 / 3);
+                        ticks * NANOS_PER_TICK / 1_000_000,
+                        ticks * NANOS_PER_TICK / 1e6 / length.toMillis() * 1000 / 3);
             }
         });
         before = now;
--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -1,14 +1,14 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.gullway.FaultCombinationsTest.assertRecoversAfter;
 import static org.gullway.FaultCombinationsTest.cancelThrough;
-import static org.gullway.FaultCombinationsTest.cutFromState;
-import static org.gullway.FaultCombinationsTest.cutOff;
-import static org.gullway.FaultCombinationsTest.deafen;
-import static org.gullway.FaultCombinationsTest.endsWell;
-import static org.gullway.FaultCombinationsTest.moreWork;
+import static org.gullway.FaultCombinationsTest.clusterWithRunningJobs;
+import static org.gullway.FaultCombinationsTest.cutFromStore;
+import static org.gullway.FaultCombinationsTest.partition;
+import static org.gullway.FaultCombinationsTest.partitionInbound;
 import static org.gullway.FaultCombinationsTest.seconds;
-import static org.gullway.FaultCombinationsTest.working;
+import static org.gullway.FaultCombinationsTest.submitSteadily;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -25,11 +25,11 @@
 
 /** The work of a controller changes hands while old messages are on their way, jobs are cancelled or machines are unresponsive. */
 class FailoverFaultsTest {
-    private static Bounds only(String type) {
+    private static Bounds onType(String type) {
         return new Bounds(List.of(type), null, false, false, true);
     }
 
-    private static FakeAgent workerOf(SimulatedCluster cluster, String type) {
+    private static FakeAgent agentOfType(SimulatedCluster cluster, String type) {
         return cluster.cloud.agents().stream()
                 .filter(agent -> agent.kind().type().equals(type))
                 .findFirst()
@@ -39,8 +39,8 @@
     /** One idle machine of each type. */
     private static SimulatedCluster twoIdleMachines(int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 1);
-        cluster.submit(1, "blue", Priority.HIGH, 1, 20, Duration.ofSeconds(5), only("large"));
-        cluster.submit(2, "blue", Priority.HIGH, 1, 14, Duration.ofSeconds(5), only("small"));
+        cluster.submit(1, "blue", Priority.HIGH, 1, 20, Duration.ofSeconds(5), onType("large"));
+        cluster.submit(2, "blue", Priority.HIGH, 1, 14, Duration.ofSeconds(5), onType("small"));
         cluster.run(Duration.ofSeconds(25));
         return cluster;
     }
@@ -54,7 +54,7 @@
     @Property(tries = 6, seed = "211")
     void oldHeartbeatsReachEveryControllerAsALeaderBegins(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = twoIdleMachines(seed);
-        FakeAgent agent = workerOf(cluster, "large");
+        FakeAgent agent = agentOfType(cluster, "large");
         for (int i = 0; i < 5 && agent.heartbeatTarget().equals(cluster.leader()); i++) {
             // Its process is back at once and keeps its machines, while another takes the leadership.
             cluster.crash(cluster.leader(), Duration.ofMillis(30));
@@ -63,13 +63,13 @@
         cluster.network.recordCopies(1, "/agent/beat");
         cluster.run(Duration.ofSeconds(4));
         cluster.network.recordCopies(0, "/agent/beat");
-        TestUser silent = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
+        TestUser cancelled = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), onType("large"));
         cluster.run(seconds(1.5));
         assertThat(cluster.invariants.running()).isEqualTo(1);
         cluster.network.blockOutbound(agent.name(), true);
         cluster.network.cut("*", agent.address());
-        silent.cancel();
-        cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
+        cancelled.cancel();
+        cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), onType("small"));
         cluster.onNewLeader(leader -> cluster.network.replayCopies(cluster.userAddresses()));
         cluster.run(seconds(0.5));
         if (seed % 2 == 0) {
@@ -77,7 +77,7 @@
         } else {
             cluster.crash(cluster.leader(), Duration.ofSeconds(20));
         }
-        endsWell(cluster, Duration.ofSeconds(40));
+        assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
 
     /**
@@ -91,14 +91,14 @@
             cluster.submit(i, i % 4 == 0 ? "red" : "blue", Priority.NORMAL, 1, 2, Duration.ofSeconds(150));
         }
         cluster.run(Duration.ofSeconds(25));
-        String ending = cluster.nodes().get(seed % 3);
-        cluster.crash(ending, Duration.ofSeconds(30));
+        String crashed = cluster.nodes().get(seed % 3);
+        cluster.crash(crashed, Duration.ofSeconds(30));
         cluster.network.delayResponses("/watch", seconds(0.6));
         List<TestUser> users = cluster.users();
         for (int i = 0; i < 36; i++) {
             cluster.after(seconds(4.7 + 0.08 * i + seed % 80 / 1000.0), users.get(i)::cancel);
         }
-        endsWell(cluster, Duration.ofSeconds(40));
+        assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
 
     /**
@@ -122,18 +122,18 @@
         }
         cluster.run(Duration.ofSeconds(2));
         Duration span = seconds(6 + seed % 26);
-        List<FakeAgent> workers = cluster.cloud.agents();
-        for (int i = 0; i < workers.size(); i += 2) {
-            FakeAgent agent = workers.get(i);
+        List<FakeAgent> agents = cluster.cloud.agents();
+        for (int i = 0; i < agents.size(); i += 2) {
+            FakeAgent agent = agents.get(i);
             if (i % 4 == 0) {
-                cutOff(cluster, agent, span);
+                partition(cluster, agent, span);
             } else {
                 agent.hang(span);
             }
         }
         cluster.users().subList(0, 8).forEach(TestUser::cancel);
         cluster.after(seconds(seed % 4), () -> cluster.crash(cluster.leader(), seconds(0.2 + seed % 9)));
-        endsWell(cluster, span.plusSeconds(20));
+        assertRecoversAfter(cluster, span.plusSeconds(20));
     }
 
     /**
@@ -145,18 +145,18 @@
     void aStartOfAFormerControllerArrivesAfterCommandsOfTheNewOne(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = twoIdleMachines(seed);
         cluster.network.delayRequests(1, "/do");
-        TestUser late = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
+        TestUser cancelled = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), onType("large"));
         cluster.run(seconds(1));
         cluster.network.delayRequests(0, "/do");
-        String commander = workerOf(cluster, "large").heartbeatTarget();
+        String commanding = agentOfType(cluster, "large").heartbeatTarget();
         if (seed % 3 == 0) {
-            cutFromState(cluster, commander, Duration.ofSeconds(30));
+            cutFromStore(cluster, commanding, Duration.ofSeconds(30));
         } else {
-            cluster.crash(commander, seed % 3 == 1 ? Duration.ofMillis(200) : Duration.ofSeconds(20));
+            cluster.crash(commanding, seed % 3 == 1 ? Duration.ofMillis(200) : Duration.ofSeconds(20));
         }
-        late.cancel();
-        cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
-        endsWell(cluster, Duration.ofSeconds(40));
+        cancelled.cancel();
+        cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), onType("small"));
+        assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
 
     /**
@@ -167,12 +167,12 @@
     void aStartArrivesAfterItsSenderTimedOut(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = twoIdleMachines(seed);
         cluster.network.delayRequests(1, "/do");
-        TestUser late = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), only("large"));
+        TestUser cancelled = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), onType("large"));
         cluster.run(seconds(1));
         cluster.network.delayRequests(0, "/do");
-        late.cancel();
-        cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), only("small"));
-        endsWell(cluster, Duration.ofSeconds(40));
+        cancelled.cancel();
+        cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), onType("small"));
+        assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
 
     /**
@@ -185,7 +185,7 @@
         Bounds one = new Bounds(List.of("large"), "a", false, false, false);
         cluster.submit(1, "blue", Priority.HIGH, 1, 20, Duration.ofSeconds(400), one);
         cluster.run(Duration.ofSeconds(25));
-        deafen(cluster, workerOf(cluster, "large"), Duration.ofDays(1));
+        partitionInbound(cluster, agentOfType(cluster, "large"), Duration.ofDays(1));
         cluster.after(seconds(seed % 30), () -> cluster.users().forEach(TestUser::cancel));
         cluster.after(Duration.ofSeconds(31), () -> cluster.submit(2, "blue", Priority.HIGH, 1, 20, seconds(10), one));
         cluster.run(Duration.ofSeconds(110));
@@ -199,11 +199,11 @@
      */
     @Property(tries = 4, seed = "216")
     void aControllerIsUnhealthyOnceItsMembershipExpired(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = working(seed, Duration.ofSeconds(60));
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(60));
         String node = cluster.nodes().get(seed % 3);
         var prober = cluster.network.client("prober", cluster.time.process());
         List<Instant> readyWithoutMembership = new ArrayList<>();
-        cutFromState(cluster, node, Duration.ofSeconds(30));
+        cutFromStore(cluster, node, Duration.ofSeconds(30));
         for (int i = 0; i < 1500; i++) {
             cluster.after(Duration.ofMillis(10L * i), () -> {
                 boolean member = cluster.store.value(StoreKeys.member(node)) != null;
@@ -219,7 +219,7 @@
                 .as("its membership")
                 .isNull();
         assertThat(readyWithoutMembership).isEmpty();
-        endsWell(cluster, Duration.ofSeconds(20));
+        assertRecoversAfter(cluster, Duration.ofSeconds(20));
     }
 
     /**
@@ -229,10 +229,10 @@
      */
     @Property(tries = 4, seed = "219")
     void aLeaderAloneReachesSomeAgents(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = working(seed, Duration.ofSeconds(200));
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(200));
         String leader = cluster.leader();
         Duration span = SimulatedCluster.CANCEL.plusSeconds(20);
-        cutFromState(cluster, leader, span);
+        cutFromStore(cluster, leader, span);
         cluster.partitionPeers(leader, true);
         for (String other : cluster.nodes()) {
             if (!other.equals(leader)) {
@@ -245,7 +245,7 @@
                 seconds(1 + seed % 8),
                 () -> cancelThrough(
                         cluster, cluster.otherNode(leader), cluster.users().subList(0, 6)));
-        endsWell(cluster, span);
+        assertRecoversAfter(cluster, span);
     }
 
     /**
@@ -254,12 +254,12 @@
      */
     @Property(tries = 4, seed = "220")
     void noAgentReachesAnOtherwiseHealthyController(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = working(seed, Duration.ofSeconds(60));
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(60));
         int started = cluster.startedTasks();
-        String commander = cluster.cloud.agents().get(0).heartbeatTarget();
+        String commanding = cluster.cloud.agents().get(0).heartbeatTarget();
         cluster.cloud.agents().forEach(agent -> {
-            cluster.network.cut(agent.name(), cluster.address(commander));
-            cluster.network.cut(commander, agent.address());
+            cluster.network.cut(agent.name(), cluster.address(commanding));
+            cluster.network.cut(commanding, agent.address());
         });
         cluster.run(Duration.ofSeconds(80));
         assertThat(cluster.violations).isEmpty();
@@ -274,22 +274,22 @@
      */
     @Property(tries = 6, seed = "217")
     void controllersAndMachinesRestartWithinAFractionOfASecond(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = working(seed, Duration.ofSeconds(50));
-        moreWork(cluster, 9, 8);
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(50));
+        submitSteadily(cluster, 9, 8);
         cluster.after(seconds(1), () -> cluster.crash(cluster.leader(), seconds(5 + seed % 6)));
         for (int i = 0; i < 12; i++) {
             int number = i;
             cluster.after(seconds(0.7 * i + seed % 60 / 100.0), () -> {
                 cluster.crash(cluster.nodes().get((seed + number) % 3), Duration.ofMillis(20 + 61L * number));
-                List<FakeAgent> workers = cluster.cloud.agents();
-                workers.get((seed + number) % workers.size()).hang(Duration.ofMillis(100 + 70L * number));
-                cutOff(
+                List<FakeAgent> agents = cluster.cloud.agents();
+                agents.get((seed + number) % agents.size()).hang(Duration.ofMillis(100 + 70L * number));
+                partition(
                         cluster,
-                        workers.get((seed + 3 * number) % workers.size()),
+                        agents.get((seed + 3 * number) % agents.size()),
                         Duration.ofMillis(900 - 60L * number));
             });
         }
         cluster.after(seconds(4), () -> cluster.users().subList(0, 3).forEach(TestUser::cancel));
-        endsWell(cluster, Duration.ofSeconds(15));
+        assertRecoversAfter(cluster, Duration.ofSeconds(15));
     }
 }
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -48,7 +48,7 @@
     CUT_FROM_STORE {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            cut(cluster, node(cluster, random), SimulatedCluster.stateAddress(), span);
+            cut(cluster, node(cluster, random), SimulatedCluster.storeAddress(), span);
         }
     },
     /** The state store and the other controllers are out of reach, the agents are not. */
@@ -56,7 +56,7 @@
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
             String node = node(cluster, random);
-            cut(cluster, node, SimulatedCluster.stateAddress(), span);
+            cut(cluster, node, SimulatedCluster.storeAddress(), span);
             for (String other : cluster.nodes()) {
                 cut(cluster, node, cluster.peerAddress(other), span);
                 cut(cluster, other, cluster.peerAddress(node), span);
@@ -274,11 +274,11 @@
         return cluster.nodes().get(random.nextInt(cluster.nodes().size()));
     }
 
-    private static List<FakeAgent> some(SimulatedCluster cluster, SplittableRandom random, int most) {
-        List<FakeAgent> workers = cluster.cloud.agents();
-        return workers.stream()
-                .skip(random.nextInt(Math.max(1, workers.size())))
-                .limit(1 + random.nextInt(most))
+    private static List<FakeAgent> some(SimulatedCluster cluster, SplittableRandom random, int max) {
+        List<FakeAgent> agents = cluster.cloud.agents();
+        return agents.stream()
+                .skip(random.nextInt(Math.max(1, agents.size())))
+                .limit(1 + random.nextInt(max))
                 .toList();
     }
 
--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -12,15 +12,15 @@
 /** Faults at random moments, which follow from a seed. */
 final class FaultSchedule {
     /** Beyond the lease of agents. */
-    private static final Duration LATEST = LoopbackCluster.LEASE.plusSeconds(1);
+    private static final Duration MAX_DELAY = LoopbackCluster.LEASE.plusSeconds(1);
 
-    private static final Conditions LOSSY_STATE =
-            new Conditions(0.02, 0.1, 0.1, LATEST, 0, 0.5, Duration.ofMillis(400));
-    private static final Conditions SLOW_STATE =
+    private static final Conditions LOSSY_STORE =
+            new Conditions(0.02, 0.1, 0.1, MAX_DELAY, 0, 0.5, Duration.ofMillis(400));
+    private static final Conditions SLOW_STORE =
             new Conditions(0, 0, 0, Duration.ZERO, 0, 0.25, Duration.ofMillis(800));
     /** Agents and users: their requests are lost, late or repeated. */
     private static final Conditions LOSSY_CLIENTS =
-            new Conditions(0.05, 0.05, 0.1, LATEST, 0.3, 0.5, Duration.ofMillis(200));
+            new Conditions(0.05, 0.05, 0.1, MAX_DELAY, 0.3, 0.5, Duration.ofMillis(200));
 
     /** One fault; it ends by itself. */
     record Fault(Duration at, String description, Action action) {
@@ -70,15 +70,15 @@
             case 4 -> pause(at, node(), millis(100, 5000));
             case 5 -> cut(at, node() + ">state", millis(300, 6000));
             case 6 -> cutPeers(at, node(), millis(300, 6000));
-            case 7 -> troubled(at, ">state", LOSSY_STATE, millis(1000, 5000));
-            case 8, 9 -> troubled(at, ">state", SLOW_STATE, millis(1000, 8000));
-            case 10 -> troubled(at, ">controllers", LOSSY_CLIENTS, millis(1000, 6000));
-            case 11 -> stateService(at, millis(200, 4000));
-            case 12 -> refused(at, node(), millis(300, 4000));
+            case 7 -> degradeLinks(at, ">state", LOSSY_STORE, millis(1000, 5000));
+            case 8, 9 -> degradeLinks(at, ">state", SLOW_STORE, millis(1000, 8000));
+            case 10 -> degradeLinks(at, ">controllers", LOSSY_CLIENTS, millis(1000, 6000));
+            case 11 -> storeOutage(at, millis(200, 4000));
+            case 12 -> rejectFrom(at, node(), millis(300, 4000));
             case 13 -> cut(at, node() + ">cloud", millis(300, 6000));
             case 14 -> cut(at, "users>controllers", millis(100, 2000));
-            case 15 -> cutMachines(at, random.nextInt(1, 4), millis(300, 8000));
-            default -> machines(at, random.nextInt(1, 4), millis(300, 6000));
+            case 15 -> partitionMachines(at, random.nextInt(1, 4), millis(300, 8000));
+            default -> failMachines(at, random.nextInt(1, 4), millis(300, 6000));
         }
     }
 
@@ -125,20 +125,20 @@
     }
 
     /** Machines that reach no controller, that no command reaches, or both. */
-    private void cutMachines(Duration at, int count, Duration span) {
+    private void partitionMachines(Duration at, int count, Duration span) {
         int directions = random.nextInt(1, 4);
-        boolean mute = (directions & 1) != 0;
-        boolean deaf = (directions & 2) != 0;
+        boolean outbound = (directions & 1) != 0;
+        boolean inbound = (directions & 2) != 0;
         add(
                 at,
-                count + " machines are" + (mute ? " mute" : "") + (deaf ? " deaf" : "") + " for " + span.toMillis()
-                        + " ms",
+                count + " machines are" + (outbound ? " mute" : "") + (inbound ? " deaf" : "") + " for "
+                        + span.toMillis() + " ms",
                 cluster -> {
                     List<String> names = cluster.cloud.agents().stream()
                             .limit(count)
                             .flatMap(machine -> Stream.of(
-                                    mute ? machine.name() + ">controllers" : null,
-                                    deaf ? "controllers>" + machine.name() : null))
+                                    outbound ? machine.name() + ">controllers" : null,
+                                    inbound ? "controllers>" + machine.name() : null))
                             .filter(Objects::nonNull)
                             .toList();
                     names.forEach(name -> cluster.links.get(name).cut(true));
@@ -158,7 +158,7 @@
         }
     }
 
-    private void troubled(Duration at, String links, Conditions conditions, Duration span) {
+    private void degradeLinks(Duration at, String links, Conditions conditions, Duration span) {
         add(at, "all of " + links + " are " + conditions + " for " + span.toMillis() + " ms", cluster -> {
             set(cluster, links, conditions);
             cluster.loop.after(span, () -> set(cluster, links, Conditions.GOOD));
@@ -173,21 +173,21 @@
         });
     }
 
-    private void stateService(Duration at, Duration span) {
+    private void storeOutage(Duration at, Duration span) {
         add(at, "the state service is out for " + span.toMillis() + " ms", cluster -> {
             cluster.store.setDown(true);
             cluster.loop.after(span, () -> cluster.store.setDown(false));
         });
     }
 
-    private void refused(Duration at, String node, Duration span) {
+    private void rejectFrom(Duration at, String node, Duration span) {
         add(at, "the state service refuses " + node + " for " + span.toMillis() + " ms", cluster -> {
             cluster.store.rejectFrom(node, true);
             cluster.loop.after(span, () -> cluster.store.rejectFrom(node, false));
         });
     }
 
-    private void machines(Duration at, int count, Duration span) {
+    private void failMachines(Duration at, int count, Duration span) {
         boolean dies = random.nextInt(4) == 0;
         add(
                 at,
--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -15,7 +15,7 @@
 
 /** One fault each in its hard sequence, with fixed seeds; the generated scenarios mix them. */
 class FaultsTest {
-    private static SimulatedCluster busy(int seed) {
+    private static SimulatedCluster clusterWithJobs(int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 8; i++) {
             int number = i;
@@ -34,7 +34,7 @@
         return cluster;
     }
 
-    private static void finishes(SimulatedCluster cluster, Duration within) {
+    private static void assertFinishesWithin(SimulatedCluster cluster, Duration within) {
         cluster.run(within);
         assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
@@ -43,20 +43,20 @@
     /** It never hears again: its reports go on, its agent epochs move on, and it has to be returned all the same. */
     @Property(tries = 6, seed = "21")
     void aMachineWithAnInboundPartitionIsDeclaredLost(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = busy(seed);
-        FakeAgent deaf = cluster.cloud.agents().get(0);
-        cluster.network.dropResponses(deaf.name(), true);
-        cluster.network.cut("*", deaf.address());
+        SimulatedCluster cluster = clusterWithJobs(seed);
+        FakeAgent partitioned = cluster.cloud.agents().get(0);
+        cluster.network.dropResponses(partitioned.name(), true);
+        cluster.network.cut("*", partitioned.address());
         cluster.after(
                 Duration.ofSeconds(1), () -> cluster.submit(9, "blue", Priority.HIGH, 16, 4, Duration.ofSeconds(20)));
-        finishes(cluster, Duration.ofSeconds(150));
-        assertThat(cluster.cloud.agent(deaf.name())).as("returned").isNull();
+        assertFinishesWithin(cluster, Duration.ofSeconds(150));
+        assertThat(cluster.cloud.agent(partitioned.name())).as("returned").isNull();
     }
 
     /** Copies come up to three leases late, to controllers that have all been started anew and know nothing newer. */
     @Property(tries = 6, seed = "22")
     void lateHeartbeatCopiesReachRestartedControllers(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = busy(seed);
+        SimulatedCluster cluster = clusterWithJobs(seed);
         cluster.network.duplicateLate(
                 0.8, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(3), cluster.userAddresses());
         for (int at : List.of(4, 15, 40)) {
@@ -75,23 +75,23 @@
                         () -> cluster.users().get(number - 1).cancel());
             });
         }
-        finishes(cluster, Duration.ofSeconds(240));
+        assertFinishesWithin(cluster, Duration.ofSeconds(240));
     }
 
     /** It keeps its agents and loses all else: it must stop by its own clock, and its agents turn to the others. */
     @Property(tries = 6, seed = "23")
     void aControllerReachesOnlyItsAgents(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = busy(seed);
-        String alone = cluster.nodes().get(seed % 3);
-        cluster.network.cut(alone, SimulatedCluster.stateAddress());
+        SimulatedCluster cluster = clusterWithJobs(seed);
+        String isolated = cluster.nodes().get(seed % 3);
+        cluster.network.cut(isolated, SimulatedCluster.storeAddress());
         for (String other : cluster.nodes()) {
-            cluster.network.cut(alone, cluster.peerAddress(other));
-            cluster.network.cut(other, cluster.peerAddress(alone));
+            cluster.network.cut(isolated, cluster.peerAddress(other));
+            cluster.network.cut(other, cluster.peerAddress(isolated));
         }
         cluster.after(
                 Duration.ofSeconds(3), () -> cluster.submit(9, "blue", Priority.HIGH, 8, 4, Duration.ofSeconds(10)));
         cluster.after(Duration.ofSeconds(70), cluster::endFaults);
-        finishes(cluster, Duration.ofSeconds(200));
+        assertFinishesWithin(cluster, Duration.ofSeconds(200));
     }
 
     /**
@@ -111,7 +111,7 @@
         cluster.partitionZone("b", true);
         cluster.run(SimulatedCluster.CANCEL.minusSeconds(12));
         cluster.partitionZone("b", false);
-        finishes(cluster, Duration.ofSeconds(100));
+        assertFinishesWithin(cluster, Duration.ofSeconds(100));
         assertThat(cluster.startedTasks()).as("none began anew").isEqualTo(12);
     }
 
@@ -126,13 +126,13 @@
         cluster.partitionZone("b", true);
         cluster.after(Duration.ofSeconds(9), () -> cluster.users().forEach(TestUser::cancel));
         cluster.after(Duration.ofSeconds(70), () -> cluster.partitionZone("b", false));
-        finishes(cluster, Duration.ofSeconds(150));
+        assertFinishesWithin(cluster, Duration.ofSeconds(150));
     }
 
     /** Processes are back within milliseconds, again and again, also while a leader is being chosen. */
     @Property(tries = 6, seed = "24")
     void restartsWithinMillisecondsDuringAnElection(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = busy(seed);
+        SimulatedCluster cluster = clusterWithJobs(seed);
         for (int i = 0; i < 9; i++) {
             String node = cluster.nodes().get((seed + i * (1 + seed % 2)) % 3);
             cluster.after(Duration.ofMillis(230L * i), () -> cluster.crash(node, Duration.ofMillis(3 + seed % 50)));
@@ -140,7 +140,7 @@
         cluster.after(
                 Duration.ofSeconds(1), () -> cluster.submit(9, "blue", Priority.HIGH, 8, 4, Duration.ofSeconds(10)));
         cluster.after(Duration.ofSeconds(5), cluster::endFaults);
-        finishes(cluster, Duration.ofSeconds(150));
+        assertFinishesWithin(cluster, Duration.ofSeconds(150));
     }
 
     /** Small tasks press all day long: at least half of all are served, and the largest begin within four minutes. */
@@ -211,15 +211,15 @@
                             Duration.ofSeconds(8)));
         }
         cluster.run(Duration.ofSeconds(75));
-        List<TestUser> residents = cluster.users().stream()
+        List<TestUser> others = cluster.users().stream()
                 .filter(u -> !u.request.team().equals("guest"))
                 .toList();
-        assertThat(residents).hasSize(30);
-        assertThat(residents)
+        assertThat(others).hasSize(30);
+        assertThat(others)
                 .allSatisfy(
                         user -> assertThat(user.timeToFirstStart()).isNotNull().isLessThan(Duration.ofSeconds(40)));
         cluster.endFaults();
-        finishes(cluster, Duration.ofSeconds(300));
+        assertFinishesWithin(cluster, Duration.ofSeconds(300));
     }
 
     /**
@@ -228,10 +228,10 @@
      */
     @Property(tries = 12, seed = "29")
     void aFrozenControllerResumes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = busy(seed);
+        SimulatedCluster cluster = clusterWithJobs(seed);
         String leader = cluster.leader();
-        Duration still = Duration.ofMillis(1500 + seed * 37 % 40_000);
-        cluster.after(Duration.ofMillis(seed % 700), () -> cluster.freeze(leader, still));
+        Duration span = Duration.ofMillis(1500 + seed * 37 % 40_000);
+        cluster.after(Duration.ofMillis(seed % 700), () -> cluster.freeze(leader, span));
         for (int i = 9; i < 15; i++) {
             int number = i;
             cluster.after(Duration.ofSeconds(3L * (i - 9)), () -> {
@@ -248,7 +248,7 @@
         for (int i = 0; i < 40; i++) {
             cluster.after(Duration.ofMillis(1100L * i), () -> cluster.users().forEach(TestUser::queryAllControllers));
         }
-        cluster.after(still.plusSeconds(2), cluster::endFaults);
-        finishes(cluster, Duration.ofSeconds(220));
+        cluster.after(span.plusSeconds(2), cluster::endFaults);
+        assertFinishesWithin(cluster, Duration.ofSeconds(220));
     }
 }
--- a/src/test/java/org/gullway/JobHistory.java
+++ b/src/test/java/org/gullway/JobHistory.java
@@ -10,11 +10,11 @@
 
 /** What users and machines saw of each job, in order. */
 final class JobHistory {
-    private final boolean kept;
+    private final boolean recording;
     private final Map<String, List<String>> events = new HashMap<>();
 
     private JobHistory(boolean kept) {
-        this.kept = kept;
+        this.recording = kept;
     }
 
     static JobHistory recording() {
@@ -27,7 +27,7 @@
     }
 
     void add(String job, Instant at, Supplier<String> event) {
-        if (kept) {
+        if (recording) {
             events.computeIfAbsent(job, j -> new ArrayList<>()).add(text(at) + " " + event.get());
         }
     }
--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -15,17 +15,17 @@
 class LargeDeploymentTest {
     private static final Map<String, Settings.Team> TEAMS = Map.of(
             "red", new Settings.Team("red", 9000, 30_000, 0, 0), "blue", new Settings.Team("blue", 9000, 30_000, 0, 0));
-    private static final Duration REPORT = Duration.ofSeconds(6);
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(6);
 
-    private static SimulatedCluster world(int seed, int capacity) {
-        return new SimulatedCluster(seed, new SimulatedCluster.Shape(capacity, TEAMS, REPORT, 0.0005));
+    private static SimulatedCluster largeCluster(int seed, int capacity) {
+        return new SimulatedCluster(seed, new SimulatedCluster.Shape(capacity, TEAMS, HEARTBEAT_INTERVAL, 0.0005));
     }
 
-    private static void work(SimulatedCluster cluster, int jobs, Duration between, int runSeconds) {
+    private static void submitSteadily(SimulatedCluster cluster, int jobs, Duration interval, int runSeconds) {
         for (int i = 1; i <= jobs; i++) {
             int number = i;
             cluster.after(
-                    between.multipliedBy(i),
+                    interval.multipliedBy(i),
                     () -> cluster.submit(
                             number,
                             number % 2 == 0 ? "red" : "blue",
@@ -38,8 +38,8 @@
 
     @Test
     void aThousandMachinesCostFewChanges() {
-        SimulatedCluster cluster = world(1, 150);
-        work(cluster, 70, Duration.ofMillis(700), 15);
+        SimulatedCluster cluster = largeCluster(1, 150);
+        submitSteadily(cluster, 70, Duration.ofMillis(700), 15);
         cluster.run(Duration.ofSeconds(150));
         int tasks = cluster.users().stream().mapToInt(u -> u.request.tasks()).sum();
         assertThat(cluster.violations).isEmpty();
@@ -62,14 +62,15 @@
     /** All at 2,000 machines: a fifth unresponsive for long, a controller alone with all agents, then all restarted. */
     @Test
     void manyFaultsAtOnceOnTwoThousandMachines() {
-        SimulatedCluster cluster = world(2, 250);
-        work(cluster, 60, Duration.ofMillis(500), 40);
+        SimulatedCluster cluster = largeCluster(2, 250);
+        submitSteadily(cluster, 60, Duration.ofMillis(500), 40);
         cluster.run(Duration.ofSeconds(70));
         int provisioned = cluster.cloud.provisionedCount();
         assertThat(provisioned).isGreaterThanOrEqualTo(2000);
         int before = cluster.store.changes("live/groups");
-        List<FakeAgent> silent = cluster.cloud.agents().stream().limit(400).toList();
-        for (FakeAgent agent : silent) {
+        List<FakeAgent> unresponsive =
+                cluster.cloud.agents().stream().limit(400).toList();
+        for (FakeAgent agent : unresponsive) {
             cluster.network.cut(agent.name(), "*");
             cluster.network.cut("*", agent.address());
             cluster.after(Duration.ofSeconds(40), () -> {
--- a/src/test/java/org/gullway/LateCommitResponseTest.java
+++ b/src/test/java/org/gullway/LateCommitResponseTest.java
@@ -27,9 +27,9 @@
  */
 class LateCommitResponseTest {
     private static final String JOB = "run-384079";
-    private static final Duration COMMIT_ANSWERED_AFTER = Duration.ofMillis(400);
-    private static final Duration WATCH_LAGS = Duration.ofMillis(1700);
-    private static final Duration BETWEEN_SUBMISSIONS = Duration.ofMillis(5);
+    private static final Duration COMMIT_RESPONSE_DELAY = Duration.ofMillis(400);
+    private static final Duration WATCH_DELAY = Duration.ofMillis(1700);
+    private static final Duration SUBMISSION_INTERVAL = Duration.ofMillis(5);
     private static final int SUBMISSIONS = 120;
 
     /** One user of one job, who hears every answer of every controller. */
@@ -72,9 +72,9 @@
             });
         }
 
-        void submitAgainAndAgain(String address) {
+        void resubmitRepeatedly(String address) {
             for (int i = 0; i < SUBMISSIONS; i++) {
-                process.after(BETWEEN_SUBMISSIONS.multipliedBy(i), () -> submit(address, answer -> {}));
+                process.after(SUBMISSION_INTERVAL.multipliedBy(i), () -> submit(address, answer -> {}));
             }
         }
 
@@ -118,8 +118,8 @@
         return cluster;
     }
 
-    private static void nothingWentBack(SimulatedCluster cluster, Submitter user) {
-        user.run(COMMIT_ANSWERED_AFTER.plus(Duration.ofSeconds(8)));
+    private static void assertNeverReopened(SimulatedCluster cluster, Submitter user) {
+        user.run(COMMIT_RESPONSE_DELAY.plus(Duration.ofSeconds(8)));
         assertThat(user.submissionsAfterCancellation).contains("200 aborted");
         assertThat(user.submissionsAfterCancellation).allMatch(answer -> isOneOf(answer, "200 aborted", "503 "));
         assertThat(cluster.violations).isEmpty();
@@ -136,12 +136,12 @@
         String other = cluster.leader();
         Submitter user = new Submitter(cluster);
         cluster.store.delayResponses(
-                (client, exchange) -> client.equals(slow) && commitsTheJob(exchange), COMMIT_ANSWERED_AFTER);
+                (client, exchange) -> client.equals(slow) && commitsTheJob(exchange), COMMIT_RESPONSE_DELAY);
         user.submit(cluster.address(slow), first -> {
             assertThat(first).isEqualTo("200 pending");
-            user.cancel(cluster.address(other), () -> user.submitAgainAndAgain(cluster.address(slow)));
+            user.cancel(cluster.address(other), () -> user.resubmitRepeatedly(cluster.address(slow)));
         });
-        nothingWentBack(cluster, user);
+        assertNeverReopened(cluster, user);
     }
 
     /**
@@ -157,14 +157,14 @@
         cluster.store.delayResponses(
                 (client, exchange) -> client.equals(slow)
                         && (commitsTheJob(exchange) || exchange.path().equals("/watch")),
-                COMMIT_ANSWERED_AFTER);
+                COMMIT_RESPONSE_DELAY);
         // A watch that is open already would be answered in time.
         cluster.run(Duration.ofSeconds(3));
         user.submit(cluster.address(slow), first -> {});
         cluster.after(
                 Duration.ofMillis(100),
-                () -> user.cancel(cluster.address(other), () -> user.submitAgainAndAgain(cluster.address(slow))));
-        nothingWentBack(cluster, user);
+                () -> user.cancel(cluster.address(other), () -> user.resubmitRepeatedly(cluster.address(slow))));
+        assertNeverReopened(cluster, user);
     }
 
     /**
@@ -177,15 +177,15 @@
         String slow = cluster.otherNode(cluster.leader());
         Submitter user = new Submitter(cluster);
         cluster.store.delayResponses(
-                (client, exchange) -> client.equals(slow) && exchange.path().equals("/watch"), WATCH_LAGS);
+                (client, exchange) -> client.equals(slow) && exchange.path().equals("/watch"), WATCH_DELAY);
         // A watch that is open already would be answered in time.
         cluster.run(Duration.ofSeconds(3));
-        cluster.stateRequests.clear();
+        cluster.storeRequests.clear();
         user.submit(
                 cluster.address(cluster.leader()),
-                first -> user.cancel(cluster.address(slow), () -> user.submitAgainAndAgain(cluster.address(slow))));
-        user.run(WATCH_LAGS.minusMillis(500));
-        assertThat(cluster.stateRequests.reads(slow)).isBetween(1, 2);
-        nothingWentBack(cluster, user);
+                first -> user.cancel(cluster.address(slow), () -> user.resubmitRepeatedly(cluster.address(slow))));
+        user.run(WATCH_DELAY.minusMillis(500));
+        assertThat(cluster.storeRequests.jobReads(slow)).isBetween(1, 2);
+        assertNeverReopened(cluster, user);
     }
 }
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -108,7 +108,7 @@
     private final SplittableRandom random;
     private final List<HeldAddress> held = new ArrayList<>();
     private final Map<String, String> publicAddresses = new LinkedHashMap<>();
-    private final Map<String, String> meshAddresses = new LinkedHashMap<>();
+    private final Map<String, String> peerAddresses = new LinkedHashMap<>();
     private final ControllerProcesses processes;
     private final Deque<SpareServer> spareServers = new ArrayDeque<>();
     private final Path directory;
@@ -130,7 +130,7 @@
         this.store = new FakeStateStore(loop);
         for (int i = 0; i < 3; i++) {
             publicAddresses.put("perch-" + i, hold());
-            meshAddresses.put("perch-" + i, hold());
+            peerAddresses.put("perch-" + i, hold());
         }
         this.cloud = new FakeCloud(loop, types(), setup.capacity(), (name, kind) -> boot(name, kind, machines));
     }
@@ -209,7 +209,7 @@
             for (String peer : nodes()) {
                 if (!peer.equals(name)) {
                     String address =
-                            listen(link(name + ">" + peer).forwarder(meshAddresses.get(peer), client, PEER_LIMIT));
+                            listen(link(name + ">" + peer).forwarder(peerAddresses.get(peer), client, PEER_LIMIT));
                     seeds.add(new Settings.Peer(peer, zone(peer), address));
                 }
             }
@@ -219,7 +219,7 @@
                                     name,
                                     zone(name),
                                     publicAddresses.get(name),
-                                    meshAddresses.get(name),
+                                    peerAddresses.get(name),
                                     seeds,
                                     cloudAddress,
                                     state)
@@ -299,8 +299,8 @@
     }
 
     /** The address at which peers reach the controller of this name. */
-    String meshAddress(String name) {
-        return meshAddresses.get(name);
+    String peerAddress(String name) {
+        return peerAddresses.get(name);
     }
 
     /** Ends all processes and removes their files. */
--- a/src/test/java/org/gullway/ProfileRun.java
+++ b/src/test/java/org/gullway/ProfileRun.java
@@ -26,9 +26,9 @@
 public final class ProfileRun {
     private static final Map<String, Settings.Team> TEAMS = Map.of(
             "red", new Settings.Team("red", 9000, 30_000, 0, 0), "blue", new Settings.Team("blue", 9000, 30_000, 0, 0));
-    private static final int MACHINES_OF_A_KIND = 180;
-    private static final Duration REPORT_INTERVAL = Duration.ofSeconds(6);
-    private static final Duration BETWEEN_JOBS = Duration.ofMillis(820);
+    private static final int MACHINES_PER_KIND = 180;
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(6);
+    private static final Duration SUBMISSION_INTERVAL = Duration.ofMillis(820);
     private static final int RUN_SECONDS = 60;
     private static final Duration WARM_UP = Duration.ofSeconds(100);
     private static final Duration MEASURED = Duration.ofSeconds(200);
@@ -79,8 +79,8 @@
     /** Argument: the file for the recording; without it a temporary one is used and removed. */
     public static void main(String[] args) throws IOException {
         Path file = args.length > 0 ? Path.of(args[0]) : Files.createTempFile("gullway", ".jfr");
-        SimulatedCluster cluster =
-                new SimulatedCluster(1, new SimulatedCluster.Shape(MACHINES_OF_A_KIND, TEAMS, REPORT_INTERVAL, 0.0005));
+        SimulatedCluster cluster = new SimulatedCluster(
+                1, new SimulatedCluster.Shape(MACHINES_PER_KIND, TEAMS, HEARTBEAT_INTERVAL, 0.0005));
         submitJobs(cluster);
         cluster.run(WARM_UP);
         int startedBefore = cluster.startedTasks();
@@ -110,11 +110,11 @@
     }
 
     private static void submitJobs(SimulatedCluster cluster) {
-        long jobs = WARM_UP.plus(MEASURED).dividedBy(BETWEEN_JOBS);
+        long jobs = WARM_UP.plus(MEASURED).dividedBy(SUBMISSION_INTERVAL);
         for (int i = 1; i <= jobs; i++) {
             int number = i;
             cluster.after(
-                    BETWEEN_JOBS.multipliedBy(i),
+                    SUBMISSION_INTERVAL.multipliedBy(i),
                     () -> cluster.submit(
                             number,
                             number % 2 == 0 ? "red" : "blue",
--- a/src/test/java/org/gullway/ResponseLog.java
+++ b/src/test/java/org/gullway/ResponseLog.java
@@ -12,15 +12,15 @@
 final class ResponseLog {
     /** What a request is for. */
     enum Kind {
-        QUESTION,
+        QUERY,
         SUBMISSION,
         CANCELLATION,
-        REPORT,
+        HEARTBEAT,
         OTHER;
 
         private static Kind of(HttpExchange exchange) {
             if (exchange.path().equals("/agent/beat")) {
-                return REPORT;
+                return HEARTBEAT;
             }
             if (exchange.path().equals("/v2/runs")) {
                 return SUBMISSION;
@@ -28,7 +28,7 @@
             if (!exchange.path().startsWith("/v2/runs/")) {
                 return OTHER;
             }
-            return exchange.method().equals("GET") ? QUESTION : CANCELLATION;
+            return exchange.method().equals("GET") ? QUERY : CANCELLATION;
         }
     }
 
@@ -36,15 +36,15 @@
     static final class Entry {
         final String node;
         final Kind kind;
-        final Instant came;
-        private Instant answered;
+        final Instant receivedAt;
+        private Instant answeredAt;
         private int status;
-        private boolean comeBack;
+        private boolean retryAfter;
 
         private Entry(String node, Kind kind, Instant came) {
             this.node = node;
             this.kind = kind;
-            this.came = came;
+            this.receivedAt = came;
         }
 
         int status() {
@@ -52,13 +52,13 @@
         }
 
         /** Whether the answer says when to come back. */
-        boolean saysWhenToComeBack() {
-            return comeBack;
+        boolean hasRetryAfter() {
+            return retryAfter;
         }
 
         /** How long the answer took; so far, if there is none. */
-        Duration took(Instant now) {
-            return Duration.between(came, answered == null ? now : answered);
+        Duration elapsed(Instant now) {
+            return Duration.between(receivedAt, answeredAt == null ? now : answeredAt);
         }
     }
 
@@ -73,10 +73,10 @@
         }
 
         private void record(int status) {
-            if (entry.answered != null) {
+            if (entry.answeredAt != null) {
                 throw new IllegalStateException(path() + " is answered a second time");
             }
-            entry.answered = time.now();
+            entry.answeredAt = time.now();
             entry.status = status;
         }
 
@@ -89,7 +89,7 @@
         @Override
         public void reject(int status, Duration retryAfter) {
             record(status);
-            entry.comeBack = retryAfter.compareTo(Duration.ofSeconds(1)) >= 0;
+            entry.retryAfter = retryAfter.compareTo(Duration.ofSeconds(1)) >= 0;
             super.reject(status, retryAfter);
         }
     }
--- a/src/test/java/org/gullway/ScavengerClassTest.java
+++ b/src/test/java/org/gullway/ScavengerClassTest.java
@@ -23,7 +23,7 @@
     private static final int GUEST_ARRAY = 1;
     private static final int GUEST_LARGEST = 2;
 
-    private static SimulatedCluster worldWithGuest(int seed, int capacity) {
+    private static SimulatedCluster clusterWithGuestTeam(int seed, int capacity) {
         Map<String, Settings.Team> teams = new HashMap<>(SimulatedCluster.Shape.SMALL_TEAMS);
         teams.put("guest", new Settings.Team("guest", 0, 0, 0, 0));
         return new SimulatedCluster(seed, new SimulatedCluster.Shape(capacity, teams, Duration.ofSeconds(3), 0));
@@ -40,7 +40,7 @@
      */
     @Property(tries = 1, seed = "41")
     void aHugeArrayAndManyTinyJobsOfATeamWithoutQuota(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = worldWithGuest(seed, 12);
+        SimulatedCluster cluster = clusterWithGuestTeam(seed, 12);
         cluster.submit(GUEST_ARRAY, "guest", Priority.IDLE, 25_000, 0.25, Duration.ofSeconds(45));
         cluster.submit(GUEST_LARGEST, "guest", Priority.IDLE, 8, 16, Duration.ofSeconds(20));
         for (int i = 0; i < 720; i++) {
@@ -66,12 +66,12 @@
         List<TestUser> guests = cluster.users().stream()
                 .filter(u -> u.request.team().equals("guest"))
                 .toList();
-        List<TestUser> residents = cluster.users().stream()
+        List<TestUser> others = cluster.users().stream()
                 .filter(u -> !u.request.team().equals("guest"))
                 .toList();
-        assertServed(residents, Duration.ofSeconds(40));
+        assertServed(others, Duration.ofSeconds(40));
         assertServed(guests, Duration.ofMinutes(4));
-        assertThat(residents).allMatch(TestUser::isFinished);
+        assertThat(others).allMatch(TestUser::isFinished);
         assertThat(guests.stream()
                         .filter(u -> u.request.tasks() == 1)
                         .filter(TestUser::isFinished)
@@ -88,7 +88,7 @@
     /** Four tiny jobs a second for three minutes, a quarter of them cancelled at any moment of their lives. */
     @Property(tries = 2, seed = "42")
     void tinyJobsOfWhichAQuarterIsCancelledEndInTime(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = worldWithGuest(seed, 4);
+        SimulatedCluster cluster = clusterWithGuestTeam(seed, 4);
         for (int i = 1; i <= 720; i++) {
             int number = i;
             cluster.after(Duration.ofMillis(250L * i), () -> {
@@ -121,7 +121,7 @@
      */
     @Property(tries = 3, seed = "43")
     void jobsThatFailOnEveryMachine(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = worldWithGuest(seed, 4);
+        SimulatedCluster cluster = clusterWithGuestTeam(seed, 4);
         Set<String> failing = new HashSet<>();
         Map<String, List<Instant>> failures = new HashMap<>();
         cluster.failTasks((machine, job) -> {
@@ -130,7 +130,7 @@
             }
             return failing.contains(job);
         });
-        steadyWork(cluster, 100, 90);
+        submitSteadily(cluster, 100, 90);
         cluster.run(Duration.ofSeconds(20));
         for (int i = 1; i <= 3; i++) {
             int number = i;
@@ -162,8 +162,8 @@
      */
     @Property(tries = 3, seed = "44")
     void aMachineOnWhichEverythingFailsIsReleased(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = worldWithGuest(seed, 4);
-        steadyWork(cluster, 100, 60);
+        SimulatedCluster cluster = clusterWithGuestTeam(seed, 4);
+        submitSteadily(cluster, 100, 60);
         cluster.run(Duration.ofSeconds(20));
         String faulty = cluster.cloud.agents().stream()
                 .filter(FakeAgent::alive)
@@ -172,14 +172,14 @@
                 .orElseThrow();
         cluster.failTasks((machine, job) -> machine.equals(faulty));
         cluster.run(Duration.ofSeconds(60));
-        assertThat(names(cluster)).doesNotContain(faulty);
+        assertThat(agentNames(cluster)).doesNotContain(faulty);
         cluster.run(Duration.ofSeconds(90));
         assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 
     /** Two jobs every three seconds. */
-    private static void steadyWork(SimulatedCluster cluster, int first, int jobs) {
+    private static void submitSteadily(SimulatedCluster cluster, int first, int jobs) {
         for (int i = 0; i < jobs; i++) {
             int number = first + i;
             cluster.after(
@@ -189,7 +189,7 @@
         }
     }
 
-    private static Set<String> names(SimulatedCluster cluster) {
+    private static Set<String> agentNames(SimulatedCluster cluster) {
         Set<String> names = new HashSet<>();
         cluster.cloud.agents().stream().map(FakeAgent::name).forEach(names::add);
         return names;
--- a/src/test/java/org/gullway/ServiceCheck.java
+++ b/src/test/java/org/gullway/ServiceCheck.java
@@ -8,11 +8,11 @@
 
 /** Whether at least half of each rank, of each team, and of the jobs with the largest tasks was served. */
 final class ServiceCheck {
-    private static final double LEAST_SERVED = 0.5;
+    private static final double MIN_SERVED_SHARE = 0.5;
 
     private static final class Count {
         private int jobs;
-        private int begun;
+        private int started;
     }
 
     private ServiceCheck() {}
@@ -21,29 +21,29 @@
     static List<String> unserved(List<TestUser> users) {
         double largest =
                 users.stream().mapToDouble(user -> user.request.cpus()).max().orElse(0);
-        Map<String, Count> groups = new LinkedHashMap<>();
+        Map<String, Count> counts = new LinkedHashMap<>();
         for (TestUser user : users) {
             if (user.timeToAcceptance() != null && !user.isCancellationRequested()) {
                 JobRequest job = user.request;
-                count(groups, "rank " + job.priority(), user);
-                count(groups, "team " + job.team(), user);
+                count(counts, "rank " + job.priority(), user);
+                count(counts, "team " + job.team(), user);
                 if (job.cpus() == largest) {
-                    count(groups, "largest tasks", user);
+                    count(counts, "largest tasks", user);
                 }
             }
         }
         List<String> unserved = new ArrayList<>();
-        groups.forEach((name, count) -> {
-            if (count.begun < LEAST_SERVED * count.jobs) {
-                unserved.add("half_served: " + name + ": " + count.begun + " of " + count.jobs + " jobs began");
+        counts.forEach((name, count) -> {
+            if (count.started < MIN_SERVED_SHARE * count.jobs) {
+                unserved.add("half_served: " + name + ": " + count.started + " of " + count.jobs + " jobs began");
             }
         });
         return unserved;
     }
 
-    private static void count(Map<String, Count> groups, String name, TestUser user) {
-        Count count = groups.computeIfAbsent(name, n -> new Count());
+    private static void count(Map<String, Count> counts, String name, TestUser user) {
+        Count count = counts.computeIfAbsent(name, n -> new Count());
         count.jobs++;
-        count.begun += user.timeToFirstStart() == null ? 0 : 1;
+        count.started += user.timeToFirstStart() == null ? 0 : 1;
     }
 }
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -28,7 +28,7 @@
 final class SimulatedCluster {
     static final Duration LEASE = Duration.ofSeconds(20);
     static final Duration CANCEL = Duration.ofSeconds(40);
-    private static final String STATE = "10.2.0.1:2379";
+    private static final String STORE = "10.2.0.1:2379";
     private static final String CLOUD = "10.2.0.2:8443";
 
     final SimulatedTime time = new SimulatedTime();
@@ -37,7 +37,7 @@
     final FakeStateStore store;
     final FakeCloud cloud;
     final InvariantChecker invariants;
-    final StoreRequestLog stateRequests = new StoreRequestLog(time);
+    final StoreRequestLog storeRequests = new StoreRequestLog(time);
     final ResponseLog responses = new ResponseLog(time);
     final List<String> violations;
     private final SimulatedTime.Process loop = time.process();
@@ -82,7 +82,7 @@
         users = new TestUsers(loop, userClient, invariants, random, userAddresses());
         jobs = new SimulatedJobs(loop, userClient, invariants, random, userAddresses());
         cloud = new FakeCloud(loop, machineTypes(), shape.capacity(), (name, kind) -> boot(name, kind, shape));
-        network.listen(STATE, loop, exchange -> stateRequests.handle(exchange, store::handle));
+        network.listen(STORE, loop, exchange -> storeRequests.handle(exchange, store::handle));
         network.listen(CLOUD, loop, cloud::handle);
         controllers.startAll();
         loop.every(Duration.ofSeconds(1), () -> invariants.checkWaitingJobs(this::isUp, time.now()));
@@ -117,7 +117,7 @@
     /** Partitions a zone from everything else, or ends that; messages inside of it still arrive. */
     void partitionZone(String zone, boolean cut) {
         List<String> inside = new ArrayList<>();
-        List<String> outside = new ArrayList<>(List.of("users", STATE, CLOUD));
+        List<String> outside = new ArrayList<>(List.of("users", STORE, CLOUD));
         for (String node : nodes()) {
             (SimulatedControllers.zone(node).equals(zone) ? inside : outside)
                     .addAll(List.of(node, address(node), peerAddress(node)));
@@ -183,8 +183,8 @@
         return controllers.peerAddress(node);
     }
 
-    static String stateAddress() {
-        return STATE;
+    static String storeAddress() {
+        return STORE;
     }
 
     static String cloudAddress() {
--- a/src/test/java/org/gullway/SimulatedControllers.java
+++ b/src/test/java/org/gullway/SimulatedControllers.java
@@ -116,7 +116,7 @@
                 peerAddress(name),
                 peers,
                 SimulatedCluster.cloudAddress(),
-                SimulatedCluster.stateAddress(),
+                SimulatedCluster.storeAddress(),
                 shape.teams(),
                 List.of(),
                 shape.heartbeatInterval(),
--- a/src/test/java/org/gullway/SimulatedScenariosTest.java
+++ b/src/test/java/org/gullway/SimulatedScenariosTest.java
@@ -102,13 +102,12 @@
 
     /** Several faults at random moments, a calm end, and submissions that are repeated all along. */
     static void playFaults(SimulatedCluster cluster, SplittableRandom random) {
-        int troubles = 2 + random.nextInt(5);
-        for (int i = 0; i < troubles; i++) {
+        int faults = 2 + random.nextInt(5);
+        for (int i = 0; i < faults; i++) {
             Duration span = Duration.ofMillis(500 + random.nextInt(30_000));
-            Fault trouble = Fault.values()[random.nextInt(Fault.values().length)];
+            Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
             SplittableRandom own = random.split();
-            cluster.after(
-                    Duration.ofMillis(10_000 + random.nextInt(120_000)), () -> trouble.inject(cluster, own, span));
+            cluster.after(Duration.ofMillis(10_000 + random.nextInt(120_000)), () -> fault.inject(cluster, own, span));
         }
         for (int i = 0; i < 10; i++) {
             cluster.after(Duration.ofSeconds(20 + random.nextInt(500)), () -> cluster.users()
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -22,19 +22,19 @@
  * cancel at the worst moments, and faults from a seed. The rules are checked from outside on what was seen.
  */
 public final class SoakRun {
-    private static final Duration START = Duration.ofSeconds(3);
-    private static final Duration BETWEEN_FAULTS = Duration.ofMillis(900);
-    private static final Duration BETWEEN_JOBS = Duration.ofMillis(220);
-    private static final Duration LAST_QUESTIONS = Duration.ofSeconds(3);
-    private static final Duration TICK = Duration.ofMillis(20);
+    private static final Duration WARM_UP = Duration.ofSeconds(3);
+    private static final Duration FAULT_INTERVAL = Duration.ofMillis(900);
+    private static final Duration SUBMISSION_INTERVAL = Duration.ofMillis(220);
+    private static final Duration LAST_QUERIES_SPAN = Duration.ofSeconds(3);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
     /** A longer pause of this process makes agents look late, which no controller can know. */
-    private static final Duration LONGEST_STALL = Duration.ofMillis(250);
+    private static final Duration MAX_STALL = Duration.ofMillis(250);
 
     /** Longer than a job may go without an answer; until then half of all kinds of jobs must have begun. */
-    private static final Duration SERVICE_WITHIN = Duration.ofSeconds(80);
+    private static final Duration SERVICE_SPAN = Duration.ofSeconds(80);
 
-    private static final int MORE_SUBMISSIONS = 6;
-    private static final int MORE_SUBMISSIONS_WITHIN_MS = 400;
+    private static final int RESUBMISSIONS = 6;
+    private static final int RESUBMISSIONS_WITHIN_MS = 400;
     private static final Pattern JOB = Pattern.compile("run-\\d{6}");
 
     /** How long a run goes on under faults, and how long afterwards. */
@@ -58,7 +58,7 @@
             Instant stalledAt,
             String report) {
         boolean conclusive() {
-            return stall.compareTo(LONGEST_STALL) <= 0;
+            return stall.compareTo(MAX_STALL) <= 0;
         }
 
         /** Rules of machines' leases depend on this process being punctual; all others hold whatever it does. */
@@ -97,14 +97,14 @@
     private int jobs;
     private boolean submitting = true;
     private final Consumer<LoopbackCluster> beforeStart;
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
 
     private SoakRun(long seed, Length length, Consumer<LoopbackCluster> beforeStart) {
         this.seed = seed;
         this.length = length;
         this.beforeStart = beforeStart;
         this.random = new SplittableRandom(seed);
-        this.faults = FaultSchedule.of(seed, START, START.plus(length.faults()), BETWEEN_FAULTS);
+        this.faults = FaultSchedule.of(seed, WARM_UP, WARM_UP.plus(length.faults()), FAULT_INTERVAL);
     }
 
     /** Plays one run. */
@@ -126,9 +126,9 @@
                 })) {
             cluster = played;
             cluster.loop.execute(this::beginOrEnd);
-            Duration whole =
-                    START.plus(length.faults()).plus(length.afterwards()).plus(LAST_QUESTIONS);
-            if (!over.await(whole.plusSeconds(60).toSeconds(), TimeUnit.SECONDS)) {
+            Duration total =
+                    WARM_UP.plus(length.faults()).plus(length.afterwards()).plus(LAST_QUERIES_SPAN);
+            if (!finished.await(total.plusSeconds(60).toSeconds(), TimeUnit.SECONDS)) {
                 invariants.violations.add("the run did not end");
             }
             return outcome();
@@ -138,7 +138,7 @@
     /** What can no longer go well ends at once, with its cause. */
     private void endWith(String cause) {
         invariants.violations.add(cause);
-        over.countDown();
+        finished.countDown();
     }
 
     private void beginOrEnd() {
@@ -156,7 +156,7 @@
             if (random.nextBoolean()) {
                 users.queryInBursts(user, random);
             } else {
-                submitAgainAndAgain(user);
+                resubmitRepeatedly(user);
             }
             if (!user.isFinished() && random.nextInt(4) == 0) {
                 user.cancel();
@@ -165,37 +165,37 @@
         beforeStart.accept(cluster);
         cluster.start();
         // Before that no lease can end.
-        cluster.loop.after(START, this::tick);
+        cluster.loop.after(WARM_UP, this::tick);
         cluster.loop.after(Duration.ofSeconds(1), this::submitNext);
         faults.forEach(
                 fault -> cluster.loop.after(fault.at(), () -> fault.action().run(cluster)));
-        Duration calm = START.plus(length.faults());
-        cluster.loop.after(calm, this::endFaults);
-        cluster.loop.after(calm.plus(length.afterwards()), () -> {
+        Duration faultsEnd = WARM_UP.plus(length.faults());
+        cluster.loop.after(faultsEnd, this::endFaults);
+        cluster.loop.after(faultsEnd.plus(length.afterwards()), () -> {
             users.all().forEach(TestUser::resubmit);
             users.all().forEach(TestUser::queryAllControllers);
         });
-        cluster.loop.after(calm.plus(length.afterwards()).plus(LAST_QUESTIONS), over::countDown);
+        cluster.loop.after(faultsEnd.plus(length.afterwards()).plus(LAST_QUERIES_SPAN), finished::countDown);
     }
 
     /** Without queries, by which controllers would learn a final state. */
-    private void submitAgainAndAgain(TestUser user) {
-        for (int i = 0; i < MORE_SUBMISSIONS; i++) {
-            cluster.loop.after(Duration.ofMillis(random.nextInt(MORE_SUBMISSIONS_WITHIN_MS)), user::resubmit);
+    private void resubmitRepeatedly(TestUser user) {
+        for (int i = 0; i < RESUBMISSIONS; i++) {
+            cluster.loop.after(Duration.ofMillis(random.nextInt(RESUBMISSIONS_WITHIN_MS)), user::resubmit);
         }
     }
 
     private void tick() {
         Instant now = cluster.loop.now();
         if (lastTick != null) {
-            Duration late = Duration.between(lastTick, now).minus(TICK);
+            Duration late = Duration.between(lastTick, now).minus(TICK_INTERVAL);
             if (late.compareTo(longestStall) > 0) {
                 longestStall = late;
                 stalledAt = now;
             }
         }
         lastTick = now;
-        cluster.loop.after(TICK, this::tick);
+        cluster.loop.after(TICK_INTERVAL, this::tick);
     }
 
     private void endFaults() {
@@ -214,7 +214,7 @@
         if (random.nextInt(10) == 0) {
             cluster.loop.after(Duration.ofMillis(random.nextInt(5000)), user::cancel);
         }
-        cluster.loop.after(BETWEEN_JOBS, this::submitNext);
+        cluster.loop.after(SUBMISSION_INTERVAL, this::submitNext);
     }
 
     private JobRequest request(int number, Duration runTime) {
@@ -243,7 +243,7 @@
     }
 
     private Outcome outcome() {
-        if (length.afterwards().compareTo(SERVICE_WITHIN) >= 0) {
+        if (length.afterwards().compareTo(SERVICE_SPAN) >= 0) {
             invariants.violations.addAll(ServiceCheck.unserved(users.all()));
         }
         invariants.violations.addAll(cluster.logLines(List.of("invariant violated")));
@@ -260,16 +260,16 @@
 
     /** Jobs that are not over, each with what was seen of it last. */
     private List<String> unfinished() {
-        List<String> jobsLeft = new ArrayList<>();
+        List<String> unfinished = new ArrayList<>();
         for (TestUser user : users.all()) {
             if (!user.isFinished()) {
                 JobRequest job = user.request;
                 List<String> seen = history.of(job.id());
-                jobsLeft.add(job.id() + " " + job.team() + " " + job.priority() + ", " + job.tasks() + " tasks of "
+                unfinished.add(job.id() + " " + job.team() + " " + job.priority() + ", " + job.tasks() + " tasks of "
                         + job.cpus() + ": " + (seen.isEmpty() ? "never answered" : seen.get(seen.size() - 1)));
             }
         }
-        return jobsLeft;
+        return unfinished;
     }
 
     /** Seed, schedule, and the history of the jobs whose rules were broken. */
@@ -297,7 +297,7 @@
         Logger.getLogger("io.undertow").setLevel(Level.WARNING);
         long first = Long.parseLong(arguments[0]);
         int runs = Integer.parseInt(arguments[1]);
-        Length length = new Length(Duration.ofSeconds(Long.parseLong(arguments[2])), SERVICE_WITHIN);
+        Length length = new Length(Duration.ofSeconds(Long.parseLong(arguments[2])), SERVICE_SPAN);
         int broken = 0;
         for (long seed = first; seed < first + runs; seed++) {
             Outcome outcome = play(seed, length);
--- a/src/test/java/org/gullway/SoakStartTest.java
+++ b/src/test/java/org/gullway/SoakStartTest.java
@@ -52,7 +52,7 @@
         try {
             assertEndsAtOnce("cannot listen on", cluster -> {
                 try {
-                    taken[0] = listen(cluster.meshAddress("perch-1"), true);
+                    taken[0] = listen(cluster.peerAddress("perch-1"), true);
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
--- a/src/test/java/org/gullway/StatusQueryLoadTest.java
+++ b/src/test/java/org/gullway/StatusQueryLoadTest.java
@@ -29,16 +29,16 @@
  */
 class StatusQueryLoadTest {
     /** What one of three controllers may ask of the state store. */
-    private static final double OWN_REQUESTS = StoreRequestLog.PER_SECOND / 3.0;
+    private static final double REQUESTS_PER_CONTROLLER = StoreRequestLog.PER_SECOND / 3.0;
 
-    private static final double VERIFICATIONS_PART = 0.075;
-    private static final double QUESTION_READS_PART = 0.12;
-    private static final double REQUEST_READS_PART = 0.06;
+    private static final double VERSION_CHECK_FRACTION = 0.075;
+    private static final double QUERY_READ_FRACTION = 0.12;
+    private static final double REQUEST_READ_FRACTION = 0.06;
     /** A user waits 2 s for an answer. */
-    private static final Duration QUESTION_LIMIT = Duration.ofMillis(1300);
+    private static final Duration MAX_QUERY_TIME = Duration.ofMillis(1300);
 
     /** How the state store is while the users ask. */
-    private enum StateService {
+    private enum StoreCondition {
         NORMAL {
             @Override
             void begin(SimulatedCluster cluster) {}
@@ -49,13 +49,13 @@
                 cluster.store.addLatency(600, cluster.random.split());
             }
         },
-        REFUSES_ONE {
+        REJECTS_ONE {
             @Override
             void begin(SimulatedCluster cluster) {
                 cluster.store.rejectFrom("perch-1", true);
             }
         },
-        OUT {
+        DOWN {
             @Override
             void begin(SimulatedCluster cluster) {
                 cluster.store.setDown(true);
@@ -65,11 +65,11 @@
         abstract void begin(SimulatedCluster cluster);
     }
 
-    private static final Duration TROUBLE = Duration.ofSeconds(30);
+    private static final Duration LOAD_SPAN = Duration.ofSeconds(30);
 
-    private static SimulatedCluster world(int seed, int jobs, Duration runTime) {
+    private static SimulatedCluster clusterWithJobs(int seed, int jobs, Duration runTime) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        cluster.stateRequests.limit();
+        cluster.storeRequests.limit();
         for (int i = 1; i <= jobs; i++) {
             cluster.submit(i, i % 3 == 0 ? "red" : "blue", Priority.values()[i % 4], 1 + i % 2, 2, runTime);
         }
@@ -78,7 +78,7 @@
     }
 
     /** Work that comes in the middle of the queries: a job each second, and some cancellations. */
-    private static List<TestUser> moreWork(SimulatedCluster cluster, int first, int jobs) {
+    private static List<TestUser> submitDuringLoad(SimulatedCluster cluster, int first, int jobs) {
         List<TestUser> users = new ArrayList<>();
         for (int i = 0; i < jobs; i++) {
             int number = first + i;
@@ -99,8 +99,8 @@
     }
 
     private static Duration longest(SimulatedCluster cluster, Kind kind) {
-        Instant now = cluster.time.now();
-        return longest(cluster.responses.of(kind).stream().map(entry -> entry.took(now)));
+        Instant loadedMax = cluster.time.now();
+        return longest(cluster.responses.of(kind).stream().map(entry -> entry.elapsed(loadedMax)));
     }
 
     private static long count(SimulatedCluster cluster, Kind kind, int status) {
@@ -110,62 +110,62 @@
     }
 
     /** Each controller keeps to the part of its requests that queries have, for the time since the counts began. */
-    private static void assertWithinPart(SimulatedCluster cluster, Duration span) {
+    private static void assertWithinRateLimit(SimulatedCluster cluster, Duration span) {
         double seconds = span.toMillis() / 1000.0;
-        double verifications = VERIFICATIONS_PART * OWN_REQUESTS;
-        double reads = (QUESTION_READS_PART + REQUEST_READS_PART) * OWN_REQUESTS;
+        double versionChecks = VERSION_CHECK_FRACTION * REQUESTS_PER_CONTROLLER;
+        double reads = (QUERY_READ_FRACTION + REQUEST_READ_FRACTION) * REQUESTS_PER_CONTROLLER;
         for (String node : cluster.nodes()) {
-            assertThat((double) cluster.stateRequests.verifications(node))
+            assertThat((double) cluster.storeRequests.versionChecks(node))
                     .as("verifications of %s", node)
-                    .isLessThanOrEqualTo(verifications * (seconds + 1) + 1);
-            assertThat((double) cluster.stateRequests.reads(node))
+                    .isLessThanOrEqualTo(versionChecks * (seconds + 1) + 1);
+            assertThat((double) cluster.storeRequests.jobReads(node))
                     .as("readings of %s", node)
                     .isLessThanOrEqualTo(reads * (seconds + 1) + 4);
         }
     }
 
     /** All queries were answered in time, and those that were refused heard when to come back. */
-    private static void assertQuestionsAnsweredInTime(SimulatedCluster cluster) {
-        assertThat(longest(cluster, Kind.QUESTION)).isLessThan(QUESTION_LIMIT);
+    private static void assertQueriesAnsweredInTime(SimulatedCluster cluster) {
+        assertThat(longest(cluster, Kind.QUERY)).isLessThan(MAX_QUERY_TIME);
         // What came at the very end has no answer yet, which is 0 here; the time above holds for it too.
-        assertThat(cluster.responses.of(Kind.QUESTION).stream().map(ResponseLog.Entry::status))
+        assertThat(cluster.responses.of(Kind.QUERY).stream().map(ResponseLog.Entry::status))
                 .isSubsetOf(0, 200, 503);
-        assertThat(cluster.responses.of(Kind.QUESTION).stream()
-                        .filter(entry -> entry.saysWhenToComeBack() != (entry.status() == 503)))
+        assertThat(cluster.responses.of(Kind.QUERY).stream()
+                        .filter(entry -> entry.hasRetryAfter() != (entry.status() == 503)))
                 .isEmpty();
     }
 
-    private static void assertReportsAnsweredAtOnce(SimulatedCluster cluster) {
-        assertThat(cluster.responses.of(Kind.REPORT)).isNotEmpty();
-        assertThat(longest(cluster, Kind.REPORT)).isLessThan(Duration.ofMillis(50));
+    private static void assertHeartbeatsAnsweredAtOnce(SimulatedCluster cluster) {
+        assertThat(cluster.responses.of(Kind.HEARTBEAT)).isNotEmpty();
+        assertThat(longest(cluster, Kind.HEARTBEAT)).isLessThan(Duration.ofMillis(50));
     }
 
     static Stream<Arguments> loads() {
         return Stream.of(10, 50)
-                .flatMap(times -> Stream.of(StateService.values()).map(state -> Arguments.of(times, state)));
+                .flatMap(times -> Stream.of(StoreCondition.values()).map(state -> Arguments.of(times, state)));
     }
 
     @ParameterizedTest
     @MethodSource("loads")
-    void queriesStayCorrectAndCheap(int times, StateService state) {
-        SimulatedCluster calm = day(1, state);
-        SimulatedCluster cluster = day(times, state);
-        Duration usual = longest(calm.users().stream().map(TestUser::timeToAcceptance));
-        Duration now = longest(cluster.users().stream().map(TestUser::timeToAcceptance));
+    void queriesStayCorrectAndCheap(int times, StoreCondition state) {
+        SimulatedCluster baseline = playLoad(1, state);
+        SimulatedCluster cluster = playLoad(times, state);
+        Duration baselineMax = longest(baseline.users().stream().map(TestUser::timeToAcceptance));
+        Duration loadedMax = longest(cluster.users().stream().map(TestUser::timeToAcceptance));
         // A user whose submission meets a commit that fails submits again a second later, and perhaps a second time.
-        assertThat(now).isLessThanOrEqualTo(usual.plusMillis(2200));
-        if (state == StateService.NORMAL) {
-            assertThat(now).isLessThanOrEqualTo(usual.plusMillis(150));
-            assertThat(count(cluster, Kind.QUESTION, 503)).isZero();
+        assertThat(loadedMax).isLessThanOrEqualTo(baselineMax.plusMillis(2200));
+        if (state == StoreCondition.NORMAL) {
+            assertThat(loadedMax).isLessThanOrEqualTo(baselineMax.plusMillis(150));
+            assertThat(count(cluster, Kind.QUERY, 503)).isZero();
         }
-        if (state == StateService.SLOW) {
+        if (state == StoreCondition.SLOW) {
             // Where each request is slow by chance, single delays differ from day to day whatever users ask.
-            assertThat(mean(cluster)).isLessThanOrEqualTo(mean(calm).plusMillis(150));
-            assertThat(100 * count(cluster, Kind.QUESTION, 503)).isLessThan(count(cluster, Kind.QUESTION, 200));
+            assertThat(mean(cluster)).isLessThanOrEqualTo(mean(baseline).plusMillis(150));
+            assertThat(100 * count(cluster, Kind.QUERY, 503)).isLessThan(count(cluster, Kind.QUERY, 200));
         }
-        assertThat(count(cluster, Kind.QUESTION, 200))
+        assertThat(count(cluster, Kind.QUERY, 200))
                 .as("answers beside those of a usual day")
-                .isGreaterThan(times / 2 * count(calm, Kind.QUESTION, 200));
+                .isGreaterThan(times / 2 * count(baseline, Kind.QUERY, 200));
     }
 
     private static Duration mean(SimulatedCluster cluster) {
@@ -175,17 +175,17 @@
     }
 
     /** A day with so many times as many queries; what holds for every such day is checked here. */
-    private static SimulatedCluster day(int times, StateService state) {
-        SimulatedCluster cluster = world(7, 12, Duration.ofSeconds(40));
+    private static SimulatedCluster playLoad(int times, StoreCondition state) {
+        SimulatedCluster cluster = clusterWithJobs(7, 12, Duration.ofSeconds(40));
         cluster.responses.clear();
-        cluster.stateRequests.clear();
+        cluster.storeRequests.clear();
         cluster.multiplyQueryRate(times);
-        moreWork(cluster, 100, 30);
+        submitDuringLoad(cluster, 100, 30);
         state.begin(cluster);
-        cluster.run(TROUBLE);
-        assertQuestionsAnsweredInTime(cluster);
-        assertReportsAnsweredAtOnce(cluster);
-        assertWithinPart(cluster, TROUBLE);
+        cluster.run(LOAD_SPAN);
+        assertQueriesAnsweredInTime(cluster);
+        assertHeartbeatsAnsweredAtOnce(cluster);
+        assertWithinRateLimit(cluster, LOAD_SPAN);
         cluster.endFaults();
         cluster.run(Duration.ofSeconds(120));
         assertThat(cluster.violations).isEmpty();
@@ -195,7 +195,7 @@
 
     // One mechanism each
 
-    private static void ask(SimulatedCluster cluster, String node, String id) {
+    private static void query(SimulatedCluster cluster, String node, String id) {
         send(cluster, node, HttpRequest.get("/v2/runs/" + id, Duration.ofSeconds(2)), response -> {});
     }
 
@@ -205,70 +205,70 @@
         client.call(cluster.address(node), request, callback);
     }
 
-    private static SimulatedCluster quietWorld(int jobs) {
-        SimulatedCluster cluster = world(11, jobs, Duration.ofSeconds(200));
+    private static SimulatedCluster idleCluster(int jobs) {
+        SimulatedCluster cluster = clusterWithJobs(11, jobs, Duration.ofSeconds(200));
         cluster.run(Duration.ofMillis(500));
         cluster.responses.clear();
-        cluster.stateRequests.clear();
+        cluster.storeRequests.clear();
         return cluster;
     }
 
     /** Without the joining of queries about one job, many of them are refused: the queue seems to be too long. */
     @Test
     void aThousandQueriesOfOneJobCostOneConfirmation() {
-        SimulatedCluster cluster = quietWorld(1);
+        SimulatedCluster cluster = idleCluster(1);
         for (int i = 0; i < 1000; i++) {
-            ask(cluster, "perch-0", "run-000001");
+            query(cluster, "perch-0", "run-000001");
         }
         cluster.run(Duration.ofMillis(1500));
-        assertThat(count(cluster, Kind.QUESTION, 200)).isGreaterThanOrEqualTo(1000);
-        assertThat(count(cluster, Kind.QUESTION, 503)).isZero();
-        assertThat(cluster.stateRequests.verifications("perch-0")).isLessThanOrEqualTo(3);
+        assertThat(count(cluster, Kind.QUERY, 200)).isGreaterThanOrEqualTo(1000);
+        assertThat(count(cluster, Kind.QUERY, 503)).isZero();
+        assertThat(cluster.storeRequests.versionChecks("perch-0")).isLessThanOrEqualTo(3);
     }
 
     /** Without the estimate of the wait, queries are held for more than a second and then refused. */
     @Test
     void queriesThatCannotBeConfirmedInTimeAreRejectedAtOnce() {
-        SimulatedCluster cluster = quietWorld(1);
+        SimulatedCluster cluster = idleCluster(1);
         for (int i = 0; i < 5000; i++) {
-            ask(cluster, "perch-0", "run-" + (500_000 + i));
+            query(cluster, "perch-0", "run-" + (500_000 + i));
         }
         cluster.run(Duration.ofSeconds(2));
-        assertThat(count(cluster, Kind.QUESTION, 404)).isGreaterThan(150);
-        assertThat(longest(cluster, Kind.QUESTION)).isLessThan(QUESTION_LIMIT);
-        Duration refusedWithin = longest(cluster.responses.of(Kind.QUESTION).stream()
+        assertThat(count(cluster, Kind.QUERY, 404)).isGreaterThan(150);
+        assertThat(longest(cluster, Kind.QUERY)).isLessThan(MAX_QUERY_TIME);
+        Duration rejectionTime = longest(cluster.responses.of(Kind.QUERY).stream()
                 .filter(entry -> entry.status() == 503)
-                .map(entry -> entry.took(cluster.time.now())));
-        assertThat(count(cluster, Kind.QUESTION, 503)).isGreaterThan(3000);
-        assertThat(refusedWithin).isLessThan(Duration.ofMillis(50));
-        assertThat(cluster.stateRequests.reads("perch-0"))
+                .map(entry -> entry.elapsed(cluster.time.now())));
+        assertThat(count(cluster, Kind.QUERY, 503)).isGreaterThan(3000);
+        assertThat(rejectionTime).isLessThan(Duration.ofMillis(50));
+        assertThat(cluster.storeRequests.jobReads("perch-0"))
                 .as("no job is read one by one")
                 .isZero();
-        assertWithinPart(cluster, Duration.ofSeconds(2));
+        assertWithinRateLimit(cluster, Duration.ofSeconds(2));
     }
 
     /** Without the limit of time of a query they wait for the 3 s of a request to the state store. */
     @Test
     void queriesAreRejectedInTimeWhenTheStoreDoesNotAnswer() {
-        SimulatedCluster cluster = quietWorld(1);
-        cluster.network.cut("perch-0", SimulatedCluster.stateAddress());
+        SimulatedCluster cluster = idleCluster(1);
+        cluster.network.cut("perch-0", SimulatedCluster.storeAddress());
         for (int i = 0; i < 20; i++) {
-            cluster.after(Duration.ofMillis(150L * i), () -> ask(cluster, "perch-0", "run-000001"));
+            cluster.after(Duration.ofMillis(150L * i), () -> query(cluster, "perch-0", "run-000001"));
         }
         cluster.run(Duration.ofSeconds(5));
-        assertThat(count(cluster, Kind.QUESTION, 503)).isGreaterThanOrEqualTo(20);
-        assertThat(longest(cluster, Kind.QUESTION)).isLessThan(QUESTION_LIMIT);
+        assertThat(count(cluster, Kind.QUERY, 503)).isGreaterThanOrEqualTo(20);
+        assertThat(longest(cluster, Kind.QUERY)).isLessThan(MAX_QUERY_TIME);
     }
 
     /** If a refusal of the state store were taken for a busy moment, they would be asked again for 1.2 s. */
     @Test
     void queriesAreRejectedAsSoonAsTheStoreRejects() {
-        SimulatedCluster cluster = quietWorld(1);
+        SimulatedCluster cluster = idleCluster(1);
         cluster.store.setDown(true);
-        ask(cluster, "perch-0", "run-000001");
+        query(cluster, "perch-0", "run-000001");
         cluster.run(Duration.ofSeconds(2));
-        assertThat(count(cluster, Kind.QUESTION, 503)).isPositive();
-        assertThat(longest(cluster, Kind.QUESTION)).isLessThan(Duration.ofMillis(200));
+        assertThat(count(cluster, Kind.QUERY, 503)).isPositive();
+        assertThat(longest(cluster, Kind.QUERY)).isLessThan(Duration.ofMillis(200));
     }
 
     /**
@@ -277,20 +277,20 @@
      */
     @Test
     void restartedControllersReadFinishedJobsWithinTheirRateLimit() {
-        SimulatedCluster cluster = world(13, 40, Duration.ofSeconds(3));
+        SimulatedCluster cluster = clusterWithJobs(13, 40, Duration.ofSeconds(3));
         cluster.run(Duration.ofSeconds(60));
         assertThat(cluster.unfinished()).isEmpty();
         cluster.nodes().forEach(node -> cluster.crash(node, Duration.ofMillis(100)));
         cluster.run(Duration.ofSeconds(10));
         cluster.responses.clear();
-        cluster.stateRequests.clear();
+        cluster.storeRequests.clear();
         for (int i = 0; i < 150; i++) {
             cluster.after(Duration.ofMillis(100L * i), () -> cluster.users()
-                    .forEach(user -> ask(cluster, "perch-0", user.request.id())));
+                    .forEach(user -> query(cluster, "perch-0", user.request.id())));
         }
         cluster.run(Duration.ofMillis(1000));
-        double reads = QUESTION_READS_PART * OWN_REQUESTS;
-        assertThat((double) cluster.stateRequests.reads("perch-0")).isBetween(reads, 2 * reads + 1);
+        double reads = QUERY_READ_FRACTION * REQUESTS_PER_CONTROLLER;
+        assertThat((double) cluster.storeRequests.jobReads("perch-0")).isBetween(reads, 2 * reads + 1);
         List<String> unanswered = new ArrayList<>();
         cluster.users().get(39).cancelOnce(cluster.address("perch-0"), () -> unanswered.add("cancellation"));
         cluster.run(Duration.ofSeconds(14));
@@ -298,27 +298,27 @@
         assertThat(longest(cluster, Kind.CANCELLATION))
                 .as("it has a budget of its own")
                 .isLessThan(Duration.ofMillis(100));
-        assertWithinPart(cluster, Duration.ofSeconds(15));
-        assertThat(cluster.stateRequests.reads("perch-0")).as("each once").isLessThanOrEqualTo(42);
-        assertThat(count(cluster, Kind.QUESTION, 200)).isGreaterThan(2000);
-        assertQuestionsAnsweredInTime(cluster);
+        assertWithinRateLimit(cluster, Duration.ofSeconds(15));
+        assertThat(cluster.storeRequests.jobReads("perch-0")).as("each once").isLessThanOrEqualTo(42);
+        assertThat(count(cluster, Kind.QUERY, 200)).isGreaterThan(2000);
+        assertQueriesAnsweredInTime(cluster);
         assertThat(cluster.violations).isEmpty();
     }
 
     /** Without their own queue, repeated submissions are refused with the queries, or wait behind them. */
     @Test
     void submissionsAndCancellationsDoNotWaitBehindQueries() {
-        SimulatedCluster cluster = quietWorld(2);
+        SimulatedCluster cluster = idleCluster(2);
         for (int i = 0; i < 3000; i++) {
-            ask(cluster, "perch-0", "run-" + (500_000 + i));
+            query(cluster, "perch-0", "run-" + (500_000 + i));
         }
         cluster.run(Duration.ofMillis(20));
         List<Integer> statuses = new ArrayList<>();
         TestUser known = cluster.users().get(0);
         byte[] again = Cbor.encode(known.request.toNode());
-        byte[] impossible =
+        byte[] infeasible =
                 Cbor.encode(known.request.toNode().put("name_id", "run-700000").put("cpus", 1000));
-        for (byte[] body : List.of(again, impossible)) {
+        for (byte[] body : List.of(again, infeasible)) {
             send(
                     cluster,
                     "perch-0",
--- a/src/test/java/org/gullway/StoreOutageDetectorTest.java
+++ b/src/test/java/org/gullway/StoreOutageDetectorTest.java
@@ -19,8 +19,8 @@
  * healthy node in the first seconds after each, and a sixth of them gave up (hunted day hunt-c4d1-5).
  */
 class StoreOutageDetectorTest {
-    private static final Duration CHECK_EVERY = Duration.ofSeconds(1);
-    private static final Duration CHECK_LIMIT = Duration.ofSeconds(1);
+    private static final Duration CHECK_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration CHECK_TIMEOUT = Duration.ofSeconds(1);
     /** So many failures in a row remove a node. */
     private static final int REMOVED_AFTER = 2;
 
@@ -35,11 +35,11 @@
             this.cluster = cluster;
             SimulatedTime.Process process = cluster.time.process();
             this.balancer = cluster.network.client("balancer", process);
-            process.every(CHECK_EVERY, () -> cluster.nodes().forEach(this::check));
+            process.every(CHECK_INTERVAL, () -> cluster.nodes().forEach(this::check));
         }
 
         private void check(String node) {
-            balancer.call(cluster.address(node), HttpRequest.get("/up", CHECK_LIMIT), response -> {
+            balancer.call(cluster.address(node), HttpRequest.get("/up", CHECK_TIMEOUT), response -> {
                 int failures = response.isOk() ? 0 : failuresInARow.getOrDefault(node, 0) + 1;
                 failuresInARow.put(node, failures);
                 mostFailuresInARow.merge(node, failures, Math::max);
@@ -51,7 +51,7 @@
         }
     }
 
-    private static SimulatedCluster busy(int seed) {
+    private static SimulatedCluster clusterWithJobs(int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 4; i++) {
             cluster.submit(i, i % 2 == 0 ? "red" : "blue", Priority.HIGH, 2, 4, Duration.ofSeconds(30));
@@ -63,7 +63,7 @@
     /** Without the state store nobody serves users better, so no node may lose its place for the time afterwards. */
     @Property(tries = 6, seed = "41")
     void allStayHealthyInStoreOutages(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = busy(seed);
+        SimulatedCluster cluster = clusterWithJobs(seed);
         HealthChecks checks = new HealthChecks(cluster);
         for (int i = 0; i < 4; i++) {
             cluster.store.setDown(true);
@@ -81,16 +81,16 @@
     /** A node that alone is refused must go on failing its checks: the others can serve its users. */
     @Property(tries = 6, seed = "42")
     void aNodeThatAloneCannotReachTheStoreBecomesUnhealthy(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = busy(seed);
+        SimulatedCluster cluster = clusterWithJobs(seed);
         HealthChecks checks = new HealthChecks(cluster);
-        String alone = cluster.nodes().get(seed % 3);
-        cluster.network.cut(alone, SimulatedCluster.stateAddress());
+        String isolated = cluster.nodes().get(seed % 3);
+        cluster.network.cut(isolated, SimulatedCluster.storeAddress());
         cluster.run(Duration.ofSeconds(40));
-        assertThat(checks.mostFailuresInARow(alone)).isGreaterThan(25);
+        assertThat(checks.mostFailuresInARow(isolated)).isGreaterThan(25);
         cluster.nodes().stream()
-                .filter(node -> !node.equals(alone))
+                .filter(node -> !node.equals(isolated))
                 .forEach(node -> assertThat(checks.mostFailuresInARow(node)).isLessThan(REMOVED_AFTER));
-        cluster.network.heal(alone, SimulatedCluster.stateAddress());
+        cluster.network.heal(isolated, SimulatedCluster.storeAddress());
         cluster.endFaults();
         cluster.run(Duration.ofSeconds(120));
         assertThat(cluster.violations).isEmpty();
--- a/src/test/java/org/gullway/StoreRequestLog.java
+++ b/src/test/java/org/gullway/StoreRequestLog.java
@@ -18,12 +18,12 @@
     static final int PER_SECOND = 150;
 
     private final SimulatedTime time;
-    private final Map<String, Integer> verifications = new HashMap<>();
-    private final Map<String, Integer> reads = new HashMap<>();
+    private final Map<String, Integer> versionChecks = new HashMap<>();
+    private final Map<String, Integer> jobReads = new HashMap<>();
     private boolean limited;
     private double tokens = PER_SECOND;
     private Instant tokensAt = Instant.EPOCH;
-    private int refused;
+    private int rejected;
 
     StoreRequestLog(SimulatedTime time) {
         this.time = time;
@@ -35,15 +35,15 @@
     }
 
     void clear() {
-        verifications.clear();
-        reads.clear();
-        refused = 0;
+        versionChecks.clear();
+        jobReads.clear();
+        rejected = 0;
     }
 
     void handle(HttpExchange exchange, Consumer<HttpExchange> store) {
         count(exchange);
         if (limited && !mayPass()) {
-            refused++;
+            rejected++;
             exchange.respond(429, new byte[0]);
         } else {
             store.accept(exchange);
@@ -53,9 +53,9 @@
     private void count(HttpExchange exchange) {
         String node = exchange instanceof SimulatedNetwork.Message message ? message.from() : "";
         if (exchange.path().startsWith("/store/live/jobs/") || exchange.path().startsWith("/store/ended/")) {
-            reads.merge(node, 1, Integer::sum);
+            jobReads.merge(node, 1, Integer::sum);
         } else if (exchange.path().equals("/commit") && changesNothing(exchange)) {
-            verifications.merge(node, 1, Integer::sum);
+            versionChecks.merge(node, 1, Integer::sum);
         }
     }
 
@@ -80,16 +80,16 @@
     }
 
     /** Requests that only compare what is known, as the answers to queries need them. */
-    int verifications(String node) {
-        return verifications.getOrDefault(node, 0);
+    int versionChecks(String node) {
+        return versionChecks.getOrDefault(node, 0);
     }
 
     /** Readings of single jobs. */
-    int reads(String node) {
-        return reads.getOrDefault(node, 0);
+    int jobReads(String node) {
+        return jobReads.getOrDefault(node, 0);
     }
 
-    int refused() {
-        return refused;
+    int rejected() {
+        return rejected;
     }
 }
--- a/src/test/java/org/gullway/TestUser.java
+++ b/src/test/java/org/gullway/TestUser.java
@@ -14,9 +14,9 @@
 /** A job with what its user was told. */
 final class TestUser {
     /** A user waits so long for the answer to a submission or a cancellation, and to a query. */
-    private static final Duration REQUEST_LIMIT = Duration.ofSeconds(5);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
 
-    private static final Duration QUESTION_LIMIT = Duration.ofSeconds(2);
+    private static final Duration QUERY_TIMEOUT = Duration.ofSeconds(2);
 
     final JobRequest request;
     final Duration runTime;
@@ -24,7 +24,7 @@
     private final InvariantChecker invariants;
     private final HttpClient client;
     private final EventLoop loop;
-    private final Instant submitted;
+    private final Instant submittedAt;
     private boolean accepted;
     private Instant acceptedAt;
 
@@ -32,26 +32,26 @@
         this.users = users;
         this.request = request;
         this.runTime = runTime;
-        this.invariants = users.rules();
+        this.invariants = users.invariants();
         this.client = users.client();
         this.loop = users.loop();
-        this.submitted = loop.now();
+        this.submittedAt = loop.now();
     }
 
     private void call(String address, HttpRequest request, Consumer<HttpResponse> answered) {
-        Instant asked = loop.now();
+        Instant sentAt = loop.now();
         client.call(address, request, response -> {
-            users.history().add(this.request.id(), loop.now(), () -> describe(address, request, response, asked));
+            users.history().add(this.request.id(), loop.now(), () -> describe(address, request, response, sentAt));
             answered.accept(response);
         });
     }
 
-    private String describe(String address, HttpRequest sent, HttpResponse response, Instant asked) {
+    private String describe(String address, HttpRequest sent, HttpResponse response, Instant sentAt) {
         String answer = response.outcome() == HttpResponse.Outcome.ANSWERED
                 ? response.status() + " " + (response.body().length == 0 ? "" : state(response))
                 : response.outcome().toString();
         return "user: " + sent.method() + " " + sent.path() + " at " + address + ", sent "
-                + JobHistory.text(asked).strip() + " -> " + answer;
+                + JobHistory.text(sentAt).strip() + " -> " + answer;
     }
 
     boolean isCancellationRequested() {
@@ -62,19 +62,19 @@
         return invariants.isFinished(request.id());
     }
 
-    private String node() {
+    private String anyAddress() {
         return users.anyAddress();
     }
 
     void submit() {
-        Instant asked = loop.now();
-        call(node(), HttpRequest.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_LIMIT), response -> {
+        Instant sentAt = loop.now();
+        call(anyAddress(), HttpRequest.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_TIMEOUT), response -> {
             if (response.status() == 201 || response.status() == 200) {
                 boolean news = !accepted;
                 accepted = true;
                 acceptedAt = loop.now();
                 invariants.onAccepted(request.id(), loop.now());
-                onState(response, asked);
+                onState(response, sentAt);
                 if (news) {
                     users.stateChanged(this);
                 }
@@ -90,7 +90,7 @@
     /** Asks for the cancellation until it is answered. */
     void cancel() {
         if (!isFinished()) {
-            cancelOnce(node(), () -> loop.after(Duration.ofSeconds(1), this::cancel));
+            cancelOnce(anyAddress(), () -> loop.after(Duration.ofSeconds(1), this::cancel));
         }
     }
 
@@ -98,13 +98,13 @@
     void cancelOnce(String address, Runnable unanswered) {
         invariants.onCancellationRequested(request.id());
         boolean known = accepted;
-        Instant asked = loop.now();
+        Instant sentAt = loop.now();
         call(
                 address,
-                HttpRequest.post("/v2/runs/" + request.id() + "/withdraw", Cbor.encode(Cbor.map()), REQUEST_LIMIT),
+                HttpRequest.post("/v2/runs/" + request.id() + "/withdraw", Cbor.encode(Cbor.map()), REQUEST_TIMEOUT),
                 response -> {
                     if (response.status() == 200) {
-                        onState(response, asked);
+                        onState(response, sentAt);
                         invariants.onCancellationAnswered(request.id(), state(response), loop.now());
                     } else if (response.status() == 404 && known) {
                         invariants.violations.add("forgotten: cancellation of " + request.id());
@@ -118,18 +118,18 @@
         if (isFinished()) {
             queryAllControllers();
         } else {
-            query(node());
+            query(anyAddress());
         }
-        loop.after(Duration.ofSeconds(isFinished() ? 25 : 5).dividedBy(users.timesAsOften()), this::poll);
+        loop.after(Duration.ofSeconds(isFinished() ? 25 : 5).dividedBy(users.queryRateFactor()), this::poll);
     }
 
     private void query(String address) {
-        Instant asked = loop.now();
-        call(address, HttpRequest.get("/v2/runs/" + request.id(), QUESTION_LIMIT), response -> {
+        Instant sentAt = loop.now();
+        call(address, HttpRequest.get("/v2/runs/" + request.id(), QUERY_TIMEOUT), response -> {
             if (response.status() == 200) {
-                onState(response, asked);
+                onState(response, sentAt);
             }
-            invariants.onQueried(request.id(), response.status(), asked, loop.now());
+            invariants.onQueried(request.id(), response.status(), sentAt, loop.now());
         });
     }
 
@@ -145,11 +145,11 @@
         if (!accepted) {
             return;
         }
-        Instant asked = loop.now();
-        call(node(), HttpRequest.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_LIMIT), response -> {
+        Instant sentAt = loop.now();
+        call(anyAddress(), HttpRequest.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_TIMEOUT), response -> {
             invariants.onResubmitted(request.id(), response.status(), loop.now());
             if (response.status() == 200) {
-                onState(response, asked);
+                onState(response, sentAt);
             }
         });
     }
@@ -157,12 +157,12 @@
     /** Time from the submission until the first task began; null if none has. */
     Duration timeToFirstStart() {
         Instant first = invariants.firstStartOf(request.id());
-        return first == null ? null : Duration.between(submitted, first);
+        return first == null ? null : Duration.between(submittedAt, first);
     }
 
     /** Time from the submission until it was accepted; null if it was not. */
     Duration timeToAcceptance() {
-        return acceptedAt == null ? null : Duration.between(submitted, acceptedAt);
+        return acceptedAt == null ? null : Duration.between(submittedAt, acceptedAt);
     }
 
     private String state(HttpResponse response) {
@@ -174,9 +174,9 @@
         }
     }
 
-    private void onState(HttpResponse response, Instant asked) {
+    private void onState(HttpResponse response, Instant sentAt) {
         boolean wasOver = isFinished();
-        if (invariants.onStateReported(request.id(), state(response), asked, loop.now())) {
+        if (invariants.onStateReported(request.id(), state(response), sentAt, loop.now())) {
             loop.after(
                     invariants.cancellationLimit(), () -> invariants.checkCancellationLimit(request.id(), loop.now()));
         }
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -23,7 +23,7 @@
     private final Map<String, TestUser> users = new LinkedHashMap<>();
     private Consumer<TestUser> onDone = user -> {};
     private Consumer<TestUser> onStateChange = user -> {};
-    private int timesAsOften = 1;
+    private int queryRateFactor = 1;
     private JobHistory history = JobHistory.none();
     private BiPredicate<String, String> taskFails = (machine, job) -> false;
 
@@ -32,12 +32,12 @@
             EventLoop loop,
             HttpClient client,
             InvariantChecker invariants,
-            RandomGenerator random,
+            RandomGenerator burstRandom,
             List<String> addresses) {
         this.loop = loop;
         this.client = client;
         this.invariants = invariants;
-        this.random = random;
+        this.random = burstRandom;
         this.addresses = new ArrayList<>(addresses);
     }
 
@@ -63,22 +63,22 @@
 
     /** From now on users ask so many times as often. */
     void multiplyQueryRate(int times) {
-        timesAsOften = times;
+        queryRateFactor = times;
     }
 
     /** Is told at the very moment at which the last task of a job has completed. */
-    void onDone(Consumer<TestUser> told) {
-        onDone = told;
+    void onDone(Consumer<TestUser> listener) {
+        onDone = listener;
     }
 
     /** Is told at the very moment at which a user hears that its job is accepted, and that it is done or cancelled. */
-    void onStateChange(Consumer<TestUser> told) {
-        onStateChange = told;
+    void onStateChange(Consumer<TestUser> listener) {
+        onStateChange = listener;
     }
 
     /** From now on what users and machines see is recorded here. */
-    void recordIn(JobHistory next) {
-        history = next;
+    void recordIn(JobHistory recorder) {
+        history = recorder;
     }
 
     /** Says of a machine and a job whether its tasks fail there. */
@@ -87,11 +87,11 @@
     }
 
     /** The user asks at all nodes, again and again within milliseconds, and repeats the submission. */
-    void queryInBursts(TestUser user, RandomGenerator moments) {
-        for (int look = 0; look < 4; look++) {
-            loop.after(Duration.ofNanos(moments.nextInt(6_000_000)), user::queryAllControllers);
+    void queryInBursts(TestUser user, RandomGenerator burstRandom) {
+        for (int i = 0; i < 4; i++) {
+            loop.after(Duration.ofNanos(burstRandom.nextInt(6_000_000)), user::queryAllControllers);
         }
-        loop.after(Duration.ofNanos(moments.nextInt(6_000_000)), user::resubmit);
+        loop.after(Duration.ofNanos(burstRandom.nextInt(6_000_000)), user::resubmit);
     }
 
     // What a user needs
@@ -104,7 +104,7 @@
         return client;
     }
 
-    InvariantChecker rules() {
+    InvariantChecker invariants() {
         return invariants;
     }
 
@@ -116,8 +116,8 @@
         return addresses.get(random.nextInt(addresses.size()));
     }
 
-    int timesAsOften() {
-        return timesAsOften;
+    int queryRateFactor() {
+        return queryRateFactor;
     }
 
     void stateChanged(TestUser user) {
--- a/src/test/java/org/gullway/UserRequestFaultsTest.java
+++ b/src/test/java/org/gullway/UserRequestFaultsTest.java
@@ -1,7 +1,7 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.gullway.FaultCombinationsTest.endsWell;
+import static org.gullway.FaultCombinationsTest.assertRecoversAfter;
 import static org.gullway.FaultCombinationsTest.seconds;
 
 import java.time.Duration;
@@ -12,7 +12,7 @@
 
 /** Many requests of users, or requests at the worst moments, with no other fault. */
 class UserRequestFaultsTest {
-    private static final Duration DONE_IS_EXPECTED_AFTER = Duration.ofSeconds(3);
+    private static final Duration MAX_COMPLETION_DELAY = Duration.ofSeconds(3);
 
     /**
      * Four one-task jobs a second for two minutes, a quarter of them cancelled, half of these at once. Guards that the
@@ -23,7 +23,7 @@
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 4);
         int jobs = 480;
         int[] late = new int[1];
-        cluster.onDone(user -> cluster.after(DONE_IS_EXPECTED_AFTER.minusMillis(200), () -> {
+        cluster.onDone(user -> cluster.after(MAX_COMPLETION_DELAY.minusMillis(200), () -> {
             user.queryAllControllers();
             cluster.after(Duration.ofMillis(200), () -> late[0] += user.isFinished() ? 0 : 1);
         }));
@@ -79,6 +79,6 @@
                             2,
                             seconds(1 + number % 5)));
         }
-        endsWell(cluster, Duration.ofSeconds(40));
+        assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
 }
