--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -1,10 +1,10 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.gullway.FaultCombinationsTest.assertRecoversAfter;
-import static org.gullway.FaultCombinationsTest.clusterWithRunningJobs;
-import static org.gullway.FaultCombinationsTest.seconds;
-import static org.gullway.FaultCombinationsTest.submitSteadily;
+import static org.gullway.FaultScenarios.assertRecoversAfter;
+import static org.gullway.FaultScenarios.clusterWithRunningJobs;
+import static org.gullway.FaultScenarios.seconds;
+import static org.gullway.FaultScenarios.submitSteadily;
 
 import java.time.Duration;
 import net.jqwik.api.ForAll;
--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -1,14 +1,14 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.gullway.FaultCombinationsTest.assertRecoversAfter;
-import static org.gullway.FaultCombinationsTest.cancelThrough;
-import static org.gullway.FaultCombinationsTest.clusterWithRunningJobs;
-import static org.gullway.FaultCombinationsTest.cutFromStore;
-import static org.gullway.FaultCombinationsTest.partition;
-import static org.gullway.FaultCombinationsTest.partitionInbound;
-import static org.gullway.FaultCombinationsTest.seconds;
-import static org.gullway.FaultCombinationsTest.submitSteadily;
+import static org.gullway.FaultScenarios.assertRecoversAfter;
+import static org.gullway.FaultScenarios.cancelThrough;
+import static org.gullway.FaultScenarios.clusterWithRunningJobs;
+import static org.gullway.FaultScenarios.cutFromStore;
+import static org.gullway.FaultScenarios.partition;
+import static org.gullway.FaultScenarios.partitionInbound;
+import static org.gullway.FaultScenarios.seconds;
+import static org.gullway.FaultScenarios.submitSteadily;
 
 import java.time.Duration;
 import java.time.Instant;
--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -1,6 +1,7 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.gullway.FaultScenarios.assertFinishesWithin;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -34,12 +35,6 @@
         return cluster;
     }
 
-    private static void assertFinishesWithin(SimulatedCluster cluster, Duration within) {
-        cluster.run(within);
-        assertThat(cluster.violations).isEmpty();
-        assertThat(cluster.unfinished()).isEmpty();
-    }
-
     /** It never hears again: its reports go on, its agent epochs move on, and it has to be returned all the same. */
     @Property(tries = 6, seed = "21")
     void aMachineWithAnInboundPartitionIsDeclaredLost(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/LateCommitResponseTest.java
+++ b/src/test/java/org/gullway/LateCommitResponseTest.java
@@ -1,7 +1,7 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.gullway.FaultCombinationsTest.seconds;
+import static org.gullway.FaultScenarios.seconds;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- /dev/null
+++ b/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
@@ -0,0 +1,145 @@
+package org.gullway;
+
+import static org.gullway.FaultScenarios.assertRecoversAfter;
+import static org.gullway.FaultScenarios.cancelThrough;
+import static org.gullway.FaultScenarios.clusterWithRunningJobs;
+import static org.gullway.FaultScenarios.cutFromStore;
+import static org.gullway.FaultScenarios.partition;
+import static org.gullway.FaultScenarios.partitionInbound;
+import static org.gullway.FaultScenarios.seconds;
+import static org.gullway.FaultScenarios.storeOutage;
+import static org.gullway.FaultScenarios.submitSteadily;
+
+import java.time.Duration;
+import java.util.List;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import org.gullway.fake.FakeAgent;
+import org.gullway.protocol.Priority;
+
+/** Pairs of faults around a change of leader; each schedule drives them into their worst order. */
+class LeaderFaultCombinationsTest {
+    private static final Duration LONG = Duration.ofSeconds(200);
+
+    /**
+     * A leader is cut from the state store and its peers while agents and users still reach it, and jobs are cancelled
+     * through the new leader.
+     */
+    @Property(tries = 4, seed = "101")
+    void leaderReachesOnlyAgentsAndUsersWhileTheNewOneCancels(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+        String leader = cluster.leader();
+        cutFromStore(cluster, leader, Duration.ofSeconds(70));
+        cluster.partitionPeers(leader, true);
+        cluster.after(
+                seconds(1 + seed % 12),
+                () -> cancelThrough(
+                        cluster, cluster.otherNode(leader), cluster.users().subList(0, 6)));
+        submitSteadily(cluster, 9, 10);
+        assertRecoversAfter(cluster, Duration.ofSeconds(70));
+    }
+
+    /** All controllers are down for longer than a lease of agents, with cancellations before and during that time. */
+    @Property(tries = 4, seed = "102")
+    void allControllersDownForLongerThanALease(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+        cluster.users().subList(0, 2).forEach(TestUser::cancel);
+        cluster.run(seconds(0.2 + seed % 5));
+        for (int i = 0; i < 3; i++) {
+            cluster.crash(cluster.nodes().get(i), SimulatedCluster.LEASE.plusSeconds(2 + (seed + 5 * i) % 12));
+        }
+        cluster.after(Duration.ofSeconds(3), () -> cluster.users().subList(2, 5).forEach(TestUser::cancel));
+        submitSteadily(cluster, 9, 8);
+        assertRecoversAfter(cluster, Duration.ofSeconds(40));
+    }
+
+    /** Heartbeats are held back until a new leader has acted, and then arrive there. */
+    @Property(tries = 6, seed = "104")
+    void heartbeatsHeldUntilANewLeaderHasActed(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(60));
+        String leader = cluster.leader();
+        List<FakeAgent> held = cluster.cloud.agents().stream().limit(4).toList();
+        held.forEach(agent -> cluster.network.holdRequests(agent.name()));
+        cluster.after(seconds(3.5), () -> cluster.crash(leader, Duration.ofSeconds(30)));
+        cluster.after(Duration.ofSeconds(5), () -> cluster.users().subList(0, 4).forEach(TestUser::cancel));
+        submitSteadily(cluster, 9, 6);
+        cluster.after(
+                Duration.ofSeconds(13 + seed % 20),
+                () -> held.forEach(agent -> cluster.network.release(
+                        agent.name(), cluster.address(cluster.leader() == null ? "perch-0" : cluster.leader()))));
+        assertRecoversAfter(cluster, Duration.ofSeconds(50));
+    }
+
+    /** Controllers take over from each other in turn, then all crash, and one restarts, also within a second. */
+    @Property(tries = 6, seed = "109")
+    void failoverBackAndForthThenAllCrashAndOneReturns(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(60));
+        submitSteadily(cluster, 9, 10);
+        for (int i = 0; i < 3; i++) {
+            cluster.crash(
+                    cluster.leader() == null ? "perch-" + i : cluster.leader(), Duration.ofMillis(100 + seed % 900));
+            cluster.run(seconds(0.5 + seed % 3));
+        }
+        String restarted = cluster.nodes().get(seed % 3);
+        cluster.nodes()
+                .forEach(node -> cluster.crash(
+                        node, node.equals(restarted) ? Duration.ofMillis(seed % 1000) : Duration.ofSeconds(25)));
+        cluster.after(Duration.ofSeconds(2), () -> cluster.users().subList(0, 3).forEach(TestUser::cancel));
+        assertRecoversAfter(cluster, Duration.ofSeconds(40));
+    }
+
+    /** The tasks of each job end far apart, with changes of leader in between. */
+    @Property(tries = 6, seed = "110")
+    void tasksOfOneJobEndFarApartAcrossAChangeOfLeader(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
+        // The limits of the teams let their tasks run one after another.
+        cluster.submit(1, "red", Priority.HIGH, 3, 16, Duration.ofSeconds(15));
+        cluster.submit(2, "blue", Priority.NORMAL, 3, 32, Duration.ofSeconds(11));
+        cluster.submit(3, "blue", Priority.HIGH, 2, 32, Duration.ofSeconds(13));
+        for (int i = 0; i < 4; i++) {
+            cluster.run(seconds(18 + seed % 7));
+            if (cluster.leader() != null) {
+                cluster.crash(cluster.leader(), Duration.ofSeconds(1 + seed % 12));
+            }
+        }
+        assertRecoversAfter(cluster, Duration.ofSeconds(10));
+    }
+
+    /** The leader crashes while machines with long tasks are partitioned in both directions, or inbound only. */
+    @Property(tries = 6, seed = "121")
+    void leaderCrashesWhileMachinesWithLongTasksArePartitioned(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+        String leader = cluster.leader();
+        Duration span = Duration.ofSeconds(8 + seed % 45);
+        List<FakeAgent> agents = cluster.cloud.agents();
+        agents.stream().limit(2).forEach(agent -> partition(cluster, agent, span));
+        agents.stream().skip(2).limit(2).forEach(agent -> partitionInbound(cluster, agent, span));
+        cluster.run(seconds(seed % 4));
+        cluster.crash(leader, Duration.ofSeconds(1 + seed % 50));
+        submitSteadily(cluster, 9, 6);
+        cluster.after(
+                Duration.ofSeconds(seed % 25),
+                () -> cluster.users().subList(0, 3).forEach(TestUser::cancel));
+        assertRecoversAfter(cluster, Duration.ofSeconds(60));
+    }
+
+    /** Ten changes of leader in two minutes, some of them during an outage of the state store. */
+    @Property(tries = 6, seed = "124")
+    void tenFailoversInTwoMinutesAlsoInAnOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(70));
+        submitSteadily(cluster, 9, 20);
+        storeOutage(cluster, Duration.ofSeconds(30), Duration.ofSeconds(15 + seed % 12));
+        for (int i = 0; i < 10; i++) {
+            int number = i;
+            cluster.after(Duration.ofSeconds(12L * i), () -> {
+                String leader = cluster.leader() == null ? cluster.nodes().get(number % 3) : cluster.leader();
+                cluster.crash(leader, Duration.ofMillis(100 + (seed * 37L + number * 1700L) % 9000));
+            });
+            cluster.after(
+                    seconds(12.0 * i + 1 + seed % 5),
+                    () -> cluster.users().get(number).cancel());
+        }
+        assertRecoversAfter(cluster, Duration.ofSeconds(125));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/gullway/MachineFaultCombinationsTest.java
@@ -0,0 +1,179 @@
+package org.gullway;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.gullway.FaultScenarios.assertRecoversAfter;
+import static org.gullway.FaultScenarios.clusterWithRunningJobs;
+import static org.gullway.FaultScenarios.partition;
+import static org.gullway.FaultScenarios.partitionInbound;
+import static org.gullway.FaultScenarios.seconds;
+import static org.gullway.FaultScenarios.submitSteadily;
+
+import java.time.Duration;
+import java.util.List;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import org.gullway.SimulatedCluster.Bounds;
+import org.gullway.fake.FakeAgent;
+import org.gullway.protocol.Priority;
+
+/**
+ * Pairs of faults around machines that fail, hang or are partitioned; each schedule drives them into their worst order.
+ */
+class MachineFaultCombinationsTest {
+    private static final Duration LONG = Duration.ofSeconds(200);
+
+    /**
+     * A team is at its quota when the leader changes, some of its machines are unresponsive, and a cancellation falls into
+     * that time.
+     */
+    @Property(tries = 6, seed = "106")
+    void teamAtItsQuotaWithFailoverUnresponsiveMachinesAndCancellation(
+            @ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(100));
+        for (int i = 9; i < 15; i++) {
+            cluster.submit(i, "red", i % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 2, 4, Duration.ofSeconds(10));
+        }
+        cluster.run(Duration.ofSeconds(3));
+        cluster.cloud.agents().stream().limit(4).forEach(agent -> {
+            if (agent.name().hashCode() % 2 == seed % 2) {
+                partition(cluster, agent, Duration.ofSeconds(30));
+            } else {
+                partitionInbound(cluster, agent, Duration.ofSeconds(30));
+            }
+        });
+        cluster.run(seconds(0.5 + seed % 4));
+        cluster.crash(cluster.leader(), Duration.ofSeconds(10));
+        cluster.after(seconds(1 + seed % 7), () -> cluster.users().subList(0, 3).forEach(TestUser::cancel));
+        assertRecoversAfter(cluster, Duration.ofSeconds(45));
+    }
+
+    /** Heartbeats arrive after newer ones, also those of an earlier agent epoch or attempt. */
+    @Property(tries = 6, seed = "108")
+    void heartbeatsOfEarlierAgentEpochsArriveAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(50));
+        cluster.network.duplicateLate(
+                0.9, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(2), cluster.userAddresses());
+        cluster.cloud.agents().stream().limit(3).forEach(agent -> {
+            cluster.after(Duration.ofSeconds(4), () -> cluster.network.blockOutbound(agent.name(), true));
+            cluster.after(
+                    Duration.ofSeconds(4).plus(SimulatedCluster.LEASE).plusMillis(500),
+                    () -> cluster.network.blockOutbound(agent.name(), false));
+        });
+        // Urgent work that has others stopped, so that attempts follow each other on one machine.
+        submitSteadily(cluster, 9, 12);
+        cluster.after(Duration.ofSeconds(30), () -> cluster.crash(cluster.leader(), Duration.ofMillis(200)));
+        assertRecoversAfter(cluster, Duration.ofSeconds(70));
+    }
+
+    /** A command or its response is delayed by a machine that hangs for seconds and then resumes. */
+    @Property(tries = 6, seed = "111")
+    void machineHangsWithPendingCommandsAndResumes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(60));
+        for (int i = 0; i < 3; i++) {
+            submitSteadily(cluster, 9 + 3 * i, 3);
+            cluster.run(seconds(0.1 + seed % 10 / 20.0));
+            int first = 2 * i;
+            List<FakeAgent> agents = cluster.cloud.agents();
+            agents.stream()
+                    .skip((seed + i) % 3)
+                    .limit(5)
+                    .forEach(
+                            agent -> agent.hang(seconds(3 + (seed + agent.name().hashCode()) % 9)));
+            cluster.after(
+                    Duration.ofMillis(200),
+                    () -> cluster.users().subList(first, first + 2).forEach(TestUser::cancel));
+            cluster.run(Duration.ofSeconds(14));
+        }
+        assertRecoversAfter(cluster, Duration.ofSeconds(10));
+    }
+
+    /** Machines hang until after their lease has expired, with tasks of cancelled jobs on them. */
+    @Property(tries = 6, seed = "112")
+    void machineHangsBeyondItsLeaseWithCancelledTasks(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+        cluster.users().subList(0, 6).forEach(TestUser::cancel);
+        cluster.run(Duration.ofMillis(seed % 20));
+        cluster.cloud.agents().forEach(agent -> agent.hang(SimulatedCluster.CANCEL.plusSeconds(30)));
+        submitSteadily(cluster, 9, 8);
+        assertRecoversAfter(cluster, Duration.ofSeconds(80));
+    }
+
+    /** Agents cannot open connections to any controller, while direct commands still reach them. */
+    @Property(tries = 6, seed = "113")
+    void machinesWithAnOutboundPartition(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(70));
+        cluster.cloud.agents().stream().limit(4).forEach(agent -> {
+            cluster.network.blockOutbound(agent.name(), true);
+            cluster.after(Duration.ofSeconds(15 + seed % 40), () -> cluster.network.blockOutbound(agent.name(), false));
+        });
+        submitSteadily(cluster, 9, 8);
+        cluster.after(Duration.ofSeconds(2), () -> cluster.users().subList(0, 4).forEach(TestUser::cancel));
+        cluster.after(Duration.ofSeconds(8), () -> cluster.crash(cluster.leader(), Duration.ofSeconds(2)));
+        assertRecoversAfter(cluster, Duration.ofSeconds(60));
+    }
+
+    /** A zone with agents and a controller is partitioned for longer than a lease. */
+    @Property(tries = 6, seed = "123")
+    void zonePartitionLongerThanALeaseWithCancellations(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+        String zone = seed % 2 == 0 ? "a" : "b";
+        Duration span = SimulatedCluster.LEASE.plusSeconds(2 + seed % 40);
+        cluster.partitionZone(zone, true);
+        cluster.after(span, () -> cluster.partitionZone(zone, false));
+        submitSteadily(cluster, 9, 6);
+        cluster.after(seconds(seed % 20), () -> cluster.users().subList(0, 4).forEach(TestUser::cancel));
+        cluster.after(span, () -> cluster.crash(cluster.nodes().get(seed % 3), Duration.ofSeconds(1)));
+        assertRecoversAfter(cluster, span.plusSeconds(5));
+    }
+
+    /** Machines terminate, are partitioned and are reclaimed, in a zone to which jobs are bound, and the leader crashes. */
+    private static void assertZoneBoundJobsSurvive(int seed, List<Priority> priorities) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
+        List<Bounds> bounds = List.of(
+                Bounds.in("a"),
+                Bounds.ONE_ZONE,
+                Bounds.SPREAD,
+                new Bounds(List.of("large"), null, true, false, false),
+                new Bounds(List.of("small"), "b", false, false, true));
+        for (int i = 1; i <= 10; i++) {
+            cluster.submit(
+                    i,
+                    i % 3 == 0 ? "red" : "blue",
+                    priorities.get(i % 2),
+                    5,
+                    4,
+                    Duration.ofSeconds(25),
+                    bounds.get(i % 5));
+        }
+        cluster.run(Duration.ofSeconds(25));
+        assertThat(cluster.invariants.running()).isPositive();
+        String zone = seed % 2 == 0 ? "a" : "b";
+        cluster.cloud.agents().stream()
+                .filter(w -> w.kind().zone().equals(zone))
+                .limit(2)
+                .forEach(FakeAgent::terminate);
+        cluster.after(Duration.ofSeconds(4), () -> cluster.cloud.agents().stream()
+                .filter(w -> w.kind().zone().equals(zone))
+                .limit(2)
+                .forEach(w -> partition(cluster, w, Duration.ofSeconds(30))));
+        cluster.after(Duration.ofSeconds(6), () -> cluster.cloud.agents().stream()
+                .filter(w -> w.kind().spot())
+                .limit(2)
+                .forEach(cluster.cloud::reclaimSpot));
+        cluster.after(Duration.ofSeconds(9), () -> cluster.crash(cluster.leader(), Duration.ofSeconds(1)));
+        assertRecoversAfter(cluster, Duration.ofSeconds(45));
+    }
+
+    /** Reserved jobs that are bound to zones, also arrays, lose machines in several ways. */
+    @Property(tries = 6, seed = "105")
+    void urgentJobsBoundToOneZoneLoseMachines(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        assertZoneBoundJobsSurvive(seed, List.of(Priority.PROD, Priority.HIGH));
+    }
+
+    /** Best-effort jobs that are bound to zones, also arrays, lose machines in several ways. */
+    @Property(tries = 6, seed = "125")
+    void bestEffortJobsBoundToOneZoneLoseMachines(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        assertZoneBoundJobsSurvive(seed, List.of(Priority.NORMAL, Priority.IDLE));
+    }
+}
--- a/src/test/java/org/gullway/UserRequestFaultsTest.java
+++ b/src/test/java/org/gullway/UserRequestFaultsTest.java
@@ -1,8 +1,8 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.gullway.FaultCombinationsTest.assertRecoversAfter;
-import static org.gullway.FaultCombinationsTest.seconds;
+import static org.gullway.FaultScenarios.assertRecoversAfter;
+import static org.gullway.FaultScenarios.seconds;
 
 import java.time.Duration;
 import net.jqwik.api.ForAll;
@@ -81,4 +81,36 @@
         }
         assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
+
+    /** A cancellation, a query or a repeated submission coincides with the end of the last task of a job. */
+    @Property(tries = 6, seed = "122")
+    void requestsRaceWithTheLastCompletion(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
+        cluster.onDone(user -> {
+            cluster.after(Duration.ofMillis(cluster.random.nextInt(700)), user::queryAllControllers);
+            cluster.after(Duration.ofMillis(cluster.random.nextInt(700)), user::resubmit);
+            if (user.request.id().hashCode() % 2 == 0) {
+                cluster.after(Duration.ofMillis(cluster.random.nextInt(700)), user::cancel);
+            } else {
+                cluster.after(Duration.ZERO, user::cancel);
+            }
+            for (int i = 0; i < 3; i++) {
+                cluster.after(
+                        Duration.ofMillis(cluster.random.nextInt(12_000)),
+                        () -> user.cancelOnce(
+                                cluster.address(cluster.nodes().get(cluster.random.nextInt(3))), () -> {}));
+                cluster.after(Duration.ofMillis(cluster.random.nextInt(12_000)), user::queryAllControllers);
+                cluster.after(Duration.ofMillis(cluster.random.nextInt(12_000)), user::resubmit);
+            }
+        });
+        for (int i = 1; i <= 30; i++) {
+            cluster.submit(
+                    i, i % 3 == 0 ? "red" : "blue", Priority.values()[i % 4], 1 + i % 3, 4, seconds(2 + i % 7 * 1.3));
+        }
+        for (int i = 0; i < 6; i++) {
+            int number = 100 + 2 * i;
+            cluster.after(Duration.ofSeconds(i), () -> cluster.submitInvalid(number));
+        }
+        assertRecoversAfter(cluster, Duration.ofSeconds(60));
+    }
 }
