--- a/src/test/java/org/gullway/BadInputTest.java
+++ b/src/test/java/org/gullway/BadInputTest.java
@@ -26,7 +26,7 @@
 import org.gullway.transport.HttpResponse;
 import org.junit.jupiter.api.Test;
 
-/** Whatever is sent to a controller: unfit jobs are never accepted, known ones stay known, and the rest goes on. */
+/** Malformed and infeasible requests: they are rejected, known jobs stay known, and the controller goes on serving. */
 class BadInputTest {
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
     private static final Set<String> OPTIONAL_FIELDS = Set.of("breeds", "shore", "landfall_s");
@@ -96,7 +96,7 @@
         assertThat(submit(cluster, Cbor.encode(node))).as(what).isEqualTo(expected);
         String id = node.path("name_id").asText();
         if (JobRequest.isValidId(id)) {
-            assertThat(query(cluster, id)).as(what + ", asked about").isEqualTo(404);
+            assertThat(query(cluster, id)).as(what + ", queried").isEqualTo(404);
             assertThat(cluster.store.value(StoreKeys.job(id))).as(what).isNull();
         }
     }
@@ -148,7 +148,7 @@
             assertRejected(cluster, valid(number++).put(field, 0), 400, field + " is 0");
         }
         assertRejected(cluster, valid(number++).put("legs", 100_001), 400, "too many tasks");
-        assertRejected(cluster, valid(number++).put("rank", "urgent"), 400, "unknown rank");
+        assertRejected(cluster, valid(number++).put("rank", "urgent"), 400, "unknown priority");
         assertRejected(cluster, valid(number++).put("shape", "swarm"), 400, "unknown shape");
         assertThat(submit(cluster, Cbor.encode(valid(number))))
                 .as("a valid one")
@@ -162,7 +162,7 @@
         assertRejected(cluster, valid(number++).put("crew", "nobody"), 422, "unknown team");
         assertRejected(cluster, valid(number++).put("cpus", 17), 422, "too many processors for its type");
         assertRejected(cluster, valid(number++).put("mem_gb", 65), 422, "too much memory for its type");
-        assertRejected(cluster, valid(number++).put("cards", 1), 422, "cards of which there are none");
+        assertRejected(cluster, valid(number++).put("cards", 1), 422, "gpus of which there are none");
         assertRejected(cluster, valid(number++).put("shore", "z"), 422, "unknown zone");
         ObjectNode noType = valid(number++);
         noType.putArray("breeds").add("unheard-of");
@@ -172,10 +172,10 @@
         assertRejected(cluster, emptyTypes, 422, "no machine type");
         ObjectNode overLimit = valid(number++).put("crew", "red").put("cpus", 25);
         overLimit.remove("breeds");
-        assertRejected(cluster, overLimit, 422, "one task above the team's limit");
+        assertRejected(cluster, overLimit, 422, "one task above the team's quota");
     }
 
-    /** Any mix of spoilt fields: accepted if and only if the request can be read, refused with 400 if it cannot. */
+    /** Any mix of altered fields: accepted only if the request can be parsed, rejected with 400 if it cannot. */
     @Property(tries = 300, seed = "31")
     void mutatedSubmissionsAreAcceptedOnlyIfTheyCanBeRead(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -223,13 +223,13 @@
         cluster.run(Duration.ofSeconds(15));
         for (String id : List.of(
                 "run-999999", "run-", "run--1", "job-000001", "run-0000011111111111111", "", "a/b", "%2e%2e/run-1")) {
-            assertThat(query(cluster, id)).as("asked: " + id).isEqualTo(404);
+            assertThat(query(cluster, id)).as("queried: " + id).isEqualTo(404);
             assertThat(cancel(cluster, id)).as("cancelled: " + id).isEqualTo(404);
         }
         assertThat(cluster.responses.of(Kind.QUERY)).noneMatch(entry -> entry.status() == 200);
     }
 
-    /** The same id with other contents, also such as could not run, is answered with the state of the job. */
+    /** The same id with other contents, also with infeasible ones, is answered with the state of the job. */
     @Test
     void malformedResubmissionsGetTheStateOfTheJob() throws MalformedMessageException {
         cluster.run(Duration.ofSeconds(15));
@@ -267,7 +267,7 @@
         assertThat(cluster.violations).isEmpty();
     }
 
-    /** Heartbeats with spoilt bytes or odd fields are answered, and the machine's work and all other requests go on. */
+    /** Heartbeats with altered bytes or fields are answered, and the machine's tasks and all other requests go on. */
     @Property(tries = 200, seed = "32")
     void malformedHeartbeatsAreAnsweredAndEndNothing(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -23,6 +23,7 @@
 import org.gullway.protocol.Priority;
 import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpServer;
+import org.gullway.transport.HttpStatus;
 import org.gullway.transport.SocketBudget;
 import org.gullway.transport.UndertowHttpClient;
 import org.gullway.transport.XnioEventLoop;
@@ -34,7 +35,7 @@
 /**
  * Runs one controller as a process of its own against stand-ins on loopback until it has served a few jobs, then ends
  * it. The build lets that process write the class-data archive with which the service starts quickly; the test of the
- * real sockets uses the same day.
+ * real sockets plays the same scenario.
  */
 public final class ClassArchiveTraining {
     private static final int TRIES = 3;
@@ -54,7 +55,7 @@
                 run(command);
                 left = 0;
             } catch (ExecutionException | TimeoutException e) {
-                System.err.println("the rehearsal failed, tries left: " + (left - 1) + ": " + e);
+                System.err.println("the training run failed, tries left: " + (left - 1) + ": " + e);
             }
         }
         if (!Files.exists(Path.of(args[0]))) {
@@ -143,7 +144,7 @@
     private static void submit(
             XnioEventLoop loop, UndertowHttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
         client.call(node, HttpRequest.post("/v2/runs", Cbor.encode(job.toNode()), Duration.ofSeconds(5)), response -> {
-            if (response.status() == 201) {
+            if (response.status() == HttpStatus.CREATED) {
                 poll(loop, client, node, job, done);
             } else {
                 loop.after(Duration.ofMillis(200), () -> submit(loop, client, node, job, done));
@@ -250,7 +251,7 @@
                 .formatted(node, freeAddress(), cloud, state);
     }
 
-    /** Tasks that take a moment and never fail. */
+    /** Tasks that run for a tenth of a second and never fail. */
     private record ShortTasks(Map<String, JobRequest> jobs) implements FakeAgent.Environment {
         @Override
         public JobRequest jobOf(String job) {
--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -14,14 +14,14 @@
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.protocol.Priority;
 
-/** Transactions of which the answer is lost or that are applied late, each with a second fault. */
+/** Transactions whose response is lost or that are applied late, each with a second fault. */
 class CommitFaultsTest {
     private static final Bounds ANYWHERE = new Bounds(null, null, false, false, true);
 
     /**
-     * Answers are lost while others act on what was written: a job is accepted, runs and is over before its acceptance is
-     * answered, and users ask and submit again at once, everywhere. Guards that an acceptance relies on there being no
-     * final state of the job: it would be accepted a second time.
+     * Responses are lost while others act on the changes: a job is accepted, runs and is finished before its
+     * acceptance is answered, and users query and resubmit at once, at every controller. Guards that an acceptance has
+     * the absence of a final state as its condition: otherwise the job would be accepted a second time.
      */
     @Property(tries = 4, seed = "201")
     void commitResponsesAreLostWhileOthersReadTheChanges(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -44,14 +44,15 @@
     }
 
     /**
-     * The leader books a task that uses up its team's limit; that transaction gets no answer. More urgent work of the
-     * team comes, is booked instead, and then the first transaction arrives. Guards the mark of the member key in every
-     * commit: the second booking changes no key that the first one relies on.
+     * The leader places a task that uses up its team's quota; that transaction gets no response. A job of higher
+     * priority of the team arrives, is placed instead, and then the first transaction is applied. Guards the version
+     * of the member key as a condition of every transaction: the second placement changes no key that the first one
+     * depends on.
      */
     @Property(tries = 6, seed = "202")
     void aLatePlacementArrivesAfterAnotherTookItsResources(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        // Afterwards there are idle machines, and the leader holds all of the team's limit.
+        // Afterwards there are idle machines, and the leader holds the whole quota of the team.
         cluster.submit(1, "red", Priority.HIGH, 2, 12, Duration.ofSeconds(5), ANYWHERE);
         cluster.submit(2, "blue", Priority.HIGH, 3, 20, Duration.ofSeconds(5), ANYWHERE);
         cluster.run(Duration.ofSeconds(25));
@@ -66,9 +67,9 @@
     }
 
     /**
-     * Machines are up and report within two seconds, before the transaction that puts them on record is applied, and
-     * the leader that provisioned them ends. Guards the taking on record of machines that only the cloud's list shows: they
-     * would neither be used nor returned.
+     * Machines are up and send heartbeats within two seconds, before the transaction that records them is applied, and
+     * the leader that provisioned them crashes. Guards that machines which only the cloud lists are recorded:
+     * otherwise they would be neither used nor released.
      */
     @Property(tries = 6, seed = "203")
     void heartbeatsBeforeTheRecordAndALeaderCrash(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/ControllerProcesses.java
+++ b/src/test/java/org/gullway/ControllerProcesses.java
@@ -17,8 +17,8 @@
 import java.util.stream.Stream;
 
 /**
- * Controllers as processes of their own, with their logs. They are started and signalled by a thread of this class, since
- * that takes long beside what an event loop does.
+ * Controllers as processes of their own, with their logs. A thread of this class starts and signals them, since that
+ * would block an event loop for long.
  */
 final class ControllerProcesses implements AutoCloseable {
     private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(10);
@@ -35,7 +35,7 @@
     /**
      * @param command starts a controller, up to its options
      * @param directory holds the settings of each controller, and gets its log
-     * @param ended is told, on any thread, of controllers that end by themselves or cannot be started
+     * @param ended is notified, on any thread, of controllers that end by themselves or cannot be started
      */
     ControllerProcesses(List<String> command, String logLevel, Path directory, Consumer<String> ended) {
         this.command = List.copyOf(command);
@@ -93,7 +93,7 @@
         });
     }
 
-    /** Asks the process to end, which lets it write what it has recorded. */
+    /** Asks the process to end, so that it can write its recordings. */
     void terminate(String name) {
         starter.execute(() -> {
             Process process = processes.remove(name);
@@ -103,7 +103,7 @@
         });
     }
 
-    /** Stops the process where it is, or lets it go on. */
+    /** Suspends the process, or resumes it. */
     void pause(String name, boolean on) {
         starter.execute(() -> {
             Process process = processes.get(name);
@@ -161,7 +161,7 @@
     public void close() {
         starter.shutdown();
         try {
-            // A process that is just being started must not be left behind.
+            // A process that is being started now has to be ended as well.
             starter.awaitTermination(CLOSE_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
             List<Process> all = killAll();
             Runtime.getRuntime().removeShutdownHook(atShutdown);
--- a/src/test/java/org/gullway/ControllerProfile.java
+++ b/src/test/java/org/gullway/ControllerProfile.java
@@ -159,7 +159,7 @@
                 null);
     }
 
-    /** Lets time pass and prints what the controllers' threads used meanwhile. */
+    /** Lets time pass and prints the processor time of the controllers' threads in that span. */
     private void phase(String name, Duration length) throws InterruptedException {
         int startedBefore = invariants.startedTasks();
         Thread.sleep(length.toMillis());
--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -22,8 +22,12 @@
 import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.Priority;
 import org.gullway.transport.HttpRequest;
+import org.gullway.transport.HttpStatus;
 
-/** The work of a controller changes hands while old messages are on their way, jobs are cancelled or machines are unresponsive. */
+/**
+ * Failover of shards, jobs and the leadership while old messages are in flight, jobs are cancelled or machines are
+ * unresponsive.
+ */
 class FailoverFaultsTest {
     private static Bounds onType(String type) {
         return new Bounds(List.of(type), null, false, false, true);
@@ -46,17 +50,18 @@
     }
 
     /**
-     * A task runs on a machine that falls unresponsive, its job is cancelled, and other work of the team waits for its room.
-     * Then a leader begins, and every controller gets heartbeats from before the start of the task, in which it is missing.
-     * Where all were started anew, this guards that a task is believed to be absent only once the agent has confirmed
-     * the fencing token of the takeover; where only the leader ended, that a heartbeat older than the newest one is dropped.
+     * A task runs on a machine that becomes unresponsive, its job is cancelled, and other jobs of the team wait for
+     * its resources. Then a leader takes over, and every controller gets heartbeats from before the start of the task,
+     * without it. If all controllers restarted, this guards that a task is taken for ended only once the agent has
+     * confirmed the fencing token of the failover; if only the leader crashed, that a heartbeat older than the newest
+     * one is dropped.
      */
     @Property(tries = 6, seed = "211")
     void oldHeartbeatsReachEveryControllerAsALeaderBegins(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = twoIdleMachines(seed);
         FakeAgent agent = agentOfType(cluster, "large");
         for (int i = 0; i < 5 && agent.heartbeatTarget().equals(cluster.leader()); i++) {
-            // Its process is back at once and keeps its machines, while another takes the leadership.
+            // Its process restarts at once and keeps its machines, while another controller becomes the leader.
             cluster.crash(cluster.leader(), Duration.ofMillis(30));
             cluster.run(Duration.ofSeconds(3));
         }
@@ -81,8 +86,9 @@
     }
 
     /**
-     * Cancellations come from before one controller's membership ends until its jobs have other owners, and the watch is
-     * late. Guards the mark of a job's record in the commit that hands it over: it would undo a cancellation.
+     * Jobs are cancelled from before one controller's membership expires until they have other owners, and the watch
+     * is late. Guards the version of a job's record as a condition of the transaction that changes its owner: without
+     * it that would undo a cancellation.
      */
     @Property(tries = 6, seed = "212")
     void jobsAreCancelledDuringFailoverOfTheirOwner(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -102,9 +108,9 @@
     }
 
     /**
-     * Both teams use all of their limits, more of their work waits, and jobs are cancelled whose machines are partitioned or
-     * hang, while the leader changes. Guards that a cancelled job counts against the limit until each of its tasks has
-     * certainly ended.
+     * Both teams use all of their quota, more of their jobs wait, and jobs are cancelled whose machines are
+     * partitioned or hang, while the leader changes. Guards that a cancelled job counts against the quota until each
+     * of its tasks has certainly ended.
      */
     @Property(tries = 6, seed = "213")
     void allTeamsAtQuotaWithCancellationsOnUnresponsiveMachinesAndFailover(
@@ -115,7 +121,9 @@
                     i, i <= 3 ? "red" : "blue", i % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 2, 4, seconds(120));
         }
         cluster.run(Duration.ofSeconds(25));
-        assertThat(cluster.invariants.running()).as("both limits are used up").isEqualTo(22);
+        assertThat(cluster.invariants.running())
+                .as("both teams are at their quota")
+                .isEqualTo(22);
         for (int i = 12; i <= 23; i++) {
             cluster.submit(
                     i, i % 3 == 0 ? "red" : "blue", i % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 2, 4, seconds(20));
@@ -137,9 +145,9 @@
     }
 
     /**
-     * The start of a task is held up, its controller ends or is deposed, the job is cancelled, and other work takes its
-     * room; then the start arrives. Guards the raised epoch of a takeover, and that a task is believed to be absent only
-     * once the agent has confirmed that epoch.
+     * The start of a task is delayed, its controller crashes or loses the store, the job is cancelled, and another job
+     * gets its resources; then the start arrives. Guards the new fencing token of a failover, and that a task is taken
+     * for ended only once the agent has confirmed that token.
      */
     @Property(tries = 9, seed = "214")
     void aStartOfAFormerControllerArrivesAfterCommandsOfTheNewOne(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -160,8 +168,8 @@
     }
 
     /**
-     * The same without a change of the controller: it gives up waiting for the answer, and the start arrives later. Guards
-     * the raise of the fencing token after a start without an answer.
+     * The same without a failover: the controller times out waiting for the response, and the start arrives later.
+     * Guards the new fencing token after a start without a response.
      */
     @Property(tries = 6, seed = "218")
     void aStartArrivesAfterItsSenderTimedOut(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -176,8 +184,9 @@
     }
 
     /**
-     * The one machine of its type, zone and kind reports but does not hear, and no other can be provisioned beside it. Guards
-     * that commands without an answer count as silence: it would never be returned, and the job would wait for ever.
+     * The only machine of its type, zone and kind has an inbound partition, and no other can be provisioned beside it.
+     * Guards that unanswered commands make a machine unresponsive: otherwise it would never be released, and the job
+     * would wait for ever.
      */
     @Property(tries = 4, seed = "215")
     void theOnlyMachineOfItsTypeHasAnInboundPartition(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -194,8 +203,9 @@
     }
 
     /**
-     * A controller loses the state store, which takes its membership away. Guards the trust in the membership by the own
-     * clock: by then it must have stopped to count itself entitled, although nobody can tell it.
+     * A controller loses the state store, where its membership expires. Guards the expiry of the membership lease by
+     * the controller's own clock: by then it must have stopped to count its lease as valid, although nobody can notify
+     * it.
      */
     @Property(tries = 4, seed = "216")
     void aControllerIsUnhealthyOnceItsMembershipExpired(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -208,7 +218,7 @@
             cluster.after(Duration.ofMillis(10L * i), () -> {
                 boolean member = cluster.store.value(StoreKeys.member(node)) != null;
                 prober.call(cluster.address(node), HttpRequest.get("/up", Duration.ofSeconds(1)), response -> {
-                    if (!member && response.status() == 200) {
+                    if (!member && response.status() == HttpStatus.OK) {
                         readyWithoutMembership.add(cluster.time.now());
                     }
                 });
@@ -223,9 +233,9 @@
     }
 
     /**
-     * The leader keeps its agents and loses the state store and the others, which reach neither those agents nor the
-     * cloud; jobs are cancelled through them. Guards the bound of the renewal of leases by what is known of cancellations:
-     * nothing else ends their tasks in time.
+     * The leader reaches its agents and loses the state store and its peers, which reach neither those agents nor the
+     * cloud; jobs are cancelled through the peers. Guards that leases are renewed only as far as cancellations are
+     * known: nothing else ends the tasks of these jobs in time.
      */
     @Property(tries = 4, seed = "219")
     void aLeaderAloneReachesSomeAgents(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -249,8 +259,8 @@
     }
 
     /**
-     * No agent reaches its controller any more, which is well otherwise. Guards the claim of a group by the controller to
-     * which its agents turn: they would be declared lost with all that runs on them.
+     * No agent reaches its controller, which is healthy otherwise. Guards that the controller to which the agents turn
+     * takes over their shards: otherwise they would be declared lost with all tasks on them.
      */
     @Property(tries = 4, seed = "220")
     void noAgentReachesAnOtherwiseHealthyController(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -264,13 +274,13 @@
         cluster.run(Duration.ofSeconds(80));
         assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
-        assertThat(cluster.startedTasks()).as("none began anew").isEqualTo(started);
+        assertThat(cluster.startedTasks()).as("none restarted").isEqualTo(started);
     }
 
     /**
-     * Processes and machines are back within a fraction of a second, again and again, from before the end of a leader
-     * until after the election of the next one. Guards that a controller is known by its process, not by its name: the
-     * machines of its former process would never be commanded again.
+     * Controllers and machines restart within a fraction of a second, several times, from before the crash of a leader
+     * until after the election of the next one. Guards that a controller is identified by its incarnation, not by its
+     * name: otherwise the machines of its former incarnation would never be commanded again.
      */
     @Property(tries = 6, seed = "217")
     void controllersAndMachinesRestartWithinAFractionOfASecond(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -25,7 +25,7 @@
             cluster.nodes().forEach(name -> cluster.crash(name, Duration.ofMillis(200 + random.nextInt(6000))));
         }
     },
-    /** A process is back within a fraction of a second, several times in a row, also in the middle of an election. */
+    /** Controllers restart within a fraction of a second, several times in a row, also during an election. */
     QUICK_RESTARTS {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -107,7 +107,7 @@
             });
         }
     },
-    /** Heartbeats of machines arrive, but neither answers nor commands reach them. */
+    /** Heartbeats of machines arrive, but neither responses nor commands reach them. */
     INBOUND_PARTITION {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -130,7 +130,7 @@
                     0.3, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(3), cluster.userAddresses());
         }
     },
-    /** Transactions get no answer and are applied after newer ones. */
+    /** Transactions get no response and are applied after newer ones. */
     LATE_WRITES {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -138,7 +138,7 @@
             cluster.after(span, () -> cluster.store.applyLate(0, random));
         }
     },
-    /** Transactions are applied at once, and only their answers are lost. */
+    /** Transactions are applied at once, and only their responses are lost. */
     LOST_COMMIT_RESPONSES {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -153,7 +153,7 @@
             cluster.after(span, () -> cluster.store.addLatency(0, random));
         }
     },
-    /** The state store refuses one controller alone. */
+    /** The state store rejects one controller alone. */
     REJECTED_ALONE {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -162,7 +162,10 @@
             cluster.after(span, () -> cluster.store.rejectFrom(node, false));
         }
     },
-    /** It refuses the leader alone, jobs are cancelled meanwhile, and then it is out for longer than the cancel limit. */
+    /**
+     * The store rejects the leader alone, jobs are cancelled in that time, and then it is down for longer than the
+     * cancel limit.
+     */
     REJECTED_THEN_OUTAGE {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -194,7 +197,7 @@
             some(cluster, random, 3).forEach(agent -> agent.hang(span));
         }
     },
-    /** Jobs are called off while some of their machines hang. */
+    /** Jobs are cancelled while some of their machines hang. */
     CANCEL_AND_HANG {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -203,7 +206,7 @@
                     .forEach(agent -> cluster.after(Duration.ofMillis(random.nextInt(200)), () -> agent.hang(span)));
         }
     },
-    /** Heartbeats are held back and arrive at a leader that has acted meanwhile. */
+    /** Heartbeats are held back and arrive at a leader that has taken over in that time. */
     HEARTBEATS_HELD {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -219,7 +222,7 @@
                             cluster.address(cluster.leader() == null ? node(cluster, random) : cluster.leader()))));
         }
     },
-    /** Direct commands are held up on their way, unanswered, and arrive once, 2 to 16 s late. */
+    /** Direct commands are delayed by 2 to 16 s, without a response, and arrive once. */
     LATE_COMMANDS {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -227,7 +230,7 @@
             cluster.after(span, () -> cluster.network.delayRequests(0, "/do"));
         }
     },
-    /** Copies of heartbeats are kept, and reach every controller as the next leader begins. */
+    /** Copies of heartbeats are kept, and reach every controller as the next leader takes over. */
     HEARTBEATS_FOR_NEXT_LEADER {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -247,7 +250,10 @@
             cluster.cloud.setBootTime(Duration.ofMillis(200 + random.nextInt(1800)));
         }
     },
-    /** Users ask at all nodes within milliseconds after each news of their jobs, and repeat the submission. */
+    /**
+     * Users query all controllers within milliseconds after each state change of their jobs, and repeat the
+     * submission.
+     */
     QUERY_BURSTS {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
@@ -255,7 +261,7 @@
             cluster.after(span, () -> cluster.onStateChange(user -> {}));
         }
     },
-    /** Users repeat submissions, cancel jobs that are over, and send what can never run. */
+    /** Users repeat submissions, cancel finished jobs, and submit infeasible ones. */
     INVALID_REQUESTS {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -9,16 +9,16 @@
 import java.util.stream.Stream;
 import org.gullway.fake.FaultyLink.Conditions;
 
-/** Faults at random moments, which follow from a seed. */
+/** Faults at random moments, determined by a seed. */
 final class FaultSchedule {
-    /** Beyond the lease of agents. */
+    /** Longer than the lease of agents. */
     private static final Duration MAX_DELAY = LoopbackCluster.LEASE.plusSeconds(1);
 
     private static final Conditions LOSSY_STORE =
             new Conditions(0.02, 0.1, 0.1, MAX_DELAY, 0, 0.5, Duration.ofMillis(400));
     private static final Conditions SLOW_STORE =
             new Conditions(0, 0, 0, Duration.ZERO, 0, 0.25, Duration.ofMillis(800));
-    /** Agents and users: their requests are lost, late or repeated. */
+    /** For agents and users, whose requests are lost, late or repeated. */
     private static final Conditions LOSSY_CLIENTS =
             new Conditions(0.05, 0.05, 0.1, MAX_DELAY, 0.3, 0.5, Duration.ofMillis(200));
 
@@ -124,15 +124,15 @@
         });
     }
 
-    /** Machines that reach no controller, that no command reaches, or both. */
+    /** Partitions machines outbound, inbound, or both. */
     private void partitionMachines(Duration at, int count, Duration span) {
         int directions = random.nextInt(1, 4);
         boolean outbound = (directions & 1) != 0;
         boolean inbound = (directions & 2) != 0;
         add(
                 at,
-                count + " machines are" + (outbound ? " mute" : "") + (inbound ? " deaf" : "") + " for "
-                        + span.toMillis() + " ms",
+                count + " machines are" + (outbound ? " outbound" : "") + (inbound ? " inbound" : "")
+                        + " partitioned for " + span.toMillis() + " ms",
                 cluster -> {
                     List<String> names = cluster.cloud.agents().stream()
                             .limit(count)
@@ -174,14 +174,14 @@
     }
 
     private void storeOutage(Duration at, Duration span) {
-        add(at, "the state service is out for " + span.toMillis() + " ms", cluster -> {
+        add(at, "the state store is down for " + span.toMillis() + " ms", cluster -> {
             cluster.store.setDown(true);
             cluster.loop.after(span, () -> cluster.store.setDown(false));
         });
     }
 
     private void rejectFrom(Duration at, String node, Duration span) {
-        add(at, "the state service refuses " + node + " for " + span.toMillis() + " ms", cluster -> {
+        add(at, "the state store rejects " + node + " for " + span.toMillis() + " ms", cluster -> {
             cluster.store.rejectFrom(node, true);
             cluster.loop.after(span, () -> cluster.store.rejectFrom(node, false));
         });
--- a/src/test/java/org/gullway/FaultScheduleTest.java
+++ b/src/test/java/org/gullway/FaultScheduleTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** A seed can be played again: it always gives the same schedule, in order and within its time. */
+/** A seed can be replayed: it always gives the same schedule, in order and within its span. */
 class FaultScheduleTest {
     private static final Duration FROM = Duration.ofSeconds(3);
     private static final Duration TO = Duration.ofSeconds(43);
--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -14,7 +14,7 @@
 import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 
-/** One fault each in its hard sequence, with fixed seeds; the generated scenarios mix them. */
+/** Single faults, each driven into its worst order with fixed seeds; the generated scenarios mix them. */
 class FaultsTest {
     private static SimulatedCluster clusterWithJobs(int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
@@ -35,7 +35,10 @@
         return cluster;
     }
 
-    /** It never hears again: its reports go on, its agent epochs move on, and it has to be returned all the same. */
+    /**
+     * No message reaches the machine any more: its heartbeats go on, its agent epochs rise, and it has to be released
+     * all the same.
+     */
     @Property(tries = 6, seed = "21")
     void aMachineWithAnInboundPartitionIsDeclaredLost(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithJobs(seed);
@@ -45,10 +48,12 @@
         cluster.after(
                 Duration.ofSeconds(1), () -> cluster.submit(9, "blue", Priority.HIGH, 16, 4, Duration.ofSeconds(20)));
         assertFinishesWithin(cluster, Duration.ofSeconds(150));
-        assertThat(cluster.cloud.agent(partitioned.name())).as("returned").isNull();
+        assertThat(cluster.cloud.agent(partitioned.name())).as("released").isNull();
     }
 
-    /** Copies come up to three leases late, to controllers that have all been started anew and know nothing newer. */
+    /**
+     * Copies arrive up to three leases late, at controllers that have all restarted and know of no newer heartbeats.
+     */
     @Property(tries = 6, seed = "22")
     void lateHeartbeatCopiesReachRestartedControllers(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithJobs(seed);
@@ -73,7 +78,10 @@
         assertFinishesWithin(cluster, Duration.ofSeconds(240));
     }
 
-    /** It keeps its agents and loses all else: it must stop by its own clock, and its agents turn to the others. */
+    /**
+     * The controller reaches its agents and nothing else: it must stop by its own clock, and its agents turn to its
+     * peers.
+     */
     @Property(tries = 6, seed = "23")
     void aControllerReachesOnlyItsAgents(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithJobs(seed);
@@ -90,10 +98,10 @@
     }
 
     /**
-     * Its controller keeps the leases there and the others wait for it: no task is lost, also well beyond a lease. It
-     * can't be for the whole cancel limit, which it once was: by then a task that was cancelled meanwhile, without the
-     * zone hearing of it, has to be gone. The other 12 s are the age of what is known (2 s), a heartbeat interval (4 s) and
-     * the time in which an agent that is refused at last asks around (6 s).
+     * The controller inside renews the leases there and its peers wait for it: no task is lost, also well beyond a
+     * lease. This cannot last for the whole cancel limit: by then a task that was cancelled without the zone's
+     * knowledge has to be gone. The other 12 s are the age of the known cancellations (2 s), a heartbeat interval (4
+     * s) and the time in which an agent whose lease is no longer renewed tries the other controllers (6 s).
      */
     @Property(tries = 6, seed = "26")
     void tasksInAPartitionedZoneKeepRunning(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -107,10 +115,10 @@
         cluster.run(SimulatedCluster.CANCEL.minusSeconds(12));
         cluster.partitionZone("b", false);
         assertFinishesWithin(cluster, Duration.ofSeconds(100));
-        assertThat(cluster.startedTasks()).as("none began anew").isEqualTo(12);
+        assertThat(cluster.startedTasks()).as("none restarted").isEqualTo(12);
     }
 
-    /** The same with a cancellation: nobody can stop those tasks, but the cloud ends them in time. */
+    /** The same with cancellations: no controller can stop those tasks, but the cloud ends them in time. */
     @Property(tries = 6, seed = "27")
     void cancelledTasksInAPartitionedZoneEndInTime(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
@@ -124,7 +132,7 @@
         assertFinishesWithin(cluster, Duration.ofSeconds(150));
     }
 
-    /** Processes are back within milliseconds, again and again, also while a leader is being chosen. */
+    /** Controllers restart within milliseconds, several times, also during an election. */
     @Property(tries = 6, seed = "24")
     void restartsWithinMillisecondsDuringAnElection(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithJobs(seed);
@@ -138,7 +146,10 @@
         assertFinishesWithin(cluster, Duration.ofSeconds(150));
     }
 
-    /** Small tasks press all day long: at least half of all are served, and the largest begin within four minutes. */
+    /**
+     * Under a steady load of small tasks at least half of all jobs are served, and the largest start within four
+     * minutes.
+     */
     @Property(tries = 4, seed = "25")
     void largeJobsStartUnderSteadyLoadOfSmallOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 1);
@@ -162,13 +173,13 @@
         assertThat(large).hasSize(6).allSatisfy(user -> assertThat(user.timeToFirstStart())
                 .isNotNull()
                 .isLessThan(Duration.ofMinutes(4)));
-        for (String group : List.of("red", "blue", "render", "survey")) {
+        for (String teamOrClass : List.of("red", "blue", "render", "survey")) {
             List<TestUser> all = cluster.users().stream()
-                    .filter(u -> u.request.team().equals(group)
-                            || u.request.jobClass().equals(group))
+                    .filter(u -> u.request.team().equals(teamOrClass)
+                            || u.request.jobClass().equals(teamOrClass))
                     .toList();
             assertThat(2 * all.stream().filter(TestUser::isFinished).count())
-                    .as("served of %s", group)
+                    .as("served of %s", teamOrClass)
                     .isGreaterThanOrEqualTo(all.size())
                     .isPositive();
         }
@@ -176,8 +187,8 @@
     }
 
     /**
-     * A team that has neither a guarantee nor a limit comes with a huge array, many tiny jobs and idle work: all of it
-     * gets done, and the others' jobs are served beside it.
+     * A team without quota submits a huge array, large tasks and many tiny jobs of the scavenger class: all of them
+     * finish, and the jobs of other teams are served beside them.
      */
     @Property(tries = 3, seed = "28")
     void aTeamWithoutQuotaNeitherStarvesOthersNorIsStarved(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -218,8 +229,8 @@
     }
 
     /**
-     * A leader stands still for seconds or far beyond its membership while its clocks run on, others take over, jobs are
-     * cancelled and submitted; then it does at once all that was due, with what it knew before.
+     * A leader freezes for seconds, or far beyond its membership lease, while clocks go on, others take over, and jobs
+     * are cancelled and submitted; then it does at once all that was due, by its outdated state.
      */
     @Property(tries = 12, seed = "29")
     void aFrozenControllerResumes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/InvariantCheckerTest.java
+++ b/src/test/java/org/gullway/InvariantCheckerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each rule broken once on purpose: a check that finds nothing must be known to find something. */
+/** Each rule is broken once on purpose, since a check that never finds anything proves nothing. */
 class InvariantCheckerTest {
     private static final Duration CANCEL = Duration.ofSeconds(40);
     private final InvariantChecker invariants =
@@ -151,7 +151,9 @@
         breaks("not_done: run-000001/0");
         invariants.violations.clear();
         invariants.onStateReported(id, "running", at(0), at(2));
-        assertThat(invariants.violations).as("asked before it was told").isEmpty();
+        assertThat(invariants.violations)
+                .as("sent before the final state was reported")
+                .isEmpty();
         invariants.onStateReported(id, "running", at(2), at(2));
         breaks("went_back: run-000001 was done, then running");
         invariants.violations.clear();
@@ -213,10 +215,10 @@
         invariants.onResubmitted(id, 200, at(1));
         invariants.onResubmitted(id, 503, at(1));
         assertThat(invariants.onInvalidSubmission("run-000002", 400, 503))
-                .as("an end")
+                .as("a final response")
                 .isFalse();
         assertThat(invariants.onInvalidSubmission("run-000002", 400, 400))
-                .as("an end")
+                .as("a final response")
                 .isTrue();
         assertThat(invariants.violations).isEmpty();
         invariants.onResubmitted(id, 422, at(1));
--- a/src/test/java/org/gullway/JobHistory.java
+++ b/src/test/java/org/gullway/JobHistory.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** What users and machines saw of each job, in order. */
+/** The events of each job at its user and on machines, in order. */
 final class JobHistory {
     private final boolean recording;
     private final Map<String, List<String>> events = new HashMap<>();
@@ -21,7 +21,7 @@
         return new JobHistory(true);
     }
 
-    /** One that keeps nothing. */
+    /** A history that records nothing. */
     static JobHistory none() {
         return new JobHistory(false);
     }
--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -11,7 +11,10 @@
 import org.gullway.protocol.Settings;
 import org.junit.jupiter.api.Test;
 
-/** Two thousand machines and jobs of hundreds of tasks: what they may cost, in counts, also when much fails at once. */
+/**
+ * Two thousand machines and jobs of hundreds of tasks: bounds on machines and on changes in the store, also when much
+ * fails at once.
+ */
 class LargeDeploymentTest {
     private static final Map<String, Settings.Team> TEAMS = Map.of(
             "red", new Settings.Team("red", 9000, 30_000, 0, 0), "blue", new Settings.Team("blue", 9000, 30_000, 0, 0));
@@ -45,21 +48,21 @@
         assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
         assertThat(cluster.startedTasks())
-                .as("starts, with those stopped for urgent work")
+                .as("starts, with those of preempted tasks")
                 .isLessThan(tasks * 3 / 2);
         assertThat(cluster.cloud.provisionedCount()).isGreaterThan(1000);
         int machineChanges = cluster.store.changes("live/groups");
         assertThat(machineChanges).as("changes for machines").isLessThan(cluster.cloud.provisionedCount());
         assertThat(cluster.store.changes("live/jobs")).as("changes for jobs").isLessThan(tasks / 5);
         assertThat(cluster.store.changes("live/shares"))
-                .as("changes for shares, less than three a second")
+                .as("changes of quota partitions, less than three a second")
                 .isLessThan(3 * 150);
         assertThat(cluster.store.largestValue())
                 .as("bytes of a record")
                 .isLessThanOrEqualTo(FakeStateStore.VALUE_BYTES);
     }
 
-    /** All at 2,000 machines: a fifth unresponsive for long, a controller alone with all agents, then all restarted. */
+    /** With 2,000 machines: a fifth is unresponsive for long, then only one controller runs, then all restart. */
     @Test
     void manyFaultsAtOnceOnTwoThousandMachines() {
         SimulatedCluster cluster = largeCluster(2, 250);
@@ -83,7 +86,7 @@
                 .as("at most replaced")
                 .isLessThanOrEqualTo(400);
         assertThat(cluster.store.changes("live/groups") - before)
-                .as("changes of groups, which all lose machines: silent, given up, gone, new")
+                .as("changes of shards, which all lose machines: unresponsive, lost, released, new")
                 .isLessThan(6 * 2000 / 16);
         cluster.crash("perch-0", Duration.ofSeconds(20));
         cluster.crash("perch-1", Duration.ofSeconds(20));
--- a/src/test/java/org/gullway/LateCommitResponseTest.java
+++ b/src/test/java/org/gullway/LateCommitResponseTest.java
@@ -20,10 +20,11 @@
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpResponse;
+import org.gullway.transport.HttpStatus;
 
 /**
- * The answer to a controller's own commit of a job's first record comes only after the job has been cancelled through
- * another controller, and its user has submitted it again meanwhile (incident went-back-384079).
+ * The response to a controller's own commit of a job's first record arrives only after the job has been cancelled
+ * through another controller, and its user has submitted it again.
  */
 class LateCommitResponseTest {
     private static final String JOB = "run-384079";
@@ -32,7 +33,7 @@
     private static final Duration SUBMISSION_INTERVAL = Duration.ofMillis(5);
     private static final int SUBMISSIONS = 120;
 
-    /** One user of one job, who hears every answer of every controller. */
+    /** One user of one job, who gets every response of every controller. */
     private static final class Submitter {
         private final SimulatedTime time;
         private final SimulatedTime.Process process;
@@ -62,7 +63,7 @@
             HttpRequest request =
                     HttpRequest.post("/v2/runs/" + JOB + "/withdraw", Cbor.encode(Cbor.map()), Duration.ofSeconds(5));
             client.call(address, request, response -> {
-                if (response.status() == 200) {
+                if (response.status() == HttpStatus.OK) {
                     assertThat(state(response)).isEqualTo("aborted");
                     cancelled = true;
                     done.run();
@@ -110,7 +111,7 @@
         return List.of(paths).contains(path);
     }
 
-    /** Before a machine is up, so that the cancellation ends the job at once. */
+    /** A cluster before a machine is up, so that a cancellation ends a job at once. */
     private static SimulatedCluster started(int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         cluster.run(seconds(5));
@@ -126,8 +127,9 @@
     }
 
     /**
-     * The watch brings the acceptance, which answers the first submission, then the removal; the second submission waits
-     * when the answer to the commit of the first one comes. Guards that a commit answers only the requests it was made for.
+     * The watch delivers the acceptance, which answers the first submission, and then the removal; the second
+     * submission is pending when the response to the commit of the first one arrives. Guards that a commit answers
+     * only the requests that it was made for.
      */
     @Property(tries = 8, seed = "231")
     void aResubmissionIsNotAnsweredByTheFirstCommit(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -145,8 +147,8 @@
     }
 
     /**
-     * Neither the watch nor the answer to the commit has come when the user submits again: both submissions wait for the
-     * same commit. Guards that a request is answered only by what was read, or committed, after it had come.
+     * Neither the watch nor the response to the commit has arrived when the user submits again: both submissions wait
+     * for the same commit. Guards that a request is answered only by what was read, or committed, after its arrival.
      */
     @Property(tries = 8, seed = "232")
     void aSubmissionThatArrivedAfterTheCommitWasSentIsNotAnsweredByIt(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -158,7 +160,7 @@
                 (client, exchange) -> client.equals(slow)
                         && (commitsTheJob(exchange) || exchange.path().equals("/watch")),
                 COMMIT_RESPONSE_DELAY);
-        // A watch that is open already would be answered in time.
+        // A watch that was open before the fault would be answered without delay.
         cluster.run(Duration.ofSeconds(3));
         user.submit(cluster.address(slow), first -> {});
         cluster.after(
@@ -169,7 +171,7 @@
 
     /**
      * A controller whose watch lags is asked to cancel a job that was accepted elsewhere. Guards that it reads the job
-     * once and waits for the watch: it read it again and again, with what is meant for submissions.
+     * once and waits for the watch, and does not use up the rate limit of submissions by repeated reads.
      */
     @Property(tries = 4, seed = "234")
     void aCancelledJobMissingFromTheClusterStateIsReadOnce(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -178,7 +180,7 @@
         Submitter user = new Submitter(cluster);
         cluster.store.delayResponses(
                 (client, exchange) -> client.equals(slow) && exchange.path().equals("/watch"), WATCH_DELAY);
-        // A watch that is open already would be answered in time.
+        // A watch that was open before the fault would be answered without delay.
         cluster.run(Duration.ofSeconds(3));
         cluster.storeRequests.clear();
         user.submit(
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -28,6 +28,7 @@
 import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpServer;
+import org.gullway.transport.HttpStatus;
 import org.gullway.transport.SocketBudget;
 import org.gullway.transport.UndertowHttpClient;
 import org.gullway.transport.XnioEventLoop;
@@ -135,10 +136,10 @@
         this.cloud = new FakeCloud(loop, types(), setup.capacity(), (name, kind) -> boot(name, kind, machines));
     }
 
-    /** A server that listens, for a machine that is still to come. */
+    /** A server that listens, for a machine that will be provisioned. */
     private static final class SpareServer {
         private String address;
-        private Consumer<HttpExchange> handler = exchange -> exchange.respond(404, new byte[0]);
+        private Consumer<HttpExchange> handler = exchange -> exchange.respond(HttpStatus.NOT_FOUND, new byte[0]);
     }
 
     private String hold() {
@@ -147,7 +148,7 @@
         return address.toString();
     }
 
-    /** Is notified of every machine that is up, and says what its agent knows of the world. */
+    /** Is notified of every machine that is up, and returns the environment of its agent. */
     interface MachineListener {
         FakeAgent.Environment up(String name, FakeAgent.Kind kind);
     }
@@ -172,14 +173,14 @@
         return machine;
     }
 
-    /** A server whose handler comes later; to start one takes this process a while. */
+    /** A server whose handler is set later, since starting one takes this process long. */
     private SpareServer newServer() {
         SpareServer server = new SpareServer();
         server.address = listen(exchange -> server.handler.accept(exchange));
         return server;
     }
 
-    /** What users reach the controllers with. */
+    /** The client with which users reach the controllers. */
     HttpClient userClient() {
         return link("users>controllers").client(client);
     }
@@ -248,7 +249,7 @@
         return List.copyOf(publicAddresses.values());
     }
 
-    /** The name of the controller that leads by the state store; null if there is none. */
+    /** The name of the leader by the state store; null if there is none. */
     String leader() {
         var leader = store.value(StoreKeys.LEADER);
         return leader == null ? null : leader.path("node").asText();
@@ -265,12 +266,12 @@
         processes.kill(name);
     }
 
-    /** Asks the process to end, which lets it write what it has recorded. */
+    /** Asks the process to end, so that it can write its recordings. */
     void terminate(String name) {
         processes.terminate(name);
     }
 
-    /** Stops the process where it is, or lets it go on. */
+    /** Suspends the process, or resumes it. */
     void pause(String name, boolean on) {
         processes.pause(name, on);
     }
--- a/src/test/java/org/gullway/RealSocketsTest.java
+++ b/src/test/java/org/gullway/RealSocketsTest.java
@@ -4,7 +4,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A controller as a process of its own serves jobs over real sockets; the rehearsal fails if any is not done. */
+/**
+ * A controller as a process of its own serves jobs over real sockets; the training run fails if any does not finish.
+ */
 class RealSocketsTest {
     @Test
     void servesJobsOverLoopback() throws Exception {
--- a/src/test/java/org/gullway/ResponseLog.java
+++ b/src/test/java/org/gullway/ResponseLog.java
@@ -8,9 +8,9 @@
 import org.gullway.fake.SimulatedTime;
 import org.gullway.transport.HttpExchange;
 
-/** What the controllers answered to every request at their public addresses, and how long that took. */
+/** The responses of the controllers to every request at their public addresses, and their times. */
 final class ResponseLog {
-    /** What a request is for. */
+    /** The purpose of a request. */
     enum Kind {
         QUERY,
         SUBMISSION,
@@ -32,7 +32,7 @@
         }
     }
 
-    /** One request; its status is 0 and its answer's time null until it is answered. */
+    /** One request; until it is answered its status is 0 and the time of its response null. */
     static final class Entry {
         final String node;
         final Kind kind;
@@ -51,12 +51,12 @@
             return status;
         }
 
-        /** Whether the answer says when to come back. */
+        /** Whether the response says when to retry. */
         boolean hasRetryAfter() {
             return retryAfter;
         }
 
-        /** How long the answer took; so far, if there is none. */
+        /** How long the response took; the time until now, if there is none. */
         Duration elapsed(Instant now) {
             return Duration.between(receivedAt, answeredAt == null ? now : answeredAt);
         }
--- a/src/test/java/org/gullway/ScavengerClassTest.java
+++ b/src/test/java/org/gullway/ScavengerClassTest.java
@@ -18,7 +18,7 @@
 import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 
-/** Work in unusual amounts or that cannot succeed: huge arrays, swarms of tiny jobs, jobs that fail on every machine. */
+/** Jobs in unusual numbers or that cannot succeed: huge arrays, many tiny jobs, jobs that fail on every machine. */
 class ScavengerClassTest {
     private static final int GUEST_ARRAY = 1;
     private static final int GUEST_LARGEST = 2;
@@ -36,7 +36,8 @@
     }
 
     /**
-     * One huge array, a job of large tasks, and four tiny jobs a second, all of a team without quota, beside steady work of others.
+     * One huge array, a job of large tasks, and four tiny jobs a second, all of a team without quota, beside a steady
+     * load of other teams.
      */
     @Property(tries = 1, seed = "41")
     void aHugeArrayAndManyTinyJobsOfATeamWithoutQuota(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -85,7 +86,7 @@
                 .isLessThan(5 * cluster.users().size() + 4 * 240);
     }
 
-    /** Four tiny jobs a second for three minutes, a quarter of them cancelled at any moment of their lives. */
+    /** Four tiny jobs a second for three minutes, a quarter of them cancelled at various moments. */
     @Property(tries = 2, seed = "42")
     void tinyJobsOfWhichAQuarterIsCancelledEndInTime(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithGuestTeam(seed, 4);
@@ -115,9 +116,9 @@
     }
 
     /**
-     * Three jobs fail on every machine until their users cancel them; others run beside them and are not displaced.
-     * Seen to fail without the pauses ({@code JobBackoff.paused} false). That good machines stay is
-     * {@code AgentReconcilerTest.jobsThatFailEverywhereDoNotMakeMachinesFaulty}: here they complete other tasks as well.
+     * Three jobs fail on every machine until their users cancel them; others run beside them and are not preempted.
+     * Guards the pauses of {@code JobBackoff.paused}. That healthy machines are kept is {@code
+     * AgentReconcilerTest.jobsThatFailEverywhereDoNotMakeMachinesFaulty}: here they complete other tasks as well.
      */
     @Property(tries = 3, seed = "43")
     void jobsThatFailOnEveryMachine(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -157,8 +158,8 @@
     }
 
     /**
-     * Everything fails on one machine: it goes, and all jobs are done elsewhere. Seen to fail without
-     * {@code AgentReconciler.isFaulty}.
+     * Every task fails on one machine: it is released, and all jobs finish elsewhere. Guards {@code
+     * AgentReconciler.isFaulty}.
      */
     @Property(tries = 3, seed = "44")
     void aMachineOnWhichEverythingFailsIsReleased(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/ServiceCheck.java
+++ b/src/test/java/org/gullway/ServiceCheck.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import org.gullway.protocol.JobRequest;
 
-/** Whether at least half of each rank, of each team, and of the jobs with the largest tasks was served. */
+/**
+ * Checks that at least half of the jobs of each priority, of each team, and of those with the largest tasks were
+ * started.
+ */
 final class ServiceCheck {
     private static final double MIN_SERVED_SHARE = 0.5;
 
@@ -17,7 +20,7 @@
 
     private ServiceCheck() {}
 
-    /** The groups of which less than half has begun, each with its figures. */
+    /** The kinds of jobs of which less than half has started, each with its figures. */
     static List<String> unserved(List<TestUser> users) {
         double largest =
                 users.stream().mapToDouble(user -> user.request.cpus()).max().orElse(0);
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -247,7 +247,7 @@
         users.failTasks(fails);
     }
 
-    /** The name of the controller that is the leader by the state store; null if there is none. */
+    /** The name of the leader by the state store; null if there is none. */
     String leader() {
         JsonNode leader = store.value(StoreKeys.LEADER);
         return leader == null ? null : leader.path("node").asText();
--- a/src/test/java/org/gullway/SimulatedScenariosTest.java
+++ b/src/test/java/org/gullway/SimulatedScenariosTest.java
@@ -12,7 +12,7 @@
 import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Whole scenarios in virtual time: whatever fails, the rules hold, and afterwards all work gets done. */
+/** Whole scenarios in virtual time: whatever fails, the rules hold, and afterwards all jobs finish. */
 class SimulatedScenariosTest {
     private static final List<Bounds> BOUNDS = List.of(
             Bounds.in("a"),
@@ -22,7 +22,7 @@
             new Bounds(List.of("large"), null, true, false, false),
             new Bounds(List.of("small"), null, false, true, true));
 
-    /** Jobs that may be in one zone only, or spread over both. */
+    /** Submits jobs with constraints on zones and machine types at random moments. */
     static void submitZoneBoundJobs(
             SimulatedCluster cluster, SplittableRandom random, int first, int jobs, Duration span) {
         for (int i = first; i < first + jobs; i++) {
@@ -79,7 +79,7 @@
         assertThat(cluster.cloud.machineCount()).isZero();
     }
 
-    /** Once, after an outage that was longer than the silence allowed, all machines were declared lost (simulated day 99336). */
+    /** An outage of the store that is longer than the timeout for heartbeats is no reason to declare machines lost. */
     @Test
     void noMachineIsDeclaredLostAfterAStoreOutage() {
         SimulatedCluster cluster = new SimulatedCluster(5, 0, 4);
@@ -100,7 +100,7 @@
         assertThat(cluster.unfinished()).as("seed %d", seed).isEmpty();
     }
 
-    /** Several faults at random moments, a calm end, and submissions that are repeated all along. */
+    /** Several faults at random moments, a span without faults at the end, and repeated submissions throughout. */
     static void playFaults(SimulatedCluster cluster, SplittableRandom random) {
         int faults = 2 + random.nextInt(5);
         for (int i = 0; i < faults; i++) {
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -18,8 +18,8 @@
 import org.gullway.protocol.Priority;
 
 /**
- * A randomized test of faults over loopback: three controllers as processes of their own, users who ask, submit again and
- * cancel at the worst moments, and faults from a seed. The rules are checked from outside on what was seen.
+ * A randomized test of faults over loopback: three controllers as processes of their own, users who query, resubmit
+ * and cancel at the worst moments, and faults from a seed. The rules are checked from outside.
  */
 public final class SoakRun {
     private static final Duration WARM_UP = Duration.ofSeconds(3);
@@ -27,24 +27,24 @@
     private static final Duration SUBMISSION_INTERVAL = Duration.ofMillis(220);
     private static final Duration LAST_QUERIES_SPAN = Duration.ofSeconds(3);
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
-    /** A longer pause of this process makes agents look late, which no controller can know. */
+    /** A longer pause of this process makes agents late, which no controller can know. */
     private static final Duration MAX_STALL = Duration.ofMillis(250);
 
-    /** Longer than a job may go without an answer; until then half of all kinds of jobs must have begun. */
+    /** Longer than a job may go without an answer; in this span half of all kinds of jobs must have started. */
     private static final Duration SERVICE_SPAN = Duration.ofSeconds(80);
 
     private static final int RESUBMISSIONS = 6;
     private static final int RESUBMISSIONS_WITHIN_MS = 400;
     private static final Pattern JOB = Pattern.compile("run-\\d{6}");
 
-    /** How long a run goes on under faults, and how long afterwards. */
+    /** How long a run is under faults, and how long it goes on without. */
     record Length(Duration faults, Duration afterwards) {}
 
     /**
-     * What came of a run.
+     * The outcome of a run.
      *
-     * @param broken rules that were broken
-     * @param unfinished jobs that were not over at the end
+     * @param violations rules that were broken, with what was seen
+     * @param unfinished jobs that were not finished at the end
      * @param stall the longest pause of this process itself
      * @param stalledAt when it ended
      */
@@ -61,7 +61,7 @@
             return stall.compareTo(MAX_STALL) <= 0;
         }
 
-        /** Rules of machines' leases depend on this process being punctual; all others hold whatever it does. */
+        /** Rules that rest on agents' leases need this process to be punctual; all others hold in any case. */
         List<String> certainViolations() {
             return violations.stream()
                     .filter(rule -> conclusive()
@@ -112,7 +112,7 @@
         return play(seed, length, cluster -> {});
     }
 
-    /** Plays one run; the action comes before anything is started. */
+    /** Plays one run; the action is carried out before anything is started. */
     static Outcome play(long seed, Length length, Consumer<LoopbackCluster> beforeStart)
             throws IOException, InterruptedException {
         return new SoakRun(seed, length, beforeStart).play();
@@ -135,7 +135,7 @@
         }
     }
 
-    /** What can no longer go well ends at once, with its cause. */
+    /** Ends a run that has failed for certain, with its cause. */
     private void endWith(String cause) {
         invariants.violations.add(cause);
         finished.countDown();
@@ -164,7 +164,7 @@
         });
         beforeStart.accept(cluster);
         cluster.start();
-        // Before that no lease can end.
+        // No lease can expire before that.
         cluster.loop.after(WARM_UP, this::tick);
         cluster.loop.after(Duration.ofSeconds(1), this::submitNext);
         faults.forEach(
@@ -178,7 +178,7 @@
         cluster.loop.after(faultsEnd.plus(length.afterwards()).plus(LAST_QUERIES_SPAN), finished::countDown);
     }
 
-    /** Without queries, by which controllers would learn a final state. */
+    /** Repeats the submission without queries, from whose answers controllers would know a final state. */
     private void resubmitRepeatedly(TestUser user) {
         for (int i = 0; i < RESUBMISSIONS; i++) {
             cluster.loop.after(Duration.ofMillis(random.nextInt(RESUBMISSIONS_WITHIN_MS)), user::resubmit);
@@ -258,7 +258,7 @@
                 invariants.violations.isEmpty() ? "" : report());
     }
 
-    /** Jobs that are not over, each with what was seen of it last. */
+    /** Unfinished jobs, each with its last event. */
     private List<String> unfinished() {
         List<String> unfinished = new ArrayList<>();
         for (TestUser user : users.all()) {
@@ -272,7 +272,7 @@
         return unfinished;
     }
 
-    /** Seed, schedule, and the history of the jobs whose rules were broken. */
+    /** Seed, schedule, and the histories of the jobs in violations. */
     private String report() {
         List<String> lines = new ArrayList<>();
         lines.add("seed " + seed);
--- a/src/test/java/org/gullway/SoakStartTest.java
+++ b/src/test/java/org/gullway/SoakStartTest.java
@@ -12,7 +12,10 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Addresses of processes are not taken between their choice and the start, and a start that fails says why at once. */
+/**
+ * Addresses of processes are not taken between their choice and the start, and a failed start ends the run at once
+ * with its cause.
+ */
 class SoakStartTest {
     private static final SoakRun.Length LONG = new SoakRun.Length(Duration.ofMinutes(2), Duration.ofMinutes(2));
     private static final Duration AT_ONCE = Duration.ofSeconds(20);
--- a/src/test/java/org/gullway/SoakTest.java
+++ b/src/test/java/org/gullway/SoakTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The short form of {@link SoakRun}: fixed seeds, and only what no slowness of the machine can bring about. */
+/** The short form of {@link SoakRun}: fixed seeds, and only violations that no slowness of this machine can cause. */
 class SoakTest {
     private static final SoakRun.Length SHORT = new SoakRun.Length(Duration.ofSeconds(10), Duration.ofSeconds(4));
 
@@ -19,6 +19,6 @@
         assertThat(ProcessHandle.current().children().filter(ProcessHandle::isAlive))
                 .as("processes left behind")
                 .isEmpty();
-        assertThat(outcome.starts()).as("tasks that began").isPositive();
+        assertThat(outcome.starts()).as("tasks that started").isPositive();
     }
 }
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -26,7 +26,10 @@
 import org.gullway.worker.CommandSender;
 import org.junit.jupiter.api.Test;
 
-/** A start that the records do not allow at the moment of sending is left out of the command, and reported. */
+/**
+ * A start that the records do not allow at the moment of sending is omitted from the command batch, and counted as a
+ * violation.
+ */
 class StartAuthorizationTest {
     private static final TaskId TASK = new TaskId("run-000001", 0);
     private static final AgentCommand START = AgentCommand.start(TASK, 1);
@@ -133,7 +136,7 @@
         assertThat(violations.get(2)).contains("the machine is not commanded here");
     }
 
-    /** Its right may lapse while a long round sends commands; that is no defect. */
+    /** The lease may expire while a long scheduling cycle sends commands; that is no violation. */
     @Test
     void aControllerWithoutAValidLeaseSendsNoStart() {
         holdsValidLease = false;
--- a/src/test/java/org/gullway/StatusQueryLoadTest.java
+++ b/src/test/java/org/gullway/StatusQueryLoadTest.java
@@ -21,23 +21,21 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Users ask many times as often: answers stay correct, cost the state store no more than the part of queries, hold
- * up neither submissions nor cancellations nor reports, and what cannot be answered is refused as soon as that is clear.
- *
- * <p>Each test has been seen to fail without the mechanism that its comment names; the first one without the budget of
- * verifications.
+ * Users query many times as often: responses stay correct, cost the state store no more than their fraction of its
+ * rate limit, and delay neither submissions nor cancellations nor heartbeats; a query that cannot be answered in time
+ * is rejected as soon as that is known.
  */
 class StatusQueryLoadTest {
-    /** What one of three controllers may ask of the state store. */
+    /** The requests per second that each of three controllers may send to the state store. */
     private static final double REQUESTS_PER_CONTROLLER = StoreRequestLog.PER_SECOND / 3.0;
 
     private static final double VERSION_CHECK_FRACTION = 0.075;
     private static final double QUERY_READ_FRACTION = 0.12;
     private static final double REQUEST_READ_FRACTION = 0.06;
-    /** A user waits 2 s for an answer. */
+    /** Below the 2 s after which a user's query times out. */
     private static final Duration MAX_QUERY_TIME = Duration.ofMillis(1300);
 
-    /** How the state store is while the users ask. */
+    /** The condition of the state store during the load. */
     private enum StoreCondition {
         NORMAL {
             @Override
@@ -77,7 +75,7 @@
         return cluster;
     }
 
-    /** Work that comes in the middle of the queries: a job each second, and some cancellations. */
+    /** Submits a job each second during the load, and cancels some of them. */
     private static List<TestUser> submitDuringLoad(SimulatedCluster cluster, int first, int jobs) {
         List<TestUser> users = new ArrayList<>();
         for (int i = 0; i < jobs; i++) {
@@ -109,25 +107,25 @@
                 .count();
     }
 
-    /** Each controller keeps to the part of its requests that queries have, for the time since the counts began. */
+    /** Each controller has kept to the fraction of its requests to the store that queries have. */
     private static void assertWithinRateLimit(SimulatedCluster cluster, Duration span) {
         double seconds = span.toMillis() / 1000.0;
         double versionChecks = VERSION_CHECK_FRACTION * REQUESTS_PER_CONTROLLER;
         double reads = (QUERY_READ_FRACTION + REQUEST_READ_FRACTION) * REQUESTS_PER_CONTROLLER;
         for (String node : cluster.nodes()) {
             assertThat((double) cluster.storeRequests.versionChecks(node))
-                    .as("verifications of %s", node)
+                    .as("version checks of %s", node)
                     .isLessThanOrEqualTo(versionChecks * (seconds + 1) + 1);
             assertThat((double) cluster.storeRequests.jobReads(node))
-                    .as("readings of %s", node)
+                    .as("job reads of %s", node)
                     .isLessThanOrEqualTo(reads * (seconds + 1) + 4);
         }
     }
 
-    /** All queries were answered in time, and those that were refused heard when to come back. */
+    /** All queries were answered in time, and those that were rejected say when to retry. */
     private static void assertQueriesAnsweredInTime(SimulatedCluster cluster) {
         assertThat(longest(cluster, Kind.QUERY)).isLessThan(MAX_QUERY_TIME);
-        // What came at the very end has no answer yet, which is 0 here; the time above holds for it too.
+        // A query that arrived last has no response yet, which is status 0; the time above holds for it as well.
         assertThat(cluster.responses.of(Kind.QUERY).stream().map(ResponseLog.Entry::status))
                 .isSubsetOf(0, 200, 503);
         assertThat(cluster.responses.of(Kind.QUERY).stream()
@@ -152,19 +150,19 @@
         SimulatedCluster cluster = playLoad(times, state);
         Duration baselineMax = longest(baseline.users().stream().map(TestUser::timeToAcceptance));
         Duration loadedMax = longest(cluster.users().stream().map(TestUser::timeToAcceptance));
-        // A user whose submission meets a commit that fails submits again a second later, and perhaps a second time.
+        // A user whose submission is part of a failed commit submits again a second later, and perhaps once more.
         assertThat(loadedMax).isLessThanOrEqualTo(baselineMax.plusMillis(2200));
         if (state == StoreCondition.NORMAL) {
             assertThat(loadedMax).isLessThanOrEqualTo(baselineMax.plusMillis(150));
             assertThat(count(cluster, Kind.QUERY, 503)).isZero();
         }
         if (state == StoreCondition.SLOW) {
-            // Where each request is slow by chance, single delays differ from day to day whatever users ask.
+            // Each request to the store has a random delay, so that only means can be compared.
             assertThat(mean(cluster)).isLessThanOrEqualTo(mean(baseline).plusMillis(150));
             assertThat(100 * count(cluster, Kind.QUERY, 503)).isLessThan(count(cluster, Kind.QUERY, 200));
         }
         assertThat(count(cluster, Kind.QUERY, 200))
-                .as("answers beside those of a usual day")
+                .as("answers compared with the usual load")
                 .isGreaterThan(times / 2 * count(baseline, Kind.QUERY, 200));
     }
 
@@ -174,7 +172,7 @@
         return all.stream().reduce(Duration.ZERO, Duration::plus).dividedBy(all.size());
     }
 
-    /** A day with so many times as many queries; what holds for every such day is checked here. */
+    /** Plays a scenario with this many times as many queries, and checks what holds for every such load. */
     private static SimulatedCluster playLoad(int times, StoreCondition state) {
         SimulatedCluster cluster = clusterWithJobs(7, 12, Duration.ofSeconds(40));
         cluster.responses.clear();
@@ -213,7 +211,10 @@
         return cluster;
     }
 
-    /** Without the joining of queries about one job, many of them are refused: the queue seems to be too long. */
+    /**
+     * Guards that queries about one job share a confirmation: otherwise the queue would seem too long, and many would
+     * be rejected.
+     */
     @Test
     void aThousandQueriesOfOneJobCostOneConfirmation() {
         SimulatedCluster cluster = idleCluster(1);
@@ -226,7 +227,10 @@
         assertThat(cluster.storeRequests.versionChecks("perch-0")).isLessThanOrEqualTo(3);
     }
 
-    /** Without the estimate of the wait, queries are held for more than a second and then refused. */
+    /**
+     * Guards the estimate of the waiting time: otherwise queries would wait for more than a second and then be
+     * rejected.
+     */
     @Test
     void queriesThatCannotBeConfirmedInTimeAreRejectedAtOnce() {
         SimulatedCluster cluster = idleCluster(1);
@@ -247,7 +251,9 @@
         assertWithinRateLimit(cluster, Duration.ofSeconds(2));
     }
 
-    /** Without the limit of time of a query they wait for the 3 s of a request to the state store. */
+    /**
+     * Guards the time limit of a query: otherwise it would wait for the 3 s timeout of a request to the state store.
+     */
     @Test
     void queriesAreRejectedInTimeWhenTheStoreDoesNotAnswer() {
         SimulatedCluster cluster = idleCluster(1);
@@ -260,7 +266,10 @@
         assertThat(longest(cluster, Kind.QUERY)).isLessThan(MAX_QUERY_TIME);
     }
 
-    /** If a refusal of the state store were taken for a busy moment, they would be asked again for 1.2 s. */
+    /**
+     * Guards that a rejection by the state store is not taken for a short overload, after which it would be retried
+     * for 1.2 s.
+     */
     @Test
     void queriesAreRejectedAsSoonAsTheStoreRejects() {
         SimulatedCluster cluster = idleCluster(1);
@@ -272,8 +281,8 @@
     }
 
     /**
-     * Without the budget of readings, all of them go out at once; if cancellations had no budget of their own, one of
-     * a job that is over would wait behind them.
+     * Guards the rate limit of reads, without which all of them would be sent at once, and the separate one of
+     * cancellations: otherwise one of a finished job would wait behind the queries.
      */
     @Test
     void restartedControllersReadFinishedJobsWithinTheirRateLimit() {
@@ -296,7 +305,7 @@
         cluster.run(Duration.ofSeconds(14));
         assertThat(unanswered).isEmpty();
         assertThat(longest(cluster, Kind.CANCELLATION))
-                .as("it has a budget of its own")
+                .as("it has a rate limit of its own")
                 .isLessThan(Duration.ofMillis(100));
         assertWithinRateLimit(cluster, Duration.ofSeconds(15));
         assertThat(cluster.storeRequests.jobReads("perch-0")).as("each once").isLessThanOrEqualTo(42);
@@ -305,7 +314,10 @@
         assertThat(cluster.violations).isEmpty();
     }
 
-    /** Without their own queue, repeated submissions are refused with the queries, or wait behind them. */
+    /**
+     * Guards the separate queue of submissions and cancellations: otherwise they would wait behind queries, or be
+     * rejected with them.
+     */
     @Test
     void submissionsAndCancellationsDoNotWaitBehindQueries() {
         SimulatedCluster cluster = idleCluster(2);
@@ -334,9 +346,9 @@
     }
 
     /**
-     * Users ask all controllers again and again within milliseconds around the ends and cancellations of their jobs,
-     * while the state store is slow. If a query could join a verification that is under way, some would be told
-     * an older state than another controller has told.
+     * Users query all controllers many times within milliseconds around the ends and cancellations of their jobs,
+     * while the state store is slow. Guards that a query does not join a confirmation that is under way: otherwise
+     * some users would get an older state than another controller has sent before.
      */
     @Test
     void burstsOfQueriesAreNeverAnsweredWithAnOlderState() {
--- a/src/test/java/org/gullway/StoreOutageDetectorTest.java
+++ b/src/test/java/org/gullway/StoreOutageDetectorTest.java
@@ -14,17 +14,17 @@
 import org.gullway.transport.HttpRequest;
 
 /**
- * Health checks during faults of the state store. The load balancer removes a node after two failures in a row and
- * takes it back after a pause that doubles with each removal. When outages came one after the other, users found no
- * healthy node in the first seconds after each, and a sixth of them gave up (hunted day hunt-c4d1-5).
+ * Health checks during faults of the state store. The load balancer removes a controller after two failures in a row
+ * and adds it again after a pause that doubles with each removal, so that repeated outages must not make all
+ * controllers unhealthy.
  */
 class StoreOutageDetectorTest {
     private static final Duration CHECK_INTERVAL = Duration.ofSeconds(1);
     private static final Duration CHECK_TIMEOUT = Duration.ofSeconds(1);
-    /** So many failures in a row remove a node. */
+    /** This many failures in a row remove a controller. */
     private static final int REMOVED_AFTER = 2;
 
-    /** Asks every node of a world as the load balancer does, and counts failures in a row. */
+    /** Checks every controller as the load balancer does, and counts failures in a row. */
     private static final class HealthChecks {
         private final SimulatedCluster cluster;
         private final HttpClient balancer;
@@ -60,7 +60,7 @@
         return cluster;
     }
 
-    /** Without the state store nobody serves users better, so no node may lose its place for the time afterwards. */
+    /** Without the state store no controller serves users better than another one, so none may be removed. */
     @Property(tries = 6, seed = "41")
     void allStayHealthyInStoreOutages(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithJobs(seed);
@@ -78,7 +78,7 @@
         assertThat(cluster.unfinished()).isEmpty();
     }
 
-    /** A node that alone is refused must go on failing its checks: the others can serve its users. */
+    /** A controller that alone cannot reach the store must go on failing its checks: the others can serve its users. */
     @Property(tries = 6, seed = "42")
     void aNodeThatAloneCannotReachTheStoreBecomesUnhealthy(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithJobs(seed);
--- a/src/test/java/org/gullway/StoreRequestLog.java
+++ b/src/test/java/org/gullway/StoreRequestLog.java
@@ -11,10 +11,11 @@
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.transport.HttpExchange;
+import org.gullway.transport.HttpStatus;
 
-/** Counts what each controller asks of the state store, and refuses what goes over the limit of requests. */
+/** Counts the requests of each controller to the state store, and rejects those above its rate limit. */
 final class StoreRequestLog {
-    /** The limit of the settings, with bursts of one second's worth. */
+    /** The limit of the settings in requests per second, with bursts of one second's worth. */
     static final int PER_SECOND = 150;
 
     private final SimulatedTime time;
@@ -44,7 +45,7 @@
         count(exchange);
         if (limited && !mayPass()) {
             rejected++;
-            exchange.respond(429, new byte[0]);
+            exchange.respond(HttpStatus.TOO_MANY_REQUESTS, new byte[0]);
         } else {
             store.accept(exchange);
         }
@@ -79,12 +80,12 @@
         return true;
     }
 
-    /** Requests that only compare what is known, as the answers to queries need them. */
+    /** Transactions without changes, which check key versions for the answers to queries. */
     int versionChecks(String node) {
         return versionChecks.getOrDefault(node, 0);
     }
 
-    /** Readings of single jobs. */
+    /** Reads of single jobs. */
     int jobReads(String node) {
         return jobReads.getOrDefault(node, 0);
     }
--- a/src/test/java/org/gullway/TestUser.java
+++ b/src/test/java/org/gullway/TestUser.java
@@ -10,10 +10,11 @@
 import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpResponse;
+import org.gullway.transport.HttpStatus;
 
-/** A job with what its user was told. */
+/** A user of one job: submits it, queries and cancels it, and passes every response to the rules. */
 final class TestUser {
-    /** A user waits so long for the answer to a submission or a cancellation, and to a query. */
+    /** Timeout of a submission or a cancellation. */
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
 
     private static final Duration QUERY_TIMEOUT = Duration.ofSeconds(2);
@@ -69,17 +70,17 @@
     void submit() {
         Instant sentAt = loop.now();
         call(anyAddress(), HttpRequest.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_TIMEOUT), response -> {
-            if (response.status() == 201 || response.status() == 200) {
-                boolean news = !accepted;
+            if (response.status() == HttpStatus.CREATED || response.status() == HttpStatus.OK) {
+                boolean first = !accepted;
                 accepted = true;
                 acceptedAt = loop.now();
                 invariants.onAccepted(request.id(), loop.now());
                 onState(response, sentAt);
-                if (news) {
+                if (first) {
                     users.stateChanged(this);
                 }
                 poll();
-            } else if (response.status() == 400 || response.status() == 422) {
+            } else if (response.status() == HttpStatus.BAD_REQUEST || response.status() == HttpStatus.UNPROCESSABLE) {
                 invariants.violations.add("forgotten: " + request.id() + " was refused with " + response.status());
             } else {
                 loop.after(Duration.ofSeconds(1), this::submit);
@@ -87,14 +88,14 @@
         });
     }
 
-    /** Asks for the cancellation until it is answered. */
+    /** Requests the cancellation until it is answered. */
     void cancel() {
         if (!isFinished()) {
             cancelOnce(anyAddress(), () -> loop.after(Duration.ofSeconds(1), this::cancel));
         }
     }
 
-    /** One request, also for a job that is over; it must be answered with the state that was told. */
+    /** Sends one cancellation, also of a finished job, which must be answered with its reported state. */
     void cancelOnce(String address, Runnable unanswered) {
         invariants.onCancellationRequested(request.id());
         boolean known = accepted;
@@ -103,10 +104,10 @@
                 address,
                 HttpRequest.post("/v2/runs/" + request.id() + "/withdraw", Cbor.encode(Cbor.map()), REQUEST_TIMEOUT),
                 response -> {
-                    if (response.status() == 200) {
+                    if (response.status() == HttpStatus.OK) {
                         onState(response, sentAt);
                         invariants.onCancellationAnswered(request.id(), state(response), loop.now());
-                    } else if (response.status() == 404 && known) {
+                    } else if (response.status() == HttpStatus.NOT_FOUND && known) {
                         invariants.violations.add("forgotten: cancellation of " + request.id());
                     } else {
                         unanswered.run();
@@ -126,21 +127,21 @@
     private void query(String address) {
         Instant sentAt = loop.now();
         call(address, HttpRequest.get("/v2/runs/" + request.id(), QUERY_TIMEOUT), response -> {
-            if (response.status() == 200) {
+            if (response.status() == HttpStatus.OK) {
                 onState(response, sentAt);
             }
             invariants.onQueried(request.id(), response.status(), sentAt, loop.now());
         });
     }
 
-    /** All controllers must say the same of a job that is over. */
+    /** Queries all controllers, which must report the same state of a finished job. */
     void queryAllControllers() {
         if (accepted) {
             users.addresses().forEach(this::query);
         }
     }
 
-    /** A submission that is repeated at any later time is answered with the job's state. */
+    /** Repeats the submission, which must be answered with the job's state. */
     void resubmit() {
         if (!accepted) {
             return;
@@ -148,13 +149,13 @@
         Instant sentAt = loop.now();
         call(anyAddress(), HttpRequest.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_TIMEOUT), response -> {
             invariants.onResubmitted(request.id(), response.status(), loop.now());
-            if (response.status() == 200) {
+            if (response.status() == HttpStatus.OK) {
                 onState(response, sentAt);
             }
         });
     }
 
-    /** Time from the submission until the first task began; null if none has. */
+    /** Time from the submission until the first task started; null if none has. */
     Duration timeToFirstStart() {
         Instant first = invariants.firstStartOf(request.id());
         return first == null ? null : Duration.between(submittedAt, first);
@@ -175,12 +176,12 @@
     }
 
     private void onState(HttpResponse response, Instant sentAt) {
-        boolean wasOver = isFinished();
+        boolean wasFinished = isFinished();
         if (invariants.onStateReported(request.id(), state(response), sentAt, loop.now())) {
             loop.after(
                     invariants.cancellationLimit(), () -> invariants.checkCancellationLimit(request.id(), loop.now()));
         }
-        if (isFinished() && !wasOver) {
+        if (isFinished() && !wasFinished) {
             users.stateChanged(this);
         }
     }
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -13,7 +13,7 @@
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpClient;
 
-/** All users with their jobs, which are also what agents know of the world. */
+/** All users with their jobs; agents get the descriptions and run times of jobs from here. */
 final class TestUsers implements FakeAgent.Environment {
     private final EventLoop loop;
     private final HttpClient client;
@@ -61,32 +61,32 @@
                 .toList();
     }
 
-    /** From now on users ask so many times as often. */
+    /** From now on users query this many times as often. */
     void multiplyQueryRate(int times) {
         queryRateFactor = times;
     }
 
-    /** Is told at the very moment at which the last task of a job has completed. */
+    /** The listener is called at the moment at which the last task of a job has completed. */
     void onDone(Consumer<TestUser> listener) {
         onDone = listener;
     }
 
-    /** Is told at the very moment at which a user hears that its job is accepted, and that it is done or cancelled. */
+    /** The listener is called when a user is first told that its job is accepted, and that it is over. */
     void onStateChange(Consumer<TestUser> listener) {
         onStateChange = listener;
     }
 
-    /** From now on what users and machines see is recorded here. */
+    /** From now on the events at users and machines are recorded here. */
     void recordIn(JobHistory recorder) {
         history = recorder;
     }
 
-    /** Says of a machine and a job whether its tasks fail there. */
+    /** Decides by machine and job whether a task fails. */
     void failTasks(BiPredicate<String, String> fails) {
         taskFails = fails;
     }
 
-    /** The user asks at all nodes, again and again within milliseconds, and repeats the submission. */
+    /** The user queries all controllers, several times within milliseconds, and repeats the submission. */
     void queryInBursts(TestUser user, RandomGenerator burstRandom) {
         for (int i = 0; i < 4; i++) {
             loop.after(Duration.ofNanos(burstRandom.nextInt(6_000_000)), user::queryAllControllers);
@@ -94,7 +94,7 @@
         loop.after(Duration.ofNanos(burstRandom.nextInt(6_000_000)), user::resubmit);
     }
 
-    // What a user needs
+    // For users
 
     EventLoop loop() {
         return loop;
@@ -128,7 +128,7 @@
         return history;
     }
 
-    // What agents know
+    // For agents
 
     private static String job(String task) {
         return task.substring(0, task.indexOf('/'));
@@ -157,7 +157,7 @@
 
     @Override
     public void onTaskStarted(String machine, String task) {
-        history.add(job(task), loop.now(), () -> task + " begins on " + machine);
+        history.add(job(task), loop.now(), () -> task + " starts on " + machine);
         invariants.onTaskStarted(machine, task, loop.now());
     }
 
--- a/src/test/java/org/gullway/UserRequestFaultsTest.java
+++ b/src/test/java/org/gullway/UserRequestFaultsTest.java
@@ -10,13 +10,14 @@
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.protocol.Priority;
 
-/** Many requests of users, or requests at the worst moments, with no other fault. */
+/** Many requests of users, or requests at the worst moments, without any other fault. */
 class UserRequestFaultsTest {
     private static final Duration MAX_COMPLETION_DELAY = Duration.ofSeconds(3);
 
     /**
      * Four one-task jobs a second for two minutes, a quarter of them cancelled, half of these at once. Guards that the
-     * controller of a machine tells the keeper of a job at once of its end: a user expects "done" 3 s after it.
+     * controller of a machine reports a completion to the job's record writer at once: a user expects "done" 3 s after
+     * it.
      */
     @Property(tries = 2, seed = "221")
     void fourSingleTaskJobsASecondWithAQuarterCancelled(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -45,18 +46,18 @@
         cluster.run(seconds(jobs / 4 + 10));
         assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
-        assertThat(late[0]).as("jobs that users saw done too late").isLessThan(jobs / 100);
+        assertThat(late[0]).as("jobs whose users got done too late").isLessThan(jobs / 100);
         assertThat(cluster.users().stream()
                         .filter(user -> user.timeToFirstStart() != null)
                         .count())
-                .as("jobs that began")
+                .as("jobs that started")
                 .isGreaterThan(jobs * 3 / 4);
     }
 
     /**
-     * Users ask at all nodes within milliseconds after a job was accepted, done or cancelled, and repeat the submission;
-     * some cancel at once. Guards that a state that may change is told only after the store has confirmed it, and that a
-     * job that is not known here is looked up there.
+     * Users query all controllers within milliseconds after a job was accepted, done or cancelled, and repeat the
+     * submission; some cancel at once. Guards that a state that may change is sent only after the store has confirmed
+     * it, and that a job that is unknown here is read from the store.
      */
     @Property(tries = 4, seed = "222")
     void queriesWithinMillisecondsOfEachStateChange(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/fake/FakesTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -13,6 +13,7 @@
 import org.gullway.protocol.Priority;
 import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpRequest;
+import org.gullway.transport.HttpStatus;
 import org.junit.jupiter.api.Test;
 
 /** The faults of the stand-ins behave as the protocol says, on which the fault schedules rely. */
@@ -181,7 +182,7 @@
     private FakeAgent working() {
         network.listen(CONTROLLER, loop, exchange -> {
             heartbeats++;
-            exchange.respond(200, Cbor.encode(Cbor.map().put("baton", fencingToken)));
+            exchange.respond(HttpStatus.OK, Cbor.encode(Cbor.map().put("baton", fencingToken)));
         });
         FakeAgent agent = new FakeAgent(
                 loop,
--- a/src/test/java/org/gullway/fake/FaultyLinkTest.java
+++ b/src/test/java/org/gullway/fake/FaultyLinkTest.java
@@ -11,6 +11,7 @@
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpResponse;
+import org.gullway.transport.HttpStatus;
 import org.junit.jupiter.api.Test;
 
 /** Each kind of fault of a link does what its name says. */
@@ -23,7 +24,7 @@
     private final List<String> answered = new ArrayList<>();
     private final Consumer<HttpExchange> server = link.server("perch-0", exchange -> {
         arrived.add(exchange.path());
-        exchange.respond(200, new byte[0]);
+        exchange.respond(HttpStatus.OK, new byte[0]);
     });
 
     private void send(String path) {
