--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -1,6 +1,5 @@
 package org.gullway;
 
-import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
@@ -13,7 +12,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
@@ -27,15 +25,7 @@
 import org.gullway.protocol.Settings;
 import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpExchange;
-import org.gullway.transport.HttpServer;
 import org.gullway.transport.HttpStatus;
-import org.gullway.transport.SocketBudget;
-import org.gullway.transport.UndertowHttpClient;
-import org.gullway.transport.XnioEventLoop;
-import org.xnio.OptionMap;
-import org.xnio.Options;
-import org.xnio.Xnio;
-import org.xnio.XnioWorker;
 
 /**
  * Three controllers as processes of their own on loopback, with the stand-ins of state store, cloud and agents behind
@@ -44,10 +34,8 @@
 final class LoopbackCluster implements AutoCloseable {
     static final Duration LEASE = Duration.ofSeconds(4);
     static final Duration CANCEL = Duration.ofSeconds(12);
-    private static final Duration PEER_LIMIT = Duration.ofSeconds(4);
+    private static final Duration PEER_TIMEOUT = Duration.ofSeconds(4);
     private static final String OPERATOR_SETTINGS = "operator.xml";
-    private static final int BODY_LIMIT = 64 * 1024;
-    private static final int SOCKETS = 10_000;
 
     /**
      * What a cluster is made of.
@@ -97,15 +85,13 @@
 
     private final Setup setup;
     final StoppableEventLoop loop;
-    private final UndertowHttpClient client;
+    private final HttpClient client;
     final FakeStateStore store;
     final FakeCloud cloud;
     /** By the names of both parties, "from>to"; agents have one link to all controllers and one from them. */
     final Map<String, FaultyLink> links = new TreeMap<>();
 
-    private final XnioWorker worker;
-    private final DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192);
-    private final SocketBudget socketBudget = new SocketBudget(SOCKETS);
+    private final LoopbackTransport transport;
     private final SplittableRandom random;
     private final List<HeldAddress> held = new ArrayList<>();
     private final Map<String, String> publicAddresses = new LinkedHashMap<>();
@@ -113,6 +99,7 @@
     private final ControllerProcesses processes;
     private final Deque<SpareServer> spareServers = new ArrayDeque<>();
     private final Path directory;
+
     /**
      * @param machines is notified of every machine that is up
      * @param ended is notified of controllers that end by themselves
@@ -121,11 +108,9 @@
         this.setup = setup;
         this.random = new SplittableRandom(seed);
         this.directory = Files.createTempDirectory("gullway-soak");
-        this.worker = Xnio.getInstance()
-                .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
-        XnioEventLoop ioLoop = new XnioEventLoop(worker.getIoThread());
-        this.loop = new StoppableEventLoop(ioLoop);
-        this.client = new UndertowHttpClient(ioLoop, buffers, socketBudget, Set.of());
+        this.transport = new LoopbackTransport();
+        this.loop = new StoppableEventLoop(transport.loop());
+        this.client = transport.client();
         this.processes = new ControllerProcesses(
                 setup.command(), setup.logLevel(), directory, cause -> loop.execute(() -> ended.accept(cause)));
         this.store = new FakeStateStore(loop);
@@ -176,7 +161,7 @@
     /** A server whose handler is set later, since starting one takes this process long. */
     private SpareServer newServer() {
         SpareServer server = new SpareServer();
-        server.address = listen(exchange -> server.handler.accept(exchange));
+        server.address = transport.listen(exchange -> server.handler.accept(exchange));
         return server;
     }
 
@@ -189,12 +174,6 @@
         return links.computeIfAbsent(name, n -> new FaultyLink(loop, random.split()));
     }
 
-    /** Starts a server and returns the address that it got. */
-    private String listen(Consumer<HttpExchange> handler) {
-        return HttpServer.start(
-                worker, buffers, socketBudget, LoopbackAddresses.anyPort(), BODY_LIMIT, handler::accept);
-    }
-
     /** Starts everything; fails if a server of a stand-in cannot listen. */
     void start() {
         for (int i = 0; i < setup.spareServers(); i++) {
@@ -204,13 +183,13 @@
                 OPERATOR_SETTINGS,
                 "<gullway><membership-lease-s>" + setup.membership().toSeconds() + "</membership-lease-s></gullway>");
         for (String name : nodes()) {
-            String state = listen(link(name + ">state").server(name, store::handle));
-            String cloudAddress = listen(link(name + ">cloud").server(name, cloud::handle));
+            String storeAddress = transport.listen(link(name + ">state").server(name, store::handle));
+            String cloudAddress = transport.listen(link(name + ">cloud").server(name, cloud::handle));
             List<Settings.Peer> seeds = new ArrayList<>();
             for (String peer : nodes()) {
                 if (!peer.equals(name)) {
-                    String address =
-                            listen(link(name + ">" + peer).forwarder(peerAddresses.get(peer), client, PEER_LIMIT));
+                    String address = transport.listen(
+                            link(name + ">" + peer).forwarder(peerAddresses.get(peer), client, PEER_TIMEOUT));
                     seeds.add(new Settings.Peer(peer, zone(peer), address));
                 }
             }
@@ -223,7 +202,7 @@
                                     peerAddresses.get(name),
                                     seeds,
                                     cloudAddress,
-                                    state)
+                                    storeAddress)
                             .toToml(setup));
             startController(name);
         }
@@ -309,7 +288,7 @@
     public void close() {
         loop.stop();
         processes.close();
-        worker.shutdownNow();
+        transport.close();
         held.forEach(HeldAddress::close);
         try (Stream<Path> files = Files.walk(directory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -26,7 +26,6 @@
     private static final Duration FAULT_INTERVAL = Duration.ofMillis(900);
     private static final Duration SUBMISSION_INTERVAL = Duration.ofMillis(220);
     private static final Duration LAST_QUERIES_SPAN = Duration.ofSeconds(3);
-    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
     /** A longer pause of this process makes agents late, which no controller can know. */
     private static final Duration MAX_STALL = Duration.ofMillis(250);
 
@@ -91,9 +90,7 @@
     private final List<FaultSchedule.Fault> faults;
     private LoopbackCluster cluster;
     private TestUsers users;
-    private Instant lastTick;
-    private Instant stalledAt = Instant.EPOCH;
-    private Duration longestStall = Duration.ZERO;
+    private StallMonitor stalls;
     private int jobs;
     private boolean submitting = true;
     private final Consumer<LoopbackCluster> beforeStart;
@@ -125,6 +122,7 @@
                     return users;
                 })) {
             cluster = played;
+            stalls = new StallMonitor(cluster.loop);
             cluster.loop.execute(this::beginOrEnd);
             Duration total =
                     WARM_UP.plus(length.faults()).plus(length.afterwards()).plus(LAST_QUERIES_SPAN);
@@ -165,7 +163,7 @@
         beforeStart.accept(cluster);
         cluster.start();
         // No lease can expire before that.
-        cluster.loop.after(WARM_UP, this::tick);
+        cluster.loop.after(WARM_UP, stalls::tick);
         cluster.loop.after(Duration.ofSeconds(1), this::submitNext);
         faults.forEach(
                 fault -> cluster.loop.after(fault.at(), () -> fault.action().run(cluster)));
@@ -185,19 +183,6 @@
         }
     }
 
-    private void tick() {
-        Instant now = cluster.loop.now();
-        if (lastTick != null) {
-            Duration late = Duration.between(lastTick, now).minus(TICK_INTERVAL);
-            if (late.compareTo(longestStall) > 0) {
-                longestStall = late;
-                stalledAt = now;
-            }
-        }
-        lastTick = now;
-        cluster.loop.after(TICK_INTERVAL, this::tick);
-    }
-
     private void endFaults() {
         submitting = false;
         cluster.endFaults();
@@ -253,8 +238,8 @@
                 unfinished(),
                 jobs,
                 invariants.startedTasks(),
-                longestStall,
-                stalledAt,
+                stalls.longestStall(),
+                stalls.longestStallEnd(),
                 invariants.violations.isEmpty() ? "" : report());
     }
 
