--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -21,8 +21,8 @@
  * hash as it is. Names of classes and texts of the log are not in it.
  */
 public final class BehaviourFingerprint {
-    private static final int ROUGH_SCENARIOS = 12;
-    private static final int BOUND_SCENARIOS = 8;
+    private static final int FAULT_SCENARIOS = 12;
+    private static final int ZONE_BOUND_SCENARIOS = 8;
     private static final int SCENARIO_BYTES = 8;
 
     private final MessageDigest whole = sha256();
@@ -86,10 +86,10 @@
         void play(SimulatedCluster cluster);
     }
 
-    private void play(String name, long seed, double trouble, int capacity, Scenario scenario) {
+    private void play(String name, long seed, double faultShare, int capacity, Scenario scenario) {
         // In a fixed order, unlike the teams of tests.
         SimulatedCluster.Shape shape = new SimulatedCluster.Shape(
-                capacity, new TreeMap<>(SimulatedCluster.Shape.SMALL_TEAMS), Duration.ofSeconds(3), trouble);
+                capacity, new TreeMap<>(SimulatedCluster.Shape.SMALL_TEAMS), Duration.ofSeconds(3), faultShare);
         Recorder[] recorder = new Recorder[1];
         SimulatedCluster cluster = new SimulatedCluster(seed, shape, time -> recorder[0] = new Recorder(time));
         scenario.play(cluster);
@@ -119,14 +119,14 @@
             }
             cluster.run(Duration.ofSeconds(400));
         });
-        for (int seed = 1; seed <= ROUGH_SCENARIOS; seed++) {
+        for (int seed = 1; seed <= FAULT_SCENARIOS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             play("rough-" + seed, random.nextLong(), 0.01, 3, cluster -> {
                 SimulatedScenariosTest.submitJobs(cluster, random.split(), 25, Duration.ofSeconds(120));
                 SimulatedScenariosTest.playFaults(cluster, random);
             });
         }
-        for (int seed = 101; seed <= 100 + BOUND_SCENARIOS; seed++) {
+        for (int seed = 101; seed <= 100 + ZONE_BOUND_SCENARIOS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             play("bound-" + seed, random.nextLong(), 0.01, 3, cluster -> {
                 SimulatedScenariosTest.submitJobs(cluster, random.split(), 10, Duration.ofSeconds(120));
--- a/src/test/java/org/gullway/CancellationRules.java
+++ b/src/test/java/org/gullway/CancellationRules.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.util.List;
 
-/** A while after its user was told that a job is cancelled, none of its tasks is on a machine. */
+/** Within a limit after the response that confirms a cancellation, none of the job's tasks is on a machine any more. */
 final class CancellationRules {
     private final List<String> violations;
     private final Duration limit;
--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -1,13 +1,11 @@
 package org.gullway;
 
-import io.undertow.server.DefaultByteBufferPool;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
@@ -20,17 +18,12 @@
 import org.gullway.protocol.Cbor;
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
+import org.gullway.protocol.MalformedMessageException;
 import org.gullway.protocol.Priority;
+import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpRequest;
-import org.gullway.transport.HttpServer;
+import org.gullway.transport.HttpResponse;
 import org.gullway.transport.HttpStatus;
-import org.gullway.transport.SocketBudget;
-import org.gullway.transport.UndertowHttpClient;
-import org.gullway.transport.XnioEventLoop;
-import org.xnio.OptionMap;
-import org.xnio.Options;
-import org.xnio.Xnio;
-import org.xnio.XnioWorker;
 
 /**
  * Runs one controller as a process of its own against stand-ins on loopback until it has served a few jobs, then ends
@@ -41,7 +34,25 @@
     private static final int TRIES = 3;
     private static final Duration TIMEOUT = Duration.ofSeconds(40);
 
-    private ClassArchiveTraining() {}
+    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
+
+    private final LoopbackTransport transport;
+    private final EventLoop loop;
+    private final String controllerAddress = freeAddress();
+    private final String storeAddress = freeAddress();
+    private final String cloudAddress = freeAddress();
+    private final Map<String, JobRequest> jobs = Map.of(
+            "run-000001",
+            job("run-000001", Priority.HIGH),
+            "run-000002",
+            job("run-000002", Priority.NORMAL),
+            "run-000003",
+            job("run-000003", Priority.IDLE));
+
+    private ClassArchiveTraining(LoopbackTransport transport) {
+        this.transport = transport;
+        this.loop = transport.loop();
+    }
 
     /** Arguments: the archive to write, the jar, then options of the virtual machine. */
     public static void main(String[] args) throws Exception {
@@ -50,12 +61,12 @@
         command.addAll(List.of(args).subList(2, args.length));
         command.addAll(List.of(
                 "-XX:ArchiveClassesAtExit=" + args[0], "-Xlog:cds=off", "-Xlog:cds+dynamic=off", "-jar", args[1]));
-        for (int left = TRIES; left > 0; left--) {
+        for (int triesLeft = TRIES; triesLeft > 0; triesLeft--) {
             try {
                 run(command);
-                left = 0;
+                triesLeft = 0;
             } catch (ExecutionException | TimeoutException e) {
-                System.err.println("the training run failed, tries left: " + (left - 1) + ": " + e);
+                System.err.println("the training run failed, tries left: " + (triesLeft - 1) + ": " + e);
             }
         }
         if (!Files.exists(Path.of(args[0]))) {
@@ -66,27 +77,15 @@
 
     /** Serves three jobs with the command, to which the settings are added. */
     static void run(List<String> command) throws Exception {
-        XnioWorker worker = Xnio.getInstance()
-                .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
-        DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192);
-        XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
-        SocketBudget socketBudget = new SocketBudget(1000);
-        UndertowHttpClient client = new UndertowHttpClient(loop, buffers, socketBudget, Set.of());
-        String node = freeAddress();
-        String state = freeAddress();
-        String cloudAddress = freeAddress();
-        Map<String, JobRequest> jobs = Map.of(
-                "run-000001",
-                job("run-000001", Priority.HIGH),
-                "run-000002",
-                job("run-000002", Priority.NORMAL),
-                "run-000003",
-                job("run-000003", Priority.IDLE));
-        FakeAgent.Environment environment = new ShortTasks(jobs);
+        try (LoopbackTransport transport = new LoopbackTransport()) {
+            new ClassArchiveTraining(transport).serveJobs(command);
+        }
+    }
+
+    private void serveJobs(List<String> command) throws Exception {
         Path settings = Files.createTempFile("gullway", ".toml");
-        Files.writeString(settings, settings(node, state, cloudAddress));
-        loop.execute(() -> listen(
-                worker, buffers, socketBudget, loop, client, environment, new Addresses(node, state, cloudAddress)));
+        Files.writeString(settings, settings(controllerAddress, storeAddress, cloudAddress));
+        loop.execute(this::startStandIns);
         List<String> fullCommand = new ArrayList<>(command);
         fullCommand.addAll(List.of("--config", settings.toString()));
         Process process = new ProcessBuilder(fullCommand).inheritIO().start();
@@ -95,7 +94,7 @@
             for (JobRequest job : jobs.values()) {
                 CompletableFuture<Void> future = new CompletableFuture<>();
                 done.add(future);
-                loop.execute(() -> submit(loop, client, node, job, future));
+                loop.execute(() -> submit(job, future));
             }
             CompletableFuture.allOf(done.toArray(CompletableFuture[]::new)).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         } finally {
@@ -107,64 +106,60 @@
         }
     }
 
-    /** Where the daemon and the stand-ins of the services listen. */
-    private record Addresses(String node, String state, String cloud) {}
-
     /** Starts the stand-ins of the state store and of the cloud, whose machines listen as soon as they are provisioned. */
-    private static void listen(
-            XnioWorker worker,
-            DefaultByteBufferPool buffers,
-            SocketBudget socketBudget,
-            XnioEventLoop loop,
-            UndertowHttpClient client,
-            FakeAgent.Environment environment,
-            Addresses addresses) {
+    private void startStandIns() {
         FakeStateStore store = new FakeStateStore(loop);
-        FakeCloud cloud = new FakeCloud(
+        List<MachineType> types =
+                List.of(new MachineType("small", 16, 0, 64, 50, 1, 1, 0.3, Duration.ofMillis(300), List.of("a")));
+        FakeCloud cloud = new FakeCloud(loop, types, 2, this::boot);
+        transport.listenAt(storeAddress, store::handle);
+        transport.listenAt(cloudAddress, cloud::handle);
+    }
+
+    private FakeAgent boot(String name, FakeAgent.Kind kind) {
+        String address = freeAddress();
+        FakeAgent agent = new FakeAgent(
                 loop,
-                List.of(new MachineType("small", 16, 0, 64, 50, 1, 1, 0.3, Duration.ofMillis(300), List.of("a"))),
-                2,
-                (name, kind) -> {
-                    String address = freeAddress();
-                    FakeAgent machine = new FakeAgent(
-                            loop,
-                            client,
-                            environment,
-                            new SplittableRandom(1),
-                            new FakeAgent.Machine(name, address, kind),
-                            Map.of("perch-0", addresses.node()),
-                            new FakeAgent.Timing(Duration.ofMillis(500), Duration.ofSeconds(20)));
-                    HttpServer.start(worker, buffers, socketBudget, address, 65536, machine::handle);
-                    return machine;
-                });
-        HttpServer.start(worker, buffers, socketBudget, addresses.state(), 65536, store::handle);
-        HttpServer.start(worker, buffers, socketBudget, addresses.cloud(), 65536, cloud::handle);
+                transport.client(),
+                new ShortTasks(jobs),
+                new SplittableRandom(1),
+                new FakeAgent.Machine(name, address, kind),
+                Map.of("perch-0", controllerAddress),
+                new FakeAgent.Timing(Duration.ofMillis(500), Duration.ofSeconds(20)));
+        transport.listenAt(address, agent::handle);
+        return agent;
     }
 
-    private static void submit(
-            XnioEventLoop loop, UndertowHttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
-        client.call(node, HttpRequest.post("/v2/runs", Cbor.encode(job.toNode()), Duration.ofSeconds(5)), response -> {
+    private void submit(JobRequest job, CompletableFuture<Void> done) {
+        HttpRequest request = HttpRequest.post("/v2/runs", Cbor.encode(job.toNode()), Duration.ofSeconds(5));
+        transport.client().call(controllerAddress, request, response -> {
             if (response.status() == HttpStatus.CREATED) {
-                poll(loop, client, node, job, done);
+                poll(job, done);
             } else {
-                loop.after(Duration.ofMillis(200), () -> submit(loop, client, node, job, done));
+                loop.after(RETRY_DELAY, () -> submit(job, done));
             }
         });
     }
 
-    private static void poll(
-            XnioEventLoop loop, UndertowHttpClient client, String node, JobRequest job, CompletableFuture<Void> done) {
-        client.call(node, HttpRequest.get("/v2/runs/" + job.id(), Duration.ofSeconds(2)), response -> {
-            if (response.isOk()
-                    && unchecked(() -> Cbor.decode(response.body()).path("tide").asText())
-                            .equals("done")) {
+    private void poll(JobRequest job, CompletableFuture<Void> done) {
+        HttpRequest request = HttpRequest.get("/v2/runs/" + job.id(), Duration.ofSeconds(2));
+        transport.client().call(controllerAddress, request, response -> {
+            if (response.isOk() && state(response).equals("done")) {
                 done.complete(null);
             } else {
-                loop.after(Duration.ofMillis(200), () -> poll(loop, client, node, job, done));
+                loop.after(RETRY_DELAY, () -> poll(job, done));
             }
         });
     }
 
+    private static String state(HttpResponse response) {
+        try {
+            return Cbor.decode(response.body()).path("tide").asText();
+        } catch (MalformedMessageException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
     private static JobRequest job(String id, Priority priority) {
         return new JobRequest(
                 id,
@@ -195,18 +190,6 @@
         return "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + "." + random.nextInt(1, 255) + ":18080";
     }
 
-    private interface Failing<T> {
-        T get() throws Exception;
-    }
-
-    private static <T> T unchecked(Failing<T> action) {
-        try {
-            return action.get();
-        } catch (Exception e) {
-            throw new IllegalStateException(e);
-        }
-    }
-
     static String settings(String node, String state, String cloud) {
         return """
                 node_name = "perch-0"
--- a/src/test/java/org/gullway/ControllerProfile.java
+++ b/src/test/java/org/gullway/ControllerProfile.java
@@ -21,7 +21,7 @@
 /**
  * Measures where real controllers spend processor time: three processes as the deploy file starts them, on loopback with
  * stand-ins behind real sockets. For each phase (start of all, a calm spell, a burst, restart of all) it prints the
- * processor time of every kind of thread, which tells compiler, collector and event loop apart.
+ * processor time of every kind of thread, which separates compiler, collector and event loop.
  *
  * <p>Not part of the tests; docs/operations.md shows how to run it.
  */
--- a/src/test/java/org/gullway/InvariantChecker.java
+++ b/src/test/java/org/gullway/InvariantChecker.java
@@ -12,7 +12,7 @@
 import org.gullway.protocol.Settings;
 
 /**
- * The rules of the protocol, checked from outside: by what is on the machines and by what users are told. Each family of
+ * The rules of the protocol, checked from outside: by the tasks on the machines and the responses to users. Each family of
  * rules is a class of its own; this one passes every event on to those that it concerns.
  */
 final class InvariantChecker {
@@ -100,12 +100,12 @@
         return jobs.get(id).isCancellationRequested();
     }
 
-    /** Whether the user was told a final state. */
+    /** Whether a final state was reported to the user. */
     boolean isFinished(String id) {
         return jobs.get(id).isFinished();
     }
 
-    /** The final state that the user was told, or empty. */
+    /** The final state that was reported to the user, or empty. */
     String reportedState(String id) {
         return jobs.get(id).reportedState();
     }
@@ -115,7 +115,7 @@
         return jobs.get(id).firstStart();
     }
 
-    /** A user was told this state; whether it is the first time that it is told of the job's cancellation. */
+    /** A user got this state; returns whether it is the first response that confirms the cancellation. */
     boolean onStateReported(String id, String state, Instant asked, Instant now) {
         return reportedStates.onStateReported(jobs.get(id), state, asked, now);
     }
@@ -134,7 +134,7 @@
         cancellation.checkLimit(id, placement, now);
     }
 
-    /** Starts of tasks whose user had been told before that the job is cancelled. */
+    /** Starts of tasks after the response that confirmed the cancellation of their job. */
     int startsAfterCancellation() {
         return cancellation.startsAfterCancellation();
     }
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -109,7 +109,7 @@
         this.random = new SplittableRandom(seed);
         this.directory = Files.createTempDirectory("gullway-soak");
         this.transport = new LoopbackTransport();
-        this.loop = new StoppableEventLoop(transport.loop());
+        this.loop = transport.loop();
         this.client = transport.client();
         this.processes = new ControllerProcesses(
                 setup.command(), setup.logLevel(), directory, cause -> loop.execute(() -> ended.accept(cause)));
--- a/src/test/java/org/gullway/LoopbackTransport.java
+++ b/src/test/java/org/gullway/LoopbackTransport.java
@@ -4,7 +4,6 @@
 import java.io.IOException;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpClient;
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpServer;
@@ -25,18 +24,18 @@
     private final XnioWorker worker;
     private final DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER_BYTES);
     private final SocketBudget socketBudget = new SocketBudget(MAX_SOCKETS);
-    private final EventLoop loop;
+    private final StoppableEventLoop loop;
     private final HttpClient client;
 
     LoopbackTransport() throws IOException {
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
         XnioEventLoop ioLoop = new XnioEventLoop(worker.getIoThread());
-        loop = ioLoop;
+        loop = new StoppableEventLoop(ioLoop);
         client = new UndertowHttpClient(ioLoop, buffers, socketBudget, Set.of());
     }
 
-    EventLoop loop() {
+    StoppableEventLoop loop() {
         return loop;
     }
 
@@ -46,12 +45,18 @@
 
     /** Starts a server and returns the address that it got. */
     String listen(Consumer<HttpExchange> handler) {
-        return HttpServer.start(
-                worker, buffers, socketBudget, LoopbackAddresses.anyPort(), MAX_BODY_BYTES, handler::accept);
+        return listenAt(LoopbackAddresses.anyPort(), handler);
     }
 
+    /** Starts a server at this address and returns the one that it got. */
+    String listenAt(String address, Consumer<HttpExchange> handler) {
+        return HttpServer.start(worker, buffers, socketBudget, address, MAX_BODY_BYTES, handler::accept);
+    }
+
+    /** Stops the loop first: a task that schedules another one on a closed worker would fail. */
     @Override
     public void close() {
+        loop.stop();
         worker.shutdownNow();
     }
 }
--- a/src/test/java/org/gullway/MainTest.java
+++ b/src/test/java/org/gullway/MainTest.java
@@ -86,8 +86,8 @@
         "value_kb = 16.0,value_kb = [],value_kb",
         "[facts.cloud],[facts.cloudy],cloud"
     })
-    void faultyTomlFieldsAreNamed(String what, String instead, String field) throws IOException {
-        assertFaulty(run(valid().replace(what, instead == null ? "" : instead), "<gullway/>"), field);
+    void faultyTomlFieldsAreNamed(String original, String replacement, String field) throws IOException {
+        assertFaulty(run(valid().replace(original, replacement == null ? "" : replacement), "<gullway/>"), field);
     }
 
     @ParameterizedTest
--- a/src/test/java/org/gullway/NodeSettings.java
+++ b/src/test/java/org/gullway/NodeSettings.java
@@ -13,7 +13,7 @@
         String peerAddress,
         List<Settings.Peer> peers,
         String cloudAddress,
-        String stateAddress) {
+        String storeAddress) {
 
     private static double seconds(Duration duration) {
         return duration.toMillis() / 1000.0;
@@ -83,7 +83,7 @@
                         peerAddress,
                         seeds,
                         cloudAddress,
-                        stateAddress,
+                        storeAddress,
                         teams,
                         seconds(setup.heartbeatInterval()),
                         seconds(setup.lease()),
--- a/src/test/java/org/gullway/ObservedJob.java
+++ b/src/test/java/org/gullway/ObservedJob.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.gullway.protocol.JobRequest;
 
-/** What was seen of one job from outside: on the machines, and in the responses to its user. */
+/** The observations of one job from outside: on the machines, and in the responses to its user. */
 final class ObservedJob {
     final JobRequest request;
     /** Numbers of the tasks that have completed. */
@@ -67,7 +67,7 @@
         acceptedAt = acceptedAt == null ? now : acceptedAt;
     }
 
-    /** When the user first heard that the job is accepted, or null. */
+    /** When the user got the first response that accepts the job, or null. */
     Instant acceptedAt() {
         return acceptedAt;
     }
@@ -84,7 +84,7 @@
         return state.equals("done") || state.equals("aborted");
     }
 
-    /** The user was told a final state for the first time. */
+    /** A final state was reported to the user for the first time. */
     void onFinished(String state, Instant now) {
         reportedState = state;
         finishedAt = now;
@@ -94,17 +94,17 @@
         return isFinal(reportedState);
     }
 
-    /** The final state that the user was told, or empty. */
+    /** The final state that was reported to the user, or empty. */
     String reportedState() {
         return reportedState;
     }
 
-    /** When the user was told the final state; null before. */
+    /** When the final state was reported to the user; null before. */
     Instant finishedAt() {
         return finishedAt;
     }
 
-    /** Whether the user was told that the job is cancelled. */
+    /** Whether the cancellation was confirmed to the user. */
     boolean isCancelled() {
         return reportedState.equals("aborted");
     }
--- a/src/test/java/org/gullway/ReportedStateRules.java
+++ b/src/test/java/org/gullway/ReportedStateRules.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Job states that users are told: a final state is true, and stays. */
+/** Job states in responses to users: a final state is true, and never changes. */
 final class ReportedStateRules {
     private final List<String> violations;
 
@@ -11,7 +11,7 @@
         this.violations = violations;
     }
 
-    /** A user was told this state; whether it is the first time that it is told of the job's cancellation. */
+    /** A user got this state; returns whether it is the first response that confirms the cancellation. */
     boolean onStateReported(ObservedJob job, String state, Instant asked, Instant now) {
         boolean isFinal = ObservedJob.isFinal(state);
         checkUnchanged(job, state, isFinal, asked, now);
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -226,7 +226,7 @@
         users.onDone(listener);
     }
 
-    /** The listener is called when a user is first told that its job is accepted, and that it is over. */
+    /** The listener is called at the first response that accepts a job, and at the first one with a final state. */
     void onStateChange(Consumer<TestUser> listener) {
         users.onStateChange(listener);
     }
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -55,7 +55,7 @@
             int starts,
             Duration stall,
             Instant stalledAt,
-            String report) {
+            String failureReport) {
         boolean conclusive() {
             return stall.compareTo(MAX_STALL) <= 0;
         }
@@ -240,7 +240,7 @@
                 invariants.startedTasks(),
                 stalls.longestStall(),
                 stalls.longestStallEnd(),
-                invariants.violations.isEmpty() ? "" : report());
+                invariants.violations.isEmpty() ? "" : failureReport());
     }
 
     /** Unfinished jobs, each with its last event. */
@@ -258,7 +258,7 @@
     }
 
     /** Seed, schedule, and the histories of the jobs in violations. */
-    private String report() {
+    private String failureReport() {
         List<String> lines = new ArrayList<>();
         lines.add("seed " + seed);
         faults.forEach(fault -> lines.add(fault.toString()));
@@ -290,7 +290,7 @@
             outcome.unfinished().forEach(job -> System.out.println("  unfinished: " + job));
             if (!outcome.violations().isEmpty()) {
                 broken++;
-                System.out.println(outcome.report());
+                System.out.println(outcome.failureReport());
             }
         }
         System.out.println(runs + " runs, " + broken + " with a rule broken");
--- a/src/test/java/org/gullway/SoakTest.java
+++ b/src/test/java/org/gullway/SoakTest.java
@@ -15,9 +15,9 @@
     void invariantsHoldForProcessesUnderFaults(long seed) throws Exception {
         SoakRun.Outcome outcome = SoakRun.play(seed, SHORT);
         System.out.println(outcome);
-        assertThat(outcome.certainViolations()).as(outcome.report()).isEmpty();
+        assertThat(outcome.certainViolations()).as(outcome.failureReport()).isEmpty();
         assertThat(ProcessHandle.current().children().filter(ProcessHandle::isAlive))
-                .as("processes left behind")
+                .as("processes that still run")
                 .isEmpty();
         assertThat(outcome.starts()).as("tasks that started").isPositive();
     }
--- a/src/test/java/org/gullway/StatusQueryLoadTest.java
+++ b/src/test/java/org/gullway/StatusQueryLoadTest.java
@@ -92,7 +92,8 @@
         }
         if (state == StoreCondition.SLOW) {
             // Each request to the store has a random delay, so that only means can be compared.
-            assertThat(mean(cluster)).isLessThanOrEqualTo(mean(baseline).plusMillis(150));
+            assertThat(meanTimeToAcceptance(cluster))
+                    .isLessThanOrEqualTo(meanTimeToAcceptance(baseline).plusMillis(150));
             assertThat(100 * count(cluster, Kind.QUERY, 503)).isLessThan(count(cluster, Kind.QUERY, 200));
         }
         assertThat(count(cluster, Kind.QUERY, 200))
@@ -100,7 +101,7 @@
                 .isGreaterThan(times / 2 * count(baseline, Kind.QUERY, 200));
     }
 
-    private static Duration mean(SimulatedCluster cluster) {
+    private static Duration meanTimeToAcceptance(SimulatedCluster cluster) {
         List<Duration> all =
                 cluster.users().stream().map(TestUser::timeToAcceptance).toList();
         return all.stream().reduce(Duration.ZERO, Duration::plus).dividedBy(all.size());
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -71,7 +71,7 @@
         onDone = listener;
     }
 
-    /** The listener is called when a user is first told that its job is accepted, and that it is over. */
+    /** The listener is called at the first response that accepts a job, and at the first one with a final state. */
     void onStateChange(Consumer<TestUser> listener) {
         onStateChange = listener;
     }
--- a/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -77,7 +77,7 @@
 
     // Agents
 
-    private static ObjectNode report(Long warningSeconds) {
+    private static ObjectNode heartbeat(Long warningSeconds) {
         ObjectNode node = Cbor.map()
                 .put("perch", "vm-000001")
                 .put("endpoint", "10.1.0.1:9000")
@@ -135,7 +135,7 @@
 
     @Test
     void reportsAreReadAsBefore() throws MalformedMessageException {
-        ObjectNode full = report(30L);
+        ObjectNode full = heartbeat(30L);
         ArrayNode legs = full.putArray("legs");
         for (String state : List.of("fetching", "gathering", "running", "saving", "later")) {
             leg(legs, state, null, null);
@@ -144,11 +144,11 @@
             leg(legs, "ended", cause, true);
         }
         leg(legs, "ended", null, false);
-        checkReport("report-full", full);
-        checkReport("report-without-tasks", report(null));
+        checkHeartbeat("report-full", full);
+        checkHeartbeat("report-without-tasks", heartbeat(null));
     }
 
-    private static void checkReport(String name, ObjectNode node) throws MalformedMessageException {
+    private static void checkHeartbeat(String name, ObjectNode node) throws MalformedMessageException {
         GOLDEN.check(name, Cbor.encode(node));
         GOLDEN.checkText(name + ".read", text(Heartbeat.parse(GOLDEN.bytes(name), machine -> null)));
     }
@@ -211,9 +211,9 @@
                     type.zones()));
         }
         GOLDEN.checkText("types.read", String.join("\n", lines));
-        ObjectNode rented = Cbor.map();
-        rented.putArray("perches").add("vm-000001").add("vm-000002");
-        GOLDEN.check("rented", Cbor.encode(rented));
+        ObjectNode provisioned = Cbor.map();
+        provisioned.putArray("perches").add("vm-000001").add("vm-000002");
+        GOLDEN.check("rented", Cbor.encode(provisioned));
         GOLDEN.checkText("rented.read", line(CloudMessages.decodeProvisioned(GOLDEN.bytes("rented"))));
     }
 
--- a/src/test/java/org/gullway/protocol/HeartbeatTest.java
+++ b/src/test/java/org/gullway/protocol/HeartbeatTest.java
@@ -18,7 +18,7 @@
 class HeartbeatTest {
     private static final int TASKS = 8;
 
-    private static ObjectNode report(long sequence, int tasks, String phase) {
+    private static ObjectNode heartbeat(long sequence, int tasks, String phase) {
         ObjectNode node = Cbor.map()
                 .put("perch", "vm-000231")
                 .put("endpoint", "10.1.0.232:9000")
@@ -81,7 +81,7 @@
 
     @Test
     void readsAllFieldsAndIgnoresOthers() throws MalformedMessageException {
-        ObjectNode node = report(88, 3, "ended").put("warning_s", 12.5).put("later", 1);
+        ObjectNode node = heartbeat(88, 3, "ended").put("warning_s", 12.5).put("later", 1);
         node.putObject("more").putArray("items").add("x").addObject();
         byte[] body = Cbor.encode(node);
         Heartbeat read = read(body);
@@ -112,7 +112,7 @@
                 Cbor.map().put("x", true).path("x"),
                 Cbor.map().putNull("x").path("x"));
         for (String phase : List.of("running", "ended")) {
-            ObjectNode sample = report(88, 2, phase);
+            ObjectNode sample = heartbeat(88, 2, phase);
             sample.fieldNames().forEachRemaining(name -> {
                 for (JsonNode value : values) {
                     assertAgrees(Cbor.encode(sample.deepCopy().set(name, value)));
@@ -134,7 +134,7 @@
 
     @Test
     void refusesEveryReportThatIsCutOffAndWhatFollowsOne() {
-        byte[] whole = Cbor.encode(report(88, 2, "ended"));
+        byte[] whole = Cbor.encode(heartbeat(88, 2, "ended"));
         for (int length = 0; length < whole.length; length++) {
             byte[] part = Arrays.copyOf(whole, length);
             assertThatThrownBy(() -> read(part)).isInstanceOf(MalformedMessageException.class);
@@ -146,7 +146,7 @@
     @Test
     void neverFailsOtherwiseForBytesThatWereAltered() {
         SplittableRandom random = new SplittableRandom(7);
-        byte[] whole = Cbor.encode(report(88, 4, "ended"));
+        byte[] whole = Cbor.encode(heartbeat(88, 4, "ended"));
         for (int i = 0; i < 20_000; i++) {
             byte[] altered = whole.clone();
             altered[random.nextInt(altered.length)] = (byte) random.nextInt(256);
@@ -160,12 +160,12 @@
 
     @Test
     void sharesWithTheLastMessageWhatHasNotChanged() throws MalformedMessageException {
-        Heartbeat last = read(Cbor.encode(report(88, TASKS, "running")));
-        Heartbeat same = read(Cbor.encode(report(89, TASKS, "running")), last);
-        assertThat(same).isEqualTo(read(Cbor.encode(report(89, TASKS, "running"))));
+        Heartbeat last = read(Cbor.encode(heartbeat(88, TASKS, "running")));
+        Heartbeat same = read(Cbor.encode(heartbeat(89, TASKS, "running")), last);
+        assertThat(same).isEqualTo(read(Cbor.encode(heartbeat(89, TASKS, "running"))));
         assertThat(same.tasks()).isSameAs(last.tasks());
 
-        ObjectNode node = report(90, TASKS, "running");
+        ObjectNode node = heartbeat(90, TASKS, "running");
         ((ObjectNode) node.path("legs").get(3)).put("tide", "saving");
         Heartbeat one = read(Cbor.encode(node), last);
         assertThat(one).isEqualTo(expected(Cbor.encode(node)));
@@ -177,8 +177,8 @@
         List<ObjectNode> messages = new ArrayList<>();
         for (int tasks : List.of(0, 1, 3, TASKS)) {
             for (String phase : List.of("fetching", "running", "ended")) {
-                messages.add(report(1, tasks, phase));
-                ObjectNode shifted = report(2, tasks, phase);
+                messages.add(heartbeat(1, tasks, phase));
+                ObjectNode shifted = heartbeat(2, tasks, phase);
                 if (tasks > 0) {
                     ((ArrayNode) shifted.path("legs")).remove(0);
                 }
@@ -199,7 +199,7 @@
     void anUnchangedReportAllocatesLittle() throws MalformedMessageException {
         long few = allocatedPerReport(0);
         long many = allocatedPerReport(40);
-        assertThat(few).as("bytes for a report without tasks").isLessThan(1800);
+        assertThat(few).as("bytes for a heartbeat without tasks").isLessThan(1800);
         assertThat((many - few) / 40).as("bytes for each task").isLessThan(280);
     }
 
@@ -209,7 +209,7 @@
         int rounds = 2000;
         byte[][] bodies = new byte[rounds][];
         for (int i = 0; i < rounds; i++) {
-            bodies[i] = Cbor.encode(report(100 + i, tasks, "running"));
+            bodies[i] = Cbor.encode(heartbeat(100 + i, tasks, "running"));
         }
         Heartbeat last = read(bodies[0]);
         long before = 0;
--- a/src/test/java/org/gullway/transport/ConnectionPoolTest.java
+++ b/src/test/java/org/gullway/transport/ConnectionPoolTest.java
@@ -38,19 +38,19 @@
         assertThat(pool.open()).isEqualTo(10);
         socketBudget.onAcceptedChange(-20);
         use("10.1.0.98:9000", "more");
-        assertThat(closed).as("as others leave room").hasSize(1);
+        assertThat(closed).as("while the budget allows more").hasSize(1);
     }
 
     /** Machines that are partitioned take one socket each at most, and never those of the state store. */
     @Test
     void anAbandonedConnectIsNotRepeatedUntilItEnds() {
-        String silent = "10.1.0.7:9000";
-        assertThat(pool.mayConnect(silent)).isTrue();
-        pool.abandon(silent);
-        assertThat(pool.isAbandoned(silent)).isTrue();
-        pool.abandonedEnded(silent);
+        String unresponsive = "10.1.0.7:9000";
+        assertThat(pool.mayConnect(unresponsive)).isTrue();
+        pool.abandon(unresponsive);
+        assertThat(pool.isAbandoned(unresponsive)).isTrue();
+        pool.abandonedEnded(unresponsive);
         pool.connectFailed();
-        assertThat(pool.isAbandoned(silent)).isFalse();
+        assertThat(pool.isAbandoned(unresponsive)).isFalse();
         assertThat(pool.open()).isZero();
         socketBudget.onAcceptedChange(80);
         for (int i = 0; i < 50; i++) {
@@ -93,7 +93,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         Set<String> open = new HashSet<>();
         ConnectionPool<String> generated = new ConnectionPool<>(socketBudget, Set.of(STATE), open::remove);
-        List<String[]> inCall = new ArrayList<>();
+        List<String[]> inExchange = new ArrayList<>();
         int made = 0;
         for (int step = 0; step < 300; step++) {
             String address = "10.1.0." + random.nextInt(120) + ":9000";
@@ -101,27 +101,27 @@
                 case 0 -> {
                     String kept = generated.reuse(address, c -> random.nextInt(5) > 0);
                     if (kept != null) {
-                        inCall.add(new String[] {address, kept});
+                        inExchange.add(new String[] {address, kept});
                     } else if (generated.mayConnect(address)) {
                         open.add("c" + ++made);
-                        inCall.add(new String[] {address, "c" + made});
+                        inExchange.add(new String[] {address, "c" + made});
                     }
                 }
                 case 1 -> {
-                    if (!inCall.isEmpty()) {
-                        String[] call = inCall.remove(random.nextInt(inCall.size()));
-                        generated.keep(call[0], call[1]);
+                    if (!inExchange.isEmpty()) {
+                        String[] exchange = inExchange.remove(random.nextInt(inExchange.size()));
+                        generated.keep(exchange[0], exchange[1]);
                     }
                 }
                 case 2 -> {
-                    if (!inCall.isEmpty()) {
-                        generated.discard(inCall.remove(random.nextInt(inCall.size()))[1]);
+                    if (!inExchange.isEmpty()) {
+                        generated.discard(inExchange.remove(random.nextInt(inExchange.size()))[1]);
                     }
                 }
                 default -> {
                     if (!open.isEmpty()) {
                         String any = open.iterator().next();
-                        if (inCall.stream().noneMatch(call -> call[1].equals(any))) {
+                        if (inExchange.stream().noneMatch(exchange -> exchange[1].equals(any))) {
                             open.remove(any);
                             generated.closedByPeer(any);
                         }
