--- a/src/test/java/org/gullway/BadInputTest.java
+++ b/src/test/java/org/gullway/BadInputTest.java
@@ -6,6 +6,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.math.BigInteger;
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -208,7 +209,7 @@
                 new byte[0],
                 new byte[] {1},
                 new byte[] {(byte) 0xff},
-                "not CBOR at all".getBytes(java.nio.charset.StandardCharsets.UTF_8),
+                "not CBOR at all".getBytes(StandardCharsets.UTF_8),
                 Arrays.copyOf(whole, whole.length - 1),
                 Arrays.copyOf(whole, whole.length + 1),
                 Cbor.encode(NODES.arrayNode()))) {
--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -144,6 +144,15 @@
         assertRecoversAfter(cluster, span.plusSeconds(20));
     }
 
+    /** A job whose start command is on its way for 2 to 16 s. */
+    private static TestUser submitWithDelayedStart(SimulatedCluster cluster) {
+        cluster.network.delayRequests(1, "/do");
+        TestUser user = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), onType("large"));
+        cluster.run(seconds(1));
+        cluster.network.delayRequests(0, "/do");
+        return user;
+    }
+
     /**
      * The start of a task is delayed, its controller crashes or loses the store, the job is cancelled, and another job
      * gets its resources; then the start arrives. Guards the new fencing token of a failover, and that a task is taken
@@ -152,10 +161,7 @@
     @Property(tries = 9, seed = "214")
     void aStartOfAFormerControllerArrivesAfterCommandsOfTheNewOne(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = twoIdleMachines(seed);
-        cluster.network.delayRequests(1, "/do");
-        TestUser cancelled = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), onType("large"));
-        cluster.run(seconds(1));
-        cluster.network.delayRequests(0, "/do");
+        TestUser cancelled = submitWithDelayedStart(cluster);
         String commanding = agentOfType(cluster, "large").heartbeatTarget();
         if (seed % 3 == 0) {
             cutFromStore(cluster, commanding, Duration.ofSeconds(30));
@@ -174,10 +180,7 @@
     @Property(tries = 6, seed = "218")
     void aStartArrivesAfterItsSenderTimedOut(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = twoIdleMachines(seed);
-        cluster.network.delayRequests(1, "/do");
-        TestUser cancelled = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), onType("large"));
-        cluster.run(seconds(1));
-        cluster.network.delayRequests(0, "/do");
+        TestUser cancelled = submitWithDelayedStart(cluster);
         cancelled.cancel();
         cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), onType("small"));
         assertRecoversAfter(cluster, Duration.ofSeconds(40));
--- a/src/test/java/org/gullway/FaultScenarios.java
+++ b/src/test/java/org/gullway/FaultScenarios.java
@@ -3,9 +3,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.time.Duration;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.Priority;
+import org.gullway.protocol.Settings;
 
 /** What several scenario tests share: clusters with work, faults for a span, and the checks at the end. */
 final class FaultScenarios {
@@ -28,7 +31,30 @@
         return cluster;
     }
 
-    /** Submits a job of one of both teams every other second. */
+    /** A cluster with a third team, guest, that has no quota. */
+    static SimulatedCluster clusterWithGuestTeam(int seed, int capacity) {
+        Map<String, Settings.Team> teams = new HashMap<>(SimulatedCluster.Shape.SMALL_TEAMS);
+        teams.put("guest", new Settings.Team("guest", 0, 0, 0, 0));
+        return new SimulatedCluster(seed, new SimulatedCluster.Shape(capacity, teams, Duration.ofSeconds(3), 0));
+    }
+
+    /** Submits a short job of two tasks in each interval, of both teams in turn. */
+    static void submitInBothTeams(SimulatedCluster cluster, int first, int jobs, Duration interval) {
+        for (int i = 0; i < jobs; i++) {
+            int number = first + i;
+            cluster.after(
+                    interval.multipliedBy(i),
+                    () -> cluster.submit(
+                            number,
+                            number % 2 == 0 ? "red" : "blue",
+                            number % 3 == 0 ? Priority.NORMAL : Priority.HIGH,
+                            2,
+                            4,
+                            Duration.ofSeconds(8)));
+        }
+    }
+
+    /** Submits a job of three tasks every other second, of one of both teams. */
     static void submitSteadily(SimulatedCluster cluster, int first, int jobs) {
         for (int i = 0; i < jobs; i++) {
             int number = first + i;
--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -2,17 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.gullway.FaultScenarios.assertFinishesWithin;
+import static org.gullway.FaultScenarios.clusterWithGuestTeam;
+import static org.gullway.FaultScenarios.submitInBothTeams;
 
 import java.time.Duration;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.Priority;
-import org.gullway.protocol.Settings;
 
 /** Single faults, each driven into its worst order with fixed seeds; the generated scenarios mix them. */
 class FaultsTest {
@@ -192,10 +191,7 @@
      */
     @Property(tries = 3, seed = "28")
     void aTeamWithoutQuotaNeitherStarvesOthersNorIsStarved(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        Map<String, Settings.Team> teams = new HashMap<>(SimulatedCluster.Shape.SMALL_TEAMS);
-        teams.put("guest", new Settings.Team("guest", 0, 0, 0, 0));
-        SimulatedCluster cluster =
-                new SimulatedCluster(seed, new SimulatedCluster.Shape(3, teams, Duration.ofSeconds(3), 0));
+        SimulatedCluster cluster = clusterWithGuestTeam(seed, 3);
         cluster.submit(1, "guest", Priority.IDLE, 600, 1, Duration.ofSeconds(4));
         cluster.submit(2, "guest", Priority.IDLE, 20, 8, Duration.ofSeconds(40));
         for (int i = 10; i < 100; i++) {
@@ -204,18 +200,7 @@
                     Duration.ofMillis(300L * i),
                     () -> cluster.submit(number, "guest", Priority.IDLE, 1, 1, Duration.ofSeconds(5)));
         }
-        for (int i = 200; i < 230; i++) {
-            int number = i;
-            cluster.after(
-                    Duration.ofSeconds(2L * (i - 200)),
-                    () -> cluster.submit(
-                            number,
-                            number % 2 == 0 ? "red" : "blue",
-                            number % 3 == 0 ? Priority.NORMAL : Priority.HIGH,
-                            2,
-                            4,
-                            Duration.ofSeconds(8)));
-        }
+        submitInBothTeams(cluster, 200, 30, Duration.ofSeconds(2));
         cluster.run(Duration.ofSeconds(75));
         List<TestUser> others = cluster.users().stream()
                 .filter(u -> !u.request.team().equals("guest"))
--- a/src/test/java/org/gullway/InvariantCheckerTest.java
+++ b/src/test/java/org/gullway/InvariantCheckerTest.java
@@ -61,7 +61,7 @@
         return job(number, tasks, new SimulatedCluster.Bounds(null, null, false, false, true));
     }
 
-    private void breaks(String rule) {
+    private void assertViolates(String rule) {
         assertThat(invariants.violations).singleElement().asString().startsWith(rule);
     }
 
@@ -71,14 +71,14 @@
         invariants.onTaskStarted("a1", typed + "/0", at(1));
         assertThat(invariants.violations).isEmpty();
         invariants.onTaskStarted("a2", typed + "/1", at(1));
-        breaks("wrong_place: run-000001/1 on a2: a spot machine");
+        assertViolates("wrong_place: run-000001/1 on a2: a spot machine");
         invariants.violations.clear();
         invariants.onTaskStarted("b1", typed + "/2", at(1));
-        breaks("wrong_place: run-000001/2 on b1: in zone b");
+        assertViolates("wrong_place: run-000001/2 on b1: in zone b");
         invariants.violations.clear();
         invariants.onTaskStarted(
                 "a2", job(2, 1, new SimulatedCluster.Bounds(List.of("small"), null, false, false, true)) + "/0", at(1));
-        breaks("wrong_place: run-000002/0 on a2: of type large");
+        assertViolates("wrong_place: run-000002/0 on a2: of type large");
     }
 
     @Test
@@ -89,11 +89,11 @@
         invariants.onTaskEnded("a1", id + "/0", true);
         assertThat(invariants.violations).isEmpty();
         invariants.onTaskStarted("b1", id + "/2", at(2));
-        breaks("wrong_place: run-000001/2 on b1: in zone b");
+        assertViolates("wrong_place: run-000001/2 on b1: in zone b");
     }
 
     @Test
-    void oneZoneMayChangeOnceNoTaskIsLeft() {
+    void oneZoneMayChangeOnceNoTaskRuns() {
         String id = job(1, 2, SimulatedCluster.Bounds.ONE_ZONE);
         invariants.onTaskStarted("a1", id + "/0", at(1));
         invariants.onTaskEnded("a1", id + "/0", false);
@@ -109,22 +109,22 @@
         }
         assertThat(invariants.violations).isEmpty();
         invariants.onTaskStarted("a2", id + "/3", at(1));
-        breaks("wrong_place: run-000001/3 on a2: the task beyond half");
+        assertViolates("wrong_place: run-000001/3 on a2: the task beyond half");
     }
 
     @Test
-    void aTaskTwiceAndATeamBeyondItsLimit() {
+    void aTaskTwiceAndATeamBeyondItsQuota() {
         String id = anywhere(1, 9);
         invariants.onTaskStarted("a1", id + "/0", at(1));
         invariants.onTaskStarted("b1", id + "/0", at(1));
-        breaks("ran_twice: run-000001/0");
+        assertViolates("ran_twice: run-000001/0");
         invariants.violations.clear();
         for (int i = 1; i < 5; i++) {
             invariants.onTaskStarted("a2", id + "/" + i, at(1));
         }
         assertThat(invariants.violations).isEmpty();
         invariants.onTaskStarted("a2", id + "/5", at(1));
-        breaks("quota: red uses 28.0");
+        assertViolates("quota: red uses 28.0");
     }
 
     @Test
@@ -138,47 +138,47 @@
         invariants.onTaskEnded("a1", id + "/1", false);
         assertThat(invariants.violations).isEmpty();
         invariants.checkCancellationLimit(id, at(42));
-        breaks("ran_cancelled: run-000001/0 is on [a1]");
+        assertViolates("ran_cancelled: run-000001/0 is on [a1]");
         invariants.violations.clear();
         invariants.onTaskStarted("a1", id + "/2", at(43));
-        breaks("ran_cancelled: run-000001/2 starts");
+        assertViolates("ran_cancelled: run-000001/2 starts");
     }
 
     @Test
     void finalStates() {
         String id = anywhere(1, 1);
         invariants.onStateReported(id, "done", at(1), at(1));
-        breaks("not_done: run-000001/0");
+        assertViolates("not_done: run-000001/0");
         invariants.violations.clear();
         invariants.onStateReported(id, "running", at(0), at(2));
         assertThat(invariants.violations)
                 .as("sent before the final state was reported")
                 .isEmpty();
         invariants.onStateReported(id, "running", at(2), at(2));
-        breaks("went_back: run-000001 was done, then running");
+        assertViolates("went_back: run-000001 was done, then running");
         invariants.violations.clear();
         invariants.onCancellationRequested(id);
         invariants.onStateReported(id, "aborted", at(0), at(3));
-        breaks("went_back: run-000001 was done, then aborted");
+        assertViolates("went_back: run-000001 was done, then aborted");
         invariants.violations.clear();
         invariants.onCancellationAnswered(id, "running", at(3));
-        breaks("went_back: the cancellation of run-000001");
+        assertViolates("went_back: the cancellation of run-000001");
         invariants.violations.clear();
         invariants.onStateReported(anywhere(2, 1), "aborted", at(1), at(1));
-        breaks("went_back: run-000002 is cancelled by nobody");
+        assertViolates("went_back: run-000002 is cancelled by nobody");
     }
 
     @Test
     void missingAnswers() {
         String id = anywhere(1, 1);
         invariants.onQueried(id, 404, at(1), at(1));
-        breaks("forgotten: run-000001 gets 404");
+        assertViolates("forgotten: run-000001 gets 404");
         invariants.violations.clear();
         invariants.onFaultsEnded(at(10));
         invariants.onQueried(id, 503, at(84), at(84));
         assertThat(invariants.violations).isEmpty();
         invariants.onQueried(id, 503, at(86), at(86));
-        breaks("forgotten: nothing is answered about run-000001");
+        assertViolates("forgotten: nothing is answered about run-000001");
     }
 
     @Test
@@ -191,7 +191,7 @@
         }
         assertThat(invariants.violations).isEmpty();
         invariants.onQueried(one, 503, at(91), at(91));
-        breaks("forgotten: run-000001 alone");
+        assertViolates("forgotten: run-000001 alone");
     }
 
     @Test
@@ -206,7 +206,7 @@
         assertThat(invariants.violations).isEmpty();
         invariants.onQueried(one, 200, at(88), at(88));
         invariants.onQueried(other, 503, at(88), at(88));
-        breaks("forgotten: nothing is answered about run-000002");
+        assertViolates("forgotten: nothing is answered about run-000002");
     }
 
     @Test
@@ -222,22 +222,22 @@
                 .isTrue();
         assertThat(invariants.violations).isEmpty();
         invariants.onResubmitted(id, 422, at(1));
-        breaks("forgotten: run-000001 submitted again gets 422");
+        assertViolates("forgotten: run-000001 submitted again gets 422");
         invariants.violations.clear();
         invariants.onInvalidSubmission("run-000002", 422, 201);
-        breaks("accepted: run-000002");
+        assertViolates("accepted: run-000002");
         invariants.violations.clear();
         invariants.onInvalidSubmission("run-000002", 422, 400);
-        breaks("wrong_refusal: run-000002");
+        assertViolates("wrong_refusal: run-000002");
         invariants.violations.clear();
         invariants.onUnknownJobQueried("run-000002", 404);
         assertThat(invariants.violations).isEmpty();
         invariants.onUnknownJobQueried("run-000002", 200);
-        breaks("invented: run-000002");
+        assertViolates("invented: run-000002");
     }
 
     @Test
-    void aJobIsLeftWaitingBesideFreeResources() {
+    void aJobStarvesBesideFreeResources() {
         String id = job(1, 1, SimulatedCluster.Bounds.in("b"));
         invariants.checkWaitingJobs(machine -> true, at(1));
         invariants.onFaultsEnded(at(2));
@@ -247,11 +247,11 @@
         invariants.checkWaitingJobs(machine -> true, at(150));
         assertThat(invariants.violations).isEmpty();
         invariants.checkWaitingJobs(machine -> true, at(151));
-        breaks("left_waiting: " + id);
+        assertViolates("left_waiting: " + id);
     }
 
     @Test
-    void aJobThatWaitsForItsTeamsLimitIsNotLeftWaiting() {
+    void aJobThatWaitsForItsTeamsQuotaDoesNotStarve() {
         String running = anywhere(1, 6);
         for (int i = 0; i < 6; i++) {
             invariants.onTaskStarted("a2", running + "/" + i, at(1));
@@ -264,6 +264,6 @@
         invariants.onTaskEnded("a2", running + "/0", true);
         invariants.checkWaitingJobs(machine -> true, at(201));
         invariants.checkWaitingJobs(machine -> true, at(292));
-        breaks("left_waiting: run-000002");
+        assertViolates("left_waiting: run-000002");
     }
 }
--- a/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
@@ -73,7 +73,7 @@
 
     /** Controllers take over from each other in turn, then all crash, and one restarts, also within a second. */
     @Property(tries = 6, seed = "109")
-    void failoverBackAndForthThenAllCrashAndOneReturns(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void repeatedFailoversThenAllCrashAndOneRestarts(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(60));
         submitSteadily(cluster, 9, 10);
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/org/gullway/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/MachineFaultCombinationsTest.java
@@ -167,7 +167,7 @@
 
     /** Reserved jobs that are bound to zones, also arrays, lose machines in several ways. */
     @Property(tries = 6, seed = "105")
-    void urgentJobsBoundToOneZoneLoseMachines(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void reservedJobsBoundToOneZoneLoseMachines(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         assertZoneBoundJobsSurvive(seed, List.of(Priority.PROD, Priority.HIGH));
     }
 
--- a/src/test/java/org/gullway/MainTest.java
+++ b/src/test/java/org/gullway/MainTest.java
@@ -28,7 +28,8 @@
         System.setErr(new PrintStream(errors, true, StandardCharsets.UTF_8));
         try {
             Ending ending = run(errors, "--config", config.toString(), "--operator-settings", operator.toString());
-            // The command line library reads what a platform does not pass: the same has to come of it.
+            // The command line library parses this form, which the platform does not use: the outcome has to be the
+            // same.
             assertThat(run(errors, "--check", "--config=" + config, "--operator-settings=" + operator))
                     .isEqualTo(ending);
             return ending;
@@ -92,7 +93,7 @@
 
     @ParameterizedTest
     @CsvSource({"node_name = ", "= = =", "[[[", "'node_name = \"a\"\nnode_name = \"b\"'"})
-    void whatIsNotTomlNamesTheFile(String toml) throws IOException {
+    void invalidTomlNamesTheFile(String toml) throws IOException {
         assertFaulty(run(toml, "<gullway/>"), "site.toml");
     }
 
--- a/src/test/java/org/gullway/ScavengerClassTest.java
+++ b/src/test/java/org/gullway/ScavengerClassTest.java
@@ -1,6 +1,8 @@
 package org.gullway;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.gullway.FaultScenarios.clusterWithGuestTeam;
+import static org.gullway.FaultScenarios.submitInBothTeams;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -16,19 +18,12 @@
 import org.gullway.fake.FakeAgent;
 import org.gullway.fake.FakeStateStore;
 import org.gullway.protocol.Priority;
-import org.gullway.protocol.Settings;
 
 /** Jobs in unusual numbers or that cannot succeed: huge arrays, many tiny jobs, jobs that fail on every machine. */
 class ScavengerClassTest {
     private static final int GUEST_ARRAY = 1;
     private static final int GUEST_LARGEST = 2;
 
-    private static SimulatedCluster clusterWithGuestTeam(int seed, int capacity) {
-        Map<String, Settings.Team> teams = new HashMap<>(SimulatedCluster.Shape.SMALL_TEAMS);
-        teams.put("guest", new Settings.Team("guest", 0, 0, 0, 0));
-        return new SimulatedCluster(seed, new SimulatedCluster.Shape(capacity, teams, Duration.ofSeconds(3), 0));
-    }
-
     private static void assertServed(List<TestUser> users, Duration longestWait) {
         assertThat(users).isNotEmpty().allSatisfy(user -> assertThat(user.timeToFirstStart())
                 .isNotNull()
@@ -50,18 +45,7 @@
                     Duration.ofMillis(250L * i),
                     () -> cluster.submit(number, "guest", Priority.NORMAL, 1, 0.25, Duration.ofSeconds(5)));
         }
-        for (int i = 0; i < 60; i++) {
-            int number = 100 + i;
-            cluster.after(
-                    Duration.ofSeconds(3L * i),
-                    () -> cluster.submit(
-                            number,
-                            number % 2 == 0 ? "red" : "blue",
-                            number % 3 == 0 ? Priority.NORMAL : Priority.HIGH,
-                            2,
-                            4,
-                            Duration.ofSeconds(8)));
-        }
+        submitInBothTeams(cluster, 100, 60, Duration.ofSeconds(3));
         cluster.run(Duration.ofSeconds(240));
         assertThat(cluster.violations).isEmpty();
         List<TestUser> guests = cluster.users().stream()
--- a/src/test/java/org/gullway/SoakStartTest.java
+++ b/src/test/java/org/gullway/SoakStartTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aHeldAddressIsFreeForItsProcessAndForNobodyElse() throws IOException {
+    void aHeldAddressIsAvailableOnlyToItsProcess() throws IOException {
         try (HeldAddress address = HeldAddress.hold()) {
             assertThatThrownBy(() -> listen(address.toString(), false).close()).isInstanceOf(BindException.class);
             try (ServerSocket server = listen(address.toString(), true)) {
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -80,7 +80,7 @@
                 "vm-1", "10.1.0.1:9000", fencingToken, agentEpoch, List.of(start, STOP), Instant.EPOCH));
     }
 
-    private void sentBoth(boolean both) {
+    private void assertBothSent(boolean both) {
         byte[] body = AgentCommand.encodeDirect(1, 1, both ? List.of(START, STOP) : List.of(STOP));
         assertThat(sent).singleElement().satisfies(request -> assertThat(request.body())
                 .isEqualTo(body));
@@ -89,7 +89,7 @@
     @Test
     void aRecordedStartIsSent() {
         send(1, 1, START);
-        sentBoth(true);
+        assertBothSent(true);
         assertThat(violations).isEmpty();
     }
 
@@ -97,7 +97,7 @@
     void aStartOfACancelledJobIsNotSent() {
         put(job -> job.withCancellation(TestFixtures.DAY), 12);
         send(1, 1, START);
-        sentBoth(false);
+        assertBothSent(false);
         assertThat(violations).singleElement().asString().contains("the job is cancelled");
     }
 
@@ -105,7 +105,7 @@
     void aStartWithoutARecordIsNotSent() {
         clusterState.remove(StoreKeys.job(TASK.job()), 12);
         send(1, 1, START);
-        sentBoth(false);
+        assertBothSent(false);
         assertThat(violations).singleElement().asString().contains("the job is not on record");
     }
 
@@ -113,14 +113,14 @@
     void aStartThatIsBeingStoppedIsNotSent() {
         put(job -> job.withStopping(placement -> true), 12);
         send(1, 1, START);
-        sentBoth(false);
+        assertBothSent(false);
         assertThat(violations).singleElement().asString().contains("the record has no such placement");
     }
 
     @Test
     void aStartOfAnotherAttemptIsNotSent() {
         send(1, 1, AgentCommand.start(TASK, 2));
-        sentBoth(false);
+        assertBothSent(false);
         assertThat(violations).singleElement().asString().contains("the record has no such placement");
     }
 
@@ -141,7 +141,7 @@
     void aControllerWithoutAValidLeaseSendsNoStart() {
         holdsValidLease = false;
         send(1, 1, START);
-        sentBoth(false);
+        assertBothSent(false);
         assertThat(violations).isEmpty();
     }
 }
--- a/src/test/java/org/gullway/fake/FakesTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void theLeaseOfTheRejectedClientExpires() {
+    void theLeaseOfARejectedClientExpires() {
         call(one, HttpRequest.post("/grants", Cbor.encode(Cbor.map().put("life_ms", 3000)), Duration.ofSeconds(2)));
         run(0.1);
         store.rejectFrom("perch-0", true);
--- a/src/test/java/org/gullway/fake/FaultyLinkTest.java
+++ b/src/test/java/org/gullway/fake/FaultyLinkTest.java
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void slowAnswersComeLater() {
+    void slowResponsesArriveLater() {
         link.set(new Conditions(0, 0, 0, Duration.ZERO, 0, 1, SECOND));
         send("/a");
         assertThat(arrived).containsExactly("/a");
--- a/src/test/java/org/gullway/protocol/FormatsTest.java
+++ b/src/test/java/org/gullway/protocol/FormatsTest.java
@@ -8,6 +8,8 @@
 import com.fasterxml.jackson.dataformat.xml.XmlMapper;
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collections;
 import java.util.List;
 import java.util.SplittableRandom;
 import net.jqwik.api.Arbitraries;
@@ -22,6 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Messages and settings survive their encoding, and invalid ones are rejected with the name of the field. */
 class FormatsTest {
     @Provide
     Arbitrary<JobRequest> requests() {
@@ -88,7 +91,7 @@
 
     @ParameterizedTest
     @CsvSource({"name_id,job-1", "name_id,run-", "herd,", "rank,urgent", "shape,swarm", "crew,"})
-    void wrongTextsAreRefused(String field, String value) {
+    void invalidTextsAreRejected(String field, String value) {
         ObjectNode node = valid();
         node.put(field, value == null ? "" : value);
         assertThatThrownBy(() -> JobRequest.parse(node)).isInstanceOf(MalformedMessageException.class);
@@ -96,7 +99,7 @@
 
     @ParameterizedTest
     @CsvSource({"legs,0", "legs,-1", "legs,100001", "cpus,0", "cpus,-4", "mem_gb,-1", "cards,1e300", "reckon_s,-1"})
-    void wrongNumbersAreRefusedByName(String field, double value) {
+    void invalidNumbersAreRejectedByName(String field, double value) {
         ObjectNode node = valid();
         if (field.equals("legs")) {
             node.put(field, (long) value);
@@ -135,13 +138,13 @@
     }
 
     @Test
-    void nothingButOneMapIsABody() {
+    void onlyASingleMapIsABody() {
         assertThatThrownBy(() -> Cbor.decode(new byte[0])).isInstanceOf(MalformedMessageException.class);
         assertThatThrownBy(() -> Cbor.decode(new byte[] {0x01})).isInstanceOf(MalformedMessageException.class);
         byte[] twice = new byte[] {(byte) 0xa0, (byte) 0xa0};
         assertThatThrownBy(() -> Cbor.decode(twice)).isInstanceOf(MalformedMessageException.class);
         byte[] deep = new byte[60_000];
-        java.util.Arrays.fill(deep, (byte) 0x81);
+        Arrays.fill(deep, (byte) 0x81);
         assertThatThrownBy(() -> Cbor.decode(deep)).isInstanceOf(MalformedMessageException.class);
     }
 
@@ -156,7 +159,7 @@
         byte[] bytes = ResourceOffer.encode(offers);
         assertThat(ResourceOffer.decode(bytes)).isEqualTo(offers);
         for (int cut = 0; cut < bytes.length; cut++) {
-            byte[] part = java.util.Arrays.copyOf(bytes, cut);
+            byte[] part = Arrays.copyOf(bytes, cut);
             assertThatThrownBy(() -> ResourceOffer.decode(part)).isInstanceOf(MalformedMessageException.class);
         }
     }
@@ -165,13 +168,13 @@
     void completionsSurviveTheirEncodingAndTruncatedOnesAreRejected(
             @ForAll @IntRange(min = 0, max = 99_999) int task, @ForAll long attempt, @ForAll byte end)
             throws MalformedMessageException {
-        List<AttemptCompletion> ends = List.of(
+        List<AttemptCompletion> completions = List.of(
                 new AttemptCompletion(new TaskId("run-000001", task), attempt, end),
                 new AttemptCompletion(new TaskId("run-000002", 0), 1, (byte) 0));
-        byte[] bytes = AttemptCompletion.encode(ends);
-        assertThat(AttemptCompletion.decode(bytes)).isEqualTo(ends);
+        byte[] bytes = AttemptCompletion.encode(completions);
+        assertThat(AttemptCompletion.decode(bytes)).isEqualTo(completions);
         for (int cut = 0; cut < bytes.length; cut++) {
-            byte[] part = java.util.Arrays.copyOf(bytes, cut);
+            byte[] part = Arrays.copyOf(bytes, cut);
             assertThatThrownBy(() -> AttemptCompletion.decode(part)).isInstanceOf(MalformedMessageException.class);
         }
     }
@@ -187,8 +190,7 @@
             list.add(new PeerCancellations.CancelledJob(
                     "run-" + i,
                     1_700_000_000_000L + i,
-                    java.util.Collections.nCopies(
-                            i, new PeerCancellations.CancelledAttempt(task, attempt, "vm-" + i, 3))));
+                    Collections.nCopies(i, new PeerCancellations.CancelledAttempt(task, attempt, "vm-" + i, 3))));
         }
         byte[] bytes = PeerCancellations.encode("perch-1", attempt, list);
         assertThat(bytes.length).isLessThan(48 * 1024);
@@ -200,20 +202,19 @@
         assertThat(PeerCancellations.decodeKnown(PeerCancellations.encodeKnown(List.of("run-1", "run-2"))))
                 .containsExactlyInAnyOrder("run-1", "run-2");
         for (int cut = 0; cut < bytes.length; cut += 1 + bytes.length / 200) {
-            byte[] part = java.util.Arrays.copyOf(bytes, cut);
+            byte[] part = Arrays.copyOf(bytes, cut);
             assertThatThrownBy(() -> PeerCancellations.decode(part)).isInstanceOf(MalformedMessageException.class);
         }
     }
 
-    @org.junit.jupiter.api.Test
-    void cancellationsBeyondOneMessageAreSaidToBeIncomplete() throws MalformedMessageException {
-        List<PeerCancellations.CancelledJob> list = java.util.Collections.nCopies(
+    @Test
+    void cancellationsBeyondOneMessageAreMarkedIncomplete() throws MalformedMessageException {
+        List<PeerCancellations.CancelledJob> list = Collections.nCopies(
                 20,
                 new PeerCancellations.CancelledJob(
                         "run-1",
                         1,
-                        java.util.Collections.nCopies(
-                                200, new PeerCancellations.CancelledAttempt(1, 2, "vm-000001", 3))));
+                        Collections.nCopies(200, new PeerCancellations.CancelledAttempt(1, 2, "vm-000001", 3))));
         assertThat(PeerCancellations.decode(PeerCancellations.encode("perch-1", 1, list))
                         .complete())
                 .isFalse();
@@ -278,8 +279,8 @@
         "state = \"10.2.0.1:2379\",,state",
         "sockets = 3000,,sockets"
     })
-    void faultySettingsNameTheField(String what, String instead, String field) {
-        String text = SETTINGS.replace(what, instead == null ? "" : instead);
+    void faultySettingsNameTheField(String original, String replacement, String field) {
+        String text = SETTINGS.replace(original, replacement == null ? "" : replacement);
         assertThatThrownBy(() -> settings(text))
                 .isInstanceOf(MalformedMessageException.class)
                 .hasMessageContaining(field);
@@ -291,15 +292,15 @@
         OperatorSettings read = OperatorSettings.of(xml.readTree("<gullway><spare-share>2</spare-share></gullway>"));
         assertThat(read.spareCapacityShare()).isEqualTo(2);
         assertThat(read.scaleInDelay()).isEqualTo(OperatorSettings.DEFAULTS.scaleInDelay());
-        for (String wrong : List.of(
+        for (String invalid : List.of(
                 "<spare-share>-1</spare-share>",
                 "<spare-share>much</spare-share>",
                 "<spare-share>NaN</spare-share>",
                 "<boot-patience>0</boot-patience>",
                 "<colour>red</colour>")) {
-            assertThatThrownBy(() -> OperatorSettings.of(xml.readTree("<gullway>" + wrong + "</gullway>")))
+            assertThatThrownBy(() -> OperatorSettings.of(xml.readTree("<gullway>" + invalid + "</gullway>")))
                     .isInstanceOf(MalformedMessageException.class)
-                    .hasMessageContaining(wrong.substring(1, wrong.indexOf('>')));
+                    .hasMessageContaining(invalid.substring(1, invalid.indexOf('>')));
         }
     }
 }
--- a/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void reportsAreReadAsBefore() throws MalformedMessageException {
+    void heartbeatsAreReadAsBefore() throws MalformedMessageException {
         ObjectNode full = heartbeat(30L);
         ArrayNode legs = full.putArray("legs");
         for (String state : List.of("fetching", "gathering", "running", "saving", "later")) {
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void answersOfTheCloudAreReadAsBefore() throws MalformedMessageException {
+    void responsesOfTheCloudAreReadAsBefore() throws MalformedMessageException {
         ObjectNode types = Cbor.map();
         ArrayNode breeds = types.putArray("breeds");
         ObjectNode full = breeds.addObject()
@@ -265,13 +265,13 @@
     }
 
     @Test
-    void endsKeepTheirBytes() throws MalformedMessageException {
-        List<AttemptCompletion> ends = List.of(
+    void completionsKeepTheirBytes() throws MalformedMessageException {
+        List<AttemptCompletion> completions = List.of(
                 new AttemptCompletion(new TaskId("run-000412", 3), 31, (byte) 0),
                 new AttemptCompletion(new TaskId("run-000412", 299), 4_294_967_300L, (byte) 1),
                 new AttemptCompletion(new TaskId("run-000413", 0), 1, (byte) 2));
-        GOLDEN.check("ends", AttemptCompletion.encode(ends));
-        assertThat(AttemptCompletion.decode(GOLDEN.bytes("ends"))).isEqualTo(ends);
+        GOLDEN.check("ends", AttemptCompletion.encode(completions));
+        assertThat(AttemptCompletion.decode(GOLDEN.bytes("ends"))).isEqualTo(completions);
         assertThat(AttemptCompletion.encode(AttemptCompletion.decode(GOLDEN.bytes("ends"))))
                 .isEqualTo(GOLDEN.bytes("ends"));
     }
@@ -331,7 +331,8 @@
                         team.gpusMax(),
                         team.cpusLimit(),
                         team.gpusLimit())));
-        read.objectives().forEach(aim -> lines.add(line(aim.kind(), aim.jobClass(), aim.within())));
+        read.objectives()
+                .forEach(objective -> lines.add(line(objective.kind(), objective.jobClass(), objective.within())));
         GOLDEN.checkText("settings.read", String.join("\n", lines));
     }
 
--- a/src/test/java/org/gullway/protocol/HeartbeatTest.java
+++ b/src/test/java/org/gullway/protocol/HeartbeatTest.java
@@ -15,6 +15,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Heartbeats are read field by field like any message, with little allocation. */
 class HeartbeatTest {
     private static final int TASKS = 8;
 
@@ -50,7 +51,7 @@
         return Heartbeat.parse(body, machine -> last.machine().equals(machine) ? last : null);
     }
 
-    /** The rules of the fields, applied to a tree: slower, and what the reader has to agree with. */
+    /** Reads the fields from a tree, which is slower; the reader has to agree with it. */
     private static Heartbeat expected(byte[] body) throws MalformedMessageException {
         MessageFields fields = MessageFields.of(Cbor.decode(body));
         List<TaskStatus> tasks = new ArrayList<>();
@@ -92,7 +93,7 @@
     }
 
     @Test
-    void agreesWithTheRulesForEveryWrongOrMissingValue() {
+    void agreesWithTheRulesForEveryInvalidOrMissingValue() {
         List<JsonNode> values = List.of(
                 Cbor.map(),
                 Cbor.map().putArray("x"),
@@ -133,7 +134,7 @@
     }
 
     @Test
-    void refusesEveryReportThatIsCutOffAndWhatFollowsOne() {
+    void rejectsEveryTruncatedHeartbeatAndTrailingBytes() {
         byte[] whole = Cbor.encode(heartbeat(88, 2, "ended"));
         for (int length = 0; length < whole.length; length++) {
             byte[] part = Arrays.copyOf(whole, length);
@@ -144,7 +145,7 @@
     }
 
     @Test
-    void neverFailsOtherwiseForBytesThatWereAltered() {
+    void alteredBytesCauseNoOtherException() {
         SplittableRandom random = new SplittableRandom(7);
         byte[] whole = Cbor.encode(heartbeat(88, 4, "ended"));
         for (int i = 0; i < 20_000; i++) {
@@ -159,7 +160,7 @@
     }
 
     @Test
-    void sharesWithTheLastMessageWhatHasNotChanged() throws MalformedMessageException {
+    void reusesUnchangedPartsOfTheLastHeartbeat() throws MalformedMessageException {
         Heartbeat last = read(Cbor.encode(heartbeat(88, TASKS, "running")));
         Heartbeat same = read(Cbor.encode(heartbeat(89, TASKS, "running")), last);
         assertThat(same).isEqualTo(read(Cbor.encode(heartbeat(89, TASKS, "running"))));
@@ -173,7 +174,7 @@
     }
 
     @Test
-    void isRightWhateverTheLastMessageWas() throws MalformedMessageException {
+    void isCorrectWhateverTheLastHeartbeatWas() throws MalformedMessageException {
         List<ObjectNode> messages = new ArrayList<>();
         for (int tasks : List.of(0, 1, 3, TASKS)) {
             for (String phase : List.of("fetching", "running", "ended")) {
@@ -194,21 +195,21 @@
         }
     }
 
-    /** The library makes a text of each task's id and state; nothing else is allocated for a task. */
+    /** The library allocates a string for each task's id and state; nothing else is allocated for a task. */
     @Test
-    void anUnchangedReportAllocatesLittle() throws MalformedMessageException {
-        long few = allocatedPerReport(0);
-        long many = allocatedPerReport(40);
-        assertThat(few).as("bytes for a heartbeat without tasks").isLessThan(1800);
-        assertThat((many - few) / 40).as("bytes for each task").isLessThan(280);
+    void anUnchangedHeartbeatAllocatesLittle() throws MalformedMessageException {
+        long withoutTasks = allocatedPerHeartbeat(0);
+        long withTasks = allocatedPerHeartbeat(40);
+        assertThat(withoutTasks).as("bytes for a heartbeat without tasks").isLessThan(1800);
+        assertThat((withTasks - withoutTasks) / 40).as("bytes for each task").isLessThan(280);
     }
 
-    private static long allocatedPerReport(int tasks) throws MalformedMessageException {
+    private static long allocatedPerHeartbeat(int tasks) throws MalformedMessageException {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long thread = Thread.currentThread().getId();
-        int rounds = 2000;
-        byte[][] bodies = new byte[rounds][];
-        for (int i = 0; i < rounds; i++) {
+        int messages = 2000;
+        byte[][] bodies = new byte[messages][];
+        for (int i = 0; i < messages; i++) {
             bodies[i] = Cbor.encode(heartbeat(100 + i, tasks, "running"));
         }
         Heartbeat last = read(bodies[0]);
@@ -219,7 +220,7 @@
                 last = read(body, last);
             }
         }
-        return (threads.getThreadAllocatedBytes(thread) - before) / rounds;
+        return (threads.getThreadAllocatedBytes(thread) - before) / messages;
     }
 
     private static void assertAgrees(byte[] body) {
@@ -233,12 +234,12 @@
         try {
             assertThat(read(body)).isEqualTo(tree);
         } catch (MalformedMessageException e) {
-            throw new AssertionError("refused although it is well-formed: " + tree, e);
+            throw new AssertionError("rejected although it is well-formed: " + tree, e);
         }
     }
 
     @Test
-    void theAnswerWithoutCommandsIsEncodedOnceForEachToken() throws MalformedMessageException {
+    void theResponseWithoutCommandsIsEncodedOnceForEachFencingToken() throws MalformedMessageException {
         HeartbeatResponseEncoder responses = new HeartbeatResponseEncoder();
         byte[] first = responses.encode(41, List.of());
         assertThat(responses.encode(41, List.of()))
--- a/src/test/java/org/gullway/protocol/JsonTreesTest.java
+++ b/src/test/java/org/gullway/protocol/JsonTreesTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Trees are read and written just as Jackson's own mapper does it. */
+/** Trees are read and written with the same result as by Jackson's own mapper. */
 class JsonTreesTest {
     private static final ObjectMapper MAPPER = new CBORMapper(new CBORFactory());
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -72,9 +72,9 @@
         assertThat(Cbor.decode(bytes)).isEqualTo(MAPPER.readTree(bytes));
     }
 
-    /** Whatever part of a body arrives, both take it or both refuse it. */
+    /** A body of which only a part arrived is rejected, wherever it was cut. */
     @Property(tries = 200, seed = "13")
-    void whatIsCutOffIsRefused(@ForAll("maps") ObjectNode tree, @ForAll int cut) {
+    void truncatedBodiesAreRejected(@ForAll("maps") ObjectNode tree, @ForAll int cut) {
         byte[] whole = Cbor.encode(tree);
         byte[] part = Arrays.copyOf(whole, Math.floorMod(cut, whole.length));
         assertThatThrownBy(() -> Cbor.decode(part)).isInstanceOf(MalformedMessageException.class);
--- a/src/test/java/org/gullway/transport/ConnectionPoolTest.java
+++ b/src/test/java/org/gullway/transport/ConnectionPoolTest.java
@@ -12,6 +12,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
+/** Kept connections stay within the socket budget, and unresponsive addresses take one socket each at most. */
 class ConnectionPoolTest {
     private static final String STATE = "10.2.0.1:2379";
 
@@ -24,7 +25,7 @@
         pool.keep(address, connection);
     }
 
-    /** All agents of a fleet at one controller: with a connection kept to each, sockets would run out. */
+    /** With a kept connection to each agent of a fleet one controller would run out of sockets. */
     @Test
     void closesTheConnectionThatWasIdleLongestWhenTheBudgetIsUsedUp() {
         socketBudget.onAcceptedChange(75);
@@ -63,7 +64,7 @@
     }
 
     @Test
-    void forgetsWhatTheOtherSideHasClosed() {
+    void forgetsConnectionsThatThePeerHasClosed() {
         use("10.1.0.1:9000", "a");
         pool.closedByPeer("a");
         assertThat(pool.reuse("10.1.0.1:9000", c -> true)).isNull();
@@ -87,9 +88,9 @@
                 .isLessThanOrEqualTo(86);
     }
 
-    /** Whatever happens in whatever order, what is open is what was opened and not closed, within the budget. */
+    /** In any order of events the count is that of connections opened and not closed, and stays within the budget. */
     @Property(tries = 200, seed = "31")
-    void countsWhatIsOpen(@ForAll @IntRange(min = 0, max = 100_000) int seed) {
+    void countsOpenConnections(@ForAll @IntRange(min = 0, max = 100_000) int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Set<String> open = new HashSet<>();
         ConnectionPool<String> generated = new ConnectionPool<>(socketBudget, Set.of(STATE), open::remove);
--- a/src/test/java/org/gullway/transport/HttpServerTest.java
+++ b/src/test/java/org/gullway/transport/HttpServerTest.java
@@ -20,9 +20,9 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** On real sockets: what is wrong with one request ends neither the server nor the work of other connections. */
+/** On real sockets: a faulty request stops neither the server nor other connections. */
 class HttpServerTest {
-    private static final int LIMIT = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
     private final XnioWorker worker;
     private final String address = "127.7." + ThreadLocalRandom.current().nextInt(1, 255) + "."
@@ -36,7 +36,12 @@
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
         HttpServer.start(
-                worker, new DefaultByteBufferPool(false, 8192), new SocketBudget(1000), address, LIMIT, exchange -> {
+                worker,
+                new DefaultByteBufferPool(false, 8192),
+                new SocketBudget(1000),
+                address,
+                MAX_BODY_BYTES,
+                exchange -> {
                     if (exchange.path().equals("/fails")) {
                         throw new IllegalStateException("on purpose");
                     }
@@ -59,16 +64,18 @@
     }
 
     @Test
-    void bodiesOverTheLimitAreRefusedAndLaterRequestsServed() throws Exception {
-        assertThat(post("/", BodyPublishers.ofByteArray(new byte[LIMIT]))).isEqualTo(200);
-        assertThat(post("/", BodyPublishers.ofByteArray(new byte[LIMIT + 1]))).isEqualTo(400);
+    void bodiesOverTheLimitAreRejectedAndLaterRequestsServed() throws Exception {
+        assertThat(post("/", BodyPublishers.ofByteArray(new byte[MAX_BODY_BYTES])))
+                .isEqualTo(200);
+        assertThat(post("/", BodyPublishers.ofByteArray(new byte[MAX_BODY_BYTES + 1])))
+                .isEqualTo(400);
         assertThat(post("/", BodyPublishers.ofByteArray(new byte[10]))).isEqualTo(200);
     }
 
     /** Without a stated length the limit is only met while the body is read. */
     @Test
-    void bodiesOfUnknownLengthOverTheLimitAreRefusedAndLaterRequestsServed() throws Exception {
-        for (int size : new int[] {LIMIT + 1, 3 * LIMIT}) {
+    void bodiesOfUnknownLengthOverTheLimitAreRejectedAndLaterRequestsServed() throws Exception {
+        for (int size : new int[] {MAX_BODY_BYTES + 1, 3 * MAX_BODY_BYTES}) {
             assertThat(post("/", BodyPublishers.ofInputStream(() -> new ByteArrayInputStream(new byte[size]))))
                     .isEqualTo(400);
         }
