--- a/src/test/java/org/gullway/golden/GoldenFile.java
+++ b/src/test/java/org/gullway/golden/GoldenFile.java
@@ -10,6 +10,8 @@
 import java.util.HexFormat;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 
 /**
  * Bytes that an earlier version wrote, by name, one line each in hexadecimal. With the system property
@@ -46,6 +48,11 @@
         }
     }
 
+    /** One line of text for an entry: the values, separated by bars. */
+    public static String line(Object... values) {
+        return Stream.of(values).map(String::valueOf).collect(Collectors.joining("|"));
+    }
+
     /** The golden bytes of this name. */
     public byte[] bytes(String name) {
         assertThat(entries).as("golden entries").containsKey(name);
