--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -10,13 +10,13 @@
     CRASH {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            cluster.crash(node(cluster, random), Duration.ofMillis(200 + random.nextInt(6000)));
+            cluster.crash(anyNode(cluster, random), Duration.ofMillis(200 + random.nextInt(6000)));
         }
     },
     FREEZE {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            cluster.freeze(node(cluster, random), span);
+            cluster.freeze(anyNode(cluster, random), span);
         }
     },
     ALL_CRASH {
@@ -29,9 +29,9 @@
     QUICK_RESTARTS {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            String same = random.nextBoolean() ? node(cluster, random) : null;
+            String same = random.nextBoolean() ? anyNode(cluster, random) : null;
             for (int i = 0; i < 4; i++) {
-                String name = same == null ? node(cluster, random) : same;
+                String name = same == null ? anyNode(cluster, random) : same;
                 cluster.after(
                         Duration.ofMillis(random.nextInt(4000)),
                         () -> cluster.crash(name, Duration.ofMillis(5 + random.nextInt(400))));
@@ -48,14 +48,14 @@
     CUT_FROM_STORE {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            cut(cluster, node(cluster, random), SimulatedCluster.storeAddress(), span);
+            cut(cluster, anyNode(cluster, random), SimulatedCluster.storeAddress(), span);
         }
     },
     /** The state store and the other controllers are out of reach, the agents are not. */
     ONLY_AGENTS_REACHABLE {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            String node = node(cluster, random);
+            String node = anyNode(cluster, random);
             cut(cluster, node, SimulatedCluster.storeAddress(), span);
             for (String other : cluster.nodes()) {
                 cut(cluster, node, cluster.peerAddress(other), span);
@@ -66,7 +66,7 @@
     CUT_FROM_ALL {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            cut(cluster, node(cluster, random), "*", span);
+            cut(cluster, anyNode(cluster, random), "*", span);
         }
     },
     PEERS_UNREACHABLE {
@@ -157,7 +157,7 @@
     REJECTED_ALONE {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            String node = node(cluster, random);
+            String node = anyNode(cluster, random);
             cluster.store.rejectFrom(node, true);
             cluster.after(span, () -> cluster.store.rejectFrom(node, false));
         }
@@ -169,9 +169,9 @@
     REJECTED_THEN_OUTAGE {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            String node = cluster.leader() == null ? node(cluster, random) : cluster.leader();
+            String node = cluster.leader() == null ? anyNode(cluster, random) : cluster.leader();
             cluster.store.rejectFrom(node, true);
-            cancel(cluster, random, 0.4);
+            cancelSome(cluster, random, 0.4);
             cluster.after(Duration.ofMillis(500 + random.nextInt(6000)), () -> {
                 cluster.store.setDown(true);
                 cluster.after(SimulatedCluster.CANCEL.plus(span), () -> {
@@ -185,7 +185,7 @@
     OUTBOUND_PARTITION {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            some(cluster, random, 3).forEach(agent -> {
+            someAgents(cluster, random, 3).forEach(agent -> {
                 cluster.network.blockOutbound(agent.name(), true);
                 cluster.after(span, () -> cluster.network.blockOutbound(agent.name(), false));
             });
@@ -194,15 +194,15 @@
     MACHINES_HANG {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            some(cluster, random, 3).forEach(agent -> agent.hang(span));
+            someAgents(cluster, random, 3).forEach(agent -> agent.hang(span));
         }
     },
     /** Jobs are cancelled while some of their machines hang. */
     CANCEL_AND_HANG {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            cancel(cluster, random, 0.4);
-            some(cluster, random, 8)
+            cancelSome(cluster, random, 0.4);
+            someAgents(cluster, random, 8)
                     .forEach(agent -> cluster.after(Duration.ofMillis(random.nextInt(200)), () -> agent.hang(span)));
         }
     },
@@ -210,7 +210,7 @@
     HEARTBEATS_HELD {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            List<FakeAgent> held = some(cluster, random, 3);
+            List<FakeAgent> held = someAgents(cluster, random, 3);
             held.forEach(agent -> cluster.network.holdRequests(agent.name()));
             if (cluster.leader() != null) {
                 cluster.crash(cluster.leader(), Duration.ofMillis(200 + random.nextInt(20_000)));
@@ -219,7 +219,7 @@
                     span,
                     () -> held.forEach(agent -> cluster.network.release(
                             agent.name(),
-                            cluster.address(cluster.leader() == null ? node(cluster, random) : cluster.leader()))));
+                            cluster.address(cluster.leader() == null ? anyNode(cluster, random) : cluster.leader()))));
         }
     },
     /** Direct commands are delayed by 2 to 16 s, without a response, and arrive once. */
@@ -270,17 +270,17 @@
             cluster.users().forEach(TestUser::resubmit);
             cluster.users().stream()
                     .filter(TestUser::isFinished)
-                    .forEach(user -> user.cancelOnce(cluster.address(node(cluster, random)), () -> {}));
+                    .forEach(user -> user.cancelOnce(cluster.address(anyNode(cluster, random)), () -> {}));
         }
     };
 
     abstract void inject(SimulatedCluster cluster, SplittableRandom random, Duration span);
 
-    private static String node(SimulatedCluster cluster, SplittableRandom random) {
+    private static String anyNode(SimulatedCluster cluster, SplittableRandom random) {
         return cluster.nodes().get(random.nextInt(cluster.nodes().size()));
     }
 
-    private static List<FakeAgent> some(SimulatedCluster cluster, SplittableRandom random, int max) {
+    private static List<FakeAgent> someAgents(SimulatedCluster cluster, SplittableRandom random, int max) {
         List<FakeAgent> agents = cluster.cloud.agents();
         return agents.stream()
                 .skip(random.nextInt(Math.max(1, agents.size())))
@@ -288,7 +288,7 @@
                 .toList();
     }
 
-    private static void cancel(SimulatedCluster cluster, SplittableRandom random, double share) {
+    private static void cancelSome(SimulatedCluster cluster, SplittableRandom random, double share) {
         cluster.users().stream().filter(user -> random.nextDouble() < share).forEach(TestUser::cancel);
     }
 
--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -54,31 +54,31 @@
         return schedule.faults;
     }
 
-    private String node() {
+    private String anyNode() {
         return "perch-" + random.nextInt(3);
     }
 
-    private Duration millis(int least, int most) {
+    private Duration randomMillis(int least, int most) {
         return Duration.ofMillis(random.nextInt(least, most));
     }
 
     private void add(Duration at) {
         switch (random.nextInt(17)) {
-            case 0, 1 -> kill(at, node(), random.nextBoolean() ? millis(30, 900) : millis(900, 4000));
-            case 2 -> killLeader(at, millis(30, 3000));
-            case 3 -> killAll(at, millis(30, 900));
-            case 4 -> pause(at, node(), millis(100, 5000));
-            case 5 -> cut(at, node() + ">state", millis(300, 6000));
-            case 6 -> cutPeers(at, node(), millis(300, 6000));
-            case 7 -> degradeLinks(at, ">state", LOSSY_STORE, millis(1000, 5000));
-            case 8, 9 -> degradeLinks(at, ">state", SLOW_STORE, millis(1000, 8000));
-            case 10 -> degradeLinks(at, ">controllers", LOSSY_CLIENTS, millis(1000, 6000));
-            case 11 -> storeOutage(at, millis(200, 4000));
-            case 12 -> rejectFrom(at, node(), millis(300, 4000));
-            case 13 -> cut(at, node() + ">cloud", millis(300, 6000));
-            case 14 -> cut(at, "users>controllers", millis(100, 2000));
-            case 15 -> partitionMachines(at, random.nextInt(1, 4), millis(300, 8000));
-            default -> failMachines(at, random.nextInt(1, 4), millis(300, 6000));
+            case 0, 1 -> kill(at, anyNode(), random.nextBoolean() ? randomMillis(30, 900) : randomMillis(900, 4000));
+            case 2 -> killLeader(at, randomMillis(30, 3000));
+            case 3 -> killAll(at, randomMillis(30, 900));
+            case 4 -> pause(at, anyNode(), randomMillis(100, 5000));
+            case 5 -> cut(at, anyNode() + ">state", randomMillis(300, 6000));
+            case 6 -> cutPeers(at, anyNode(), randomMillis(300, 6000));
+            case 7 -> degradeLinks(at, ">state", LOSSY_STORE, randomMillis(1000, 5000));
+            case 8, 9 -> degradeLinks(at, ">state", SLOW_STORE, randomMillis(1000, 8000));
+            case 10 -> degradeLinks(at, ">controllers", LOSSY_CLIENTS, randomMillis(1000, 6000));
+            case 11 -> storeOutage(at, randomMillis(200, 4000));
+            case 12 -> rejectFrom(at, anyNode(), randomMillis(300, 4000));
+            case 13 -> cut(at, anyNode() + ">cloud", randomMillis(300, 6000));
+            case 14 -> cut(at, "users>controllers", randomMillis(100, 2000));
+            case 15 -> partitionMachines(at, random.nextInt(1, 4), randomMillis(300, 8000));
+            default -> failMachines(at, random.nextInt(1, 4), randomMillis(300, 6000));
         }
     }
 
@@ -86,27 +86,27 @@
         faults.add(new Fault(at, description, action));
     }
 
-    private void kill(Duration at, String node, Duration away) {
-        add(at, node + " is killed and started after " + away.toMillis() + " ms", cluster -> {
+    private void kill(Duration at, String node, Duration restartDelay) {
+        add(at, node + " is killed and started after " + restartDelay.toMillis() + " ms", cluster -> {
             cluster.kill(node);
-            cluster.loop.after(away, () -> cluster.startController(node));
+            cluster.loop.after(restartDelay, () -> cluster.startController(node));
         });
     }
 
-    private void killLeader(Duration at, Duration away) {
-        add(at, "the leader is killed and started after " + away.toMillis() + " ms", cluster -> {
+    private void killLeader(Duration at, Duration restartDelay) {
+        add(at, "the leader is killed and started after " + restartDelay.toMillis() + " ms", cluster -> {
             String leader = cluster.leader();
             if (leader != null) {
                 cluster.kill(leader);
-                cluster.loop.after(away, () -> cluster.startController(leader));
+                cluster.loop.after(restartDelay, () -> cluster.startController(leader));
             }
         });
     }
 
-    private void killAll(Duration at, Duration away) {
-        add(at, "all are killed and started after " + away.toMillis() + " ms", cluster -> {
+    private void killAll(Duration at, Duration restartDelay) {
+        add(at, "all are killed and started after " + restartDelay.toMillis() + " ms", cluster -> {
             cluster.nodes().forEach(cluster::kill);
-            cluster.loop.after(away, () -> cluster.nodes().forEach(cluster::startController));
+            cluster.loop.after(restartDelay, () -> cluster.nodes().forEach(cluster::startController));
         });
     }
 
@@ -188,12 +188,12 @@
     }
 
     private void failMachines(Duration at, int count, Duration span) {
-        boolean dies = random.nextInt(4) == 0;
+        boolean terminates = random.nextInt(4) == 0;
         add(
                 at,
-                count + " machines " + (dies ? "die" : "hang for " + span.toMillis() + " ms"),
+                count + " machines " + (terminates ? "terminate" : "hang for " + span.toMillis() + " ms"),
                 cluster -> cluster.cloud.agents().stream().limit(count).forEach(machine -> {
-                    if (dies) {
+                    if (terminates) {
                         machine.terminate();
                     } else {
                         machine.hang(span);
--- a/src/test/java/org/gullway/KnownRedTest.java
+++ b/src/test/java/org/gullway/KnownRedTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void theListedTestsArePassedOverAndPrinted() throws Exception {
+    void listedTestsAreExcludedAndPrinted() throws Exception {
         Ending ending = read(
                 """
                 FaultsTest#deaf; mvn -B verify, seed 21; a task ran twice; issue 33
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void anEmptyListLeavesNothingOut() throws Exception {
+    void anEmptyListExcludesNothing() throws Exception {
         assertThat(read("\n")).isEqualTo(new Ending(0, "", ""));
     }
 
--- a/src/test/java/org/gullway/LayersTest.java
+++ b/src/test/java/org/gullway/LayersTest.java
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void everyPackageHasItsPlace() throws IOException {
+    void everyPackageIsListed() throws IOException {
         Set<String> known = new TreeSet<>(MAY_USE.keySet());
         known.addAll(WIRING);
         assertThat(filesByPackage().keySet()).isEqualTo(known);
@@ -144,7 +144,7 @@
 
     @Test
     void dependenciesPointOneWay() throws IOException {
-        List<String> wrong = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         Map<String, List<Path>> files = filesByPackage();
         for (Map.Entry<String, Set<String>> layer : MAY_USE.entrySet()) {
             for (Path file : files.get(layer.getKey())) {
@@ -152,12 +152,12 @@
                 while (used.find()) {
                     String other = used.group(1);
                     if (!other.equals(layer.getKey()) && !layer.getValue().contains(other)) {
-                        wrong.add(file + " uses " + other);
+                        violations.add(file + " uses " + other);
                     }
                 }
             }
         }
-        assertThat(wrong).isEmpty();
+        assertThat(violations).isEmpty();
     }
 
     /** No package uses, directly or through others, one that uses it. */
