--- a/src/test/java/org/gullway/golden/GoldenFile.java
+++ b/src/test/java/org/gullway/golden/GoldenFile.java
@@ -8,6 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HexFormat;
+import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
@@ -53,6 +54,11 @@
         return Stream.of(values).map(String::valueOf).collect(Collectors.joining("|"));
     }
 
+    /** The position of a constant in its enum, for names that stay when the constant is renamed. */
+    public static <E extends Enum<E>> int position(E constant) {
+        return List.of(constant.getDeclaringClass().getEnumConstants()).indexOf(constant);
+    }
+
     /** The golden bytes of this name. */
     public byte[] bytes(String name) {
         assertThat(entries).as("golden entries").containsKey(name);
