--- a/src/main/java/org/gullway/api/JobAdmission.java
+++ b/src/main/java/org/gullway/api/JobAdmission.java
@@ -10,12 +10,13 @@
 import org.gullway.protocol.MachineType;
 
 /** Decides which submitted jobs are accepted, and makes the first record of those that are. */
-final class JobAdmission {
+public final class JobAdmission {
     private final MachineTypeCatalog machineTypes;
     private final JobFeasibility feasibility;
     private final RandomGenerator random;
 
-    JobAdmission(MachineTypeCatalog machineTypes, JobFeasibility feasibility, RandomGenerator random) {
+    /** Decides by the machine types and the quotas known; draws the owner of a best-effort job at random. */
+    public JobAdmission(MachineTypeCatalog machineTypes, JobFeasibility feasibility, RandomGenerator random) {
         this.machineTypes = machineTypes;
         this.feasibility = feasibility;
         this.random = random;
--- a/src/main/java/org/gullway/api/UserApi.java
+++ b/src/main/java/org/gullway/api/UserApi.java
@@ -3,7 +3,6 @@
 import java.time.Instant;
 import java.util.Set;
 import java.util.function.Consumer;
-import java.util.random.RandomGenerator;
 import org.gullway.coordination.cancellation.CancellationEnforcer;
 import org.gullway.coordination.cycle.PlanningContext;
 import org.gullway.coordination.cycle.PlanningStep;
@@ -12,8 +11,6 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
-import org.gullway.coordination.placement.MachineTypeCatalog;
-import org.gullway.coordination.quota.JobFeasibility;
 import org.gullway.protocol.JobStatus;
 import org.gullway.storage.ReplicatedState;
 import org.gullway.transport.EventLoop;
@@ -32,6 +29,7 @@
     private final CancellationHandler cancellations;
 
     /**
+     * @param admission decides which jobs are accepted, and who owns them
      * @param conditionsPerTransaction how many key versions one request to the state store may compare
      * @param onViolation receives a description of each response that was withheld since its state was too old
      * @param requestCycle asks for a scheduling cycle
@@ -40,9 +38,7 @@
             EventLoop loop,
             ClusterState clusterState,
             ReplicatedState replicatedState,
-            MachineTypeCatalog machineTypes,
-            JobFeasibility feasibility,
-            RandomGenerator random,
+            JobAdmission admission,
             RequestMetrics metrics,
             int conditionsPerTransaction,
             CancellationEnforcer cancellationEnforcer,
@@ -62,8 +58,7 @@
         JobLookup queryLookup = newJobLookup(context, replicatedState.queryReadLimit(), cancellationEnforcer);
         JobLookup requestLookup = newJobLookup(context, replicatedState.requestReadLimit(), cancellationEnforcer);
         this.statusQueries = new StatusQueryHandler(context, queryLookup, conditionsPerTransaction);
-        this.submissions = new SubmissionHandler(
-                context, new JobAdmission(machineTypes, feasibility, random), requestLookup, statusQueries);
+        this.submissions = new SubmissionHandler(context, admission, requestLookup, statusQueries);
         this.cancellations = new CancellationHandler(context, requestLookup);
     }
 
--- a/src/main/java/org/gullway/controller/RequestComponents.java
+++ b/src/main/java/org/gullway/controller/RequestComponents.java
@@ -4,6 +4,7 @@
 import java.util.random.RandomGenerator;
 import org.gullway.agent.HeartbeatAdmission;
 import org.gullway.agent.HeartbeatHandler;
+import org.gullway.api.JobAdmission;
 import org.gullway.api.UserApi;
 import org.gullway.coordination.quota.JobFeasibility;
 import org.gullway.storage.ReplicatedState;
@@ -56,9 +57,10 @@
                 environment.loop(),
                 environment.clusterState(),
                 replicatedState,
-                placement.machineTypes(),
-                new JobFeasibility(placement.machineTypes(), placement.quotas()),
-                random,
+                new JobAdmission(
+                        placement.machineTypes(),
+                        new JobFeasibility(placement.machineTypes(), placement.quotas()),
+                        random),
                 monitoring.metrics(),
                 CONDITIONS_PER_CHANGE * environment.settings().stateChangesPerCommit(),
                 agents.cancellationEnforcer(),
--- a/src/main/java/org/gullway/controller/SchedulingComponents.java
+++ b/src/main/java/org/gullway/controller/SchedulingComponents.java
@@ -7,7 +7,6 @@
 import org.gullway.coordination.agents.AgentReconciler;
 import org.gullway.coordination.failover.Reconciliation;
 import org.gullway.coordination.model.ClusterState;
-import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.coordination.quota.QuotaPartitioner;
 import org.gullway.coordination.quota.TeamQuotas;
 import org.gullway.coordination.scheduling.BestEffortQueue;
@@ -15,6 +14,7 @@
 import org.gullway.coordination.scheduling.JobBackoff;
 import org.gullway.coordination.scheduling.ReservedScheduler;
 import org.gullway.coordination.scheduling.ScavengerScheduler;
+import org.gullway.coordination.scheduling.SchedulingContext;
 import org.gullway.protocol.Settings;
 
 /** What places tasks, and divides quotas, jobs and machines among the controllers. */
@@ -39,24 +39,18 @@
             Consumer<BestEffortQueue.OutgoingOffers> offerSender) {
         Settings settings = environment.settings();
         ClusterState clusterState = environment.clusterState();
-        PlacementConstraints constraints = placement.constraints();
         TeamQuotas quotas = placement.quotas();
         String node = environment.self().node();
-        JobBackoff backoff = new JobBackoff();
-        DeadlinePolicy deadlines = new DeadlinePolicy(settings.objectives());
-        ScavengerScheduler scavengerScheduler = new ScavengerScheduler(
+        SchedulingContext context = new SchedulingContext(
                 clusterState,
-                constraints,
+                placement.constraints(),
                 quotas,
-                backoff,
-                deadlines,
-                environment.operatorSettings().spareCapacityShare());
+                new JobBackoff(),
+                new DeadlinePolicy(settings.objectives()));
+        ScavengerScheduler scavengerScheduler =
+                new ScavengerScheduler(context, environment.operatorSettings().spareCapacityShare());
         BestEffortQueue bestEffortQueue = new BestEffortQueue(
-                clusterState,
-                constraints,
-                quotas,
-                backoff,
-                deadlines,
+                context,
                 scavengerScheduler,
                 node,
                 settings.heartbeatInterval(),
@@ -64,8 +58,8 @@
                 () -> agentReconciler.schedulableMachines(environment.loop().now()),
                 offerSender);
         return new SchedulingComponents(
-                backoff,
-                new ReservedScheduler(clusterState, constraints, quotas, backoff, deadlines),
+                context.backoff(),
+                new ReservedScheduler(context),
                 scavengerScheduler,
                 bestEffortQueue,
                 new Reconciliation(clusterState, quotas, node, random.split()),
--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortPlacement.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortPlacement.java
@@ -11,7 +11,6 @@
 import org.gullway.coordination.model.MachineRecord;
 import org.gullway.coordination.model.Transaction;
 import org.gullway.coordination.placement.BestFit;
-import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.coordination.quota.GuaranteedQuota;
 import org.gullway.coordination.quota.TeamQuotas;
 import org.gullway.protocol.Priority;
@@ -28,17 +27,12 @@
     private final TeamRoundRobin teamRoundRobin;
     private final StalledJobPlacement stalledJobPlacement;
 
-    BestEffortPlacement(
-            ClusterState clusterState,
-            PlacementConstraints constraints,
-            TeamQuotas quotas,
-            DeadlinePolicy deadlines,
-            ScavengerScheduler scavengerScheduler) {
-        this.clusterState = clusterState;
-        this.quotas = quotas;
-        this.deadlines = deadlines;
+    BestEffortPlacement(SchedulingContext context, ScavengerScheduler scavengerScheduler) {
+        this.clusterState = context.clusterState();
+        this.quotas = context.quotas();
+        this.deadlines = context.deadlines();
         this.scavengerScheduler = scavengerScheduler;
-        this.teamRoundRobin = new TeamRoundRobin(quotas, new BestFit(clusterState, constraints));
+        this.teamRoundRobin = new TeamRoundRobin(quotas, new BestFit(clusterState, context.constraints()));
         this.stalledJobPlacement = new StalledJobPlacement(clusterState, quotas, teamRoundRobin);
     }
 
--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
@@ -16,7 +16,6 @@
 import org.gullway.coordination.model.MachineRecord;
 import org.gullway.coordination.model.Transaction;
 import org.gullway.coordination.placement.PlacementConstraints;
-import org.gullway.coordination.quota.TeamQuotas;
 import org.gullway.protocol.ResourceOffer;
 
 /**
@@ -50,24 +49,20 @@
      * @param offerSender sends offers to a peer
      */
     public BestEffortQueue(
-            ClusterState clusterState,
-            PlacementConstraints constraints,
-            TeamQuotas quotas,
-            JobBackoff backoff,
-            DeadlinePolicy deadlines,
+            SchedulingContext context,
             ScavengerScheduler scavengerScheduler,
             String self,
             Duration offerValidity,
             RandomGenerator random,
             Supplier<List<MachineRecord>> schedulableMachines,
             Consumer<OutgoingOffers> offerSender) {
-        this.clusterState = clusterState;
-        this.constraints = constraints;
-        this.backoff = backoff;
+        this.clusterState = context.clusterState();
+        this.constraints = context.constraints();
+        this.backoff = context.backoff();
         this.self = self;
         this.schedulableMachines = schedulableMachines;
         this.offerSender = offerSender;
-        this.placement = new BestEffortPlacement(clusterState, constraints, quotas, deadlines, scavengerScheduler);
+        this.placement = new BestEffortPlacement(context, scavengerScheduler);
         this.peerOffers = new PeerOffers(clusterState, constraints, self, offerValidity, random);
     }
 
--- a/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
@@ -41,18 +41,13 @@
     private final MachineWindow window = new MachineWindow();
     private Instant preemptedAt = Instant.MIN;
 
-    public ReservedScheduler(
-            ClusterState clusterState,
-            PlacementConstraints constraints,
-            TeamQuotas quotas,
-            JobBackoff backoff,
-            DeadlinePolicy deadlines) {
-        this.clusterState = clusterState;
-        this.constraints = constraints;
-        this.quotas = quotas;
+    public ReservedScheduler(SchedulingContext context) {
+        this.clusterState = context.clusterState();
+        this.constraints = context.constraints();
+        this.quotas = context.quotas();
         this.bestFit = new BestFit(clusterState, constraints);
-        this.backoff = backoff;
-        this.deadlines = deadlines;
+        this.backoff = context.backoff();
+        this.deadlines = context.deadlines();
         this.cordonPlanner = new CordonPlanner(clusterState, constraints);
     }
 
--- a/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
@@ -38,18 +38,12 @@
     private Instant preemptedAt = Instant.MIN;
 
     /** @param reserveFraction processors kept free for reserved jobs, as a fraction of what these use at present */
-    public ScavengerScheduler(
-            ClusterState clusterState,
-            PlacementConstraints constraints,
-            TeamQuotas quotas,
-            JobBackoff backoff,
-            DeadlinePolicy deadlines,
-            double reserveFraction) {
-        this.clusterState = clusterState;
-        this.constraints = constraints;
-        this.quotas = quotas;
-        this.backoff = backoff;
-        this.deadlines = deadlines;
+    public ScavengerScheduler(SchedulingContext context, double reserveFraction) {
+        this.clusterState = context.clusterState();
+        this.constraints = context.constraints();
+        this.quotas = context.quotas();
+        this.backoff = context.backoff();
+        this.deadlines = context.deadlines();
         this.reserveFraction = reserveFraction;
     }
 
--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -28,14 +28,9 @@
     private final ClusterState clusterState = TestFixtures.clusterState();
     private final DeadlinePolicy deadlines =
             new DeadlinePolicy(List.of(new Settings.Objective("finished", "render", Duration.ofSeconds(80))));
-    private final ScavengerScheduler scavengerScheduler = new ScavengerScheduler(
-            clusterState, TestFixtures.constraints(), TestFixtures.quotas(), new JobBackoff(), deadlines, 0.5);
+    private final ScavengerScheduler scavengerScheduler = new ScavengerScheduler(newContext(), 0.5);
     private final BestEffortQueue bestEffortQueue = new BestEffortQueue(
-            clusterState,
-            TestFixtures.constraints(),
-            TestFixtures.quotas(),
-            new JobBackoff(),
-            deadlines,
+            newContext(),
             scavengerScheduler,
             "perch-0",
             Duration.ofSeconds(3),
@@ -44,6 +39,11 @@
             unused -> {});
     private final MachineRecord machine = TestFixtures.machine("vm-1", "small", TestFixtures.SELF);
 
+    private SchedulingContext newContext() {
+        return new SchedulingContext(
+                clusterState, TestFixtures.constraints(), TestFixtures.quotas(), new JobBackoff(), deadlines);
+    }
+
     BestEffortQueueTest() {
         TestFixtures.put(clusterState, machine, 10);
     }
@@ -268,11 +268,7 @@
                         "perch-1", List.of(new ResourceOffer("vm-1", 1, List.of("perch-0")))));
 
         BestEffortQueue peer = new BestEffortQueue(
-                clusterState,
-                TestFixtures.constraints(),
-                TestFixtures.quotas(),
-                new JobBackoff(),
-                deadlines,
+                newContext(),
                 scavengerScheduler,
                 "perch-1",
                 Duration.ofSeconds(3),
--- a/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
@@ -18,12 +18,12 @@
 
 class ReservedSchedulerTest {
     private final ClusterState clusterState = TestFixtures.clusterState();
-    private final ReservedScheduler reservedScheduler = new ReservedScheduler(
+    private final ReservedScheduler reservedScheduler = new ReservedScheduler(new SchedulingContext(
             clusterState,
             TestFixtures.constraints(),
             TestFixtures.quotas(),
             new JobBackoff(),
-            new DeadlinePolicy(List.of()));
+            new DeadlinePolicy(List.of())));
 
     private Transaction newTransaction() {
         return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
