--- a/src/main/java/org/gullway/protocol/HeartbeatReader.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatReader.java
@@ -153,13 +153,7 @@
         requirePresent(task != null, "legs[].leg");
         requirePresent(attempt >= 0, "legs[].launch");
         requirePresent(phase != null, "legs[].tide");
-        if (phase != TaskStatus.Phase.ENDED) {
-            cause = null;
-        } else if (!causeIsText) {
-            throw wrong("legs[].cause", TEXT);
-        } else if (cause == null) {
-            cause = TaskStatus.Cause.OTHER;
-        }
+        cause = causeOf(phase, cause, causeIsText);
         if (known != null
                 && known.task() == task
                 && known.attempt() == attempt
@@ -171,6 +165,18 @@
         return new TaskStatus(task, attempt, phase, cause, saved);
     }
 
+    /** Only a task that has ended has a cause, {@code OTHER} if the message names none. */
+    private static TaskStatus.Cause causeOf(TaskStatus.Phase phase, TaskStatus.Cause cause, boolean causeIsText)
+            throws MalformedMessageException {
+        if (phase != TaskStatus.Phase.ENDED) {
+            return null;
+        }
+        if (!causeIsText) {
+            throw wrong("legs[].cause", TEXT);
+        }
+        return cause == null ? TaskStatus.Cause.OTHER : cause;
+    }
+
     private TaskId taskId(TaskId known) throws IOException, MalformedMessageException {
         requireText("legs[].leg");
         if (known != null
--- a/src/main/java/org/gullway/transport/UndertowHttpClient.java
+++ b/src/main/java/org/gullway/transport/UndertowHttpClient.java
@@ -76,6 +76,10 @@
                 finish(HttpResponse.noSocket());
                 return;
             }
+            connect();
+        }
+
+        private void connect() {
             connecting = true;
             UndertowClient.getInstance()
                     .connect(
@@ -116,26 +120,30 @@
             return connection == null ? HttpResponse.notSent() : HttpResponse.unknown();
         }
 
-        private void send(ClientConnection made) {
-            connection = made;
-            ClientRequest head = new ClientRequest()
+        private ClientRequest newClientRequest() {
+            ClientRequest clientRequest = new ClientRequest()
                     .setMethod(HttpString.tryFromString(request.method()))
                     .setPath(request.path())
                     .setProtocol(Protocols.HTTP_1_1);
-            head.getRequestHeaders().put(Headers.HOST, address);
+            clientRequest.getRequestHeaders().put(Headers.HOST, address);
             if (request.body().length > 0) {
-                head.getRequestHeaders().put(Headers.CONTENT_LENGTH, request.body().length);
-                head.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/cbor");
+                clientRequest.getRequestHeaders().put(Headers.CONTENT_LENGTH, request.body().length);
+                clientRequest.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/cbor");
             } else if (!"GET".equals(request.method())) {
-                head.getRequestHeaders().put(Headers.CONTENT_LENGTH, 0);
+                clientRequest.getRequestHeaders().put(Headers.CONTENT_LENGTH, 0);
             }
-            made.sendRequest(head, new ClientCallback<>() {
+            return clientRequest;
+        }
+
+        private void send(ClientConnection made) {
+            connection = made;
+            made.sendRequest(newClientRequest(), new ClientCallback<>() {
                 @Override
                 public void completed(ClientExchange exchange) {
                     exchange.setResponseListener(new ClientCallback<>() {
                         @Override
                         public void completed(ClientExchange answered) {
-                            read(answered);
+                            drain(answered, answered.getResponseChannel());
                         }
 
                         @Override
@@ -183,11 +191,6 @@
             }
         }
 
-        private void read(ClientExchange exchange) {
-            StreamSourceChannel channel = exchange.getResponseChannel();
-            drain(exchange, channel);
-        }
-
         private void drain(ClientExchange exchange, StreamSourceChannel channel) {
             try (PooledByteBuffer pooled = buffers.allocate()) {
                 ByteBuffer buffer = pooled.getBuffer();
@@ -195,18 +198,7 @@
                     buffer.clear();
                     int n = channel.read(buffer);
                     if (n < 0) {
-                        HttpResponse response =
-                                HttpResponse.answered(exchange.getResponse().getResponseCode(), received.toByteArray());
-                        boolean close = "close"
-                                .equalsIgnoreCase(exchange.getResponse()
-                                        .getResponseHeaders()
-                                        .getFirst(Headers.CONNECTION));
-                        ClientConnection reusable = connection;
-                        if (!finished && !close) {
-                            connection = null;
-                            connections.keep(address, reusable);
-                        }
-                        finish(response);
+                        onResponseComplete(exchange);
                         return;
                     }
                     if (n == 0) {
@@ -222,6 +214,20 @@
             }
         }
 
+        private void onResponseComplete(ClientExchange exchange) {
+            HttpResponse response =
+                    HttpResponse.answered(exchange.getResponse().getResponseCode(), received.toByteArray());
+            boolean close = "close"
+                    .equalsIgnoreCase(
+                            exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
+            ClientConnection reusable = connection;
+            if (!finished && !close) {
+                connection = null;
+                connections.keep(address, reusable);
+            }
+            finish(response);
+        }
+
         private void finish(HttpResponse response) {
             if (finished) {
                 return;
