--- a/src/main/java/org/gullway/cli/CommandLineInterface.java
+++ b/src/main/java/org/gullway/cli/CommandLineInterface.java
@@ -12,7 +12,7 @@
         name = "gullway",
         mixinStandardHelpOptions = true,
         versionProvider = CommandLineInterface.ManifestVersion.class,
-        description = "Schedules users' jobs on rented machines. One process runs on every controller.")
+        description = "Schedules users' jobs on provisioned machines. One process runs on every controller.")
 public final class CommandLineInterface implements Callable<Integer> {
     private final ToIntFunction<StartOptions> action;
 
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -125,7 +125,7 @@
 
     /** Sets the listener that gets the description of every invariant that is violated. */
     public void onInvariantViolated(Consumer<String> listener) {
-        monitoring.invariants().addListener(listener);
+        monitoring.invariants().setListener(listener);
     }
 
     /** Handles a request that came to the public address. */
--- a/src/main/java/org/gullway/protocol/AttemptCompletion.java
+++ b/src/main/java/org/gullway/protocol/AttemptCompletion.java
@@ -1,10 +1,7 @@
 package org.gullway.protocol;
 
-import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
-import java.io.DataOutputStream;
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -22,9 +19,7 @@
 
     /** Encodes a message to a peer. The caller sees to it that there are at most {@link #MAX_PER_MESSAGE}. */
     public static byte[] encode(List<AttemptCompletion> completions) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(EXPECTED_BYTES * completions.size());
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(VERSION);
+        return PeerMessages.encode(VERSION, EXPECTED_BYTES * completions.size(), out -> {
             out.writeShort(completions.size());
             for (AttemptCompletion completion : completions) {
                 out.writeUTF(completion.task.job());
@@ -32,10 +27,7 @@
                 out.writeLong(completion.attempt);
                 out.writeByte(completion.outcome);
             }
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        return bytes.toByteArray();
+        });
     }
 
     /**
@@ -44,17 +36,16 @@
      * @throws MalformedMessageException if it is truncated, too long, or of another version
      */
     public static List<AttemptCompletion> decode(byte[] body) throws MalformedMessageException {
-        try (DataInputStream in = PeerMessages.open(body, VERSION, CONTENT)) {
-            int count = PeerMessages.readCount(in, MAX_PER_MESSAGE, CONTENT);
-            List<AttemptCompletion> completions = new ArrayList<>(count);
-            for (int i = 0; i < count; i++) {
-                TaskId task = new TaskId(in.readUTF(), in.readInt());
-                completions.add(new AttemptCompletion(task, in.readLong(), in.readByte()));
-            }
-            PeerMessages.requireEnd(in, CONTENT);
-            return completions;
-        } catch (IOException e) {
-            throw PeerMessages.truncated(CONTENT);
+        return PeerMessages.decode(body, VERSION, CONTENT, AttemptCompletion::readAll);
+    }
+
+    private static List<AttemptCompletion> readAll(DataInputStream in) throws IOException, MalformedMessageException {
+        int count = PeerMessages.readCount(in, MAX_PER_MESSAGE, CONTENT);
+        List<AttemptCompletion> completions = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            TaskId task = new TaskId(in.readUTF(), in.readInt());
+            completions.add(new AttemptCompletion(task, in.readLong(), in.readByte()));
         }
+        return completions;
     }
 }
--- a/src/main/java/org/gullway/protocol/Cbor.java
+++ b/src/main/java/org/gullway/protocol/Cbor.java
@@ -46,7 +46,7 @@
                 throw new MalformedMessageException("bytes after the map");
             }
         } catch (IOException | StackOverflowError e) {
-            throw new MalformedMessageException("not CBOR");
+            throw new MalformedMessageException("not CBOR", e);
         }
         if (!(node instanceof ObjectNode map)) {
             throw new MalformedMessageException("not a map");
--- a/src/main/java/org/gullway/protocol/HeartbeatReader.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatReader.java
@@ -51,7 +51,7 @@
             }
             return heartbeat;
         } catch (IOException e) {
-            throw new MalformedMessageException("not CBOR");
+            throw new MalformedMessageException("not CBOR", e);
         }
     }
 
--- a/src/main/java/org/gullway/protocol/MalformedMessageException.java
+++ b/src/main/java/org/gullway/protocol/MalformedMessageException.java
@@ -6,6 +6,10 @@
         super(message);
     }
 
+    public MalformedMessageException(String message, Throwable cause) {
+        super(message, cause);
+    }
+
     /** A parser's message without line breaks, since every error is one line. */
     static String inOneLine(String message) {
         return message.replaceAll("\\s*\\R\\s*", " ");
--- a/src/main/java/org/gullway/protocol/OperatorSettings.java
+++ b/src/main/java/org/gullway/protocol/OperatorSettings.java
@@ -54,9 +54,9 @@
             tree = new XmlMapper().readTree(in);
         } catch (JacksonException e) {
             throw new MalformedMessageException(
-                    file + " is not XML: " + MalformedMessageException.inOneLine(e.getOriginalMessage()));
+                    file + " is not XML: " + MalformedMessageException.inOneLine(e.getOriginalMessage()), e);
         } catch (IOException e) {
-            throw new MalformedMessageException("cannot read " + file + ": " + e.getMessage());
+            throw new MalformedMessageException("cannot read " + file + ": " + e.getMessage(), e);
         }
         return of(tree);
     }
@@ -69,9 +69,9 @@
                 settings = settings.with(
                         name, Double.parseDouble(entry.getValue().asText().trim()));
             } catch (NumberFormatException e) {
-                throw new MalformedMessageException("operator setting " + name + " is not a number");
+                throw new MalformedMessageException("operator setting " + name + " is not a number", e);
             } catch (IllegalArgumentException e) {
-                throw new MalformedMessageException("operator setting " + e.getMessage());
+                throw new MalformedMessageException("operator setting " + e.getMessage(), e);
             }
         }
         return settings;
--- a/src/main/java/org/gullway/protocol/PeerCancellations.java
+++ b/src/main/java/org/gullway/protocol/PeerCancellations.java
@@ -24,6 +24,7 @@
     private static final int MAX_KNOWN_JOBS = 4000;
     private static final int MAX_BYTES = 40 * 1024;
     private static final int HEADER_BYTES = 64;
+    private static final int EXPECTED_NAME_BYTES = 16;
     private static final int MAX_ATTEMPTS = 10_000;
     private static final String CONTENT = "cancellations";
     private static final String KNOWN_CONTENT = "names of cancelled jobs";
@@ -41,9 +42,7 @@
 
     /** Encodes a request: the names of the cancelled jobs that the asker knows, {@link #MAX_KNOWN_JOBS} at most. */
     public static byte[] encodeKnown(Collection<String> jobs) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(16 * jobs.size());
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(VERSION);
+        return PeerMessages.encode(VERSION, EXPECTED_NAME_BYTES * jobs.size(), out -> {
             out.writeShort(Math.min(jobs.size(), MAX_KNOWN_JOBS));
             int left = MAX_KNOWN_JOBS;
             for (String job : jobs) {
@@ -51,25 +50,21 @@
                     out.writeUTF(job);
                 }
             }
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        return bytes.toByteArray();
+        });
     }
 
     /** Reads the names that {@link #encodeKnown} wrote. */
     public static Set<String> decodeKnown(byte[] body) throws MalformedMessageException {
-        try (DataInputStream in = PeerMessages.open(body, VERSION, KNOWN_CONTENT)) {
-            int count = in.readUnsignedShort();
-            Set<String> jobs = new HashSet<>();
-            for (int i = 0; i < count; i++) {
-                jobs.add(in.readUTF());
-            }
-            PeerMessages.requireEnd(in, KNOWN_CONTENT);
-            return jobs;
-        } catch (IOException e) {
-            throw PeerMessages.truncated(KNOWN_CONTENT);
+        return PeerMessages.decode(body, VERSION, KNOWN_CONTENT, PeerCancellations::readNames);
+    }
+
+    private static Set<String> readNames(DataInputStream in) throws IOException {
+        int count = in.readUnsignedShort();
+        Set<String> jobs = new HashSet<>();
+        for (int i = 0; i < count; i++) {
+            jobs.add(in.readUTF());
         }
+        return jobs;
     }
 
     /** Encodes as many of the jobs as fit into one message. */
@@ -91,17 +86,14 @@
     }
 
     private static byte[] withHeader(
-            String node, long number, boolean complete, int count, ByteArrayOutputStream content) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(content.size() + HEADER_BYTES);
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(VERSION);
+            String node, long number, boolean complete, int count, ByteArrayOutputStream content) {
+        return PeerMessages.encode(VERSION, content.size() + HEADER_BYTES, out -> {
             out.writeUTF(node);
             out.writeLong(number);
             out.writeBoolean(complete);
             out.writeShort(count);
             content.writeTo(out);
-        }
-        return bytes.toByteArray();
+        });
     }
 
     private static void write(CancelledJob job, DataOutputStream out) throws IOException {
@@ -122,20 +114,19 @@
      * @throws MalformedMessageException if it is truncated, has bytes left over, or is of another version
      */
     public static PeerCancellations decode(byte[] body) throws MalformedMessageException {
-        try (DataInputStream in = PeerMessages.open(body, VERSION, CONTENT)) {
-            String node = in.readUTF();
-            long number = in.readLong();
-            boolean complete = in.readBoolean();
-            int count = in.readUnsignedShort();
-            List<CancelledJob> jobs = new ArrayList<>();
-            for (int i = 0; i < count; i++) {
-                jobs.add(readJob(in));
-            }
-            PeerMessages.requireEnd(in, CONTENT);
-            return new PeerCancellations(node, number, complete, List.copyOf(jobs));
-        } catch (IOException e) {
-            throw PeerMessages.truncated(CONTENT);
+        return PeerMessages.decode(body, VERSION, CONTENT, PeerCancellations::read);
+    }
+
+    private static PeerCancellations read(DataInputStream in) throws IOException, MalformedMessageException {
+        String node = in.readUTF();
+        long number = in.readLong();
+        boolean complete = in.readBoolean();
+        int count = in.readUnsignedShort();
+        List<CancelledJob> jobs = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            jobs.add(readJob(in));
         }
+        return new PeerCancellations(node, number, complete, List.copyOf(jobs));
     }
 
     private static CancelledJob readJob(DataInputStream in) throws IOException, MalformedMessageException {
--- a/src/main/java/org/gullway/protocol/PeerMessages.java
+++ b/src/main/java/org/gullway/protocol/PeerMessages.java
@@ -1,45 +1,64 @@
 package org.gullway.protocol;
 
 import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
+import java.io.DataOutputStream;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 
 /** What the messages between controllers have in common: a version byte, the content, and nothing after it. */
 final class PeerMessages {
     private PeerMessages() {}
 
+    /** Writes the content of a message. */
+    interface ContentWriter {
+        void write(DataOutputStream out) throws IOException;
+    }
+
+    /** Reads the content of a message. */
+    interface ContentReader<T> {
+        T read(DataInputStream in) throws IOException, MalformedMessageException;
+    }
+
+    static byte[] encode(int version, int expectedBytes, ContentWriter writer) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(expectedBytes);
+        try (DataOutputStream out = new DataOutputStream(bytes)) {
+            out.writeByte(version);
+            writer.write(out);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+        return bytes.toByteArray();
+    }
+
     /**
-     * Opens a message whose version is expected.
+     * Reads a message of the expected version, to its end.
      *
      * @param content what the message holds, for errors
      */
-    static DataInputStream open(byte[] body, int version, String content)
-            throws IOException, MalformedMessageException {
-        DataInputStream in = new DataInputStream(new ByteArrayInputStream(body));
-        if (in.readUnsignedByte() != version) {
-            throw new MalformedMessageException("unknown version of " + content);
+    static <T> T decode(byte[] body, int version, String content, ContentReader<T> reader)
+            throws MalformedMessageException {
+        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
+            if (in.readUnsignedByte() != version) {
+                throw new MalformedMessageException("unknown version of " + content);
+            }
+            T message = reader.read(in);
+            if (in.read() >= 0) {
+                throw new MalformedMessageException("bytes after " + content);
+            }
+            return message;
+        } catch (IOException e) {
+            throw new MalformedMessageException("truncated " + content, e);
         }
-        return in;
     }
 
     /** Reads the number of items and checks it. */
-    static int readCount(DataInputStream in, int most, String content) throws IOException, MalformedMessageException {
+    static int readCount(DataInputStream in, int max, String content) throws IOException, MalformedMessageException {
         int count = in.readUnsignedShort();
-        if (count > most) {
-            throw new MalformedMessageException("more than " + most + " " + content);
+        if (count > max) {
+            throw new MalformedMessageException("more than " + max + " " + content);
         }
         return count;
     }
-
-    /** Checks that the message ends here. */
-    static void requireEnd(DataInputStream in, String content) throws IOException, MalformedMessageException {
-        if (in.read() >= 0) {
-            throw new MalformedMessageException("bytes after " + content);
-        }
-    }
-
-    /** The error for a message that ends too early. */
-    static MalformedMessageException truncated(String content) {
-        return new MalformedMessageException("truncated " + content);
-    }
 }
--- a/src/main/java/org/gullway/protocol/ResourceOffer.java
+++ b/src/main/java/org/gullway/protocol/ResourceOffer.java
@@ -1,10 +1,8 @@
 package org.gullway.protocol;
 
-import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -23,17 +21,12 @@
 
     /** Encodes a message to a peer. The caller sees to it that there are at most {@link #MAX_PER_MESSAGE}. */
     public static byte[] encode(List<ResourceOffer> offers) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(EXPECTED_BYTES * offers.size());
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(VERSION);
+        return PeerMessages.encode(VERSION, EXPECTED_BYTES * offers.size(), out -> {
             out.writeShort(offers.size());
             for (ResourceOffer offer : offers) {
                 offer.writeTo(out);
             }
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        return bytes.toByteArray();
+        });
     }
 
     private void writeTo(DataOutputStream out) throws IOException {
@@ -51,17 +44,16 @@
      * @throws MalformedMessageException if it is truncated, too long, or of another version
      */
     public static List<ResourceOffer> decode(byte[] body) throws MalformedMessageException {
-        try (DataInputStream in = PeerMessages.open(body, VERSION, CONTENT)) {
-            int count = PeerMessages.readCount(in, MAX_PER_MESSAGE, CONTENT);
-            List<ResourceOffer> offers = new ArrayList<>(count);
-            for (int i = 0; i < count; i++) {
-                offers.add(read(in));
-            }
-            PeerMessages.requireEnd(in, CONTENT);
-            return offers;
-        } catch (IOException e) {
-            throw PeerMessages.truncated(CONTENT);
+        return PeerMessages.decode(body, VERSION, CONTENT, ResourceOffer::readAll);
+    }
+
+    private static List<ResourceOffer> readAll(DataInputStream in) throws IOException, MalformedMessageException {
+        int count = PeerMessages.readCount(in, MAX_PER_MESSAGE, CONTENT);
+        List<ResourceOffer> offers = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            offers.add(read(in));
         }
+        return offers;
     }
 
     private static ResourceOffer read(DataInputStream in) throws IOException, MalformedMessageException {
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -76,9 +76,9 @@
             tree = JsonTrees.readNext(parser);
         } catch (JacksonException e) {
             throw new MalformedMessageException(
-                    file + " is not TOML: " + MalformedMessageException.inOneLine(e.getOriginalMessage()));
+                    file + " is not TOML: " + MalformedMessageException.inOneLine(e.getOriginalMessage()), e);
         } catch (IOException e) {
-            throw new MalformedMessageException("cannot read " + file + ": " + e.getMessage());
+            throw new MalformedMessageException("cannot read " + file + ": " + e.getMessage(), e);
         }
         return of(tree);
     }
