--- a/src/main/java/org/gullway/api/RequestMetrics.java
+++ b/src/main/java/org/gullway/api/RequestMetrics.java
@@ -7,6 +7,9 @@
     /** A submission was accepted this long after its arrival. */
     void submissionAccepted(Duration latency);
 
-    /** This many status queries were answered, or else rejected temporarily. */
-    void statusQueries(boolean answered, int count);
+    /** This many status queries were answered. */
+    void statusQueriesAnswered(int count);
+
+    /** This many status queries were rejected temporarily. */
+    void statusQueriesRejected(int count);
 }
--- a/src/main/java/org/gullway/api/StatusQuery.java
+++ b/src/main/java/org/gullway/api/StatusQuery.java
@@ -64,25 +64,27 @@
 
     /** Answers all requests. */
     void answer(JobLookupResult result) {
-        if (complete(true)) {
+        if (tryComplete()) {
+            metrics.statusQueriesAnswered(requests.size());
             responses.respondToQueries(requests, result);
         }
     }
 
     /** Rejects all requests temporarily. */
     void reject() {
-        if (complete(false)) {
+        if (tryComplete()) {
+            metrics.statusQueriesRejected(requests.size());
             requests.forEach(UserResponses::rejectTemporarily);
         }
     }
 
-    private boolean complete(boolean answered) {
+    /** Whether this call completes the query, which happens once. */
+    private boolean tryComplete() {
         if (completed) {
             return false;
         }
         completed = true;
         cancelTimeout.run();
-        metrics.statusQueries(answered, requests.size());
         return true;
     }
 }
--- a/src/main/java/org/gullway/api/StatusQueryHandler.java
+++ b/src/main/java/org/gullway/api/StatusQueryHandler.java
@@ -41,10 +41,10 @@
         }
         Optional<JobStatus> finalState = context.finalStates().find(id);
         if (finalState.isPresent()) {
-            context.metrics().statusQueries(true, 1);
+            context.metrics().statusQueriesAnswered(1);
             respondFinal(request, finalState.get());
         } else if (!replicatedState.isFresh() || (queue.joinable(id).isEmpty() && verifier.isOverloaded(TIMEOUT))) {
-            context.metrics().statusQueries(false, 1);
+            context.metrics().statusQueriesRejected(1);
             UserResponses.rejectTemporarily(request);
         } else {
             queue.joinable(id).orElseGet(() -> enqueueJoinable(id)).add(request);
--- a/src/main/java/org/gullway/observability/Metrics.java
+++ b/src/main/java/org/gullway/observability/Metrics.java
@@ -102,12 +102,13 @@
     }
 
     @Override
-    public void statusQueries(boolean answered, int count) {
-        if (answered) {
-            queriesAnswered += count;
-        } else {
-            queriesRejected += count;
-        }
+    public void statusQueriesAnswered(int count) {
+        queriesAnswered += count;
+    }
+
+    @Override
+    public void statusQueriesRejected(int count) {
+        queriesRejected += count;
     }
 
     void invariantViolated() {
