--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -32,10 +32,10 @@
     private final AgentReconciler agentReconciler;
     private final CancellationEnforcer cancellationEnforcer;
     private final LeaseRenewalGate leaseRenewals;
-    private final Runnable schedule;
+    private final Runnable requestCycle;
     private final HeartbeatResponseEncoder responses = new HeartbeatResponseEncoder();
 
-    /** @param schedule asks for a scheduling cycle, after a heartbeat that changed something */
+    /** @param requestCycle asks for a scheduling cycle, after a heartbeat that changed something */
     public HeartbeatHandler(
             EventLoop loop,
             ClusterState clusterState,
@@ -44,13 +44,13 @@
             CancellationEnforcer cancellationEnforcer,
             CancellationWatermark cancellationWatermark,
             LeaseRenewalPolicy leaseRenewal,
-            Runnable schedule) {
+            Runnable requestCycle) {
         this.loop = loop;
         this.clusterState = clusterState;
         this.agentReconciler = agentReconciler;
         this.cancellationEnforcer = cancellationEnforcer;
         this.leaseRenewals = new LeaseRenewalGate(replicatedState, cancellationWatermark, leaseRenewal);
-        this.schedule = schedule;
+        this.requestCycle = requestCycle;
     }
 
     /** From now on heartbeats are read also while this controller holds no valid lease. */
@@ -102,7 +102,7 @@
         if (response instanceof HeartbeatResponse.Accepted accepted) {
             exchange.respond(HttpStatus.OK, responses.encode(accepted.fencingToken(), accepted.commands()));
             if (accepted.changed()) {
-                schedule.run();
+                requestCycle.run();
             }
         } else if (response instanceof HeartbeatResponse.Redirect redirect) {
             exchange.respond(HttpStatus.MISDIRECTED, AgentCommand.encodeRedirect(redirect.controller()));
