--- /dev/null
+++ b/src/test/java/org/gullway/OuterNamesTest.java
@@ -0,0 +1,92 @@
+package org.gullway;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Objects;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Names that leave the process are still in the sources, letter for letter: fields and values of messages, settings and
+ * stored records, keys of the state store, options, environment variables, metrics, and keys of log lines. A rename of an
+ * identifier that also changes such a name would break users, agents, peers of another version, and operators' tools.
+ */
+class OuterNamesTest {
+    private static final Path NAMES = Path.of("src/test/resources/golden/outer-names.txt");
+    private static final Path SOURCES = Path.of("src/main/java");
+    private static final List<Path> OTHER_FILES = List.of(Path.of("deploy/service.toml"), Path.of("pom.xml"));
+    /** Enum constants that log lines and options write out under their own names. */
+    private static final Pattern CONSTANT = Pattern.compile("[A-Z][A-Z_]*");
+
+    private static final Pattern TOKEN =
+            Pattern.compile("//[^\\n]*|/\\*.*?\\*/|(\"(?:\\\\.|[^\"\\\\\\n])*\")", Pattern.DOTALL);
+    /** The command line library adds these two options itself. */
+    private static final List<String> LIBRARY_OPTIONS = List.of("--help", "--version");
+
+    private static String sources() throws IOException {
+        try (Stream<Path> files = Files.walk(SOURCES)) {
+            StringBuilder all = new StringBuilder();
+            for (Path file :
+                    files.filter(path -> path.toString().endsWith(".java")).toList()) {
+                all.append(Files.readString(file)).append('\n');
+            }
+            return all.toString();
+        }
+    }
+
+    private static String literalsOf(String sources) {
+        Matcher tokens = TOKEN.matcher(sources);
+        return tokens.results()
+                .map(token -> token.group(1))
+                .filter(Objects::nonNull)
+                .collect(Collectors.joining("\n"));
+    }
+
+    private static boolean isWordIn(String name, String text) {
+        return Pattern.compile("(?<![A-Za-z0-9_-])" + Pattern.quote(name) + "(?![A-Za-z0-9_-])")
+                .matcher(text)
+                .find();
+    }
+
+    private static boolean isLogKeyIn(String name, String literals) {
+        return Pattern.compile("(?<![A-Za-z0-9_])" + Pattern.quote(name))
+                .matcher(literals)
+                .find();
+    }
+
+    private static String otherFiles() throws IOException {
+        StringBuilder all = new StringBuilder();
+        for (Path file : OTHER_FILES) {
+            all.append(Files.readString(file)).append('\n');
+        }
+        return all.toString();
+    }
+
+    @Test
+    void everyOuterNameIsInTheSources() throws IOException {
+        String sources = sources();
+        String literals = literalsOf(sources);
+        String code = TOKEN.matcher(sources).replaceAll(" ");
+        String others = otherFiles();
+        List<String> names = Files.readAllLines(NAMES);
+        assertThat(names).hasSizeGreaterThan(250).doesNotHaveDuplicates();
+        assertThat(names).filteredOn(name -> !LIBRARY_OPTIONS.contains(name)).allSatisfy(name -> {
+            boolean found;
+            if (name.endsWith("=")) {
+                found = isLogKeyIn(name, literals);
+            } else if (CONSTANT.matcher(name).matches()) {
+                found = isWordIn(name, code) || isWordIn(name, literals);
+            } else {
+                found = literals.contains('"' + name + '"') || isWordIn(name, others);
+            }
+            assertThat(found).as("outer name %s", name).isTrue();
+        });
+    }
+}
