--- a/src/test/java/org/gullway/ControllerProcesses.java
+++ b/src/test/java/org/gullway/ControllerProcesses.java
@@ -10,6 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -25,6 +26,7 @@
     private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(10);
 
     private final List<String> command;
+    private final Map<String, List<String>> commandsByController = new ConcurrentHashMap<>();
     private final String logLevel;
     private final Path directory;
     private final Consumer<String> ended;
@@ -46,13 +48,18 @@
         Runtime.getRuntime().addShutdownHook(atShutdown);
     }
 
+    /** Sets the command with which this controller is started from now on, instead of the command of all controllers. */
+    void useCommand(String name, List<String> ownCommand) {
+        commandsByController.put(name, List.copyOf(ownCommand));
+    }
+
     /** Starts the controller unless it runs. */
     void start(String name, Path settings, Path operatorSettings) {
         starter.execute(() -> processes.computeIfAbsent(name, n -> startProcess(n, settings, operatorSettings)));
     }
 
     private Process startProcess(String name, Path settings, Path operatorSettings) {
-        List<String> whole = new ArrayList<>(command);
+        List<String> whole = new ArrayList<>(commandsByController.getOrDefault(name, command));
         whole.addAll(List.of("--config", settings.toString(), "--operator-settings", operatorSettings.toString()));
         ProcessBuilder builder = new ProcessBuilder(whole);
         builder.environment().put("LOG_LEVEL", logLevel);
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -240,6 +240,11 @@
         processes.start(name, directory.resolve(name + ".toml"), directory.resolve(OPERATOR_SETTINGS));
     }
 
+    /** Sets the command with which this controller is started from now on, such as that of another build. */
+    void useCommand(String name, List<String> command) {
+        processes.useCommand(name, command);
+    }
+
     /** Ends the process at once, as a crash does. */
     void kill(String name) {
         processes.kill(name);
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -95,12 +95,12 @@
     private final Consumer<LoopbackCluster> beforeStart;
     private final CountDownLatch finished = new CountDownLatch(1);
 
-    private SoakRun(long seed, Length length, Consumer<LoopbackCluster> beforeStart) {
+    private SoakRun(long seed, Length length, List<FaultSchedule.Fault> faults, Consumer<LoopbackCluster> beforeStart) {
         this.seed = seed;
         this.length = length;
         this.beforeStart = beforeStart;
         this.random = new SplittableRandom(seed);
-        this.faults = FaultSchedule.of(seed, WARM_UP, WARM_UP.plus(length.faults()), FAULT_INTERVAL);
+        this.faults = List.copyOf(faults);
     }
 
     /** Plays one run. */
@@ -111,7 +111,15 @@
     /** Plays one run; the action is carried out before anything is started. */
     static Outcome play(long seed, Length length, Consumer<LoopbackCluster> beforeStart)
             throws IOException, InterruptedException {
-        return new SoakRun(seed, length, beforeStart).play();
+        Duration faultsEnd = WARM_UP.plus(length.faults());
+        return play(seed, length, FaultSchedule.of(seed, WARM_UP, faultsEnd, FAULT_INTERVAL), beforeStart);
+    }
+
+    /** Plays one run with these faults in place of random ones; the seed determines the users. */
+    static Outcome play(
+            long seed, Length length, List<FaultSchedule.Fault> faults, Consumer<LoopbackCluster> beforeStart)
+            throws IOException, InterruptedException {
+        return new SoakRun(seed, length, faults, beforeStart).play();
     }
 
     private Outcome play() throws IOException, InterruptedException {
