--- a/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
@@ -41,7 +41,7 @@
             if (agents.isInContact(record, agent)) {
                 startUnresolved |= agent.unresolvedStartToken() >= transaction.fencingToken();
                 spotNotices.plan(transaction, record, agent, now);
-                drainIfUnfit(transaction, record, agent, now);
+                drainIfFaultyOrTerminating(transaction, record, agent, now);
             }
         }
         if (startUnresolved) {
@@ -54,7 +54,8 @@
         return agent != null && agent.mayNeedRecordChange();
     }
 
-    private void drainIfUnfit(Transaction transaction, MachineRecord record, AgentState agent, Instant now) {
+    private void drainIfFaultyOrTerminating(
+            Transaction transaction, MachineRecord record, AgentState agent, Instant now) {
         if (transaction.machine(record.name()).lifecycle() == MachineLifecycle.ACTIVE
                 && transaction.canPutMachine(record.name())
                 && (agent.spotTerminationAt() != null || jobFailures.isFaulty(agent, now))) {
--- a/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
@@ -98,8 +98,8 @@
     }
 
     /** How often any agent was visited. */
-    long visits() {
-        return commandDispatcher.visits();
+    long reconciliations() {
+        return commandDispatcher.reconciliations();
     }
 
     /** Completions to be sent to the writers of their jobs' records, by controller; each is returned once. */
--- a/src/main/java/org/gullway/coordination/agents/AgentState.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentState.java
@@ -37,11 +37,11 @@
     private Instant nextWakeup = Instant.MIN;
 
     /**
-     * @param listeningSince when this controller began to expect messages of the agent
+     * @param contactExpectedSince when this controller began to expect messages of the agent
      * @param wakeups takes each moment at which the agent has to be reconciled, the first one at once
      */
-    AgentState(Instant listeningSince, Consumer<Instant> wakeups) {
-        this.lastContact = listeningSince;
+    AgentState(Instant contactExpectedSince, Consumer<Instant> wakeups) {
+        this.lastContact = contactExpectedSince;
         this.wakeups = wakeups;
         wakeups.accept(nextWakeup);
     }
@@ -234,7 +234,7 @@
     }
 
     /** It is being reconciled now; until it asks again, it is not due. */
-    void onVisited() {
+    void onReconciliation() {
         nextWakeup = Instant.MAX;
     }
 }
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -23,9 +23,9 @@
     /** A change that the watch has not confirmed yet is expected after this delay. */
     private static final Duration WATCH_DELAY = Duration.ofMillis(30);
 
-    private static final Duration REVISIT_DELAY = Duration.ofMillis(50);
+    private static final Duration BLOCKED_RETRY_DELAY = Duration.ofMillis(50);
     /** With so many commands in flight, agents are not asked for what their heartbeats will say anyway. */
-    private static final int MAX_COMMANDS_BEFORE_PROBES = 8;
+    private static final int MAX_IN_FLIGHT_FOR_PROBES = 8;
 
     private final ClusterState clusterState;
     private final HeartbeatTiming timing;
@@ -33,7 +33,7 @@
     private final CommandPlanner planner;
     private final CompletionReporter completionReporter;
     private final CommandWindow window = new CommandWindow();
-    private long visits;
+    private long reconciliations;
 
     CommandDispatcher(
             ClusterState clusterState,
@@ -53,11 +53,11 @@
         wakeChangedMachines(now);
         List<CommandBatch> batches = new ArrayList<>();
         for (String name : agents.pollDue(now)) {
-            visits++;
+            reconciliations++;
             AgentState agent = agents.find(name);
             if (agent != null && agent.isDue(now)) {
-                agent.onVisited();
-                visit(clusterState.machine(name), agent, now).ifPresent(batches::add);
+                agent.onReconciliation();
+                reconcile(clusterState.machine(name), agent, now).ifPresent(batches::add);
             }
         }
         return batches;
@@ -74,7 +74,7 @@
         }
     }
 
-    private Optional<CommandBatch> visit(MachineRecord record, AgentState agent, Instant now) {
+    private Optional<CommandBatch> reconcile(MachineRecord record, AgentState agent, Instant now) {
         if (!agents.isCommandedHere(record)) {
             if (agents.isAssignedHere(record)) {
                 agent.wakeAt(now.plus(WATCH_DELAY));
@@ -95,7 +95,7 @@
             return Optional.empty();
         }
         if (!agent.commands().maySend(now) || window.isFull()) {
-            agent.wakeAt(now.plus(REVISIT_DELAY));
+            agent.wakeAt(now.plus(BLOCKED_RETRY_DELAY));
             return Optional.empty();
         }
         return nextBatch(record, agent, now);
@@ -104,11 +104,11 @@
     private Optional<CommandBatch> nextBatch(MachineRecord record, AgentState agent, Instant now) {
         boolean inContact = agents.isInContact(record, agent);
         boolean fenced = inContact && agent.isFenced(record);
-        List<AgentCommand> commands = fenced ? planner.difference(record, agent) : List.of();
+        List<AgentCommand> commands = fenced ? planner.startsAndStops(record, agent) : List.of();
         // A batch without commands asks the agent to confirm the fencing token and to list its tasks.
         boolean probe = needsProbe(record, agent, inContact, fenced);
         if (probe
-                && (window.inFlight() >= MAX_COMMANDS_BEFORE_PROBES
+                && (window.inFlight() >= MAX_IN_FLIGHT_FOR_PROBES
                         || !agent.commands().tryProbe(now))) {
             // Its heartbeat will most likely say the same: after a failover hundreds need it at once.
             probe = false;
@@ -158,7 +158,7 @@
     }
 
     /** How often any agent was visited. */
-    long visits() {
-        return visits;
+    long reconciliations() {
+        return reconciliations;
     }
 }
--- a/src/main/java/org/gullway/coordination/agents/CommandPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandPlanner.java
@@ -27,7 +27,7 @@
     }
 
     /** Commands to forget ended attempts that are not on record any more. */
-    List<AgentCommand> forgets(MachineRecord record, AgentState agent) {
+    List<AgentCommand> forgetCommands(MachineRecord record, AgentState agent) {
         if (agent.tasks().isEmpty()) {
             return List.of();
         }
@@ -42,7 +42,7 @@
     }
 
     /** Starts of attempts that are on record and not on the machine, stops of those that should not be there. */
-    List<AgentCommand> difference(MachineRecord record, AgentState agent) {
+    List<AgentCommand> startsAndStops(MachineRecord record, AgentState agent) {
         List<AgentCommand> commands = new ArrayList<>();
         Map<AttemptId, Placement> placements = clusterState.placementsOn(record.name());
         placements.forEach((id, placement) -> {
--- a/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
@@ -29,12 +29,12 @@
     private final Map<String, PendingCompletions> pendingByJob = new HashMap<>();
 
     private static final class PendingCompletions {
-        private final Instant since;
+        private final Instant firstAddedAt;
         private final Map<AttemptId, AttemptOutcome> outcomes = new HashMap<>();
         private final Map<AttemptId, String> machines = new HashMap<>();
 
-        PendingCompletions(Instant since) {
-            this.since = since;
+        PendingCompletions(Instant firstAddedAt) {
+            this.firstAddedAt = firstAddedAt;
         }
     }
 
@@ -94,7 +94,7 @@
         plan(
                 transaction,
                 (job, pending) ->
-                        surplusChanges || pending.since.plus(MAX_DELAY).isBefore(now));
+                        surplusChanges || pending.firstAddedAt.plus(MAX_DELAY).isBefore(now));
     }
 
     // Instances are shared while nothing has changed; comparing values would cost as much as the change.
--- a/src/main/java/org/gullway/coordination/agents/FailureDetector.java
+++ b/src/main/java/org/gullway/coordination/agents/FailureDetector.java
@@ -41,7 +41,7 @@
 
     private Instant checkedAt = Instant.MIN;
     /** Since when heartbeats are accepted without a break; a heartbeat missing before says nothing about its agent. */
-    private Instant listeningSince = Instant.MAX;
+    private Instant acceptingHeartbeatsSince = Instant.MAX;
 
     FailureDetector(ClusterState clusterState, HeartbeatTiming timing, PeerZones peerZones, AgentRegistry agents) {
         this.clusterState = clusterState;
@@ -51,7 +51,7 @@
     }
 
     /** What one check has found. */
-    private static final class Findings {
+    private static final class CheckResult {
         private final List<MachineRecord> unreachable = new ArrayList<>();
         private final Map<String, Boolean> zoneResponsive = new HashMap<>();
         private boolean anyResponsive;
@@ -64,9 +64,9 @@
 
     void onLeaseStatus(boolean holdsValidLease, Instant now) {
         if (!holdsValidLease) {
-            listeningSince = Instant.MAX;
-        } else if (listeningSince.equals(Instant.MAX)) {
-            listeningSince = now;
+            acceptingHeartbeatsSince = Instant.MAX;
+        } else if (acceptingHeartbeatsSince.equals(Instant.MAX)) {
+            acceptingHeartbeatsSince = now;
         }
     }
 
@@ -80,42 +80,42 @@
             return;
         }
         checkedAt = now;
-        Instant overdue = now.minus(timing.longestInterval()).minus(HEARTBEAT_MARGIN);
-        if (!listeningSince.isBefore(overdue)) {
+        Instant overdueLimit = now.minus(timing.longestInterval()).minus(HEARTBEAT_MARGIN);
+        if (!acceptingHeartbeatsSince.isBefore(overdueLimit)) {
             // During an outage of the state store the heartbeats of all agents were refused.
             return;
         }
         Instant lostLimit = now.minus(lostAfter());
-        Findings findings = new Findings();
+        CheckResult result = new CheckResult();
         for (Map.Entry<String, AgentState> entry : agents.entries()) {
             AgentState agent = entry.getValue();
             MachineRecord record = clusterState.machine(entry.getKey());
             if (agents.isAssignedHere(record)) {
-                boolean responsive = isResponsive(agent, overdue);
-                if (record.lifecycle() == MachineLifecycle.ACTIVE && isUnresponsive(agent, overdue, now)) {
+                boolean responsive = isResponsive(agent, overdueLimit);
+                if (record.lifecycle() == MachineLifecycle.ACTIVE && isUnresponsive(agent, overdueLimit, now)) {
                     changeLifecycle(transaction, record, MachineLifecycle.UNRESPONSIVE);
                 } else if (record.lifecycle() == MachineLifecycle.UNRESPONSIVE && responsive) {
                     changeLifecycle(transaction, record, MachineLifecycle.ACTIVE);
                 }
-                findings.add(record, responsive);
+                result.add(record, responsive);
                 if (agent.unreachableSince().isBefore(lostLimit)) {
-                    findings.unreachable.add(record);
+                    result.unreachable.add(record);
                 }
             }
         }
-        if (listeningSince.isBefore(lostLimit)) {
-            declareLost(transaction, findings, now);
+        if (acceptingHeartbeatsSince.isBefore(lostLimit)) {
+            declareLost(transaction, result, now);
         }
     }
 
-    private static boolean isResponsive(AgentState agent, Instant overdue) {
+    private static boolean isResponsive(AgentState agent, Instant overdueLimit) {
         return !agent.commands().isUnanswered()
                 && !agent.isOutboundPartitioned()
-                && !agent.lastMessageAt().isBefore(overdue);
+                && !agent.lastMessageAt().isBefore(overdueLimit);
     }
 
-    private static boolean isUnresponsive(AgentState agent, Instant overdue, Instant now) {
-        Instant limit = agent.commands().isUnanswered() ? now.minus(UNANSWERED_LIMIT) : overdue;
+    private static boolean isUnresponsive(AgentState agent, Instant overdueLimit, Instant now) {
+        Instant limit = agent.commands().isUnanswered() ? now.minus(UNANSWERED_LIMIT) : overdueLimit;
         return agent.isOutboundPartitioned() || agent.unreachableSince().isBefore(limit);
     }
 
@@ -134,13 +134,13 @@
      * can be started or stopped there. While no machine is responsive, the fault is more likely to be this controller's
      * own network, and then it takes longer.
      */
-    private void declareLost(Transaction transaction, Findings findings, Instant now) {
-        updatePartitionedZones(findings.zoneResponsive, now);
+    private void declareLost(Transaction transaction, CheckResult result, Instant now) {
+        updatePartitionedZones(result.zoneResponsive, now);
         Instant limitIfNoneResponsive = now.minus(lostAfter()).minus(timing.intervals(4));
-        for (MachineRecord record : findings.unreachable) {
+        for (MachineRecord record : result.unreachable) {
             Instant since = agents.find(record.name()).unreachableSince();
-            if ((findings.anyResponsive || since.isBefore(limitIfNoneResponsive))
-                    && !isHeldInPartitionedZone(record, since, now)
+            if ((result.anyResponsive || since.isBefore(limitIfNoneResponsive))
+                    && !isLossDeferredByPartition(record, since, now)
                     && changeLifecycle(transaction, record, MachineLifecycle.LOST)) {
                 LOG.info(
                         "declared a machine lost: it is unreachable machine={} zone={} elapsed_ms={}",
@@ -169,11 +169,11 @@
     }
 
     /** Whether the machine is waited for; once its zone is back, its agent has the usual time to send a heartbeat. */
-    private boolean isHeldInPartitionedZone(MachineRecord record, Instant unreachableSince, Instant now) {
+    private boolean isLossDeferredByPartition(MachineRecord record, Instant unreachableSince, Instant now) {
         Instant partitionedAt = zonePartitionedAt.getOrDefault(record.zone(), Instant.MIN);
-        Instant holdLimit = now.minus(lostAfter()).minus(peerZones.cancelLimit());
+        Instant deferralLimit = now.minus(lostAfter()).minus(peerZones.cancelLimit());
         return partitionedAt.isAfter(now.minus(lostAfter()))
-                && unreachableSince.isAfter(holdLimit)
+                && unreachableSince.isAfter(deferralLimit)
                 && !hasCancelledTasks(record);
     }
 
--- a/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
@@ -53,7 +53,7 @@
         if (!self.equals(record.controller())) {
             Optional<String> responsible = reroutes.responsibleController(record);
             if (responsible.isEmpty() || !self.node().equals(responsible.get())) {
-                return onForeignHeartbeat(heartbeat, record, responsible, now);
+                return onReroutedHeartbeat(heartbeat, record, responsible, now);
             }
         }
         return onOwnHeartbeat(heartbeat, record, now);
@@ -63,7 +63,7 @@
         return new HeartbeatResponse.Accepted(clusterState.fencingToken(), commands, changed);
     }
 
-    private HeartbeatResponse onForeignHeartbeat(
+    private HeartbeatResponse onReroutedHeartbeat(
             Heartbeat heartbeat, MachineRecord record, Optional<String> responsible, Instant now) {
         if (reroutes.tryAccept(record, now)) {
             // Until its shard is taken over this renews the lease; a redirect to its controller would only fail.
@@ -82,7 +82,7 @@
         agent.reroute().end();
         List<AgentCommand> commands = new ArrayList<>(cancellationEnforcer.stopCommands(heartbeat));
         if (agents.isInContact(record, agent) && agent.isFenced(record)) {
-            commands.addAll(planner.forgets(record, agent));
+            commands.addAll(planner.forgetCommands(record, agent));
         }
         return accepted(commands, changed);
     }
--- a/src/main/java/org/gullway/coordination/agents/JobFailureTracker.java
+++ b/src/main/java/org/gullway/coordination/agents/JobFailureTracker.java
@@ -15,9 +15,9 @@
 final class JobFailureTracker {
     private static final Duration FAILURE_WINDOW = Duration.ofMinutes(2);
     /** A machine that failed tasks of so many other jobs, with no success in between, is faulty. */
-    private static final int JOBS_OF_A_FAULTY_MACHINE = 2;
+    private static final int FAULTY_MACHINE_MIN_JOBS = 2;
     /** A job that failed on so many machines here and has completed nothing fails by itself, not by the machines. */
-    private static final int MACHINES_OF_A_FAILING_JOB = 3;
+    private static final int FAILING_JOB_MIN_MACHINES = 3;
 
     private final ClusterState clusterState;
     /** Jobs that have failed lately here, and whether they do so on every machine. */
@@ -40,7 +40,7 @@
         machineCounts.forEach((id, machines) -> {
             JobRecord job = clusterState.job(id);
             if (job != null) {
-                boolean everywhere = machines >= MACHINES_OF_A_FAILING_JOB
+                boolean everywhere = machines >= FAILING_JOB_MIN_MACHINES
                         && job.completedTasks().size() == 0;
                 failsEverywhere.put(id, everywhere);
             }
@@ -52,6 +52,6 @@
         long jobs = agent.failures().recentlyFailedJobs(now, FAILURE_WINDOW).stream()
                 .filter(job -> !failsEverywhere.getOrDefault(job, false))
                 .count();
-        return jobs >= JOBS_OF_A_FAULTY_MACHINE;
+        return jobs >= FAULTY_MACHINE_MIN_JOBS;
     }
 }
--- a/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
@@ -40,13 +40,13 @@
         for (JobRecord job : clusterState.jobs()) {
             if (cancellationEnforcer.isOverdue(job, transaction.timeOfDay())) {
                 for (Placement placement : job.livePlacements()) {
-                    declareLostUnlessGone(transaction, job, placement);
+                    declareLostUnlessConfirmedGone(transaction, job, placement);
                 }
             }
         }
     }
 
-    private void declareLostUnlessGone(Transaction transaction, JobRecord job, Placement placement) {
+    private void declareLostUnlessConfirmedGone(Transaction transaction, JobRecord job, Placement placement) {
         MachineRecord record = transaction.machine(placement.machine());
         if (record != null
                 && self.equals(record.controller())
--- a/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
@@ -74,7 +74,7 @@
     }
 
     /** Whether a cancelled task is on record there that the agent does not list, so that its start may yet arrive. */
-    boolean mayStillStart(MachineRecord machine, Heartbeat heartbeat) {
+    boolean mayReceiveCancelledStart(MachineRecord machine, Heartbeat heartbeat) {
         Set<AttemptId> listed = new HashSet<>();
         for (TaskStatus task : heartbeat.tasks()) {
             listed.add(new AttemptId(task.task(), task.attempt()));
--- a/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -84,7 +84,7 @@
         }
         Instant previousRequestAt = lastRequestAt.put(heartbeat.machine(), now);
         return !self.node().equals(machine.controller().node())
-                || isCutOff(now)
+                || isIsolated(now)
                 || (previousRequestAt != null
                         && previousRequestAt.plus(RETURN_WINDOW).isAfter(now));
     }
@@ -93,11 +93,11 @@
         return machine.agentEpoch() == heartbeat.agentEpoch()
                 && machine.lifecycle() != MachineRecord.MachineLifecycle.LOST
                 && heartbeat.fencingToken() <= clusterState.fencingToken()
-                && !cancellationEnforcer.mayStillStart(machine, heartbeat);
+                && !cancellationEnforcer.mayReceiveCancelledStart(machine, heartbeat);
     }
 
     /** A zone that is cut off does not have the time that an agent needs to try the other controllers in vain. */
-    private boolean isCutOff(Instant now) {
+    private boolean isIsolated(Instant now) {
         return lastExternalContact.plus(EXTERNAL_CONTACT_TIMEOUT).isBefore(now);
     }
 
--- a/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
+++ b/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
@@ -54,7 +54,7 @@
     }
 
     /** One scheduling cycle's steps for agents and completions, committed. */
-    Transaction plan() {
+    Transaction planAndCommit() {
         Transaction transaction =
                 new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
         reconciler.commandsDue(now);
--- a/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
+++ b/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
@@ -21,7 +21,7 @@
                 10);
         assertThat(reconciler.onHeartbeat(heartbeat(1, 0, null), now)).isInstanceOf(HeartbeatResponse.Accepted.class);
         assertThat(reconciler.commandsDue(now)).isEmpty();
-        plan();
+        planAndCommit();
         assertThat(clusterState.machine("vm-1").agentEpoch()).isEqualTo(1);
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> {
@@ -57,7 +57,7 @@
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         CommandBatch start = reconciler.commandsDue(now).get(0);
         reconciler.onCommandOutcome(start, CommandOutcome.UNKNOWN, now);
-        plan();
+        planAndCommit();
         assertThat(clusterState.fencingToken()).isEqualTo(2);
         now = now.plusSeconds(1);
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.commands())
@@ -72,8 +72,8 @@
             TestFixtures.put(clusterState, TestFixtures.machine("vm-" + i, "large", TestFixtures.SELF), ++revision);
             sendUnchangedHeartbeat("vm-" + i);
         }
-        plan();
-        long before = reconciler.visits();
+        planAndCommit();
+        long before = reconciler.reconciliations();
         for (int cycle = 0; cycle < 50; cycle++) {
             now = now.plusMillis(60);
             for (int i = 1 + cycle * 20; i <= (cycle + 1) * 20; i++) {
@@ -81,12 +81,12 @@
             }
             assertThat(reconciler.commandsDue(now)).isEmpty();
         }
-        assertThat(reconciler.visits() - before)
+        assertThat(reconciler.reconciliations() - before)
                 .as("visits of unchanged agents")
                 .isZero();
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.hasStarts())
                 .isTrue());
-        assertThat(reconciler.visits() - before).isLessThanOrEqualTo(2);
+        assertThat(reconciler.reconciliations() - before).isLessThanOrEqualTo(2);
     }
 }
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -61,7 +61,7 @@
     }
 
     /** Seconds pass in which only these machines send heartbeats. */
-    private void pass(int seconds, String... responsive) {
+    private void advanceSeconds(int seconds, String... responsive) {
         for (int i = 0; i < seconds; i++) {
             now = now.plusSeconds(1);
             sendHeartbeats(responsive);
@@ -81,14 +81,14 @@
     void aMachineThatMissedAHeartbeatTakesNoTasksUntilTheNextOne() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
-        pass(7, "vm-1");
+        advanceSeconds(7, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
-        pass(1, "vm-1");
+        advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
         assertThat(clusterState.machine("vm-2").isSchedulable()).isFalse();
-        pass(1, "vm-1", "vm-2");
+        advanceSeconds(1, "vm-1", "vm-2");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
-        pass(13, "vm-1");
+        advanceSeconds(13, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.LOST);
     }
 
@@ -96,9 +96,9 @@
     void machinesAreDeclaredLostLaterIfNoneIsResponsive() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
-        pass(27);
+        advanceSeconds(27);
         assertThat(List.of(lifecycle("vm-1"), lifecycle("vm-2"))).containsOnly(MachineLifecycle.UNRESPONSIVE);
-        pass(2);
+        advanceSeconds(2);
         assertThat(List.of(lifecycle("vm-1"), lifecycle("vm-2"))).containsOnly(MachineLifecycle.LOST);
     }
 
@@ -108,9 +108,9 @@
         addMachine("vm-1", "a");
         addMachine("vm-2", "b");
         addMachine("vm-3", "b");
-        pass(50, "vm-1");
+        advanceSeconds(50, "vm-1");
         assertThat(List.of(lifecycle("vm-2"), lifecycle("vm-3"))).containsOnly(MachineLifecycle.UNRESPONSIVE);
-        pass(4, "vm-1");
+        advanceSeconds(4, "vm-1");
         assertThat(List.of(lifecycle("vm-2"), lifecycle("vm-3")))
                 .as("not for ever")
                 .containsOnly(MachineLifecycle.LOST);
@@ -120,7 +120,7 @@
     void aZoneWithAResponsiveMachineIsNotPartitioned() {
         addMachine("vm-2", "b");
         addMachine("vm-3", "b");
-        pass(14, "vm-2");
+        advanceSeconds(14, "vm-2");
         assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
@@ -129,9 +129,9 @@
     void aMachineJustTakenOverDoesNotCountAsResponsive() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "b");
-        pass(8, "vm-1");
+        advanceSeconds(8, "vm-1");
         addMachine("vm-3", "b");
-        pass(7, "vm-1");
+        advanceSeconds(7, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
     }
 
@@ -140,7 +140,7 @@
         clusterState.put(StoreKeys.member("perch-2"), new Incarnation("perch-2", 5), ++revision);
         addMachine("vm-1", "a");
         addMachine("vm-3", "b");
-        pass(14, "vm-1");
+        advanceSeconds(14, "vm-1");
         assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
@@ -159,7 +159,7 @@
                                 "vm-3")
                         .withCancellation(TestFixtures.TIME_OF_DAY),
                 ++revision);
-        pass(14, "vm-1");
+        advanceSeconds(14, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
         assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
@@ -170,11 +170,11 @@
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
         detector.onLeaseStatus(false, now);
-        pass(20);
+        advanceSeconds(20);
         detector.onLeaseStatus(true, now);
-        pass(7, "vm-1");
+        advanceSeconds(7, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
-        pass(4, "vm-1");
+        advanceSeconds(4, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
     }
 
@@ -183,25 +183,25 @@
     void aMachineWithAnOutboundPartitionTakesNoTasks() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
-        pass(8, "vm-1", "vm-2");
+        advanceSeconds(8, "vm-1", "vm-2");
         agents.find("vm-2").onCommandResponse(heartbeat("vm-2", 1), now);
-        pass(1, "vm-1");
+        advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
         agents.find("vm-2").onCommandResponse(heartbeat("vm-2", 2), now);
-        pass(1, "vm-1");
+        advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
         agents.find("vm-2").onCommandResponse(heartbeat("vm-2", 2), now);
-        pass(1, "vm-1");
+        advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2"))
                 .as("responses to commands do not show that its heartbeats arrive")
                 .isEqualTo(MachineLifecycle.UNRESPONSIVE);
         agents.find("vm-2")
                 .onHeartbeat(
                         new Heartbeat("vm-2", "10.1.0.1:9000", "large", "a", false, 1, 1, 1, null, List.of()), now);
-        pass(1, "vm-1");
+        advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2")).as("nor does an old copy").isEqualTo(MachineLifecycle.UNRESPONSIVE);
         agents.find("vm-2").onHeartbeat(heartbeat("vm-2", 2), now);
-        pass(1, "vm-1");
+        advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
     }
 
--- a/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
@@ -29,7 +29,7 @@
     void aHeartbeatAloneDoesNotPutAMachineOnRecord() {
         assertThat(reconciler.onHeartbeat(heartbeat(1, 1, null), now))
                 .isEqualTo(new HeartbeatResponse.Accepted(1, List.of(), false));
-        assertThat(plan().isEmpty()).isTrue();
+        assertThat(planAndCommit().isEmpty()).isTrue();
         assertThat(reconciler.schedulableMachines(now)).isEmpty();
     }
 
@@ -46,7 +46,7 @@
         assertThat(reconciler.onHeartbeat(heartbeat(1, 1, null), now))
                 .as("but the agent must not stay where no controller commands it")
                 .isEqualTo(new HeartbeatResponse.Redirect("perch-1"));
-        plan();
+        planAndCommit();
         assertThat(clusterState.fencingToken()).isEqualTo(2);
         assertThat(clusterState.machine("vm-1").fencingToken()).isEqualTo(2);
         assertThat(clusterState.machine("vm-1").controller()).isEqualTo(TestFixtures.SELF);
@@ -69,10 +69,10 @@
     void anOlderHeartbeatChangesNothing() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 2, 4), "vm-1");
-        Heartbeat late = heartbeat(1, 1, null, new TaskStatus(TASK, 1, Phase.ENDED, Cause.ERROR, false));
+        Heartbeat older = heartbeat(1, 1, null, new TaskStatus(TASK, 1, Phase.ENDED, Cause.ERROR, false));
         reconciler.onHeartbeat(heartbeat(1, 1, null, new TaskStatus(TASK, 1, Phase.RUNNING, null, false)), now);
-        reconciler.onHeartbeat(late, now);
-        plan();
+        reconciler.onHeartbeat(older, now);
+        planAndCommit();
         assertThat(clusterState.job("run-000001").livePlacements()).hasSize(1);
     }
 
--- a/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
+++ b/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
@@ -41,7 +41,7 @@
             assertThat(reconciler.schedulableMachines(now))
                     .extracting(MachineRecord::name)
                     .doesNotContain("vm-1");
-            plan();
+            planAndCommit();
         }
         assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.LOST);
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
@@ -78,17 +78,17 @@
         place(withCheckpoints, "vm-1");
         TaskStatus running = new TaskStatus(TASK, 1, Phase.RUNNING, null, false);
         reconciler.onHeartbeat(heartbeat(1, 1, Duration.ofSeconds(15), running), now);
-        plan();
+        planAndCommit();
         assertThat(clusterState.machine("vm-1").isSchedulable()).isFalse();
         assertThat(clusterState.job("run-000001").livePlacements().get(0).stopping())
                 .isFalse();
         now = now.plusSeconds(10);
         reconciler.onHeartbeat(heartbeat(1, 1, Duration.ofSeconds(5), running), now);
-        plan();
+        planAndCommit();
         assertThat(clusterState.job("run-000001").livePlacements().get(0).stopping())
                 .isTrue();
         now = now.plusSeconds(6);
-        plan();
+        planAndCommit();
         assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.LOST);
     }
 
@@ -102,10 +102,10 @@
         clusterState.advanceTo(revision);
         reconciler.onLeaseStatus(false, now);
         reconciler.onLeaseStatus(true, now);
-        plan();
+        planAndCommit();
         assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.ACTIVE);
         cancel(request.id(), TestFixtures.TIME_OF_DAY.minusSeconds(31));
-        plan();
+        planAndCommit();
         assertThat(lifecycle("vm-1")).as("the first cancellation counts").isEqualTo(MachineLifecycle.ACTIVE);
         Transaction later = new Transaction(
                 clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY.plusSeconds(2));
@@ -142,20 +142,20 @@
         for (int machine = 1; machine <= 3; machine++) {
             failTasks("vm-" + machine, machine - 1, "run-000001", "run-000002");
         }
-        plan();
+        planAndCommit();
         assertThat(clusterState.machines()).extracting(MachineRecord::lifecycle).containsOnly(MachineLifecycle.ACTIVE);
         // Their users cancel them; the verdict is kept.
         clusterState.remove(StoreKeys.job("run-000001"), ++revision);
         clusterState.remove(StoreKeys.job("run-000002"), ++revision);
         clusterState.advanceTo(revision);
-        plan();
+        planAndCommit();
         assertThat(clusterState.machines()).extracting(MachineRecord::lifecycle).containsOnly(MachineLifecycle.ACTIVE);
         for (int job = 3; job <= 4; job++) {
             String id = "run-00000" + job;
             place(TestFixtures.request(id, "red", Priority.NORMAL, 6, 4), "vm-2");
         }
         failTasks("vm-2", 0, "run-000003", "run-000004");
-        plan();
+        planAndCommit();
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.DRAINING);
         assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.ACTIVE);
     }
--- a/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
@@ -19,7 +19,7 @@
     void takesOverTheShardsOfALostControllerWithoutWaitingForHeartbeats() {
         clusterState.remove(StoreKeys.member("perch-1"), 50);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 60);
-        plan();
+        planAndCommit();
         assertThat(clusterState.machine("vm-1").controller()).isEqualTo(TestFixtures.SELF);
         assertThat(clusterState.fencingToken()).isEqualTo(2);
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.commands())
@@ -37,7 +37,7 @@
                 clusterState, TestFixtures.SELF, new Transaction.Limits(3, 16 * 1024), TestFixtures.TIME_OF_DAY);
         reconciler.plan(small, TestFixtures.leaderContext(now));
         TestFixtures.commit(clusterState, small, ++revision);
-        Transaction second = plan();
+        Transaction second = planAndCommit();
         assertThat(clusterState.fencingToken()).isEqualTo(2);
         assertThat(second.conditions())
                 .as("the lost member has not come back")
@@ -50,7 +50,7 @@
         clusterState.put(StoreKeys.member("perch-1"), TestFixtures.PEER, ++revision);
         clusterState.remove(StoreKeys.member("perch-1"), ++revision);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-3", "large", TestFixtures.PEER), ++revision);
-        plan();
+        planAndCommit();
         assertThat(clusterState.machine("vm-3").fencingToken()).isEqualTo(3);
     }
 
@@ -62,11 +62,11 @@
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         TaskStatus ended = new TaskStatus(TASK, 1, Phase.ENDED, Cause.STOPPED, false);
         reconciler.onHeartbeat(heartbeat(1, 1, null, ended), now);
-        plan();
-        plan();
+        planAndCommit();
+        planAndCommit();
         assertThat(clusterState.job("run-000001").livePlacements()).hasSize(1);
         reconciler.onCommandResponse(heartbeat(1, 2, null, ended), now);
-        plan();
+        planAndCommit();
         assertThat(clusterState.job("run-000001").livePlacements()).isEmpty();
         assertThat(clusterState.job("run-000001").waitingTasks()).isEqualTo(1);
     }
@@ -76,12 +76,12 @@
     void claimsTheShardsOfAControllerThatIsLostAfterUnchangedCycles() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 60);
         for (int cycle = 0; cycle < 3; cycle++) {
-            plan();
+            planAndCommit();
         }
         assertThat(clusterState.machine("vm-1").controller()).isEqualTo(TestFixtures.PEER);
         clusterState.remove(StoreKeys.member("perch-1"), ++revision);
         clusterState.advanceTo(revision);
-        plan();
+        planAndCommit();
         assertThat(clusterState.machine("vm-1").controller()).isEqualTo(TestFixtures.SELF);
     }
 }
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
@@ -50,7 +50,7 @@
         return new TaskStatus(TASK, 1, phase, phase == Phase.ENDED ? Cause.STOPPED : null, false);
     }
 
-    private List<CommandBatch> stopsAfter(int seconds) {
+    private List<CommandBatch> directStopsAfter(int seconds) {
         now = now.plusSeconds(seconds);
         return cancellationEnforcer.directStopsDue(now);
     }
@@ -76,22 +76,22 @@
     /** Whichever controller commands the machine: this one may be the only one that knows of the cancellation. */
     @Test
     void retriesStopsUntilAResponseShowsThatTheTaskIsGone() {
-        assertThat(stopsAfter(1)).isEmpty();
+        assertThat(directStopsAfter(1)).isEmpty();
         cancel();
-        List<CommandBatch> batches = stopsAfter(1);
+        List<CommandBatch> batches = directStopsAfter(1);
         assertThat(batches).singleElement().satisfies(batch -> {
             assertThat(batch.machine()).isEqualTo("vm-2");
             assertThat(batch.fencingToken()).isEqualTo(1);
             assertThat(batch.agentEpoch()).isEqualTo(1);
             assertThat(batch.commands()).containsExactly(AgentCommand.stop(TASK, 1, Duration.ZERO));
         });
-        assertThat(stopsAfter(9)).as("one in flight for each machine").isEmpty();
+        assertThat(directStopsAfter(9)).as("one in flight for each machine").isEmpty();
         cancellationEnforcer.onDirectStopEnded(batches.get(0), now);
         cancellationEnforcer.onDirectStopResponse(heartbeat(1, taskIn(Phase.SAVING)));
-        assertThat(stopsAfter(1)).hasSize(1);
+        assertThat(directStopsAfter(1)).hasSize(1);
         cancellationEnforcer.onDirectStopEnded(batches.get(0), now);
         cancellationEnforcer.onDirectStopResponse(heartbeat(1, taskIn(Phase.ENDED)));
-        assertThat(stopsAfter(1)).isEmpty();
+        assertThat(directStopsAfter(1)).isEmpty();
         assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(39)))
                 .isEmpty();
     }
@@ -100,14 +100,14 @@
     void aResponseFromANewerAgentEpochShowsThatTheTaskIsGone() {
         cancel();
         cancellationEnforcer.onDirectStopResponse(heartbeat(2, taskIn(Phase.RUNNING)));
-        assertThat(stopsAfter(1)).isEmpty();
+        assertThat(directStopsAfter(1)).isEmpty();
     }
 
     /** It hangs, so only the cloud can end its tasks: in the last quarter of the limit, however many stops were sent. */
     @Test
     void aMachineWithoutResponsesIsReleasedBeforeTheLimit() {
         cancel();
-        assertThat(stopsAfter(1)).hasSize(1);
+        assertThat(directStopsAfter(1)).hasSize(1);
         assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(30)))
                 .isEmpty();
         assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(31)))
@@ -118,9 +118,9 @@
     void theRecordsCountOnceTheLeaseIsRegained() {
         cancel();
         cancellationEnforcer.onDirectStopResponse(heartbeat(1, taskIn(Phase.ENDED)));
-        assertThat(stopsAfter(1)).isEmpty();
+        assertThat(directStopsAfter(1)).isEmpty();
         cancellationEnforcer.onLeaseRegained(now);
-        assertThat(stopsAfter(1)).hasSize(1);
+        assertThat(directStopsAfter(1)).hasSize(1);
     }
 
     /** The peer's list counts like a record: for stops, for leases, for the limit, and for lists sent to other peers. */
@@ -135,11 +135,12 @@
         assertThat(cancellationEnforcer.knownCancellations()).containsExactly(job);
         assertThat(cancellationEnforcer.stopCommands(heartbeat(1, taskIn(Phase.RUNNING))))
                 .hasSize(1);
-        assertThat(cancellationEnforcer.mayStillStart(clusterState.machine("vm-2"), heartbeat(1)))
+        assertThat(cancellationEnforcer.mayReceiveCancelledStart(clusterState.machine("vm-2"), heartbeat(1)))
                 .isTrue();
-        assertThat(cancellationEnforcer.mayStillStart(clusterState.machine("vm-2"), heartbeat(1, taskIn(Phase.ENDED))))
+        assertThat(cancellationEnforcer.mayReceiveCancelledStart(
+                        clusterState.machine("vm-2"), heartbeat(1, taskIn(Phase.ENDED))))
                 .isFalse();
-        assertThat(stopsAfter(1)).hasSize(1);
+        assertThat(directStopsAfter(1)).hasSize(1);
         assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(31)))
                 .containsExactly("vm-2");
         cancellationEnforcer.onLeaseRegained(now.minusSeconds(1));
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationWatermarkTest.java
@@ -11,56 +11,59 @@
 import org.junit.jupiter.api.Test;
 
 class CancellationWatermarkTest {
-    private static final Instant STORE = Instant.ofEpochSecond(100);
-    private static final Incarnation THIRD = new Incarnation("perch-2", 19);
+    private static final Instant STORE_KNOWN_THROUGH = Instant.ofEpochSecond(100);
+    private static final Incarnation SECOND_PEER = new Incarnation("perch-2", 19);
 
     private final ClusterState clusterState = TestFixtures.clusterState();
     private final CancellationWatermark cancellationWatermark =
             new CancellationWatermark(clusterState, List.of("perch-1", "perch-2"));
 
     CancellationWatermarkTest() {
-        clusterState.put(StoreKeys.member("perch-2"), THIRD, 9);
+        clusterState.put(StoreKeys.member("perch-2"), SECOND_PEER, 9);
     }
 
     /** A peer may have confirmed cancellations since it last listed them. */
     @Test
     void isTheLeastOverAllPeers() {
-        assertThat(cancellationWatermark.knownThrough(STORE)).isEqualTo(STORE);
-        cancellationWatermark.advance(TestFixtures.PEER, STORE.plusSeconds(20));
-        assertThat(cancellationWatermark.knownThrough(STORE))
+        assertThat(cancellationWatermark.knownThrough(STORE_KNOWN_THROUGH)).isEqualTo(STORE_KNOWN_THROUGH);
+        cancellationWatermark.advance(TestFixtures.PEER, STORE_KNOWN_THROUGH.plusSeconds(20));
+        assertThat(cancellationWatermark.knownThrough(STORE_KNOWN_THROUGH))
                 .as("the other peer is unresponsive")
-                .isEqualTo(STORE);
-        cancellationWatermark.advance(THIRD, STORE.plusSeconds(7));
-        assertThat(cancellationWatermark.knownThrough(STORE)).isEqualTo(STORE.plusSeconds(7));
-        cancellationWatermark.advance(THIRD, STORE.plusSeconds(30));
-        cancellationWatermark.advance(THIRD, STORE.plusSeconds(10));
-        assertThat(cancellationWatermark.knownThrough(STORE))
+                .isEqualTo(STORE_KNOWN_THROUGH);
+        cancellationWatermark.advance(SECOND_PEER, STORE_KNOWN_THROUGH.plusSeconds(7));
+        assertThat(cancellationWatermark.knownThrough(STORE_KNOWN_THROUGH))
+                .isEqualTo(STORE_KNOWN_THROUGH.plusSeconds(7));
+        cancellationWatermark.advance(SECOND_PEER, STORE_KNOWN_THROUGH.plusSeconds(30));
+        cancellationWatermark.advance(SECOND_PEER, STORE_KNOWN_THROUGH.plusSeconds(10));
+        assertThat(cancellationWatermark.knownThrough(STORE_KNOWN_THROUGH))
                 .as("responses arrive out of order")
-                .isEqualTo(STORE.plusSeconds(20));
-        assertThat(cancellationWatermark.knownThrough(STORE.plusSeconds(50))).isEqualTo(STORE.plusSeconds(50));
+                .isEqualTo(STORE_KNOWN_THROUGH.plusSeconds(20));
+        assertThat(cancellationWatermark.knownThrough(STORE_KNOWN_THROUGH.plusSeconds(50)))
+                .isEqualTo(STORE_KNOWN_THROUGH.plusSeconds(50));
     }
 
     /** The former process may have confirmed a cancellation that the new one does not know. */
     @Test
     void aRestartedPeerDoesNotAdvanceIt() {
-        cancellationWatermark.advance(TestFixtures.PEER, STORE.plusSeconds(5));
-        cancellationWatermark.advance(THIRD, STORE.plusSeconds(5));
-        cancellationWatermark.advance(TestFixtures.PEER, STORE.plusSeconds(9));
-        cancellationWatermark.advance(new Incarnation("perch-2", 20), STORE.plusSeconds(9));
-        assertThat(cancellationWatermark.knownThrough(STORE)).isEqualTo(STORE.plusSeconds(5));
+        cancellationWatermark.advance(TestFixtures.PEER, STORE_KNOWN_THROUGH.plusSeconds(5));
+        cancellationWatermark.advance(SECOND_PEER, STORE_KNOWN_THROUGH.plusSeconds(5));
+        cancellationWatermark.advance(TestFixtures.PEER, STORE_KNOWN_THROUGH.plusSeconds(9));
+        cancellationWatermark.advance(new Incarnation("perch-2", 20), STORE_KNOWN_THROUGH.plusSeconds(9));
+        assertThat(cancellationWatermark.knownThrough(STORE_KNOWN_THROUGH))
+                .isEqualTo(STORE_KNOWN_THROUGH.plusSeconds(5));
     }
 
     @Test
     void aPeerThatIsNoMemberDoesNotAdvanceIt() {
         clusterState.remove(StoreKeys.member("perch-2"), 30);
-        cancellationWatermark.advance(TestFixtures.PEER, STORE.plusSeconds(5));
-        cancellationWatermark.advance(THIRD, STORE.plusSeconds(5));
-        assertThat(cancellationWatermark.knownThrough(STORE)).isEqualTo(STORE);
+        cancellationWatermark.advance(TestFixtures.PEER, STORE_KNOWN_THROUGH.plusSeconds(5));
+        cancellationWatermark.advance(SECOND_PEER, STORE_KNOWN_THROUGH.plusSeconds(5));
+        assertThat(cancellationWatermark.knownThrough(STORE_KNOWN_THROUGH)).isEqualTo(STORE_KNOWN_THROUGH);
     }
 
     @Test
     void withoutPeersItIsWhatTheStoreProves() {
-        assertThat(new CancellationWatermark(clusterState, List.of()).knownThrough(STORE))
-                .isEqualTo(STORE);
+        assertThat(new CancellationWatermark(clusterState, List.of()).knownThrough(STORE_KNOWN_THROUGH))
+                .isEqualTo(STORE_KNOWN_THROUGH);
     }
 }
