--- a/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
@@ -8,11 +8,14 @@
 import org.gullway.coordination.model.Transaction;
 
 /**
- * Changes records for what single agents show: a start whose outcome is unknown needs a higher fencing token, and a
- * machine that is faulty or has a spot notice is drained.
+ * Changes records according to the state of single agents. A start with unknown outcome requires a higher fencing
+ * token, and a machine that is faulty or has a spot notice is drained.
  */
 final class AgentConditionPlanner {
-    /** Every agent sends one more message after a new fencing token, so unknown starts are resolved together. */
+    /**
+     * Minimum time between two new fencing tokens. Each new token costs one more message from every agent, so unknown
+     * starts are resolved together.
+     */
     private static final Duration FENCING_TOKEN_INTERVAL = Duration.ofSeconds(1);
 
     private final AgentRegistry agents;
--- a/src/main/java/org/gullway/coordination/agents/AgentEpochRecorder.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentEpochRecorder.java
@@ -8,7 +8,7 @@
 import org.gullway.coordination.model.Transaction;
 import org.gullway.protocol.Heartbeat;
 
-/** Puts new agent epochs on record; tasks are placed and started only in the epoch that is on record. */
+/** Records new agent epochs. Tasks are placed and started only in the agent epoch that is on record. */
 final class AgentEpochRecorder {
     private final ClusterState clusterState;
     private final Incarnation self;
@@ -22,7 +22,7 @@
         this.agents = agents;
     }
 
-    /** Notes the epoch of an agent's message; true if it is newer than the one on record. */
+    /** Observes the agent epoch of a message. Returns whether it is newer than the one on record. */
     boolean observe(MachineRecord record, Heartbeat heartbeat) {
         boolean newer = heartbeat.agentEpoch() > record.agentEpoch();
         if (newer) {
--- a/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
@@ -20,11 +20,11 @@
 import org.gullway.protocol.Heartbeat;
 
 /**
- * Reconciles the machines that this controller commands with the records. Placements on record are the desired state,
- * an agent's newest message is the actual state, and the difference becomes commands. Completed attempts go to the
- * writers of their jobs' records.
+ * Reconciles the machines that this controller commands with the records. The placements on record are the desired
+ * state, and an agent's newest message is the actual state. The difference becomes commands. Completed attempts are
+ * reported to the controllers that write the records of their jobs.
  *
- * <p>This is the entrance to the package; the work is done by the classes that it wires together.
+ * <p>This class is the entry point of the package. It wires the other classes together and delegates to them.
  */
 public final class AgentReconciler implements PlanningStep {
     private final AgentRegistry agents;
@@ -66,53 +66,59 @@
         return agent != null && agent.reroute().isActive();
     }
 
-    /** To be called in every scheduling cycle: heartbeats are accepted only while the lease is valid. */
+    /** Must be called in every scheduling cycle, since heartbeats are accepted only while the lease is valid. */
     public void onLeaseStatus(boolean holdsValidLease, Instant now) {
         failureDetector.onLeaseStatus(holdsValidLease, now);
     }
 
-    /** The newest message of the machine's agent, or null if none is known. */
+    /** Returns the newest message from the machine's agent, or null if none is known. */
     public Heartbeat lastHeartbeat(String machine) {
         AgentState agent = agents.find(machine);
         return agent == null ? null : agent.lastHeartbeat();
     }
 
-    /** Takes a heartbeat, whose machine may be commanded by another controller or may not be on record. */
+    /** Handles a heartbeat. Its machine may be commanded by another controller or may not be on record. */
     public HeartbeatResponse onHeartbeat(Heartbeat heartbeat, Instant now) {
         return heartbeatReceiver.onHeartbeat(heartbeat, now);
     }
 
-    /** Takes the agent's response to a direct command. */
+    /** Handles an agent's response to a command batch. */
     public void onCommandResponse(Heartbeat response, Instant now) {
         heartbeatReceiver.onCommandResponse(response, now);
     }
 
-    /** Takes the outcome of a batch of {@link #commandsDue}; each of them must have exactly one. */
+    /** Handles the outcome of a batch from {@link #commandsDue}. Each batch must have exactly one outcome. */
     public void onCommandOutcome(CommandBatch batch, CommandOutcome outcome, Instant now) {
         commandDispatcher.onCommandOutcome(batch, outcome, now);
     }
 
-    /** All commands that are due now, one batch for each machine; completions that are seen become due for their writers. */
+    /**
+     * Returns all commands that are due now, in one batch for each machine. Completions that it observes are
+     * buffered here or queued for {@link #drainCompletions}.
+     */
     public List<CommandBatch> commandsDue(Instant now) {
         return commandDispatcher.commandsDue(now);
     }
 
-    /** How often any agent was visited. */
+    /** Returns how many times agents have been reconciled. */
     long reconciliations() {
         return commandDispatcher.reconciliations();
     }
 
-    /** Completions to be sent to the writers of their jobs' records, by controller; each is returned once. */
+    /** Returns the queued completions by the controller that writes the job's record, and clears the queue. */
     public Map<String, List<AttemptCompletion>> drainCompletions() {
         return completionReporter.drainCompletions();
     }
 
-    /** Takes completions that another controller has seen. */
+    /** Handles completions that another controller has observed. */
     public void onCompletions(Collection<AttemptCompletion> completions, Instant now) {
         completionReporter.onCompletions(completions, now);
     }
 
-    /** Takes over shards, records agent epochs, and changes the lifecycle of machines according to their agents. */
+    /**
+     * Takes over shards, records agent epochs, and changes the lifecycle of machines according to the state of their
+     * agents.
+     */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         Instant now = context.now();
@@ -123,12 +129,12 @@
         overdueCancellations.plan(transaction);
     }
 
-    /** Machines commanded here that can be given tasks now. */
+    /** Returns the machines commanded by this controller on which tasks can be placed now. */
     public List<MachineRecord> schedulableMachines(Instant now) {
         return schedulableMachines.list(now);
     }
 
-    /** Drops what is kept of machines that are gone or that another controller commands. */
+    /** Removes the state of agents whose machines are gone or commanded by another controller. */
     public void evictStaleAgents(Instant now) {
         agents.evictStaleAgents(now);
     }
--- a/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
@@ -11,9 +11,12 @@
 import org.gullway.coordination.model.Incarnation;
 import org.gullway.coordination.model.MachineRecord;
 
-/** The agents that sent messages to this controller, or whose machines it commands, by machine. */
+/** Holds, by machine, the agents that have sent messages to this controller or whose machines it commands. */
 final class AgentRegistry {
-    /** Agents of machines that are gone or commanded elsewhere do no harm until then. */
+    /**
+     * Time between two evictions. Until then, agents whose machines are gone or commanded by another controller do no
+     * harm.
+     */
     private static final Duration EVICTION_INTERVAL = Duration.ofSeconds(2);
 
     private final ClusterState clusterState;
@@ -28,7 +31,7 @@
         this.self = self;
     }
 
-    /** The agent of the machine, or null if it is not known here. */
+    /** Returns the agent of the machine, or null if this controller does not know it. */
     AgentState find(String machine) {
         return agents.get(machine);
     }
@@ -37,39 +40,48 @@
         return agents.computeIfAbsent(machine, name -> new AgentState(now, at -> wakeups.add(name, at)));
     }
 
-    /** All agents by machine, not to be changed; without a wrapper, since these are iterated in every cycle. */
+    /**
+     * Returns all agents by machine. Callers must not modify the set, which has no unmodifiable wrapper because it is
+     * iterated in every cycle.
+     */
     Set<Map.Entry<String, AgentState>> entries() {
         return agents.entrySet();
     }
 
-    /** Machines whose agents asked to be reconciled by now; see {@link WakeupQueue#pollDue}. */
+    /** Returns the machines whose agents' wake-up times have come; see {@link WakeupQueue#pollDue}. */
     List<String> pollDue(Instant now) {
         return wakeups.pollDue(now);
     }
 
-    /** Notes the machine if its agent's state may call for a change of records. */
+    /** Adds the machine to the record change candidates if its agent's state may require a change of records. */
     void updateRecordChangeCandidates(String machine, AgentState agent) {
         if (agent.mayNeedRecordChange()) {
             recordChangeCandidates.add(machine);
         }
     }
 
-    /** Machines whose agents' state calls, or called, for a change of records. */
+    /** Returns the machines whose agents' state may require a change of records, or did so earlier. */
     Set<String> recordChangeCandidates() {
         return recordChangeCandidates;
     }
 
-    /** Whether the machine runs an agent and this controller commands it. */
+    /** Returns whether the machine runs an agent and its record assigns it to this controller. */
     boolean isAssignedHere(MachineRecord record) {
         return record != null && record.isUp() && self.equals(record.controller());
     }
 
-    /** Whether the machine is assigned here, and the watch has brought all that was recorded before that. */
+    /**
+     * Returns whether the machine is assigned to this controller and the watch has delivered all changes up to the
+     * machine's record.
+     */
     boolean isCommandedHere(MachineRecord record) {
         return isAssignedHere(record) && clusterState.watchedRevision() >= clusterState.machineVersion(record.name());
     }
 
-    /** Whether the machine is commanded here and its agent's newest message is of the epoch on record. */
+    /**
+     * Returns whether this controller commands the machine and the newest message of its agent has the agent epoch on
+     * record.
+     */
     boolean isInContact(MachineRecord record, AgentState agent) {
         return isCommandedHere(record)
                 && agent != null
@@ -77,7 +89,7 @@
                 && agent.lastHeartbeat().agentEpoch() == record.agentEpoch();
     }
 
-    /** Drops agents of machines that are gone or that another controller commands. */
+    /** Removes agents whose machines are gone or commanded by another controller. */
     void evictStaleAgents(Instant now) {
         if (evictedAt.plus(EVICTION_INTERVAL).isAfter(now)) {
             return;
--- a/src/main/java/org/gullway/coordination/agents/AgentState.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentState.java
@@ -11,7 +11,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What this controller knows of one agent: its newest message, and what is open between the two. */
+/**
+ * The state of one agent as known to this controller: the agent's newest message, and the commands, completion reports
+ * and reroutes that are still open.
+ */
 final class AgentState {
     private static final Logger LOG = LoggerFactory.getLogger(AgentState.class);
 
@@ -23,7 +26,10 @@
 
     private Heartbeat lastHeartbeat;
     private Map<AttemptId, TaskStatus> tasks = Map.of();
-    /** For attempts that ended without completing: the agent's fencing token when that was first seen. */
+    /**
+     * For each attempt that ended without completing: the agent's fencing token when this controller first saw its
+     * end.
+     */
     private final Map<AttemptId, Long> endedAtToken = new HashMap<>();
 
     private Instant lastContact;
@@ -31,14 +37,17 @@
     private boolean outboundPartitioned;
     private Instant spotTerminationAt;
     private long commandedUnderToken;
-    /** A start was sent under this token and its outcome is open; only a higher confirmed token rules it out. */
+    /**
+     * The highest fencing token under which a start with unknown outcome was sent, or 0. Only when the agent confirms
+     * a higher token is it certain that the start can no longer arrive.
+     */
     private long unresolvedStartToken;
 
     private Instant nextWakeup = Instant.MIN;
 
     /**
-     * @param contactExpectedSince when this controller began to expect messages of the agent
-     * @param wakeups takes each moment at which the agent has to be reconciled, the first one at once
+     * @param contactExpectedSince when this controller began to expect messages from the agent
+     * @param wakeups receives each time at which the agent must be reconciled, beginning with an immediate one
      */
     AgentState(Instant contactExpectedSince, Consumer<Instant> wakeups) {
         this.lastContact = contactExpectedSince;
@@ -62,22 +71,23 @@
         return reroute;
     }
 
-    /** Takes a heartbeat; false if a newer message is known, and then nothing has changed. */
+    /** Handles a heartbeat. Returns false and changes nothing if a newer message is known. */
     boolean onHeartbeat(Heartbeat heartbeat, Instant now) {
         outboundPartitioned &= lastHeartbeat != null && !isNewer(heartbeat);
         return accept(heartbeat, now);
     }
 
     /**
-     * Takes the response to a command. If it brings a newer agent epoch, the agent's lease has expired although
-     * commands reach it: its heartbeats reach no controller, and tasks placed there would end with the next lease.
+     * Handles the response to a command batch. If the response has a newer agent epoch, the agent's lease has expired
+     * although commands reach the agent. Its heartbeats then reach no controller, and tasks placed there would end
+     * when the next lease expires.
      */
     void onCommandResponse(Heartbeat response, Instant now) {
         outboundPartitioned |= lastHeartbeat != null && response.agentEpoch() > lastHeartbeat.agentEpoch();
         accept(response, now);
     }
 
-    /** Whether a lease has expired since the last heartbeat while commands were answered. */
+    /** Returns whether a lease has expired since the last heartbeat while the agent answered commands. */
     boolean isOutboundPartitioned() {
         return outboundPartitioned;
     }
@@ -148,7 +158,7 @@
         }
     }
 
-    /** The newest message, or null if there was none yet. */
+    /** Returns the agent's newest message, or null if there is none yet. */
     Heartbeat lastHeartbeat() {
         return lastHeartbeat;
     }
@@ -157,47 +167,56 @@
         return tasks;
     }
 
-    /** When its last message came, or when this controller began to expect messages if that was later. */
+    /**
+     * Returns when the agent's last message came or when this controller began to expect messages, whichever is later.
+     */
     Instant lastContact() {
         return lastContact;
     }
 
-    /** When its last message came. */
+    /** Returns when the agent's last message came. */
     Instant lastMessageAt() {
         return lastMessageAt;
     }
 
-    /** Since when the agent may be unreachable: its last contact, or the first unanswered command if that was earlier. */
+    /**
+     * Returns since when the agent may be unreachable: since the last contact, or since the first unanswered command
+     * if that was sent earlier.
+     */
     Instant unreachableSince() {
         Instant unansweredSince = commands.unansweredSince();
         return unansweredSince == null || lastContact.isBefore(unansweredSince) ? lastContact : unansweredSince;
     }
 
-    /** When the cloud takes the machine away, or null without a spot notice. */
+    /** Returns when the cloud provider terminates the machine, or null without a spot notice. */
     Instant spotTerminationAt() {
         return spotTerminationAt;
     }
 
-    /** Whether the agent now refuses every command that could still arrive from before. */
+    /**
+     * Returns whether the agent has confirmed a fencing token that makes it refuse every earlier command that may
+     * still arrive.
+     */
     boolean isFenced(MachineRecord record) {
         return lastHeartbeat != null
                 && lastHeartbeat.fencingToken() >= record.fencingToken()
                 && lastHeartbeat.fencingToken() > unresolvedStartToken;
     }
 
-    /** The highest fencing token under which a start was sent whose outcome is unknown; 0 if there is none. */
+    /** Returns the highest fencing token under which a start with unknown outcome was sent, or 0 if there is none. */
     long unresolvedStartToken() {
         return unresolvedStartToken;
     }
 
-    /** The outcome of a start sent under this token will never be known. */
+    /** Records that the outcome of a start sent under this fencing token will never be known. */
     void onUnknownStartOutcome(long fencingToken) {
         unresolvedStartToken = Math.max(unresolvedStartToken, fencingToken);
     }
 
     /**
-     * Whether the agent may forget an ended attempt. One that did not complete is kept until commands from the time of
-     * its start are refused: a duplicate start that arrives later would run a forgotten attempt again.
+     * Returns whether the agent may forget an ended attempt. An attempt that did not complete is kept until the agent
+     * refuses commands from the time of the attempt's start. Otherwise a duplicate start that arrives later would run
+     * the forgotten attempt again.
      */
     boolean mayForget(AttemptId id, TaskStatus task) {
         return task.cause() == TaskStatus.Cause.DONE
@@ -205,8 +224,9 @@
     }
 
     /**
-     * This controller commands the machine under the token. Missing messages from before a failover say nothing about
-     * the agent, which had no reason to send them here.
+     * Called when this controller commands the machine under this fencing token. A new token resets the contact time:
+     * before the failover the agent had no reason to send messages to this controller, so missing ones say nothing
+     * about it.
      */
     void onCommandedUnder(long fencingToken, Instant now) {
         if (fencingToken != commandedUnderToken) {
@@ -216,12 +236,12 @@
         }
     }
 
-    /** Whether an unresolved start, a spot notice or failed tasks may call for a change of records. */
+    /** Returns whether an unresolved start, a spot notice or failed tasks may require a change of records. */
     boolean mayNeedRecordChange() {
         return unresolvedStartToken != 0 || spotTerminationAt != null || !failures.isEmpty();
     }
 
-    /** Asks for reconciliation at this moment or earlier. */
+    /** Schedules a reconciliation at this time, unless an earlier one is scheduled. */
     void wakeAt(Instant at) {
         if (at.isBefore(nextWakeup)) {
             nextWakeup = at;
@@ -233,7 +253,7 @@
         return !nextWakeup.isAfter(now);
     }
 
-    /** It is being reconciled now; until it asks again, it is not due. */
+    /** Called when the agent is reconciled. It is not due again until {@link #wakeAt} is called. */
     void onReconciliation() {
         nextWakeup = Instant.MAX;
     }
--- a/src/main/java/org/gullway/coordination/agents/CommandChannel.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandChannel.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The state of direct commands to one agent: at most one batch is in flight, and failed ones are retried later. */
+/** Tracks the command batches to one agent. At most one batch is in flight, and failed batches are retried later. */
 final class CommandChannel {
     private static final Duration PROBE_INTERVAL = Duration.ofSeconds(1);
 
     private boolean inFlight;
     private Instant notBefore = Instant.MIN;
-    /** When the first of the unanswered commands was sent; null if the last command was answered. */
+    /** When the first unanswered command batch was sent; null if the last one was answered. */
     private Instant unansweredSince;
 
     private Instant probedAt = Instant.MIN;
@@ -31,34 +31,40 @@
         unansweredSince = null;
     }
 
-    /** The batch had no response, or none that is known of. */
+    /** Called when a batch has no known response. */
     void onFailed(Instant sentAt, Instant retryAt) {
         unansweredSince = unansweredSince == null ? sentAt : unansweredSince;
         onDeferred(retryAt);
     }
 
-    /** The batch was not sent for a reason that says nothing about the agent. */
+    /** Called when a batch was not sent for a reason that says nothing about the agent. */
     void onDeferred(Instant retryAt) {
         inFlight = false;
         notBefore = retryAt;
     }
 
-    /** Whether commands go unanswered; heartbeats alone do not show that the agent receives anything. */
+    /** Returns whether commands go unanswered. Heartbeats alone do not show that the agent receives anything. */
     boolean isUnanswered() {
         return unansweredSince != null;
     }
 
-    /** When the first of the unanswered commands was sent, or null. */
+    /** Returns when the first unanswered command batch was sent, or null if the last one was answered. */
     Instant unansweredSince() {
         return unansweredSince;
     }
 
-    /** Forgets unanswered commands, which another controller's period of command does not explain. */
+    /**
+     * Discards unanswered commands at a failover. Commands of an earlier period do not show whether the agent answers
+     * now.
+     */
     void clearUnanswered() {
         unansweredSince = null;
     }
 
-    /** Whether a batch without commands may be sent now, and if so counts it: limits their rate to an unresponsive agent. */
+    /**
+     * Returns whether a batch without commands (a probe) may be sent now, and if so counts it as sent. This limits the
+     * rate of probes to an unresponsive agent.
+     */
     boolean tryProbe(Instant now) {
         if (probedAt.plus(PROBE_INTERVAL).isAfter(now)) {
             return false;
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -13,18 +13,20 @@
 import org.gullway.protocol.Heartbeat;
 
 /**
- * Reconciles the agents that are due and issues their commands, one batch in flight for each agent.
+ * Reconciles the agents that are due and creates their command batches. Each agent has at most one batch in flight.
  *
- * <p>Only agents of which something has changed, or is due, are visited; an unchanged heartbeat costs no more than its
- * decoding.
+ * <p>Only agents whose state has changed, or whose wake-up time has come, are reconciled. An unchanged heartbeat costs
+ * no more than its decoding.
  */
 final class CommandDispatcher {
     private static final Duration RETRY_DELAY = Duration.ofMillis(500);
-    /** A change that the watch has not confirmed yet is expected after this delay. */
+    /**
+     * Delay before an agent is reconciled again if the watch has not delivered all changes up to its machine's record.
+     */
     private static final Duration WATCH_DELAY = Duration.ofMillis(30);
 
     private static final Duration BLOCKED_RETRY_DELAY = Duration.ofMillis(50);
-    /** With so many commands in flight, agents are not asked for what their heartbeats will say anyway. */
+    /** With this many batches in flight no probes are sent, since the next heartbeats carry the same information. */
     private static final int MAX_IN_FLIGHT_FOR_PROBES = 8;
 
     private final ClusterState clusterState;
@@ -48,7 +50,10 @@
         this.completionReporter = completionReporter;
     }
 
-    /** All commands that are due now, one batch for each machine; each batch must have exactly one outcome later. */
+    /**
+     * Returns all commands that are due now, in one batch for each machine. The caller must report exactly one outcome
+     * for each batch.
+     */
     List<CommandBatch> commandsDue(Instant now) {
         wakeChangedMachines(now);
         List<CommandBatch> batches = new ArrayList<>();
@@ -86,12 +91,12 @@
             agents.updateRecordChangeCandidates(record.name(), agent);
         }
         if (agent.lastContact().isBefore(now.minus(timing.contactTimeout()))) {
-            // It is most likely gone; a heartbeat would wake it at once.
+            // The agent is most likely unreachable. A heartbeat with a changed state wakes it at once.
             agent.wakeAt(now.plus(timing.interval()));
             return Optional.empty();
         }
         if (agent.commands().isInFlight()) {
-            // The outcome of its command wakes it.
+            // The outcome of the batch in flight wakes the agent.
             return Optional.empty();
         }
         if (!agent.commands().maySend(now) || window.isFull()) {
@@ -105,12 +110,13 @@
         boolean inContact = agents.isInContact(record, agent);
         boolean fenced = inContact && agent.isFenced(record);
         List<AgentCommand> commands = fenced ? planner.startsAndStops(record, agent) : List.of();
-        // A batch without commands asks the agent to confirm the fencing token and to list its tasks.
+        // A probe is a batch without commands. The response confirms the fencing token and lists the agent's tasks.
         boolean probe = needsProbe(record, agent, inContact, fenced);
         if (probe
                 && (window.inFlight() >= MAX_IN_FLIGHT_FOR_PROBES
                         || !agent.commands().tryProbe(now))) {
-            // Its heartbeat will most likely say the same: after a failover hundreds need it at once.
+            // The agent's next heartbeat most likely carries the same information. After a failover, hundreds of
+            // agents need a probe at once.
             probe = false;
             agent.wakeAt(now.plus(RETRY_DELAY));
         }
@@ -129,7 +135,7 @@
         return epochUnknown || (inContact && !fenced && last.fencingToken() < clusterState.fencingToken());
     }
 
-    /** Takes the outcome of a batch. */
+    /** Handles the outcome of a batch. */
     void onCommandOutcome(CommandBatch batch, CommandOutcome outcome, Instant now) {
         window.onOutcome(batch.sentAt(), outcome == CommandOutcome.ANSWERED, now);
         AgentState agent = agents.find(batch.machine());
@@ -157,7 +163,7 @@
         }
     }
 
-    /** How often any agent was visited. */
+    /** Returns how many times agents have been reconciled. */
     long reconciliations() {
         return reconciliations;
     }
--- a/src/main/java/org/gullway/coordination/agents/CommandPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandPlanner.java
@@ -14,8 +14,9 @@
 import org.gullway.protocol.TaskStatus;
 
 /**
- * Turns the difference between the placements on record for a machine and its agent's newest message into commands. The
- * agent must have confirmed the fencing token under which the machine is commanded.
+ * Turns the difference between the placements on record for a machine and its agent's newest message into commands.
+ * Before starts and stops are planned, the agent must have confirmed the fencing token under which the machine is
+ * commanded.
  */
 final class CommandPlanner {
     private static final Duration GRACE_MARGIN = Duration.ofSeconds(1);
@@ -26,7 +27,7 @@
         this.clusterState = clusterState;
     }
 
-    /** Commands to forget ended attempts that are not on record any more. */
+    /** Returns commands to forget ended attempts that are no longer on record. */
     List<AgentCommand> forgetCommands(MachineRecord record, AgentState agent) {
         if (agent.tasks().isEmpty()) {
             return List.of();
@@ -41,7 +42,10 @@
         return commands;
     }
 
-    /** Starts of attempts that are on record and not on the machine, stops of those that should not be there. */
+    /**
+     * Returns starts of attempts that are on record but not on the machine, and stops of attempts that must no longer
+     * run there.
+     */
     List<AgentCommand> startsAndStops(MachineRecord record, AgentState agent) {
         List<AgentCommand> commands = new ArrayList<>();
         Map<AttemptId, Placement> placements = clusterState.placementsOn(record.name());
@@ -68,12 +72,13 @@
         } else if (stop && !task.isEnded() && task.phase() != TaskStatus.Phase.SAVING) {
             commands.add(AgentCommand.stop(id.task(), id.attempt(), grace(job)));
         } else if (job.isCancelled() && task.phase() == TaskStatus.Phase.SAVING) {
-            // A stop for other work may have granted time to save, which a cancellation withdraws.
+            // An earlier stop, made to free the machine for other work, may have granted time to save a checkpoint.
+            // The cancellation withdraws that time.
             commands.add(AgentCommand.stop(id.task(), id.attempt(), Duration.ZERO));
         }
     }
 
-    /** Time to save a checkpoint that an attempt of the job gets when it is stopped. */
+    /** Returns the time that an attempt of the job gets to save a checkpoint when it is stopped. */
     static Duration grace(JobRecord job) {
         JobRequest request = job.request();
         return job.isCancelled() || !request.hasCheckpoints()
--- a/src/main/java/org/gullway/coordination/agents/CommandWindow.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandWindow.java
@@ -4,21 +4,24 @@
 import java.time.Instant;
 
 /**
- * How many command batches may be in flight: additive increase, multiplicative decrease. Slow responses show that this
- * controller is short of processor time. With more batches than it can follow, responses are read only after their
- * timeout, each start without a response costs a new fencing token, and each token costs more messages.
+ * Limits the number of command batches in flight by additive increase and multiplicative decrease. Slow responses show
+ * that this controller is short of processor time. With more batches in flight than it can process, it reads responses
+ * only after their timeout. Each start without a response costs a new fencing token, and each new token costs more
+ * messages.
  */
 final class CommandWindow {
     static final int MAX_SIZE = 128;
     static final int MIN_SIZE = 12;
-    /** Slower responses make the window smaller; the timeout of a command is several times as long. */
+    /** A response slower than this shrinks the window. The command timeout is several times as long. */
     static final Duration SLOW_RESPONSE = Duration.ofSeconds(1);
 
     private static final double DECREASE_FACTOR = 0.75;
 
     private double size = MAX_SIZE;
     private int inFlight;
-    /** Responses to commands from before the last decrease say nothing about the present size. */
+    /**
+     * Responses to commands sent before the last decrease are ignored: they do not reflect the current window size.
+     */
     private Instant decreasedAt = Instant.MIN;
 
     int inFlight() {
@@ -33,7 +36,10 @@
         inFlight++;
     }
 
-    /** Takes the outcome of a batch that was sent; one without a response says nothing about this controller. */
+    /**
+     * Handles the outcome of a batch. A missing response leaves the window unchanged, since it says nothing about the
+     * load of this controller.
+     */
     void onOutcome(Instant sentAt, boolean answered, Instant now) {
         inFlight--;
         if (!answered) {
--- a/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
@@ -17,12 +17,12 @@
 import org.gullway.coordination.model.Transaction;
 
 /**
- * Attempts that have certainly ended and whose completions are not on record yet. The record writer of a job (its owner,
- * or the leader) records the completions of all its tasks, so that a record has one writer and one change holds many
- * completions.
+ * Buffers attempts that have certainly ended until their completions are on record. Each job has one record writer:
+ * the job's owner, or the leader. The record writer records the completions of all tasks of the job, so that each
+ * record has a single writer and one change holds many completions.
  */
 public final class CompletionBuffer implements PlanningStep {
-    /** Completions of a job that goes on are on record after that, or earlier with its next placement. */
+    /** Completions of an unfinished job are recorded after this delay, or earlier together with its next placement. */
     private static final Duration MAX_DELAY = Duration.ofSeconds(8);
 
     private final ClusterState clusterState;
@@ -42,7 +42,10 @@
         this.clusterState = clusterState;
     }
 
-    /** Takes an attempt that has certainly ended; nothing happens if it is not on record as live, or is pending already. */
+    /**
+     * Adds an attempt that has certainly ended. Does nothing if the job's record does not list the attempt as live, or
+     * if the attempt is already buffered.
+     */
     public void add(AttemptId attempt, AttemptOutcome outcome, Instant now) {
         JobRecord job = clusterState.job(attempt.task().job());
         if (job == null || contains(attempt)) {
@@ -57,7 +60,10 @@
         }
     }
 
-    /** Lets the transaction use the resources of ended attempts before their completions are on record. */
+    /**
+     * Frees the resources of buffered attempts in the transaction, so that they can be used before the completions are
+     * on record.
+     */
     public void releaseResources(Transaction transaction) {
         pendingByJob.forEach((id, pending) -> {
             JobRecord job = clusterState.job(id);
@@ -71,13 +77,13 @@
         });
     }
 
-    /** Whether the attempt has certainly ended and its completion is not on record yet. */
+    /** Returns whether the attempt has certainly ended and its completion is not on record yet. */
     public boolean contains(AttemptId attempt) {
         PendingCompletions pending = pendingByJob.get(attempt.task().job());
         return pending != null && pending.outcomes.containsKey(attempt);
     }
 
-    /** Records the completions of jobs that end with them, which users wait for. */
+    /** Records completions that finish their job, since users wait for them, and completions of cancelled jobs. */
     public void planFinishedJobs(Transaction transaction) {
         plan(
                 transaction,
@@ -86,7 +92,10 @@
                                 >= job.request().tasks());
     }
 
-    /** Records completions of jobs that go on: at once with surplus changes, or else after the longest delay. */
+    /**
+     * Records the completions of unfinished jobs: at once if the store's rate limit has spare capacity, otherwise
+     * after {@link #MAX_DELAY}.
+     */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         boolean surplusChanges = context.hasSurplusChanges();
@@ -97,7 +106,8 @@
                         surplusChanges || pending.firstAddedAt.plus(MAX_DELAY).isBefore(now));
     }
 
-    // Instances are shared while nothing has changed; comparing values would cost as much as the change.
+    // An unchanged record is the same instance in the cluster state and in the transaction. Comparing the values would
+    // cost as much as recording the change.
     @SuppressWarnings("ReferenceEquality")
     private void plan(Transaction transaction, BiPredicate<JobRecord, PendingCompletions> due) {
         Iterator<Map.Entry<String, PendingCompletions>> entries =
@@ -119,7 +129,7 @@
         }
     }
 
-    /** Adds pending completions to the records that the transaction changes anyway. */
+    /** Adds buffered completions to the job records that the transaction changes anyway. */
     public void addToChangedJobs(Transaction transaction) {
         pendingByJob.forEach((id, pending) -> {
             if (transaction.changes().get(StoreKeys.job(id)) instanceof JobRecord job
@@ -129,7 +139,7 @@
         });
     }
 
-    /** Records those completions whose attempts the job still lists as live; false if there are none. */
+    /** Records the completions whose attempts the job still lists as live. Returns false if there are none. */
     private static boolean putCompletions(Transaction transaction, JobRecord job, PendingCompletions pending) {
         Map<Placement, AttemptOutcome> completions = new HashMap<>();
         for (Placement placement : job.livePlacements()) {
--- a/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
@@ -18,12 +18,15 @@
 import org.gullway.protocol.TaskStatus;
 
 /**
- * Observes which attempts have certainly ended on the machines commanded here, and reports them to the writers of their
- * jobs' records.
+ * Observes which attempts have certainly ended on the machines that this controller commands, and reports them to the
+ * controllers that write the records of their jobs.
  */
 final class CompletionReporter {
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(1500);
-    /** After that the completion is recorded here: the writer may be unreachable, or change again and again. */
+    /**
+     * This long after its first report, a completion is recorded by this controller: the record writer may be
+     * unreachable, or may change repeatedly.
+     */
     private static final Duration WRITER_TIMEOUT = Duration.ofSeconds(4);
 
     private final ClusterState clusterState;
@@ -37,7 +40,7 @@
         this.completionBuffer = completionBuffer;
     }
 
-    /** Reports the attempts that have certainly ended on the machine. */
+    /** Reports the attempts on the machine that have certainly ended. */
     void observe(MachineRecord record, AgentState agent, Instant now) {
         boolean fenced = agent.isFenced(record);
         clusterState.placementsOn(record.name()).forEach((id, placement) -> {
@@ -89,7 +92,7 @@
         }
     }
 
-    /** The controller that writes the job's record, or null while there is no leader for a reserved job. */
+    /** Returns the controller that writes the job's record, or null for a reserved job while there is no leader. */
     private String recordWriter(JobRecord job) {
         if (!job.isReserved()) {
             return job.owner();
@@ -98,14 +101,14 @@
         return leader == null ? null : leader.node();
     }
 
-    /** Completions to be sent to the writers of their jobs' records, by controller; each is returned once. */
+    /** Returns the queued completions by the controller that writes the job's record, and clears the queue. */
     Map<String, List<AttemptCompletion>> drainCompletions() {
         Map<String, List<AttemptCompletion>> drained = new TreeMap<>(pendingByWriter);
         pendingByWriter.clear();
         return drained;
     }
 
-    /** Takes completions that another controller has seen; outcomes unknown to this version are ignored. */
+    /** Handles completions that another controller has observed. Outcomes unknown to this version are ignored. */
     void onCompletions(Collection<AttemptCompletion> completions, Instant now) {
         for (AttemptCompletion completion : completions) {
             AttemptId id = new AttemptId(completion.task(), completion.attempt());
--- a/src/main/java/org/gullway/coordination/agents/CompletionReports.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionReports.java
@@ -7,13 +7,16 @@
 import java.util.Set;
 import org.gullway.coordination.model.AttemptId;
 
-/** When completions seen on one machine, which are not on record yet, were reported to the writer of their record. */
+/** Tracks when completions seen on one machine, but not on record yet, were reported to the job's record writer. */
 final class CompletionReports {
     private record Report(Instant first, Instant last) {}
 
     private final Map<AttemptId, Report> reports = new HashMap<>();
 
-    /** Whether the completion is to be reported now, and if so notes it as reported; repeated after the interval. */
+    /**
+     * Returns whether the completion is due to be reported, and if so marks it as reported now. A reported completion
+     * is due again after the retry interval.
+     */
     boolean tryReport(AttemptId id, Instant now, Duration retryInterval) {
         Report before = reports.get(id);
         if (before != null && before.last().plus(retryInterval).isAfter(now)) {
@@ -23,7 +26,7 @@
         return true;
     }
 
-    /** Whether the completion was reported for the first time before this moment. */
+    /** Returns whether the first report of the completion was made before the limit. */
     boolean isReportedBefore(AttemptId id, Instant limit) {
         Report report = reports.get(id);
         return report != null && report.first().isBefore(limit);
--- a/src/main/java/org/gullway/coordination/agents/FailureDetector.java
+++ b/src/main/java/org/gullway/coordination/agents/FailureDetector.java
@@ -15,19 +15,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides from missing heartbeats and unanswered commands which of the machines commanded here are unresponsive or lost.
+ * Detects unresponsive and lost machines among those that this controller commands, from missing heartbeats and
+ * unanswered commands.
  *
- * <p>A machine is unresponsive if a heartbeat is overdue, a lease expired while commands were answered, or commands go
- * unanswered: it takes no more tasks until it is responsive again, since reserved tasks placed there would wait until it
- * is declared lost. It is declared lost if it stays unreachable.
+ * <p>A machine is unresponsive if a heartbeat is overdue, if a lease expired while commands were answered, or if
+ * commands go unanswered. No tasks are placed on it until it is responsive again, since a reserved task placed there
+ * would wait until the machine is declared lost. A machine that stays unreachable is declared lost.
  */
 final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
-    /** An agent waits so long for a response before it turns to another controller. */
+    /** How long an agent waits for a heartbeat response before it tries another controller. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(4);
-    /** For a heartbeat's way here, beyond the longest interval between two of them. */
+    /** Time for a heartbeat to arrive, added to the longest interval between two heartbeats. */
     private static final Duration HEARTBEAT_MARGIN = Duration.ofSeconds(2);
-    /** A command unanswered for so long was not just cut short by a connection that ended. */
+    /** A command that is unanswered for this long was not merely cut short by a closed connection. */
     private static final Duration UNANSWERED_LIMIT = Duration.ofSeconds(3);
 
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
@@ -36,11 +37,14 @@
     private final HeartbeatTiming timing;
     private final PeerZones peerZones;
     private final AgentRegistry agents;
-    /** When each zone was last seen partitioned. */
+    /** When each zone was last found to be partitioned. */
     private final Map<String, Instant> zonePartitionedAt = new HashMap<>();
 
     private Instant checkedAt = Instant.MIN;
-    /** Since when heartbeats are accepted without a break; a heartbeat missing before says nothing about its agent. */
+    /**
+     * Since when this controller has accepted heartbeats without interruption; {@link Instant#MAX} while it refuses
+     * them. A heartbeat that was missing earlier says nothing about its agent.
+     */
     private Instant acceptingHeartbeatsSince = Instant.MAX;
 
     FailureDetector(ClusterState clusterState, HeartbeatTiming timing, PeerZones peerZones, AgentRegistry agents) {
@@ -50,7 +54,7 @@
         this.agents = agents;
     }
 
-    /** What one check has found. */
+    /** The result of one check of all agents. */
     private static final class CheckResult {
         private final List<MachineRecord> unreachable = new ArrayList<>();
         private final Map<String, Boolean> zoneResponsive = new HashMap<>();
@@ -70,7 +74,10 @@
         }
     }
 
-    /** How long a machine has to be unreachable before it is declared lost, if others are responsive. */
+    /**
+     * Returns how long a machine must be unreachable before it is declared lost, provided that any machine is
+     * responsive.
+     */
     private Duration lostAfter() {
         return timing.intervals(2).plus(RESPONSE_TIMEOUT);
     }
@@ -82,7 +89,8 @@
         checkedAt = now;
         Instant overdueLimit = now.minus(timing.longestInterval()).minus(HEARTBEAT_MARGIN);
         if (!acceptingHeartbeatsSince.isBefore(overdueLimit)) {
-            // During an outage of the state store the heartbeats of all agents were refused.
+            // Heartbeats have not been accepted for long enough. During an outage of the state store, the heartbeats
+            // of all agents are refused.
             return;
         }
         Instant lostLimit = now.minus(lostAfter());
@@ -119,7 +127,10 @@
         return agent.isOutboundPartitioned() || agent.unreachableSince().isBefore(limit);
     }
 
-    /** Whether the transaction changes the lifecycle now. */
+    /**
+     * Changes the lifecycle in the transaction. Returns false if the transaction already has this change or cannot
+     * take it.
+     */
     private static boolean changeLifecycle(Transaction transaction, MachineRecord record, MachineLifecycle lifecycle) {
         MachineRecord current = transaction.machine(record.name());
         if (current == null || current.lifecycle() == lifecycle || !transaction.canPutMachine(record.name())) {
@@ -130,9 +141,9 @@
     }
 
     /**
-     * Declares machines lost that are unreachable, also those whose heartbeats arrive but which answer no command: nothing
-     * can be started or stopped there. While no machine is responsive, the fault is more likely to be this controller's
-     * own network, and then it takes longer.
+     * Declares unreachable machines lost. This includes machines whose heartbeats arrive but whose agents answer no
+     * command, since nothing can be started or stopped there. If no machine is responsive, the fault is more likely in
+     * this controller's own network, and the limit is longer.
      */
     private void declareLost(Transaction transaction, CheckResult result, Instant now) {
         updatePartitionedZones(result.zoneResponsive, now);
@@ -160,15 +171,19 @@
     }
 
     /**
-     * A zone without a responsive machine, and without a member among its controllers, is most likely partitioned: its
-     * controllers keep renewing the leases there as the lease renewal policy allows, and the work is not lost.
+     * Returns whether a zone without a responsive machine is most likely partitioned: it has controllers, and none of
+     * them is a member. Those controllers keep renewing leases in the zone as far as the lease renewal policy allows,
+     * and running tasks are not lost.
      */
     private boolean isPartitioned(String zone) {
         List<String> controllers = peerZones.inZone(zone);
         return !controllers.isEmpty() && controllers.stream().noneMatch(clusterState.members()::containsKey);
     }
 
-    /** Whether the machine is waited for; once its zone is back, its agent has the usual time to send a heartbeat. */
+    /**
+     * Returns whether the machine is not declared lost yet because its zone is or was recently partitioned. When the
+     * partition ends, the agent has the usual time to send a heartbeat.
+     */
     private boolean isLossDeferredByPartition(MachineRecord record, Instant unreachableSince, Instant now) {
         Instant partitionedAt = zonePartitionedAt.getOrDefault(record.zone(), Instant.MIN);
         Instant deferralLimit = now.minus(lostAfter()).minus(peerZones.cancelLimit());
@@ -177,7 +192,10 @@
                 && !hasCancelledTasks(record);
     }
 
-    /** Tasks of cancelled jobs must be gone in time, and only the cloud can end them in a partitioned zone. */
+    /**
+     * Returns whether cancelled tasks are placed on the machine. They must end within the cancellation limit, and in a
+     * partitioned zone only the cloud provider can end them.
+     */
     private boolean hasCancelledTasks(MachineRecord record) {
         return clusterState.placementsOn(record.name()).keySet().stream()
                 .anyMatch(id -> clusterState.job(id.task().job()).isCancelled());
--- a/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
@@ -12,8 +12,8 @@
 import org.gullway.protocol.Heartbeat;
 
 /**
- * Takes agents' messages and decides how a heartbeat is answered. Accepting it renews the agent's lease, so each such
- * response carries the stops of cancelled tasks.
+ * Handles messages from agents and decides how to answer heartbeats. Accepting a heartbeat renews the agent's lease,
+ * so each such response contains the stops of cancelled tasks.
  */
 final class HeartbeatReceiver {
     private final ClusterState clusterState;
@@ -47,7 +47,8 @@
         }
         MachineRecord record = clusterState.machine(heartbeat.machine());
         if (record == null) {
-            // Only the cloud's response or list puts a machine on record: a heartbeat may be an old copy.
+            // A machine is put on record only by a response or listing of the cloud provider, since a heartbeat may be
+            // an old duplicate.
             return accepted(cancellationEnforcer.stopCommands(heartbeat), false);
         }
         if (!self.equals(record.controller())) {
@@ -66,7 +67,8 @@
     private HeartbeatResponse onReroutedHeartbeat(
             Heartbeat heartbeat, MachineRecord record, Optional<String> responsible, Instant now) {
         if (reroutes.tryAccept(record, now)) {
-            // Until its shard is taken over this renews the lease; a redirect to its controller would only fail.
+            // This renews the agent's lease until the machine's shard is taken over. The agent cannot reach the
+            // machine's controller, so a redirect there would fail.
             return accepted(cancellationEnforcer.stopCommands(heartbeat), true);
         }
         return responsible.isPresent()
@@ -87,7 +89,7 @@
         return accepted(commands, changed);
     }
 
-    /** Takes the agent's response to a command. */
+    /** Handles the agent's response to a command batch. */
     void onCommandResponse(Heartbeat response, Instant now) {
         AgentState agent = agents.find(response.machine());
         MachineRecord record = clusterState.machine(response.machine());
--- a/src/main/java/org/gullway/coordination/agents/HeartbeatResponse.java
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatResponse.java
@@ -3,21 +3,21 @@
 import java.util.List;
 import org.gullway.protocol.AgentCommand;
 
-/** How a heartbeat is answered. */
+/** The response to a heartbeat. */
 public sealed interface HeartbeatResponse {
     /**
-     * The agent's lease is renewed.
+     * The heartbeat is accepted, and the agent's lease is renewed.
      *
-     * @param changed whether the heartbeat may give this controller something to do
+     * @param changed whether the heartbeat may require an action of this controller
      */
     record Accepted(long fencingToken, List<AgentCommand> commands, boolean changed) implements HeartbeatResponse {}
 
-    /** The agent should send its heartbeats to this controller. */
+    /** The agent is told to send its heartbeats to the named controller. */
     record Redirect(String controller) implements HeartbeatResponse {}
 
-    /** No controller is known to command the machine: the agent should try the others. */
+    /** No controller is known to command the machine, and the agent is told to try the other controllers. */
     record RedirectToAny() implements HeartbeatResponse {}
 
-    /** This controller's cluster state is older than what the agent knows. */
+    /** The heartbeat is rejected: the agent knows a higher fencing token than this controller's cluster state. */
     record NotReady() implements HeartbeatResponse {}
 }
--- a/src/main/java/org/gullway/coordination/agents/HeartbeatTiming.java
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatTiming.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * What follows from the interval between heartbeats.
+ * Durations that are derived from the heartbeat interval.
  *
- * @param interval the stated interval; agents vary each one by up to a quarter
+ * @param interval the configured interval; agents vary each one by up to a quarter
  */
 record HeartbeatTiming(Duration interval) {
-    /** The longest interval between two heartbeats. */
+    /** Returns the longest interval between two heartbeats. */
     Duration longestInterval() {
         return intervals(5).dividedBy(4);
     }
 
-    /** An agent without contact for this time is neither sent commands nor given tasks. */
+    /** Returns how long an agent may be without contact before it gets neither commands nor tasks. */
     Duration contactTimeout() {
         return intervals(2);
     }
--- a/src/main/java/org/gullway/coordination/agents/JobFailureTracker.java
+++ b/src/main/java/org/gullway/coordination/agents/JobFailureTracker.java
@@ -9,25 +9,34 @@
 import org.gullway.coordination.model.JobRecord;
 
 /**
- * Distinguishes machines that fail the tasks of any job from jobs that fail on any machine. Jobs that were submitted
- * with a mistake fail until they are cancelled, which says nothing about the machines.
+ * Distinguishes faulty machines, which fail the tasks of any job, from faulty jobs, which fail on any machine. A job
+ * submitted with a mistake fails until it is cancelled, and its failures say nothing about the machines.
  */
 final class JobFailureTracker {
     private static final Duration FAILURE_WINDOW = Duration.ofMinutes(2);
-    /** A machine that failed tasks of so many other jobs, with no success in between, is faulty. */
+    /**
+     * A machine on which tasks of this many jobs failed, with no success in between, is faulty. Jobs that fail on
+     * every machine do not count.
+     */
     private static final int FAULTY_MACHINE_MIN_JOBS = 2;
-    /** A job that failed on so many machines here and has completed nothing fails by itself, not by the machines. */
+    /**
+     * A job that failed on this many machines of this controller and has completed no task fails because of the job
+     * itself.
+     */
     private static final int FAILING_JOB_MIN_MACHINES = 3;
 
     private final ClusterState clusterState;
-    /** Jobs that have failed lately here, and whether they do so on every machine. */
+    /** Jobs that have recently failed on machines of this controller, and whether each job fails on every machine. */
     private final Map<String, Boolean> failsEverywhere = new HashMap<>();
 
     JobFailureTracker(ClusterState clusterState) {
         this.clusterState = clusterState;
     }
 
-    /** Updates the failing jobs from the recent failures of these agents, which must be all that have any. */
+    /**
+     * Updates the failing jobs from the recent failures of these agents. The collection must contain all agents that
+     * have failures.
+     */
     void update(Collection<AgentState> agents, Instant now) {
         Map<String, Integer> machineCounts = new HashMap<>();
         for (AgentState agent : agents) {
@@ -35,7 +44,8 @@
                     .recentlyFailedJobs(now, FAILURE_WINDOW)
                     .forEach(job -> machineCounts.merge(job, 1, Integer::sum));
         }
-        // A verdict is kept while any machine remembers the job, whose record may end before that.
+        // The classification is kept while any agent's recent failures include the job. The job's record may be
+        // removed earlier.
         failsEverywhere.keySet().retainAll(machineCounts.keySet());
         machineCounts.forEach((id, machines) -> {
             JobRecord job = clusterState.job(id);
@@ -47,7 +57,7 @@
         });
     }
 
-    /** Whether the failures on this agent's machine are the machine's own. */
+    /** Returns whether the failures on this agent's machine are caused by the machine itself. */
     boolean isFaulty(AgentState agent, Instant now) {
         long jobs = agent.failures().recentlyFailedJobs(now, FAILURE_WINDOW).stream()
                 .filter(job -> !failsEverywhere.getOrDefault(job, false))
--- a/src/main/java/org/gullway/coordination/agents/OutcomeCode.java
+++ b/src/main/java/org/gullway/coordination/agents/OutcomeCode.java
@@ -3,7 +3,9 @@
 import java.util.Optional;
 import org.gullway.coordination.model.JobRecord.AttemptOutcome;
 
-/** The codes of attempt outcomes in the messages between controllers, which do not depend on the order of the enum. */
+/**
+ * Codes of attempt outcomes in messages between controllers. They do not depend on the order of the enum constants.
+ */
 final class OutcomeCode {
     private static final byte DONE = 0;
     private static final byte STOPPED = 1;
@@ -19,7 +21,7 @@
         };
     }
 
-    /** The outcome; empty if the code is not known to this version. */
+    /** Returns the outcome, or empty if this version does not know the code. */
     static Optional<AttemptOutcome> toOutcome(byte code) {
         return switch (code) {
             case DONE -> Optional.of(AttemptOutcome.DONE);
--- a/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
@@ -14,8 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Declares machines lost on which tasks of a cancelled job may still be when its limit is nearly over. The limit runs
- * from the cancellation, whoever has led or commanded since and however often the failure detector began anew.
+ * Declares a machine lost if a task of a cancelled job may still run on it when the job's cancellation limit has
+ * nearly expired. The limit runs from the cancellation. It is not extended by a change of the leader, by a change of
+ * the controller that commands the machine, or by a restart of failure detection.
  */
 final class OverdueCancellationPlanner {
     private static final Logger LOG = LoggerFactory.getLogger(OverdueCancellationPlanner.class);
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Whether the attempt has ended, and no command that could still arrive can start it. */
+    /** Returns whether the attempt has ended and no command that may still arrive can start it. */
     private boolean isConfirmedGone(MachineRecord record, AttemptId id) {
         AgentState agent = agents.find(record.name());
         if (!agents.isInContact(record, agent)
--- a/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
+++ b/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
@@ -7,11 +7,19 @@
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.MachineRecord;
 
-/** Decides whether a heartbeat is accepted although another controller commands the machine, or where to redirect it. */
+/**
+ * Decides how to answer heartbeats from machines that another controller commands: accept them, or redirect the agent.
+ */
 final class RerouteAdmission {
-    /** Beyond the longest interval between two heartbeats; an agent that no response reaches comes back far later. */
+    /**
+     * Added to the longest interval between two heartbeats. An agent that receives no responses takes far longer to
+     * come back.
+     */
     private static final Duration REROUTE_MARGIN = Duration.ofSeconds(1);
-    /** A rerouted heartbeat so many intervals after the first one counts as the first one again. */
+    /**
+     * A rerouted heartbeat that comes more than this many heartbeat intervals after the first one counts as a first
+     * one.
+     */
     private static final int REROUTE_INTERVALS = 10;
 
     private final ClusterState clusterState;
@@ -27,14 +35,20 @@
         this.shardFailover = shardFailover;
     }
 
-    /** The controller that commands the machine, or the one that takes it over; empty if there is no member. */
+    /**
+     * Returns the controller that commands the machine or, if that controller is not a member, the one that takes over
+     * the machine's shard. The result is empty if no member can take over.
+     */
     Optional<String> responsibleController(MachineRecord record) {
         return clusterState.isMember(record.controller())
                 ? Optional.of(record.controller().node())
                 : shardFailover.successor(clusterState.shard(clusterState.shardOf(record.name())));
     }
 
-    /** Whether an agent that was redirected is back, since it cannot reach its controller, and is accepted this time. */
+    /**
+     * Returns whether a rerouted heartbeat is accepted. The first one is redirected. If the agent comes back, it
+     * cannot reach the controller that commands its machine, and its heartbeats may be accepted.
+     */
     boolean tryAccept(MachineRecord record, Instant now) {
         RerouteState reroute = agents.getOrCreate(record.name(), now).reroute();
         if (!reroute.isStartedWithin(timing.intervals(REROUTE_INTERVALS), now)) {
@@ -44,8 +58,9 @@
         if (!clusterState.isMember(record.controller())) {
             return false;
         }
-        // An agent that no response reaches is rerouted as well. Its shard would change controllers again and again,
-        // and each time the failure detector would begin anew.
+        // An agent that receives no responses also tries one controller after another. Taking over its shard would not
+        // help: the shard would change controllers again and again, and each change would restart failure detection.
+        // So the shard is taken over only if the agent has come back soon after an accepted heartbeat.
         if (reroute.wasAcceptedWithin(timing.longestInterval().plus(REROUTE_MARGIN), now)) {
             shardFailover.onRerouted(clusterState.shardOf(record.name()));
         }
--- a/src/main/java/org/gullway/coordination/agents/RerouteState.java
+++ b/src/main/java/org/gullway/coordination/agents/RerouteState.java
@@ -3,7 +3,10 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Whether an agent sends its heartbeats here although another controller commands its machine, and how it was answered. */
+/**
+ * Tracks whether an agent sends its heartbeats to this controller although another controller commands its machine,
+ * and whether the last of these rerouted heartbeats was accepted.
+ */
 final class RerouteState {
     private static final Duration RETENTION = Duration.ofMinutes(1);
 
@@ -37,19 +40,25 @@
         return startedAt != null && !startedAt.plus(span).isBefore(now);
     }
 
-    /** Whether the agent's state is still of use although another controller commands the machine. */
+    /** Returns whether the agent's state is still needed although another controller commands the machine. */
     boolean isRetained(Instant now) {
         return startedAt != null && now.isBefore(startedAt.plus(RETENTION));
     }
 
-    /** Accepts every other heartbeat: an agent cut off from its controller alone must not stay where none commands it. */
+    /**
+     * Accepts every other heartbeat. An agent that cannot reach the controller of its machine, but can reach others,
+     * must not stay with a controller that does not command the machine.
+     */
     boolean tryAccept(Instant now) {
         acceptedLast = !acceptedLast;
         acceptedAt = acceptedLast ? now : null;
         return acceptedLast;
     }
 
-    /** Whether the last heartbeat was accepted within this span: the agent came back, so it receives responses. */
+    /**
+     * Returns whether the last rerouted heartbeat was accepted and came within this time span. An agent that is back
+     * this soon has received the response.
+     */
     boolean wasAcceptedWithin(Duration span, Instant now) {
         return acceptedAt != null && !acceptedAt.plus(span).isBefore(now);
     }
--- a/src/main/java/org/gullway/coordination/agents/SchedulableMachines.java
+++ b/src/main/java/org/gullway/coordination/agents/SchedulableMachines.java
@@ -7,7 +7,7 @@
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.MachineRecord;
 
-/** Selects the machines commanded here that can be given tasks now. */
+/** Selects the machines commanded by this controller on which tasks can be placed now. */
 final class SchedulableMachines {
     private final ClusterState clusterState;
     private final HeartbeatTiming timing;
--- a/src/main/java/org/gullway/coordination/agents/SpotNoticePlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/SpotNoticePlanner.java
@@ -10,11 +10,11 @@
 import org.gullway.coordination.model.Transaction;
 
 /**
- * Acts on spot notices: tasks with checkpoints are stopped in time to save one, and at the end of the notice the machine
- * is released without waiting for the failure detector.
+ * Acts on spot notices. Tasks with checkpoints are stopped early enough to save one. When the notice period ends, the
+ * machine is declared lost, so that it is released without waiting for the failure detector.
  */
 final class SpotNoticePlanner {
-    /** For a stop command to reach the agent. */
+    /** Time for a stop command to reach the agent. */
     private static final Duration STOP_MARGIN = Duration.ofSeconds(1);
 
     private final ClusterState clusterState;
--- a/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
+++ b/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
@@ -11,9 +11,9 @@
 import org.gullway.protocol.AgentCommand;
 
 /**
- * Decides at the moment of sending whether a task may be started: its placement is on record, this controller commands
- * the machine in that agent epoch, and the fencing token is the present one. Whether the controller holds a valid lease
- * is the caller's to check.
+ * Decides immediately before sending whether a task may be started. Its placement must be on record, this controller
+ * must command the machine in the batch's agent epoch, and the batch must have the current fencing token. The caller
+ * checks whether this controller holds a valid lease.
  */
 public final class StartAuthorization {
     private final ClusterState clusterState;
@@ -24,7 +24,7 @@
         this.self = self;
     }
 
-    /** Why the start must not be sent; empty if it may be. */
+    /** Returns why the start must not be sent, or empty if it may be sent. */
     public Optional<String> denialReason(CommandBatch batch, AgentCommand start) {
         MachineRecord machine = clusterState.machine(batch.machine());
         if (machine == null || !machine.isUp() || !self.equals(machine.controller())) {
@@ -54,7 +54,7 @@
                 && !placement.stopping();
     }
 
-    /** Revision of the job's record that the command follows. */
+    /** Returns the revision of the job record on which the command is based. */
     public long revision(AgentCommand command) {
         return clusterState.version(StoreKeys.job(command.task().job()));
     }
--- a/src/main/java/org/gullway/coordination/agents/TaskFailures.java
+++ b/src/main/java/org/gullway/coordination/agents/TaskFailures.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The jobs of which tasks failed on one machine, with no successful task there since. */
+/** The jobs whose tasks have failed on one machine since the last successful task there. */
 final class TaskFailures {
     private final Map<String, Instant> lastFailureByJob = new HashMap<>();
 
@@ -23,7 +23,7 @@
         return lastFailureByJob.isEmpty();
     }
 
-    /** Jobs that failed within the window; older failures are dropped. */
+    /** Returns the jobs whose tasks failed within the window, and drops older failures. */
     Set<String> recentlyFailedJobs(Instant now, Duration window) {
         lastFailureByJob.values().removeIf(at -> at.plus(window).isBefore(now));
         return new HashSet<>(lastFailureByJob.keySet());
--- a/src/main/java/org/gullway/coordination/agents/WakeupQueue.java
+++ b/src/main/java/org/gullway/coordination/agents/WakeupQueue.java
@@ -6,8 +6,8 @@
 import java.util.PriorityQueue;
 
 /**
- * When machines have to be reconciled. Finding those that are due takes time in proportion to their number, not to the
- * number of all machines.
+ * Schedules when machines are reconciled. Finding the machines that are due takes time in proportion to their number,
+ * not to the number of all machines.
  */
 final class WakeupQueue {
     private record Wakeup(Instant at, long order, String machine) implements Comparable<Wakeup> {
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Takes out all entries that are due by now, the earliest first. A machine may be among them several times, and may
-     * have been reconciled since it was added.
+     * Removes all entries that are due and returns their machines, the earliest first. A machine may be listed several
+     * times, and it may have been reconciled since its entry was added.
      */
     List<String> pollDue(Instant now) {
         List<String> due = new ArrayList<>();
@@ -37,7 +37,7 @@
         return due;
     }
 
-    /** Entries that are not due yet. */
+    /** Returns the number of entries that have not been polled. */
     int size() {
         return queue.size();
     }
--- a/src/main/java/org/gullway/coordination/agents/package-info.java
+++ b/src/main/java/org/gullway/coordination/agents/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Reconciles the agents on machines with the records.
+ * Reconciles the agents on machines with the records in the cluster state.
  *
- * <p>{@link org.gullway.coordination.agents.AgentReconciler} is the entrance. Heartbeats go to the heartbeat receiver,
- * commands come from the command dispatcher, completions go through the completion reporter to the buffer of the record
- * writer, and several planning parts change records: agent epochs, spot notices, faulty, unresponsive and lost machines.
+ * <p>{@link org.gullway.coordination.agents.AgentReconciler} is the entry point. The heartbeat receiver handles
+ * heartbeats, and the command dispatcher creates commands. The completion reporter passes completions to the
+ * completion buffer of the controller that writes the job's record. Several planners change records: they record agent
+ * epochs, act on spot notices, and handle faulty, unresponsive and lost machines.
  */
 package org.gullway.coordination.agents;
