--- a/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
@@ -17,13 +17,13 @@
 import org.gullway.protocol.TaskStatus;
 
 /**
- * Ends the tasks of cancelled jobs within the cancellation limit. Stopping them is always safe, so it needs no valid
- * lease: each heartbeat response carries the stops, and a controller that has lost the state store also sends them
- * directly. A machine that does not confirm a stop is released before the limit, since only the cloud can end a task on
- * a machine that hangs; the records follow later.
+ * Ends the tasks of cancelled jobs within the cancellation limit. Stopping a task is always safe and therefore needs
+ * no valid lease. Each response that renews an agent's lease contains the stops, and a controller that cannot reach
+ * the state store also sends them directly to the agents. A machine that does not confirm a stop is released before
+ * the limit, since only the cloud provider can end a task on a machine that hangs. The records are updated later.
  */
 public final class CancellationEnforcer {
-    /** The last quarter of the limit is kept for the release of the machine, which may have to be retried. */
+    /** The last quarter of the limit is reserved for releasing the machine, which may have to be retried. */
     private static final int RELEASE_DIVISOR = 4;
 
     private final KnownCancellations cancellations;
@@ -37,32 +37,33 @@
         this.releaseDelay = cancelLimit.minus(cancelLimit.dividedBy(RELEASE_DIVISOR));
     }
 
-    /** Adds a cancelled job that a peer has listed. */
+    /** Adds a cancelled job from a peer's list. */
     public void merge(PeerCancellations.CancelledJob job, Instant now) {
         cancellations.merge(job, now);
     }
 
-    /** Adds the job of a record that was read by key, if it is cancelled. */
+    /** Adds the job of a record that was read from the state store by key, if the job is cancelled. */
     public void merge(JobRecord record, Instant now) {
         cancellations.merge(record, now);
     }
 
-    /** All cancelled jobs known here whose tasks may still be on machines. */
+    /** Returns all cancelled jobs known to this controller whose tasks may still be on machines. */
     public List<PeerCancellations.CancelledJob> knownCancellations() {
         return cancellations.jobs();
     }
 
     /**
-     * Called when this controller holds a valid lease again: from then on the records say which attempts are gone.
+     * Called when this controller holds a valid lease again. From then on the records, not the responses to direct
+     * stops, show which attempts are gone.
      *
-     * @param knownThrough the moment up to which all commits are contained in the cluster state
+     * @param knownThrough the time up to which the cluster state contains all commits
      */
     public void onLeaseRegained(Instant knownThrough) {
         directStops.reset();
         cancellations.discardReceivedBefore(knownThrough);
     }
 
-    /** Stops for the cancelled tasks that a heartbeat lists as live, for its response. */
+    /** Returns stops for the cancelled tasks that a heartbeat lists as live, to be sent in its response. */
     public List<AgentCommand> stopCommands(Heartbeat heartbeat) {
         List<AgentCommand> stops = new ArrayList<>();
         for (TaskStatus task : heartbeat.tasks()) {
@@ -73,7 +74,10 @@
         return stops;
     }
 
-    /** Whether a cancelled task is on record there that the agent does not list, so that its start may yet arrive. */
+    /**
+     * Returns whether a cancelled task on record for the machine is missing from the heartbeat, so that its start may
+     * still arrive.
+     */
     boolean mayReceiveCancelledStart(MachineRecord machine, Heartbeat heartbeat) {
         Set<AttemptId> listed = new HashSet<>();
         for (TaskStatus task : heartbeat.tasks()) {
@@ -87,7 +91,10 @@
         return false;
     }
 
-    /** Whether a task of this job should have been gone by now, so that its machine has to be released instead. */
+    /**
+     * Returns whether the job's tasks should have ended by now, so that the machines on which they may run must be
+     * released instead.
+     */
     public boolean isOverdue(JobRecord job, Instant timeOfDay) {
         return job.isCancelled() && isOverdue(job.cancelledAt(), timeOfDay);
     }
@@ -96,22 +103,31 @@
         return cancelledAt.plus(releaseDelay).isBefore(timeOfDay);
     }
 
-    /** Direct stops for all machines on which cancelled tasks may be, whichever controller commands them. */
+    /**
+     * Returns direct stops that are due for all machines on which cancelled tasks may run, whichever controller
+     * commands them.
+     */
     public List<CommandBatch> directStopsDue(Instant now) {
         return directStops.takeDueBatches(cancellations.remainingAttempts(), now);
     }
 
-    /** Called when a direct stop has ended, with or without a response. */
+    /** Called when a direct stop has a response or has failed without one. */
     public void onDirectStopEnded(CommandBatch batch, Instant now) {
         directStops.onBatchEnded(batch, now);
     }
 
-    /** Takes the response to a direct command; a heartbeat would not do, since it may be an old copy. */
+    /**
+     * Handles the response to a direct stop. Heartbeats must not be passed to this method, since they may be old
+     * duplicates.
+     */
     public void onDirectStopResponse(Heartbeat response) {
         directStops.onResponse(response, cancellations.remainingAttempts());
     }
 
-    /** Machines to be released now, since their cancelled tasks cannot be stopped otherwise. */
+    /**
+     * Returns the machines that must be released now because their cancelled tasks were not confirmed to be gone in
+     * time.
+     */
     public Set<String> machinesToRelease(Instant timeOfDay) {
         Set<String> machines = new HashSet<>();
         for (RemainingAttempt attempt : cancellations.remainingAttempts()) {
--- a/src/main/java/org/gullway/coordination/cancellation/CancellationWatermark.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationWatermark.java
@@ -9,14 +9,15 @@
 import org.gullway.coordination.model.Incarnation;
 
 /**
- * The moment up to which every confirmed cancellation is surely known to this controller.
+ * The time up to which this controller certainly knows every confirmed cancellation.
  *
- * <p>The state store proves this for everything committed before the last answered watch was sent. During an outage of
- * the store, each peer proves it for what that peer itself has confirmed: it lists all cancelled jobs that it knows.
- * The list covers every process of the peer's node if the process that answers is a member in the cluster state: earlier
- * processes ended before it joined, so their commits are in the cluster state, and there is no later one while it lives.
- * The moment at which the request was sent counts, so a delayed response is safe. A peer that is unreachable, or has
- * restarted and is not yet a member here, does not advance the watermark.
+ * <p>The state store proves this for everything that was committed before the last answered watch was sent. During an
+ * outage of the store, each peer proves it for what the peer itself has confirmed, by listing all cancelled jobs that
+ * it knows. The list covers every process of the peer's node if the process that answers is a member in the cluster
+ * state: earlier processes ended before it joined, so their commits are in the cluster state, and no later process
+ * exists while this one lives. The time at which the request was sent counts, so a delayed response is safe. A peer
+ * does not advance the watermark if it is unreachable, or if it has restarted and is not yet a member in this
+ * controller's cluster state.
  */
 public final class CancellationWatermark {
     private final ClusterState clusterState;
@@ -41,9 +42,10 @@
     }
 
     /**
-     * The watermark: the least over all peers, and never less than what the state store proves for all of them.
+     * Returns the watermark: the minimum over all peers, but not less than what the state store proves for all of
+     * them.
      *
-     * @param storeKnownThrough the moment up to which all commits are known from the state store
+     * @param storeKnownThrough the time up to which all commits are known from the state store
      */
     public Instant knownThrough(Instant storeKnownThrough) {
         if (peers.isEmpty()) {
--- a/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
+++ b/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
@@ -18,8 +18,9 @@
 import org.gullway.protocol.TaskStatus;
 
 /**
- * Stop commands that a controller without a valid lease sends straight to the agents, and what their responses have
- * shown. They are repeated until a response shows that the attempt is gone; one batch is in flight for each machine.
+ * Stop commands that a controller without a valid lease sends directly to the agents, and the attempts that the
+ * responses show to be gone. A stop is repeated until a response shows that the attempt is gone. Each machine has at
+ * most one batch in flight.
  */
 final class DirectStops {
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
@@ -27,7 +28,7 @@
 
     private final ClusterState clusterState;
     private final Set<AttemptId> confirmedGone = new HashSet<>();
-    /** By machine; {@link Instant#MAX} while a batch is in flight. */
+    /** The earliest time of the next batch, by machine; {@link Instant#MAX} while a batch is in flight. */
     private final Map<String, Instant> nextBatchAt = new HashMap<>();
 
     private int inFlight;
@@ -36,7 +37,7 @@
         this.clusterState = clusterState;
     }
 
-    /** Forgets what responses have shown. Batches in flight still count until they end. */
+    /** Discards what responses have shown. Batches in flight still count until they end. */
     void reset() {
         confirmedGone.clear();
         nextBatchAt.clear();
@@ -46,7 +47,7 @@
         return confirmedGone.contains(attempt);
     }
 
-    /** The batches to be sent now, whichever controller commands the machines. */
+    /** Returns the batches to be sent now, whichever controller commands the machines. */
     List<CommandBatch> takeDueBatches(List<RemainingAttempt> remaining, Instant now) {
         List<CommandBatch> batches = new ArrayList<>();
         stopsByMachine(remaining).forEach((name, stops) -> {
@@ -77,13 +78,13 @@
         return !nextBatchAt.getOrDefault(machine, Instant.MIN).isAfter(now);
     }
 
-    /** The batch has ended, with or without a response. */
+    /** Called when a batch has a response or has failed without one. */
     void onBatchEnded(CommandBatch batch, Instant now) {
         inFlight--;
         nextBatchAt.computeIfPresent(batch.machine(), (name, inFlightMarker) -> now.plus(RETRY_DELAY));
     }
 
-    /** Marks as gone what the response of an agent shows to be gone. */
+    /** Marks the attempts as gone that an agent's response shows to be gone. */
     void onResponse(Heartbeat response, List<RemainingAttempt> remaining) {
         Set<AttemptId> live = new HashSet<>();
         for (TaskStatus task : response.tasks()) {
@@ -93,7 +94,8 @@
         }
         for (RemainingAttempt attempt : remaining) {
             if (attempt.machine().equals(response.machine()) && isGone(attempt, response.agentEpoch(), live)) {
-                // A start that arrives later ends with the lease: nobody renews it while the start may be on its way.
+                // If a start arrives later, its task ends when the agent's lease expires: no controller renews the
+                // lease while the start may still arrive.
                 confirmedGone.add(attempt.id());
             }
         }
--- a/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
+++ b/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
@@ -15,12 +15,12 @@
 import org.gullway.protocol.TaskId;
 
 /**
- * All cancellations known to this controller: those in the cluster state, and those that it received from a peer or
- * read by key before the watch has delivered them.
+ * All cancellations known to this controller: those in the cluster state, and those that were received from a peer or
+ * read from the state store by key before the watch delivered them.
  */
 final class KnownCancellations {
     private final ClusterState clusterState;
-    /** By job; entries stay after the watch has delivered the record, and are ignored from then on. */
+    /** By job. An entry stays after the watch has delivered the job's record, and is ignored from then on. */
     private final Map<String, ReceivedCancellation> received = new LinkedHashMap<>();
 
     private record ReceivedCancellation(CancelledJob job, Instant receivedAt) {}
@@ -33,26 +33,26 @@
         return clusterState.isCancelled(job) || received.containsKey(job);
     }
 
-    /** Adds a cancelled job that a peer has listed. */
+    /** Adds a cancelled job from a peer's list. */
     void merge(CancelledJob job, Instant now) {
         if (!clusterState.isCancelled(job.id())) {
             received.putIfAbsent(job.id(), new ReceivedCancellation(job, now));
         }
     }
 
-    /** Adds the job of a record that was read by key, if it is cancelled. */
+    /** Adds the job of a record that was read from the state store by key, if the job is cancelled. */
     void merge(JobRecord record, Instant now) {
         if (record.isCancelled()) {
             merge(toCancelledJob(record), now);
         }
     }
 
-    /** Removes what was received before the cluster state had caught up, since it is contained there now. */
+    /** Removes cancellations that were received before this time, since the cluster state contains them by now. */
     void discardReceivedBefore(Instant knownThrough) {
         received.values().removeIf(each -> each.receivedAt().isBefore(knownThrough));
     }
 
-    /** All cancelled jobs whose tasks may still be on machines. */
+    /** Returns all cancelled jobs whose tasks may still be on machines. */
     List<CancelledJob> jobs() {
         List<CancelledJob> jobs = new ArrayList<>();
         for (JobRecord job : clusterState.jobs()) {
@@ -64,7 +64,7 @@
         return jobs;
     }
 
-    /** All attempts of cancelled jobs that may still exist. */
+    /** Returns all attempts of cancelled jobs that may still exist. */
     List<RemainingAttempt> remainingAttempts() {
         List<RemainingAttempt> remaining = new ArrayList<>();
         for (JobRecord job : clusterState.jobs()) {
@@ -91,7 +91,10 @@
         return remaining;
     }
 
-    /** A machine that was released, or is in a newer agent epoch, has none of its former attempts. */
+    /**
+     * Adds the attempt unless its machine was released or is in a newer agent epoch, which ends all earlier attempts
+     * on it.
+     */
     private void addIfOnRecord(List<RemainingAttempt> remaining, RemainingAttempt attempt) {
         MachineRecord machine = clusterState.machine(attempt.machine());
         if (machine != null && machine.agentEpoch() == attempt.agentEpoch()) {
--- a/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -10,28 +10,33 @@
 import org.gullway.protocol.Heartbeat;
 
 /**
- * Decides whether the lease of an agent may be renewed, which a successful heartbeat response does.
+ * Decides whether the lease of an agent may be renewed. A successful heartbeat response renews it.
  *
- * <p><b>The bound on every renewal.</b> A cancellation that is not known here was confirmed after the cancellation
- * watermark (see {@link CancellationWatermark}). So no controller, with or without a valid lease of its own, renews an
- * agent's lease later than the watermark plus the cancellation limit minus the agent's lease time. The agent itself then
- * ends every task of such a job within the limit, whichever controllers crash and whatever messages are lost.
+ * <p><b>The bound on every renewal.</b> A cancellation that this controller does not know was confirmed after the
+ * cancellation watermark (see {@link CancellationWatermark}). So no controller, with or without a valid lease of its
+ * own, renews an agent's lease later than the watermark plus the cancellation limit minus the duration of the agent's
+ * lease. When the lease expires, the agent itself ends every task of such a job within the limit, whichever
+ * controllers crash and whatever messages are lost.
  *
- * <p><b>Without a valid lease</b> (in a zone that is cut off, or while the state store is unavailable to all) leases are
- * renewed under the same bound, so that running tasks go on. Nothing is started, and only agents are served that seem
- * to reach no other controller: those that return after a rejection here, those that another controller commands, and
- * all of them while nothing from outside reaches this controller. Two kinds are rejected: an agent that knows a higher
- * fencing token, since another controller commands it by now; and a machine on which the start of a cancelled task may
- * still arrive. Cancelled tasks that the heartbeat lists are stopped by the response that renews the lease.
+ * <p><b>Without a valid lease</b> (in a partitioned zone, or while the state store is unavailable to all controllers),
+ * leases are renewed under the same bound, so that running tasks continue. Nothing is started. A lease is renewed only
+ * if its agent seems to reach no other controller: the agent returns after this controller rejected it, or another
+ * controller commands its machine, or this controller has no external contact at all. Two kinds of agents are
+ * rejected: an agent that knows a higher fencing token, since another controller commands its machine by now, and an
+ * agent on whose machine the start of a cancelled task may still arrive. Cancelled tasks that a heartbeat lists are
+ * stopped by the response that renews the lease.
  */
 public final class LeaseRenewalPolicy {
-    /** Health checks arrive about once a second; after a gap of this length the outside is cut off. */
+    /** Health checks arrive about once a second. After a gap of this length, this controller counts as isolated. */
     private static final Duration EXTERNAL_CONTACT_TIMEOUT = Duration.ofMillis(2500);
 
     /** An agent that returns within this time after a rejection has found no other controller. */
     private static final Duration RETURN_WINDOW = Duration.ofSeconds(25);
 
-    /** Monotonic clocks drift by 0.05% each: the controller's, the agent's, and the steps of their timers. */
+    /**
+     * The limit is reduced by this fraction for clock drift. The monotonic clocks of the controller and the agent, and
+     * the steps of their timers, drift by up to 0.05% each.
+     */
     private static final long DRIFT_DIVISOR = 500;
 
     private static final Duration CLOCK_SLACK = Duration.ofMillis(250);
@@ -40,7 +45,7 @@
     private final Incarnation self;
     private final CancellationEnforcer cancellationEnforcer;
     private final Duration renewalWindow;
-    /** When an agent last asked for a renewal that was safe, by machine. */
+    /** When each machine's agent last asked for a renewal that was safe to grant. */
     private final Map<String, Instant> lastRequestAt = new HashMap<>();
 
     private Instant lastExternalContact = Instant.MIN;
@@ -65,7 +70,7 @@
     }
 
     /**
-     * Whether any lease may be renewed now.
+     * Returns whether any lease may be renewed now.
      *
      * @param knownThrough the cancellation watermark
      */
@@ -74,8 +79,8 @@
     }
 
     /**
-     * Whether this agent's lease is renewed although this controller holds no valid lease, provided that {@link
-     * #mayRenew} allows any renewal.
+     * Returns whether this agent's lease is renewed although this controller holds no valid lease, provided that
+     * {@link #mayRenew} allows any renewal.
      */
     public boolean mayRenewDuringOutage(Heartbeat heartbeat, Instant now) {
         MachineRecord machine = clusterState.machine(heartbeat.machine());
@@ -96,12 +101,15 @@
                 && !cancellationEnforcer.mayReceiveCancelledStart(machine, heartbeat);
     }
 
-    /** A zone that is cut off does not have the time that an agent needs to try the other controllers in vain. */
+    /**
+     * Returns whether this controller has had no external contact lately. Its zone is then most likely partitioned,
+     * and agents there do not have the time to try the other controllers in vain first.
+     */
     private boolean isIsolated(Instant now) {
         return lastExternalContact.plus(EXTERNAL_CONTACT_TIMEOUT).isBefore(now);
     }
 
-    /** Called for each request of a user, a health check or a peer, and for each response of a peer. */
+    /** Called for each request from a user, a health check or a peer, and for each response from a peer. */
     public void onExternalContact(Instant now) {
         lastExternalContact = now;
     }
