--- a/src/main/java/org/gullway/coordination/command/CommandBatch.java
+++ b/src/main/java/org/gullway/coordination/command/CommandBatch.java
@@ -5,12 +5,12 @@
 import org.gullway.protocol.AgentCommand;
 
 /**
- * Commands to be sent to one agent together.
+ * Commands that are sent to one agent in one request.
  *
- * @param address where the agent takes commands
- * @param fencingToken the agent refuses the commands if it knows a higher one
- * @param agentEpoch the only agent epoch in which the agent executes the commands
- * @param sentAt when the batch was planned, which is just before it is sent
+ * @param address the agent's address for commands
+ * @param fencingToken an agent that has confirmed a higher fencing token refuses the commands
+ * @param agentEpoch the agent executes the commands only in this agent epoch
+ * @param sentAt when the batch was planned, immediately before it is sent
  */
 public record CommandBatch(
         String machine,
@@ -19,12 +19,12 @@
         long agentEpoch,
         List<AgentCommand> commands,
         Instant sentAt) {
-    /** Whether any of the commands starts an attempt. */
+    /** Returns whether any of the commands starts an attempt. */
     public boolean hasStarts() {
         return commands.stream().anyMatch(command -> command.kind() == AgentCommand.Kind.START);
     }
 
-    /** The same batch with these commands instead. */
+    /** Returns a copy of the batch that contains these commands instead. */
     public CommandBatch withCommands(List<AgentCommand> replacement) {
         return new CommandBatch(machine, address, fencingToken, agentEpoch, replacement, sentAt);
     }
--- a/src/main/java/org/gullway/coordination/command/package-info.java
+++ b/src/main/java/org/gullway/coordination/command/package-info.java
@@ -1,2 +1,2 @@
-/** Batches of commands to agents and their outcomes. */
+/** Command batches for agents, and their outcomes. */
 package org.gullway.coordination.command;
