--- a/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
+++ b/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
@@ -18,7 +18,7 @@
 import org.gullway.protocol.TaskStatus.Cause;
 import org.gullway.protocol.TaskStatus.Phase;
 
-/** An agent reconciler with two members in its cluster state, and the means to plan, place and send heartbeats. */
+/** An agent reconciler whose cluster state has two members, with helpers to place tasks, send heartbeats, and plan. */
 abstract class AgentReconcilerFixture {
     static final TaskId TASK = new TaskId("run-000001", 0);
 
@@ -53,7 +53,7 @@
                 List.of(tasks));
     }
 
-    /** One scheduling cycle's steps for agents and completions, committed. */
+    /** Runs one scheduling cycle's steps for agents and completions, and commits the transaction. */
     Transaction planAndCommit() {
         Transaction transaction =
                 new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
@@ -89,7 +89,7 @@
                 new Heartbeat(machine, "10.1.0.1:9000", "large", "a", true, 1, ++sequence, 1, null, List.of()), now);
     }
 
-    /** The machine's agent lists a failed attempt of this task of each job. */
+    /** Sends a heartbeat that lists a failed attempt of this task of each job. */
     void failTasks(String machine, int task, String... jobs) {
         List<TaskStatus> tasks = Stream.of(jobs)
                 .map(job -> new TaskStatus(new TaskId(job, task), task + 1, Phase.ENDED, Cause.ERROR, false))
--- a/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
+++ b/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
@@ -11,10 +11,10 @@
 import org.gullway.protocol.TaskStatus.Phase;
 import org.junit.jupiter.api.Test;
 
-/** When agents are visited, and which commands they are sent. */
+/** Tests when agents are reconciled and which commands they are sent. */
 class CommandDispatcherTest extends AgentReconcilerFixture {
     @Test
-    void recordsAnAgentEpochBeforeItStartsTasksInIt() {
+    void recordsAnAgentEpochBeforeStartingTasksInIt() {
         TestFixtures.put(
                 clusterState,
                 MachineRecord.booting("vm-1", "large", "a", true, TestFixtures.TIME_OF_DAY, TestFixtures.SELF, 1),
@@ -26,7 +26,7 @@
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> {
             assertThat(batch.commands())
-                    .as("asks for a confirmation of the fencing token first")
+                    .as("a probe asks the agent to confirm the fencing token first")
                     .isEmpty();
             reconciler.onCommandResponse(heartbeat(1, 1, null), now);
             reconciler.onCommandOutcome(batch, CommandOutcome.ANSWERED, now);
@@ -37,7 +37,7 @@
         });
     }
 
-    /** An agent whose epoch is not on record yet must not be probed again after every response. */
+    /** An agent whose agent epoch is not on record yet must not be probed again after every response. */
     @Test
     void doesNotProbeAnAgentInANewEpochRepeatedly() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
@@ -49,7 +49,10 @@
         }
     }
 
-    /** After a start with unknown outcome the fencing token rises; its confirmation rules out that the start still arrives. */
+    /**
+     * After a start with unknown outcome the fencing token rises. Once the agent confirms it, the start can no longer
+     * arrive.
+     */
     @Test
     void raisesTheFencingTokenAfterAStartWithUnknownOutcome() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
@@ -64,9 +67,12 @@
                 .isEmpty());
     }
 
-    /** A cycle costs as much as has changed: unchanged heartbeats of a thousand agents cause no visit. */
+    /**
+     * The cost of a cycle depends on the number of changes: unchanged heartbeats from 1000 agents cause no
+     * reconciliation.
+     */
     @Test
-    void visitsOnlyAgentsOfWhichSomethingHasChanged() {
+    void reconcilesOnlyAgentsWhoseStateHasChanged() {
         int machines = 1000;
         for (int i = 1; i <= machines; i++) {
             TestFixtures.put(clusterState, TestFixtures.machine("vm-" + i, "large", TestFixtures.SELF), ++revision);
@@ -82,7 +88,7 @@
             assertThat(reconciler.commandsDue(now)).isEmpty();
         }
         assertThat(reconciler.reconciliations() - before)
-                .as("visits of unchanged agents")
+                .as("reconciliations of unchanged agents")
                 .isZero();
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.hasStarts())
--- a/src/test/java/org/gullway/coordination/agents/CommandWindowTest.java
+++ b/src/test/java/org/gullway/coordination/agents/CommandWindowTest.java
@@ -13,7 +13,7 @@
     private final CommandWindow window = new CommandWindow();
     private Instant now = Instant.EPOCH;
 
-    /** One command with its outcome after this time. */
+    /** Sends one command batch whose outcome comes after this time. */
     private void sendAndComplete(Duration elapsed, boolean answered) {
         window.onSent();
         Instant sentAt = now;
@@ -22,7 +22,7 @@
         now = now.plusMillis(1);
     }
 
-    /** How many commands may be in flight. */
+    /** Returns how many command batches may be in flight. */
     private int size() {
         int sent = 0;
         while (!window.isFull()) {
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void fastResponsesKeepTheLargestSize() {
+    void fastResponsesKeepTheMaximumSize() {
         for (int i = 0; i < 500; i++) {
             sendAndComplete(FAST, true);
         }
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void slowResponsesDecreaseTheSizeDownToTheSmallest() {
+    void slowResponsesDecreaseTheSizeToTheMinimum() {
         sendAndComplete(SLOW, true);
         assertThat(size()).isLessThan(CommandWindow.MAX_SIZE);
         for (int i = 0; i < 50; i++) {
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void slowResponsesOfTheSameMomentCountOnce() {
+    void slowResponsesToBatchesSentTogetherDecreaseTheSizeOnce() {
         int commands = 20;
         Instant sentAt = now;
         for (int i = 0; i < commands; i++) {
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Heartbeats are due every 4 s. A machine is unresponsive 7 s after the last one and lost after 12 s, in a partitioned
- * zone after 52 s, and after 28 s if no machine is responsive.
+ * The heartbeat interval is 4 s. A machine is unresponsive 7 s after its last heartbeat and lost after 12 s. It is
+ * lost after 52 s in a partitioned zone, and after 28 s if no machine is responsive.
  */
 class FailureDetectorTest {
     private final ClusterState clusterState = TestFixtures.clusterState();
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Seconds pass in which only these machines send heartbeats. */
+    /** Advances the time in steps of one second, in which only these machines send heartbeats. */
     private void advanceSeconds(int seconds, String... responsive) {
         for (int i = 0; i < seconds; i++) {
             now = now.plusSeconds(1);
@@ -78,7 +78,7 @@
 
     /** The leader must not place reserved tasks on a machine that is likely to be declared lost. */
     @Test
-    void aMachineThatMissedAHeartbeatTakesNoTasksUntilTheNextOne() {
+    void aMachineWithAnOverdueHeartbeatIsNotSchedulableUntilTheNextOne() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
         advanceSeconds(7, "vm-1");
@@ -102,7 +102,7 @@
         assertThat(List.of(lifecycle("vm-1"), lifecycle("vm-2"))).containsOnly(MachineLifecycle.LOST);
     }
 
-    /** perch-2 is the only controller of zone b and not a member: it may still renew the leases there. */
+    /** perch-2 is the only controller of zone b and not a member, so it may still renew the leases there. */
     @Test
     void machinesInAPartitionedZoneAreDeclaredLostLater() {
         addMachine("vm-1", "a");
@@ -112,7 +112,7 @@
         assertThat(List.of(lifecycle("vm-2"), lifecycle("vm-3"))).containsOnly(MachineLifecycle.UNRESPONSIVE);
         advanceSeconds(4, "vm-1");
         assertThat(List.of(lifecycle("vm-2"), lifecycle("vm-3")))
-                .as("not for ever")
+                .as("the cancellation limit ends the deferral")
                 .containsOnly(MachineLifecycle.LOST);
     }
 
@@ -124,9 +124,12 @@
         assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** Shards of the partitioned controller are taken over at the same time; no heartbeat of their machines has come yet. */
+    /**
+     * Shards of the partitioned controller are taken over at the same time, before any heartbeat of their machines has
+     * arrived.
+     */
     @Test
-    void aMachineJustTakenOverDoesNotCountAsResponsive() {
+    void aMachineWithoutAHeartbeatSinceItsTakeoverIsNotResponsive() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "b");
         advanceSeconds(8, "vm-1");
@@ -144,7 +147,7 @@
         assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** Its tasks must be gone in time, and only the cloud can end them there. */
+    /** Cancelled tasks must end within the limit, and in a partitioned zone only the cloud provider can end them. */
     @Test
     void aMachineWithACancelledTaskIsDeclaredLostAlsoInAPartitionedZone() {
         addMachine("vm-1", "a");
@@ -164,9 +167,9 @@
         assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** A controller without a valid lease has refused heartbeats: it first has to wait for new ones. */
+    /** A controller without a valid lease refuses heartbeats, so it must first wait for new ones. */
     @Test
-    void heartbeatsMissingBeforeTheLeaseIsValidDoNotCount() {
+    void heartbeatsMissingBeforeTheLeaseIsValidAreIgnored() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
         detector.onLeaseStatus(false, now);
@@ -178,9 +181,12 @@
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
     }
 
-    /** Its commands are answered, but no lease is renewed, and tasks that are placed there end with the lease. */
+    /**
+     * The agent answers commands but its lease is not renewed, so tasks placed on the machine would end with the
+     * lease.
+     */
     @Test
-    void aMachineWithAnOutboundPartitionTakesNoTasks() {
+    void aMachineWithAnOutboundPartitionIsUnresponsive() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
         advanceSeconds(8, "vm-1", "vm-2");
@@ -199,7 +205,9 @@
                 .onHeartbeat(
                         new Heartbeat("vm-2", "10.1.0.1:9000", "large", "a", false, 1, 1, 1, null, List.of()), now);
         advanceSeconds(1, "vm-1");
-        assertThat(lifecycle("vm-2")).as("nor does an old copy").isEqualTo(MachineLifecycle.UNRESPONSIVE);
+        assertThat(lifecycle("vm-2"))
+                .as("an old duplicate of a heartbeat does not show that heartbeats arrive")
+                .isEqualTo(MachineLifecycle.UNRESPONSIVE);
         agents.find("vm-2").onHeartbeat(heartbeat("vm-2", 2), now);
         advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
--- a/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
@@ -17,14 +17,17 @@
 import org.gullway.protocol.TaskStatus.Phase;
 import org.junit.jupiter.api.Test;
 
-/** How heartbeats are answered, and what an agent may forget. */
+/** Tests how heartbeats are answered, and which attempts an agent may forget. */
 class HeartbeatReceiverTest extends AgentReconcilerFixture {
-    /** The commands in the response to a heartbeat, which has to be accepted. */
+    /** Sends a heartbeat that must be accepted, and returns the commands in the response. */
     private List<AgentCommand> acceptedCommands(Heartbeat heartbeat) {
         return ((HeartbeatResponse.Accepted) reconciler.onHeartbeat(heartbeat, now)).commands();
     }
 
-    /** A heartbeat of a machine that is not on record may be an old copy; only the cloud's responses put one on record. */
+    /**
+     * A heartbeat of a machine that is not on record may be an old duplicate. Only responses of the cloud provider put
+     * a machine on record.
+     */
     @Test
     void aHeartbeatAloneDoesNotPutAMachineOnRecord() {
         assertThat(reconciler.onHeartbeat(heartbeat(1, 1, null), now))
@@ -34,7 +37,7 @@
     }
 
     @Test
-    void redirectsAnAgentOnceAndThenTakesItsShardOverUnderAHigherFencingToken() {
+    void redirectsAReroutedAgentOnceAndThenTakesOverItsShardUnderAHigherFencingToken() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 10);
         assertThat(reconciler.onHeartbeat(heartbeat(1, 1, null), now))
                 .isEqualTo(new HeartbeatResponse.Redirect("perch-1"));
@@ -44,7 +47,7 @@
                 .isEqualTo(new HeartbeatResponse.Accepted(1, List.of(), true));
         now = now.plusSeconds(3);
         assertThat(reconciler.onHeartbeat(heartbeat(1, 1, null), now))
-                .as("but the agent must not stay where no controller commands it")
+                .as("the agent must not stay with a controller that does not command its machine")
                 .isEqualTo(new HeartbeatResponse.Redirect("perch-1"));
         planAndCommit();
         assertThat(clusterState.fencingToken()).isEqualTo(2);
@@ -54,7 +57,7 @@
 
     /** A duplicate start would run a forgotten attempt again. */
     @Test
-    void letsAnAgentForgetAStoppedAttemptOnlyUnderAHigherFencingToken() {
+    void anAgentMayForgetAStoppedAttemptOnlyUnderAHigherFencingToken() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         TaskStatus ended = new TaskStatus(TASK, 1, Phase.ENDED, Cause.STOPPED, false);
         TaskStatus done = new TaskStatus(new TaskId("run-000002", 0), 1, Phase.ENDED, Cause.DONE, false);
@@ -90,7 +93,7 @@
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), ++revision);
         reconciler.onHeartbeat(heartbeat(1, 1, null, running), now);
         assertThat(acceptedCommands(heartbeat(1, 1, null, running)))
-                .as("an agent that cannot reach its controller")
+                .as("an agent that cannot reach the controller of its machine")
                 .contains(stop);
         clusterState.remove(StoreKeys.shard("g-vm-1"), ++revision);
         assertThat(acceptedCommands(heartbeat(1, 1, null, running)))
--- a/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
+++ b/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
@@ -19,9 +19,12 @@
 import org.gullway.protocol.TaskStatus.Phase;
 import org.junit.jupiter.api.Test;
 
-/** Which machines are drained or declared lost for what their agents show. */
+/** Tests which machines are drained or declared lost because of their agents' messages. */
 class MachineLifecycleTest extends AgentReconcilerFixture {
-    /** Its heartbeats arrive, but no command is answered: it takes no more tasks and is declared lost in the end. */
+    /**
+     * The agent's heartbeats arrive, but it answers no command. No more tasks are placed on the machine, and it is
+     * declared lost.
+     */
     @Test
     void aMachineWithAnInboundPartitionIsDeclaredLost() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
@@ -46,12 +49,12 @@
         assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.LOST);
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
         assertThat(clusterState.job("run-000001").livePlacements())
-                .as("its task is placed anew only when the machine is gone")
+                .as("the task is placed again only when the machine is gone")
                 .hasSize(1);
     }
 
     @Test
-    void savesTasksWithinTheSpotNoticeAndReleasesTheMachineAfterIt() {
+    void stopsTasksInTimeToSaveCheckpointsAndDeclaresTheMachineLostAfterTheSpotNotice() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         JobRequest template = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
         JobRequest withCheckpoints = new JobRequest(
@@ -92,9 +95,11 @@
         assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** The failure detector begins anew with each change of controller, the limit of a cancelled job does not. */
+    /**
+     * A change of the controller restarts failure detection, but it does not extend the cancellation limit of a job.
+     */
     @Test
-    void theLimitOfACancelledJobRunsOnAcrossFailovers() {
+    void aFailoverDoesNotExtendTheCancellationLimit() {
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         place(request, "vm-1");
@@ -106,14 +111,16 @@
         assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.ACTIVE);
         cancel(request.id(), TestFixtures.TIME_OF_DAY.minusSeconds(31));
         planAndCommit();
-        assertThat(lifecycle("vm-1")).as("the first cancellation counts").isEqualTo(MachineLifecycle.ACTIVE);
+        assertThat(lifecycle("vm-1"))
+                .as("a second cancellation does not change the time of the first one")
+                .isEqualTo(MachineLifecycle.ACTIVE);
         Transaction later = new Transaction(
                 clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY.plusSeconds(2));
         reconciler.plan(later, TestFixtures.leaderContext(now));
         assertThat(later.machine("vm-1").lifecycle()).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** The task has ended and only the record is late, which is no reason to release the machine. */
+    /** The task has ended and only its record is not updated yet, which is no reason to release the machine. */
     @Test
     void aMachineWhoseCancelledTaskIsConfirmedGoneIsKept() {
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
@@ -128,9 +135,12 @@
         assertThat(transaction.machine("vm-1").lifecycle()).isEqualTo(MachineLifecycle.ACTIVE);
     }
 
-    /** Two jobs with a mistake fail on all machines; two others that fail on one machine alone show that it is faulty. */
+    /**
+     * Two jobs with a mistake fail on all machines. Two other jobs that fail on only one machine show that it is
+     * faulty.
+     */
     @Test
-    void jobsThatFailEverywhereDoNotMakeMachinesFaulty() {
+    void jobsThatFailOnEveryMachineDoNotMakeMachinesFaulty() {
         for (int machine = 1; machine <= 3; machine++) {
             TestFixtures.put(
                     clusterState, TestFixtures.machine("vm-" + machine, "large", TestFixtures.SELF), 9 + machine);
@@ -144,7 +154,7 @@
         }
         planAndCommit();
         assertThat(clusterState.machines()).extracting(MachineRecord::lifecycle).containsOnly(MachineLifecycle.ACTIVE);
-        // Their users cancel them; the verdict is kept.
+        // The users cancel the failing jobs. The jobs still do not count against the machines.
         clusterState.remove(StoreKeys.job("run-000001"), ++revision);
         clusterState.remove(StoreKeys.job("run-000002"), ++revision);
         clusterState.advanceTo(revision);
--- a/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
@@ -13,7 +13,7 @@
 import org.gullway.protocol.TaskStatus.Phase;
 import org.junit.jupiter.api.Test;
 
-/** Failover of shards, and fencing of the former controller. */
+/** Tests the failover of shards and the fencing of their former controller. */
 class ShardFailoverTest extends AgentReconcilerFixture {
     @Test
     void takesOverTheShardsOfALostControllerWithoutWaitingForHeartbeats() {
@@ -26,7 +26,10 @@
                 .isEmpty());
     }
 
-    /** One new fencing token serves all shards of controllers lost before it; a later loss needs another. */
+    /**
+     * One new fencing token is enough for all shards of controllers that were lost before it. A later loss needs
+     * another one.
+     */
     @Test
     void raisesTheFencingTokenOnceForAllShardsLostBefore() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 60);
@@ -40,7 +43,7 @@
         Transaction second = planAndCommit();
         assertThat(clusterState.fencingToken()).isEqualTo(2);
         assertThat(second.conditions())
-                .as("the lost member has not come back")
+                .as("conditions that the lost member has not joined again")
                 .contains(StoreKeys.member("perch-1"), StoreKeys.FENCING_TOKEN);
         assertThat(List.of(clusterState.machine("vm-1"), clusterState.machine("vm-2")))
                 .allSatisfy(machine -> {
@@ -54,7 +57,7 @@
         assertThat(clusterState.machine("vm-3").fencingToken()).isEqualTo(3);
     }
 
-    /** A start of the former controller may still arrive until the agent has confirmed the new fencing token. */
+    /** A start sent by the former controller may still arrive until the agent has confirmed the new fencing token. */
     @Test
     void recordsACompletionOnlyOnceTheFormerControllerIsFenced() {
         clusterState.remove(StoreKeys.member("perch-1"), 50);
@@ -71,9 +74,11 @@
         assertThat(clusterState.job("run-000001").waitingTasks()).isEqualTo(1);
     }
 
-    /** Shards are checked again only when shards or members have changed, and then they are. */
+    /**
+     * Shards are checked again only after shards or members have changed; this test guards against a missed change.
+     */
     @Test
-    void claimsTheShardsOfAControllerThatIsLostAfterUnchangedCycles() {
+    void takesOverTheShardsOfAControllerThatIsLostAfterUnchangedCycles() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 60);
         for (int cycle = 0; cycle < 3; cycle++) {
             planAndCommit();
--- a/src/test/java/org/gullway/coordination/agents/WakeupQueueTest.java
+++ b/src/test/java/org/gullway/coordination/agents/WakeupQueueTest.java
@@ -9,7 +9,7 @@
     private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
 
     @Test
-    void pollsWhatIsDueInOrderAndKeepsTheRest() {
+    void pollsDueEntriesInOrderAndKeepsTheOthers() {
         WakeupQueue queue = new WakeupQueue();
         for (int i = 0; i < 1000; i++) {
             queue.add("later-" + i, NOW.plusMillis(1 + i));
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
@@ -21,7 +21,7 @@
 import org.gullway.protocol.TaskStatus.Phase;
 import org.junit.jupiter.api.Test;
 
-/** The cancellation limit is 40 s; its last quarter is kept for the release of machines. */
+/** The cancellation limit is 40 s. Its last quarter is reserved for releasing machines. */
 class CancellationEnforcerTest {
     private static final TaskId TASK = new TaskId("run-000001", 0);
 
@@ -73,7 +73,10 @@
                 .containsExactly(stop);
     }
 
-    /** Whichever controller commands the machine: this one may be the only one that knows of the cancellation. */
+    /**
+     * Direct stops are sent whichever controller commands the machine, since this one may be the only one that knows
+     * the cancellation.
+     */
     @Test
     void retriesStopsUntilAResponseShowsThatTheTaskIsGone() {
         assertThat(directStopsAfter(1)).isEmpty();
@@ -85,7 +88,9 @@
             assertThat(batch.agentEpoch()).isEqualTo(1);
             assertThat(batch.commands()).containsExactly(AgentCommand.stop(TASK, 1, Duration.ZERO));
         });
-        assertThat(directStopsAfter(9)).as("one in flight for each machine").isEmpty();
+        assertThat(directStopsAfter(9))
+                .as("at most one batch is in flight for each machine")
+                .isEmpty();
         cancellationEnforcer.onDirectStopEnded(batches.get(0), now);
         cancellationEnforcer.onDirectStopResponse(heartbeat(1, taskIn(Phase.SAVING)));
         assertThat(directStopsAfter(1)).hasSize(1);
@@ -103,9 +108,12 @@
         assertThat(directStopsAfter(1)).isEmpty();
     }
 
-    /** It hangs, so only the cloud can end its tasks: in the last quarter of the limit, however many stops were sent. */
+    /**
+     * If a machine hangs, only the cloud provider can end its tasks. It is released in the last quarter of the limit,
+     * however many stops were sent.
+     */
     @Test
-    void aMachineWithoutResponsesIsReleasedBeforeTheLimit() {
+    void aMachineThatDoesNotRespondIsReleasedBeforeTheLimit() {
         cancel();
         assertThat(directStopsAfter(1)).hasSize(1);
         assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(30)))
@@ -115,7 +123,7 @@
     }
 
     @Test
-    void theRecordsCountOnceTheLeaseIsRegained() {
+    void regainingTheLeaseDiscardsWhatDirectStopResponsesShowed() {
         cancel();
         cancellationEnforcer.onDirectStopResponse(heartbeat(1, taskIn(Phase.ENDED)));
         assertThat(directStopsAfter(1)).isEmpty();
@@ -123,9 +131,12 @@
         assertThat(directStopsAfter(1)).hasSize(1);
     }
 
-    /** The peer's list counts like a record: for stops, for leases, for the limit, and for lists sent to other peers. */
+    /**
+     * A cancellation from a peer's list counts like a record for stops, lease renewals, the limit, and lists sent to
+     * other peers.
+     */
     @Test
-    void aCancellationListedByAPeerCountsLikeARecordUntilTheRecordsShowIt() {
+    void aCancellationListedByAPeerIsEnforcedUntilTheClusterStateContainsIt() {
         PeerCancellations.CancelledJob job = new PeerCancellations.CancelledJob(
                 request.id(),
                 TestFixtures.TIME_OF_DAY.toEpochMilli(),
@@ -145,17 +156,17 @@
                 .containsExactly("vm-2");
         cancellationEnforcer.onLeaseRegained(now.minusSeconds(1));
         assertThat(cancellationEnforcer.knownCancellations())
-                .as("the records are older than the list")
+                .as("the cluster state is older than the list")
                 .containsExactly(job);
         cancellationEnforcer.onLeaseRegained(now.plusSeconds(1));
         assertThat(cancellationEnforcer.knownCancellations()).isEmpty();
     }
 
     @Test
-    void listsCancelledRecordsAndThoseReadByKey() {
+    void listsCancellationsOfTheClusterStateAndOfRecordsReadByKey() {
         cancellationEnforcer.merge(placed, now);
         assertThat(cancellationEnforcer.knownCancellations())
-                .as("not cancelled")
+                .as("the job is not cancelled")
                 .isEmpty();
         cancellationEnforcer.merge(placed.withCancellation(TestFixtures.TIME_OF_DAY), now);
         assertThat(cancellationEnforcer.knownCancellations()).hasSize(1);
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationWatermarkTest.java
@@ -24,7 +24,7 @@
 
     /** A peer may have confirmed cancellations since it last listed them. */
     @Test
-    void isTheLeastOverAllPeers() {
+    void isTheMinimumOverAllPeers() {
         assertThat(cancellationWatermark.knownThrough(STORE_KNOWN_THROUGH)).isEqualTo(STORE_KNOWN_THROUGH);
         cancellationWatermark.advance(TestFixtures.PEER, STORE_KNOWN_THROUGH.plusSeconds(20));
         assertThat(cancellationWatermark.knownThrough(STORE_KNOWN_THROUGH))
@@ -42,7 +42,7 @@
                 .isEqualTo(STORE_KNOWN_THROUGH.plusSeconds(50));
     }
 
-    /** The former process may have confirmed a cancellation that the new one does not know. */
+    /** The peer's former process may have confirmed a cancellation that its new process does not know. */
     @Test
     void aRestartedPeerDoesNotAdvanceIt() {
         cancellationWatermark.advance(TestFixtures.PEER, STORE_KNOWN_THROUGH.plusSeconds(5));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aPeerThatIsNoMemberDoesNotAdvanceIt() {
+    void aPeerThatIsNotAMemberDoesNotAdvanceIt() {
         clusterState.remove(StoreKeys.member("perch-2"), 30);
         cancellationWatermark.advance(TestFixtures.PEER, STORE_KNOWN_THROUGH.plusSeconds(5));
         cancellationWatermark.advance(SECOND_PEER, STORE_KNOWN_THROUGH.plusSeconds(5));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void withoutPeersItIsWhatTheStoreProves() {
+    void withoutPeersItIsTheTimeThatTheStoreProves() {
         assertThat(new CancellationWatermark(clusterState, List.of()).knownThrough(STORE_KNOWN_THROUGH))
                 .isEqualTo(STORE_KNOWN_THROUGH);
     }
--- a/src/test/java/org/gullway/coordination/cancellation/LeaseRenewalPolicyTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/LeaseRenewalPolicyTest.java
@@ -40,9 +40,9 @@
                 machine, "10.1.0.1:9000", "large", "a", true, agentEpoch, 1, fencingToken, null, List.of(tasks));
     }
 
-    /** It has to try the others first: one that holds a valid lease can give it work. */
+    /** The agent must try the other controllers first: one that holds a valid lease can give it tasks. */
     @Test
-    void renewsAnAgentOfItsOwnThatReturnsAfterARejection() {
+    void renewsAnAgentOfAnAssignedMachineThatReturnsAfterARejection() {
         leaseRenewal.onExternalContact(now.plusSeconds(10));
         assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-1", 1, 1), now))
                 .isFalse();
@@ -58,7 +58,7 @@
                 .isFalse();
     }
 
-    /** In a zone that is cut off no other controller is reachable, and trying them takes much of the lease. */
+    /** In a partitioned zone no other controller is reachable, and trying them takes much of the lease. */
     @Test
     void renewsEveryAgentWithoutExternalContact() {
         leaseRenewal.onExternalContact(now);
@@ -68,12 +68,15 @@
     }
 
     @Test
-    void renewsAnAgentThatCannotReachItsOwnController() {
+    void renewsAnAgentWhoseMachineAnotherControllerCommands() {
         assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1), now))
                 .isTrue();
     }
 
-    /** A response with a lower fencing token would be dropped, and the agent would stay until its lease expires. */
+    /**
+     * The agent would drop a response with a lower fencing token and stay with this controller until its lease
+     * expires.
+     */
     @Test
     void rejectsAnAgentThatKnowsAHigherFencingToken() {
         assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 2), now))
@@ -95,7 +98,10 @@
                 .isFalse();
     }
 
-    /** Only lease expiry ends a cancelled task whose start may still arrive: a stop could arrive before the start. */
+    /**
+     * Only lease expiry ends a cancelled task whose start may still arrive, since a stop could arrive before the
+     * start.
+     */
     @Test
     void rejectsMachinesOnWhichACancelledTaskMayStillStart() {
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
@@ -113,13 +119,14 @@
                 .isFalse();
         TaskStatus listed = new TaskStatus(new TaskId(request.id(), 0), 1, TaskStatus.Phase.RUNNING, null, false);
         assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1, listed), now))
-                .as("the response stops it")
+                .as("the response stops the listed attempt")
                 .isTrue();
     }
 
     /**
-     * A lease of 20 s that is renewed at the last moment expires within 40 s of the watermark, by clocks that drift
-     * apart by 0.05%: tasks of jobs cancelled since, unknown here, end within their limit of 40 s.
+     * A lease of 20 s that is renewed at the last allowed time expires within 40 s of the watermark, with clocks that
+     * drift by 0.05% in opposite directions. So a task of a job that was cancelled after the watermark, unknown to
+     * this controller, ends within its limit of 40 s.
      */
     @Property(seed = "31")
     void noRenewedLeaseOutlastsTheLimitOfAnUnknownCancellation(
