--- a/src/main/java/org/gullway/coordination/agents/AgentState.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentState.java
@@ -27,8 +27,8 @@
     private Heartbeat lastHeartbeat;
     private Map<AttemptId, TaskStatus> tasks = Map.of();
     /**
-     * For each attempt that ended without completing: the agent's fencing token when this controller first saw its
-     * end.
+     * For each attempt that ended without completing: the fencing token that the agent reported when this controller
+     * first saw the end.
      */
     private final Map<AttemptId, Long> endedAtToken = new HashMap<>();
 
@@ -36,7 +36,7 @@
     private Instant lastMessageAt = Instant.MIN;
     private boolean outboundPartitioned;
     private Instant spotTerminationAt;
-    private long commandedUnderToken;
+    private long fencingTokenOnRecord;
     /**
      * The highest fencing token under which a start with unknown outcome was sent, or 0. Only when the agent confirms
      * a higher token is it certain that the start can no longer arrive.
@@ -225,12 +225,12 @@
 
     /**
      * Called when this controller commands the machine under this fencing token. A new token resets the contact time:
-     * before the failover the agent had no reason to send messages to this controller, so missing ones say nothing
-     * about it.
+     * before the failover the agent had no reason to send messages to this controller, so missing messages say nothing
+     * about the agent.
      */
-    void onCommandedUnder(long fencingToken, Instant now) {
-        if (fencingToken != commandedUnderToken) {
-            commandedUnderToken = fencingToken;
+    void onFencingTokenOnRecord(long fencingToken, Instant now) {
+        if (fencingToken != fencingTokenOnRecord) {
+            fencingTokenOnRecord = fencingToken;
             lastContact = now;
             commands.clearUnanswered();
         }
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -73,7 +73,7 @@
             MachineRecord record = clusterState.machine(name);
             if (agents.isAssignedHere(record)) {
                 AgentState agent = agents.getOrCreate(name, now);
-                agent.onCommandedUnder(record.fencingToken(), now);
+                agent.onFencingTokenOnRecord(record.fencingToken(), now);
                 agent.wakeAt(now);
             }
         }
--- a/src/main/java/org/gullway/coordination/agents/FailureDetector.java
+++ b/src/main/java/org/gullway/coordination/agents/FailureDetector.java
@@ -28,7 +28,10 @@
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(4);
     /** Time for a heartbeat to arrive, added to the longest interval between two heartbeats. */
     private static final Duration HEARTBEAT_MARGIN = Duration.ofSeconds(2);
-    /** A command that is unanswered for this long was not merely cut short by a closed connection. */
+    /**
+     * How long commands must go unanswered before a machine is unresponsive. A command may go unanswered for a shorter
+     * time merely because its connection was closed.
+     */
     private static final Duration UNANSWERED_LIMIT = Duration.ofSeconds(3);
 
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
@@ -75,7 +78,7 @@
     }
 
     /**
-     * Returns how long a machine must be unreachable before it is declared lost, provided that any machine is
+     * Returns how long a machine must be unreachable before it is declared lost, if at least one machine is
      * responsive.
      */
     private Duration lostAfter() {
@@ -128,8 +131,8 @@
     }
 
     /**
-     * Changes the lifecycle in the transaction. Returns false if the transaction already has this change or cannot
-     * take it.
+     * Changes the machine's lifecycle in the transaction. Returns false if the machine is gone, already has this
+     * lifecycle, or cannot be changed in this transaction.
      */
     private static boolean changeLifecycle(Transaction transaction, MachineRecord record, MachineLifecycle lifecycle) {
         MachineRecord current = transaction.machine(record.name());
@@ -181,7 +184,7 @@
     }
 
     /**
-     * Returns whether the machine is not declared lost yet because its zone is or was recently partitioned. When the
+     * Returns whether declaring the machine lost is deferred because its zone is or was recently partitioned. When the
      * partition ends, the agent has the usual time to send a heartbeat.
      */
     private boolean isLossDeferredByPartition(MachineRecord record, Instant unreachableSince, Instant now) {
--- a/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
+++ b/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
@@ -19,8 +19,8 @@
 
 /**
  * Stop commands that a controller without a valid lease sends directly to the agents, and the attempts that the
- * responses show to be gone. A stop is repeated until a response shows that the attempt is gone. Each machine has at
- * most one batch in flight.
+ * responses show to be gone, that is, no longer live on their machines. A stop is repeated until a response shows that
+ * the attempt is gone. Each machine has at most one batch in flight.
  */
 final class DirectStops {
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
--- a/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -34,8 +34,8 @@
     private static final Duration RETURN_WINDOW = Duration.ofSeconds(25);
 
     /**
-     * The limit is reduced by this fraction for clock drift. The monotonic clocks of the controller and the agent, and
-     * the steps of their timers, drift by up to 0.05% each.
+     * The cancellation limit divided by this number is reserved for clock drift. The monotonic clocks of the
+     * controller and the agent, and the steps of their timers, drift by up to 0.05% each.
      */
     private static final long DRIFT_DIVISOR = 500;
 
