--- a/src/main/java/org/gullway/coordination/agents/FailureDetector.java
+++ b/src/main/java/org/gullway/coordination/agents/FailureDetector.java
@@ -157,7 +157,7 @@
                     && !isLossDeferredByPartition(record, since, now)
                     && changeLifecycle(transaction, record, MachineLifecycle.LOST)) {
                 LOG.info(
-                        "declared a machine lost: it is unreachable machine={} zone={} elapsed_ms={}",
+                        "machine declared lost: unreachable for longer than the limit machine={} zone={} elapsed_ms={}",
                         record.name(),
                         record.zone(),
                         Duration.between(since, now).toMillis());
--- a/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
@@ -56,7 +56,7 @@
                 && transaction.canPutMachine(record.name())
                 && !isConfirmedGone(record, AttemptId.of(job, placement))) {
             LOG.info(
-                    "declared a machine lost: a task of a cancelled job is overdue machine={} job={}",
+                    "machine declared lost: cancelled tasks not confirmed as ended in time machine={} job={}",
                     record.name(),
                     job.request().id());
             transaction.putMachine(record.withLifecycle(MachineLifecycle.LOST));
--- a/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
+++ b/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
@@ -28,13 +28,13 @@
     public Optional<String> denialReason(CommandBatch batch, AgentCommand start) {
         MachineRecord machine = clusterState.machine(batch.machine());
         if (machine == null || !machine.isUp() || !self.equals(machine.controller())) {
-            return Optional.of("the machine is not commanded here");
+            return Optional.of("this controller does not command the machine");
         }
         if (batch.agentEpoch() != machine.agentEpoch()) {
-            return Optional.of("the machine is in agent epoch " + machine.agentEpoch());
+            return Optional.of("the agent epoch on record is " + machine.agentEpoch());
         }
         if (batch.fencingToken() != clusterState.fencingToken()) {
-            return Optional.of("the fencing token is " + clusterState.fencingToken());
+            return Optional.of("the current fencing token is " + clusterState.fencingToken());
         }
         JobRecord job = clusterState.job(start.task().job());
         if (job == null) {
@@ -43,7 +43,9 @@
         if (job.isCancelled()) {
             return Optional.of("the job is cancelled");
         }
-        return hasPlacement(job, batch, start) ? Optional.empty() : Optional.of("the record has no such placement");
+        return hasPlacement(job, batch, start)
+                ? Optional.empty()
+                : Optional.of("the job record has no matching placement");
     }
 
     private static boolean hasPlacement(JobRecord job, CommandBatch batch, AgentCommand start) {
