--- a/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
@@ -98,8 +98,8 @@
         agents.entrySet().removeIf(entry -> {
             MachineRecord record = clusterState.machine(entry.getKey());
             AgentState agent = entry.getValue();
-            boolean ownedHere = record != null && self.equals(record.controller());
-            return !ownedHere
+            boolean controlledHere = record != null && self.equals(record.controller());
+            return !controlledHere
                     && !agent.reroute().isRetained(now)
                     && !agent.commands().isInFlight();
         });
--- a/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
@@ -17,9 +17,9 @@
 import org.gullway.coordination.model.Transaction;
 
 /**
- * Buffers attempts that have certainly ended until their completions are on record. Each job has one record writer:
- * the job's owner, or the leader. The record writer records the completions of all tasks of the job, so that each
- * record has a single writer and one change holds many completions.
+ * Buffers attempts that have certainly ended until their completions are on record. The record of a reserved job is
+ * written by the leader, and the record of any other job by the job's owner. This record writer records the
+ * completions of all tasks of the job, so that each record has a single writer and one change holds many completions.
  */
 public final class CompletionBuffer implements PlanningStep {
     /** Completions of an unfinished job are recorded after this delay, or earlier together with its next placement. */
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Frees the resources of buffered attempts in the transaction, so that they can be used before the completions are
-     * on record.
+     * Frees the resources of buffered attempts in the transaction, so that it can place other tasks on them before the
+     * completions are on record.
      */
     public void releaseResources(Transaction transaction) {
         pendingByJob.forEach((id, pending) -> {
--- a/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
@@ -24,8 +24,8 @@
 final class CompletionReporter {
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(1500);
     /**
-     * This long after its first report, a completion is recorded by this controller: the record writer may be
-     * unreachable, or may change repeatedly.
+     * If a completion is not on record this long after its first report, this controller records it itself: the record
+     * writer may be unreachable, or may change repeatedly.
      */
     private static final Duration WRITER_TIMEOUT = Duration.ofSeconds(4);
 
--- a/src/main/java/org/gullway/coordination/agents/CompletionReports.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionReports.java
@@ -7,7 +7,10 @@
 import java.util.Set;
 import org.gullway.coordination.model.AttemptId;
 
-/** Tracks when completions seen on one machine, but not on record yet, were reported to the job's record writer. */
+/**
+ * Tracks when completions seen on one machine, but not on record yet, were reported to the controller that writes the
+ * job's record.
+ */
 final class CompletionReports {
     private record Report(Instant first, Instant last) {}
 
--- a/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
+++ b/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
@@ -12,8 +12,8 @@
  */
 final class RerouteAdmission {
     /**
-     * Added to the longest interval between two heartbeats. An agent that receives no responses takes far longer to
-     * come back.
+     * An agent that received the response to its last heartbeat sends the next one within the longest heartbeat
+     * interval plus this margin. An agent that received no response takes far longer to come back.
      */
     private static final Duration REROUTE_MARGIN = Duration.ofSeconds(1);
     /**
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Returns whether a rerouted heartbeat is accepted. The first one is redirected. If the agent comes back, it
-     * cannot reach the controller that commands its machine, and its heartbeats may be accepted.
+     * Returns whether a rerouted heartbeat is accepted. The first one is redirected. An agent that comes back could
+     * not reach the controller that commands its machine, so every other one of its next heartbeats is accepted.
      */
     boolean tryAccept(MachineRecord record, Instant now) {
         RerouteState reroute = agents.getOrCreate(record.name(), now).reroute();
--- a/src/main/java/org/gullway/coordination/agents/RerouteState.java
+++ b/src/main/java/org/gullway/coordination/agents/RerouteState.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Returns whether the last rerouted heartbeat was accepted and came within this time span. An agent that is back
-     * this soon has received the response.
+     * Returns whether the last rerouted heartbeat was accepted, at most this long ago. An agent that is back this soon
+     * has received the response.
      */
     boolean wasAcceptedWithin(Duration span, Instant now) {
         return acceptedAt != null && !acceptedAt.plus(span).isBefore(now);
