--- a/src/main/java/org/gullway/coordination/agents/FailureDetector.java
+++ b/src/main/java/org/gullway/coordination/agents/FailureDetector.java
@@ -15,19 +15,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides from missing heartbeats and unanswered commands which of the machines commanded here are unresponsive or lost.
+ * Detects unresponsive and lost machines among those that this controller commands, from missing heartbeats and
+ * unanswered commands.
  *
- * <p>A machine is unresponsive if a heartbeat is overdue, a lease expired while commands were answered, or commands go
- * unanswered: it takes no more tasks until it is responsive again, since reserved tasks placed there would wait until it
- * is declared lost. It is declared lost if it stays unreachable.
+ * <p>A machine is unresponsive if a heartbeat is overdue, if a lease expired while commands were answered, or if
+ * commands go unanswered. No tasks are placed on it until it is responsive again, since a reserved task placed there
+ * would wait until the machine is declared lost. A machine that stays unreachable is declared lost.
  */
 final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
-    /** An agent waits so long for a response before it turns to another controller. */
+    /** How long an agent waits for a heartbeat response before it tries another controller. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(4);
-    /** For a heartbeat's way here, beyond the longest interval between two of them. */
+    /** Time for a heartbeat to arrive, added to the longest interval between two heartbeats. */
     private static final Duration HEARTBEAT_MARGIN = Duration.ofSeconds(2);
-    /** A command unanswered for so long was not just cut short by a connection that ended. */
+    /**
+     * How long commands must go unanswered before a machine is unresponsive. A command may go unanswered for a shorter
+     * time merely because its connection was closed.
+     */
     private static final Duration UNANSWERED_LIMIT = Duration.ofSeconds(3);
 
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
@@ -36,12 +40,15 @@
     private final HeartbeatTiming timing;
     private final PeerZones peerZones;
     private final AgentRegistry agents;
-    /** When each zone was last seen partitioned. */
+    /** When each zone was last found to be partitioned. */
     private final Map<String, Instant> zonePartitionedAt = new HashMap<>();
 
     private Instant checkedAt = Instant.MIN;
-    /** Since when heartbeats are accepted without a break; a heartbeat missing before says nothing about its agent. */
-    private Instant listeningSince = Instant.MAX;
+    /**
+     * Since when this controller has accepted heartbeats without interruption; {@link Instant#MAX} while it refuses
+     * them. A heartbeat that was missing earlier says nothing about its agent.
+     */
+    private Instant acceptingHeartbeatsSince = Instant.MAX;
 
     FailureDetector(ClusterState clusterState, HeartbeatTiming timing, PeerZones peerZones, AgentRegistry agents) {
         this.clusterState = clusterState;
@@ -50,8 +57,8 @@
         this.agents = agents;
     }
 
-    /** What one check has found. */
-    private static final class Findings {
+    /** The result of one check of all agents. */
+    private static final class CheckResult {
         private final List<MachineRecord> unreachable = new ArrayList<>();
         private final Map<String, Boolean> zoneResponsive = new HashMap<>();
         private boolean anyResponsive;
@@ -64,13 +71,16 @@
 
     void onLeaseStatus(boolean holdsValidLease, Instant now) {
         if (!holdsValidLease) {
-            listeningSince = Instant.MAX;
-        } else if (listeningSince.equals(Instant.MAX)) {
-            listeningSince = now;
+            acceptingHeartbeatsSince = Instant.MAX;
+        } else if (acceptingHeartbeatsSince.equals(Instant.MAX)) {
+            acceptingHeartbeatsSince = now;
         }
     }
 
-    /** How long a machine has to be unreachable before it is declared lost, if others are responsive. */
+    /**
+     * Returns how long a machine must be unreachable before it is declared lost, if at least one machine is
+     * responsive.
+     */
     private Duration lostAfter() {
         return timing.intervals(2).plus(RESPONSE_TIMEOUT);
     }
@@ -80,46 +90,50 @@
             return;
         }
         checkedAt = now;
-        Instant overdue = now.minus(timing.longestInterval()).minus(HEARTBEAT_MARGIN);
-        if (!listeningSince.isBefore(overdue)) {
-            // During an outage of the state store the heartbeats of all agents were refused.
+        Instant overdueLimit = now.minus(timing.longestInterval()).minus(HEARTBEAT_MARGIN);
+        if (!acceptingHeartbeatsSince.isBefore(overdueLimit)) {
+            // Heartbeats have not been accepted for long enough. During an outage of the state store, the heartbeats
+            // of all agents are refused.
             return;
         }
         Instant lostLimit = now.minus(lostAfter());
-        Findings findings = new Findings();
+        CheckResult result = new CheckResult();
         for (Map.Entry<String, AgentState> entry : agents.entries()) {
             AgentState agent = entry.getValue();
             MachineRecord record = clusterState.machine(entry.getKey());
             if (agents.isAssignedHere(record)) {
-                boolean responsive = isResponsive(agent, overdue);
-                if (record.lifecycle() == MachineLifecycle.ACTIVE && isUnresponsive(agent, overdue, now)) {
+                boolean responsive = isResponsive(agent, overdueLimit);
+                if (record.lifecycle() == MachineLifecycle.ACTIVE && isUnresponsive(agent, overdueLimit, now)) {
                     changeLifecycle(transaction, record, MachineLifecycle.UNRESPONSIVE);
                 } else if (record.lifecycle() == MachineLifecycle.UNRESPONSIVE && responsive) {
                     changeLifecycle(transaction, record, MachineLifecycle.ACTIVE);
                 }
-                findings.add(record, responsive);
+                result.add(record, responsive);
                 if (agent.unreachableSince().isBefore(lostLimit)) {
-                    findings.unreachable.add(record);
+                    result.unreachable.add(record);
                 }
             }
         }
-        if (listeningSince.isBefore(lostLimit)) {
-            declareLost(transaction, findings, now);
+        if (acceptingHeartbeatsSince.isBefore(lostLimit)) {
+            declareLost(transaction, result, now);
         }
     }
 
-    private static boolean isResponsive(AgentState agent, Instant overdue) {
+    private static boolean isResponsive(AgentState agent, Instant overdueLimit) {
         return !agent.commands().isUnanswered()
                 && !agent.isOutboundPartitioned()
-                && !agent.lastMessageAt().isBefore(overdue);
+                && !agent.lastMessageAt().isBefore(overdueLimit);
     }
 
-    private static boolean isUnresponsive(AgentState agent, Instant overdue, Instant now) {
-        Instant limit = agent.commands().isUnanswered() ? now.minus(UNANSWERED_LIMIT) : overdue;
+    private static boolean isUnresponsive(AgentState agent, Instant overdueLimit, Instant now) {
+        Instant limit = agent.commands().isUnanswered() ? now.minus(UNANSWERED_LIMIT) : overdueLimit;
         return agent.isOutboundPartitioned() || agent.unreachableSince().isBefore(limit);
     }
 
-    /** Whether the transaction changes the lifecycle now. */
+    /**
+     * Changes the machine's lifecycle in the transaction. Returns false if the machine is gone, already has this
+     * lifecycle, or cannot be changed in this transaction.
+     */
     private static boolean changeLifecycle(Transaction transaction, MachineRecord record, MachineLifecycle lifecycle) {
         MachineRecord current = transaction.machine(record.name());
         if (current == null || current.lifecycle() == lifecycle || !transaction.canPutMachine(record.name())) {
@@ -130,20 +144,20 @@
     }
 
     /**
-     * Declares machines lost that are unreachable, also those whose heartbeats arrive but which answer no command: nothing
-     * can be started or stopped there. While no machine is responsive, the fault is more likely to be this controller's
-     * own network, and then it takes longer.
+     * Declares unreachable machines lost. This includes machines whose heartbeats arrive but whose agents answer no
+     * command, since nothing can be started or stopped there. If no machine is responsive, the fault is more likely in
+     * this controller's own network, and the limit is longer.
      */
-    private void declareLost(Transaction transaction, Findings findings, Instant now) {
-        updatePartitionedZones(findings.zoneResponsive, now);
+    private void declareLost(Transaction transaction, CheckResult result, Instant now) {
+        updatePartitionedZones(result.zoneResponsive, now);
         Instant limitIfNoneResponsive = now.minus(lostAfter()).minus(timing.intervals(4));
-        for (MachineRecord record : findings.unreachable) {
+        for (MachineRecord record : result.unreachable) {
             Instant since = agents.find(record.name()).unreachableSince();
-            if ((findings.anyResponsive || since.isBefore(limitIfNoneResponsive))
-                    && !isHeldInPartitionedZone(record, since, now)
+            if ((result.anyResponsive || since.isBefore(limitIfNoneResponsive))
+                    && !isLossDeferredByPartition(record, since, now)
                     && changeLifecycle(transaction, record, MachineLifecycle.LOST)) {
                 LOG.info(
-                        "declared a machine lost: it is unreachable machine={} zone={} elapsed_ms={}",
+                        "machine declared lost: unreachable for longer than the limit machine={} zone={} elapsed_ms={}",
                         record.name(),
                         record.zone(),
                         Duration.between(since, now).toMillis());
@@ -160,24 +174,31 @@
     }
 
     /**
-     * A zone without a responsive machine, and without a member among its controllers, is most likely partitioned: its
-     * controllers keep renewing the leases there as the lease renewal policy allows, and the work is not lost.
+     * Returns whether a zone without a responsive machine is most likely partitioned: it has controllers, and none of
+     * them is a member. Those controllers keep renewing leases in the zone as far as the lease renewal policy allows,
+     * and running tasks are not lost.
      */
     private boolean isPartitioned(String zone) {
         List<String> controllers = peerZones.inZone(zone);
         return !controllers.isEmpty() && controllers.stream().noneMatch(clusterState.members()::containsKey);
     }
 
-    /** Whether the machine is waited for; once its zone is back, its agent has the usual time to send a heartbeat. */
-    private boolean isHeldInPartitionedZone(MachineRecord record, Instant unreachableSince, Instant now) {
+    /**
+     * Returns whether declaring the machine lost is deferred because its zone is or was recently partitioned. When the
+     * partition ends, the agent has the usual time to send a heartbeat.
+     */
+    private boolean isLossDeferredByPartition(MachineRecord record, Instant unreachableSince, Instant now) {
         Instant partitionedAt = zonePartitionedAt.getOrDefault(record.zone(), Instant.MIN);
-        Instant holdLimit = now.minus(lostAfter()).minus(peerZones.cancelLimit());
+        Instant deferralLimit = now.minus(lostAfter()).minus(peerZones.cancelLimit());
         return partitionedAt.isAfter(now.minus(lostAfter()))
-                && unreachableSince.isAfter(holdLimit)
+                && unreachableSince.isAfter(deferralLimit)
                 && !hasCancelledTasks(record);
     }
 
-    /** Tasks of cancelled jobs must be gone in time, and only the cloud can end them in a partitioned zone. */
+    /**
+     * Returns whether cancelled tasks are placed on the machine. They must end within the cancellation limit, and in a
+     * partitioned zone only the cloud provider can end them.
+     */
     private boolean hasCancelledTasks(MachineRecord record) {
         return clusterState.placementsOn(record.name()).keySet().stream()
                 .anyMatch(id -> clusterState.job(id.task().job()).isCancelled());
--- a/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
@@ -14,8 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Declares machines lost on which tasks of a cancelled job may still be when its limit is nearly over. The limit runs
- * from the cancellation, whoever has led or commanded since and however often the failure detector began anew.
+ * Declares a machine lost if a task of a cancelled job may still run on it when the job's cancellation limit has
+ * nearly expired. The limit runs from the cancellation. It is not extended by a change of the leader, by a change of
+ * the controller that commands the machine, or by a restart of failure detection.
  */
 final class OverdueCancellationPlanner {
     private static final Logger LOG = LoggerFactory.getLogger(OverdueCancellationPlanner.class);
@@ -40,13 +41,13 @@
         for (JobRecord job : clusterState.jobs()) {
             if (cancellationEnforcer.isOverdue(job, transaction.timeOfDay())) {
                 for (Placement placement : job.livePlacements()) {
-                    declareLostUnlessGone(transaction, job, placement);
+                    declareLostUnlessConfirmedGone(transaction, job, placement);
                 }
             }
         }
     }
 
-    private void declareLostUnlessGone(Transaction transaction, JobRecord job, Placement placement) {
+    private void declareLostUnlessConfirmedGone(Transaction transaction, JobRecord job, Placement placement) {
         MachineRecord record = transaction.machine(placement.machine());
         if (record != null
                 && self.equals(record.controller())
@@ -55,14 +56,14 @@
                 && transaction.canPutMachine(record.name())
                 && !isConfirmedGone(record, AttemptId.of(job, placement))) {
             LOG.info(
-                    "declared a machine lost: a task of a cancelled job is overdue machine={} job={}",
+                    "machine declared lost: cancelled tasks not confirmed as ended in time machine={} job={}",
                     record.name(),
                     job.request().id());
             transaction.putMachine(record.withLifecycle(MachineLifecycle.LOST));
         }
     }
 
-    /** Whether the attempt has ended, and no command that could still arrive can start it. */
+    /** Returns whether the attempt has ended and no command that may still arrive can start it. */
     private boolean isConfirmedGone(MachineRecord record, AttemptId id) {
         AgentState agent = agents.find(record.name());
         if (!agents.isInContact(record, agent)
--- a/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
+++ b/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
@@ -11,9 +11,9 @@
 import org.gullway.protocol.AgentCommand;
 
 /**
- * Decides at the moment of sending whether a task may be started: its placement is on record, this controller commands
- * the machine in that agent epoch, and the fencing token is the present one. Whether the controller holds a valid lease
- * is the caller's to check.
+ * Decides immediately before sending whether a task may be started. Its placement must be on record, this controller
+ * must command the machine in the batch's agent epoch, and the batch must have the current fencing token. The caller
+ * checks whether this controller holds a valid lease.
  */
 public final class StartAuthorization {
     private final ClusterState clusterState;
@@ -24,17 +24,17 @@
         this.self = self;
     }
 
-    /** Why the start must not be sent; empty if it may be. */
+    /** Returns why the start must not be sent, or empty if it may be sent. */
     public Optional<String> denialReason(CommandBatch batch, AgentCommand start) {
         MachineRecord machine = clusterState.machine(batch.machine());
         if (machine == null || !machine.isUp() || !self.equals(machine.controller())) {
-            return Optional.of("the machine is not commanded here");
+            return Optional.of("this controller does not command the machine");
         }
         if (batch.agentEpoch() != machine.agentEpoch()) {
-            return Optional.of("the machine is in agent epoch " + machine.agentEpoch());
+            return Optional.of("the agent epoch on record is " + machine.agentEpoch());
         }
         if (batch.fencingToken() != clusterState.fencingToken()) {
-            return Optional.of("the fencing token is " + clusterState.fencingToken());
+            return Optional.of("the current fencing token is " + clusterState.fencingToken());
         }
         JobRecord job = clusterState.job(start.task().job());
         if (job == null) {
@@ -43,7 +43,9 @@
         if (job.isCancelled()) {
             return Optional.of("the job is cancelled");
         }
-        return hasPlacement(job, batch, start) ? Optional.empty() : Optional.of("the record has no such placement");
+        return hasPlacement(job, batch, start)
+                ? Optional.empty()
+                : Optional.of("the job record has no matching placement");
     }
 
     private static boolean hasPlacement(JobRecord job, CommandBatch batch, AgentCommand start) {
@@ -54,7 +56,7 @@
                 && !placement.stopping();
     }
 
-    /** Revision of the job's record that the command follows. */
+    /** Returns the revision of the job record on which the command is based. */
     public long revision(AgentCommand command) {
         return clusterState.version(StoreKeys.job(command.task().job()));
     }
--- a/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
+++ b/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
@@ -11,22 +11,22 @@
 import org.gullway.protocol.TaskStatus.Phase;
 import org.junit.jupiter.api.Test;
 
-/** When agents are visited, and which commands they are sent. */
+/** Tests when agents are reconciled and which commands they are sent. */
 class CommandDispatcherTest extends AgentReconcilerFixture {
     @Test
-    void recordsAnAgentEpochBeforeItStartsTasksInIt() {
+    void recordsAnAgentEpochBeforeStartingTasksInIt() {
         TestFixtures.put(
                 clusterState,
                 MachineRecord.booting("vm-1", "large", "a", true, TestFixtures.TIME_OF_DAY, TestFixtures.SELF, 1),
                 10);
         assertThat(reconciler.onHeartbeat(heartbeat(1, 0, null), now)).isInstanceOf(HeartbeatResponse.Accepted.class);
         assertThat(reconciler.commandsDue(now)).isEmpty();
-        plan();
+        planAndCommit();
         assertThat(clusterState.machine("vm-1").agentEpoch()).isEqualTo(1);
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> {
             assertThat(batch.commands())
-                    .as("asks for a confirmation of the fencing token first")
+                    .as("a probe asks the agent to confirm the fencing token first")
                     .isEmpty();
             reconciler.onCommandResponse(heartbeat(1, 1, null), now);
             reconciler.onCommandOutcome(batch, CommandOutcome.ANSWERED, now);
@@ -37,7 +37,7 @@
         });
     }
 
-    /** An agent whose epoch is not on record yet must not be probed again after every response. */
+    /** An agent whose agent epoch is not on record yet must not be probed again after every response. */
     @Test
     void doesNotProbeAnAgentInANewEpochRepeatedly() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
@@ -49,7 +49,10 @@
         }
     }
 
-    /** After a start with unknown outcome the fencing token rises; its confirmation rules out that the start still arrives. */
+    /**
+     * After a start with unknown outcome the fencing token rises. Once the agent confirms it, the start can no longer
+     * arrive.
+     */
     @Test
     void raisesTheFencingTokenAfterAStartWithUnknownOutcome() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
@@ -57,23 +60,26 @@
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         CommandBatch start = reconciler.commandsDue(now).get(0);
         reconciler.onCommandOutcome(start, CommandOutcome.UNKNOWN, now);
-        plan();
+        planAndCommit();
         assertThat(clusterState.fencingToken()).isEqualTo(2);
         now = now.plusSeconds(1);
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.commands())
                 .isEmpty());
     }
 
-    /** A cycle costs as much as has changed: unchanged heartbeats of a thousand agents cause no visit. */
+    /**
+     * The cost of a cycle depends on the number of changes: unchanged heartbeats from 1000 agents cause no
+     * reconciliation.
+     */
     @Test
-    void visitsOnlyAgentsOfWhichSomethingHasChanged() {
+    void reconcilesOnlyAgentsWhoseStateHasChanged() {
         int machines = 1000;
         for (int i = 1; i <= machines; i++) {
             TestFixtures.put(clusterState, TestFixtures.machine("vm-" + i, "large", TestFixtures.SELF), ++revision);
             sendUnchangedHeartbeat("vm-" + i);
         }
-        plan();
-        long before = reconciler.visits();
+        planAndCommit();
+        long before = reconciler.reconciliations();
         for (int cycle = 0; cycle < 50; cycle++) {
             now = now.plusMillis(60);
             for (int i = 1 + cycle * 20; i <= (cycle + 1) * 20; i++) {
@@ -81,12 +87,12 @@
             }
             assertThat(reconciler.commandsDue(now)).isEmpty();
         }
-        assertThat(reconciler.visits() - before)
-                .as("visits of unchanged agents")
+        assertThat(reconciler.reconciliations() - before)
+                .as("reconciliations of unchanged agents")
                 .isZero();
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.hasStarts())
                 .isTrue());
-        assertThat(reconciler.visits() - before).isLessThanOrEqualTo(2);
+        assertThat(reconciler.reconciliations() - before).isLessThanOrEqualTo(2);
     }
 }
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Heartbeats are due every 4 s. A machine is unresponsive 7 s after the last one and lost after 12 s, in a partitioned
- * zone after 52 s, and after 28 s if no machine is responsive.
+ * The heartbeat interval is 4 s. A machine is unresponsive 7 s after its last heartbeat and lost after 12 s. It is
+ * lost after 52 s in a partitioned zone, and after 28 s if no machine is responsive.
  */
 class FailureDetectorTest {
     private final ClusterState clusterState = TestFixtures.clusterState();
@@ -60,8 +60,8 @@
         }
     }
 
-    /** Seconds pass in which only these machines send heartbeats. */
-    private void pass(int seconds, String... responsive) {
+    /** Advances the time in steps of one second, in which only these machines send heartbeats. */
+    private void advanceSeconds(int seconds, String... responsive) {
         for (int i = 0; i < seconds; i++) {
             now = now.plusSeconds(1);
             sendHeartbeats(responsive);
@@ -78,17 +78,17 @@
 
     /** The leader must not place reserved tasks on a machine that is likely to be declared lost. */
     @Test
-    void aMachineThatMissedAHeartbeatTakesNoTasksUntilTheNextOne() {
+    void aMachineWithAnOverdueHeartbeatIsNotSchedulableUntilTheNextOne() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
-        pass(7, "vm-1");
+        advanceSeconds(7, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
-        pass(1, "vm-1");
+        advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
         assertThat(clusterState.machine("vm-2").isSchedulable()).isFalse();
-        pass(1, "vm-1", "vm-2");
+        advanceSeconds(1, "vm-1", "vm-2");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
-        pass(13, "vm-1");
+        advanceSeconds(13, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.LOST);
     }
 
@@ -96,23 +96,23 @@
     void machinesAreDeclaredLostLaterIfNoneIsResponsive() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
-        pass(27);
+        advanceSeconds(27);
         assertThat(List.of(lifecycle("vm-1"), lifecycle("vm-2"))).containsOnly(MachineLifecycle.UNRESPONSIVE);
-        pass(2);
+        advanceSeconds(2);
         assertThat(List.of(lifecycle("vm-1"), lifecycle("vm-2"))).containsOnly(MachineLifecycle.LOST);
     }
 
-    /** perch-2 is the only controller of zone b and not a member: it may still renew the leases there. */
+    /** perch-2 is the only controller of zone b and not a member, so it may still renew the leases there. */
     @Test
     void machinesInAPartitionedZoneAreDeclaredLostLater() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "b");
         addMachine("vm-3", "b");
-        pass(50, "vm-1");
+        advanceSeconds(50, "vm-1");
         assertThat(List.of(lifecycle("vm-2"), lifecycle("vm-3"))).containsOnly(MachineLifecycle.UNRESPONSIVE);
-        pass(4, "vm-1");
+        advanceSeconds(4, "vm-1");
         assertThat(List.of(lifecycle("vm-2"), lifecycle("vm-3")))
-                .as("not for ever")
+                .as("the cancellation limit ends the deferral")
                 .containsOnly(MachineLifecycle.LOST);
     }
 
@@ -120,18 +120,21 @@
     void aZoneWithAResponsiveMachineIsNotPartitioned() {
         addMachine("vm-2", "b");
         addMachine("vm-3", "b");
-        pass(14, "vm-2");
+        advanceSeconds(14, "vm-2");
         assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** Shards of the partitioned controller are taken over at the same time; no heartbeat of their machines has come yet. */
+    /**
+     * Shards of the partitioned controller are taken over at the same time, before any heartbeat of their machines has
+     * arrived.
+     */
     @Test
-    void aMachineJustTakenOverDoesNotCountAsResponsive() {
+    void aMachineWithoutAHeartbeatSinceItsTakeoverIsNotResponsive() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "b");
-        pass(8, "vm-1");
+        advanceSeconds(8, "vm-1");
         addMachine("vm-3", "b");
-        pass(7, "vm-1");
+        advanceSeconds(7, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
     }
 
@@ -140,11 +143,11 @@
         clusterState.put(StoreKeys.member("perch-2"), new Incarnation("perch-2", 5), ++revision);
         addMachine("vm-1", "a");
         addMachine("vm-3", "b");
-        pass(14, "vm-1");
+        advanceSeconds(14, "vm-1");
         assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** Its tasks must be gone in time, and only the cloud can end them there. */
+    /** Cancelled tasks must end within the limit, and in a partitioned zone only the cloud provider can end them. */
     @Test
     void aMachineWithACancelledTaskIsDeclaredLostAlsoInAPartitionedZone() {
         addMachine("vm-1", "a");
@@ -159,49 +162,54 @@
                                 "vm-3")
                         .withCancellation(TestFixtures.TIME_OF_DAY),
                 ++revision);
-        pass(14, "vm-1");
+        advanceSeconds(14, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
         assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** A controller without a valid lease has refused heartbeats: it first has to wait for new ones. */
+    /** A controller without a valid lease refuses heartbeats, so it must first wait for new ones. */
     @Test
-    void heartbeatsMissingBeforeTheLeaseIsValidDoNotCount() {
+    void heartbeatsMissingBeforeTheLeaseIsValidAreIgnored() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
         detector.onLeaseStatus(false, now);
-        pass(20);
+        advanceSeconds(20);
         detector.onLeaseStatus(true, now);
-        pass(7, "vm-1");
+        advanceSeconds(7, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
-        pass(4, "vm-1");
+        advanceSeconds(4, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
     }
 
-    /** Its commands are answered, but no lease is renewed, and tasks that are placed there end with the lease. */
+    /**
+     * The agent answers commands but its lease is not renewed, so tasks placed on the machine would end with the
+     * lease.
+     */
     @Test
-    void aMachineWithAnOutboundPartitionTakesNoTasks() {
+    void aMachineWithAnOutboundPartitionIsUnresponsive() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
-        pass(8, "vm-1", "vm-2");
+        advanceSeconds(8, "vm-1", "vm-2");
         agents.find("vm-2").onCommandResponse(heartbeat("vm-2", 1), now);
-        pass(1, "vm-1");
+        advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
         agents.find("vm-2").onCommandResponse(heartbeat("vm-2", 2), now);
-        pass(1, "vm-1");
+        advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
         agents.find("vm-2").onCommandResponse(heartbeat("vm-2", 2), now);
-        pass(1, "vm-1");
+        advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2"))
                 .as("responses to commands do not show that its heartbeats arrive")
                 .isEqualTo(MachineLifecycle.UNRESPONSIVE);
         agents.find("vm-2")
                 .onHeartbeat(
                         new Heartbeat("vm-2", "10.1.0.1:9000", "large", "a", false, 1, 1, 1, null, List.of()), now);
-        pass(1, "vm-1");
-        assertThat(lifecycle("vm-2")).as("nor does an old copy").isEqualTo(MachineLifecycle.UNRESPONSIVE);
+        advanceSeconds(1, "vm-1");
+        assertThat(lifecycle("vm-2"))
+                .as("an old duplicate of a heartbeat does not show that heartbeats arrive")
+                .isEqualTo(MachineLifecycle.UNRESPONSIVE);
         agents.find("vm-2").onHeartbeat(heartbeat("vm-2", 2), now);
-        pass(1, "vm-1");
+        advanceSeconds(1, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.ACTIVE);
     }
 
--- a/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
@@ -13,20 +13,23 @@
 import org.gullway.protocol.TaskStatus.Phase;
 import org.junit.jupiter.api.Test;
 
-/** Failover of shards, and fencing of the former controller. */
+/** Tests the failover of shards and the fencing of their former controller. */
 class ShardFailoverTest extends AgentReconcilerFixture {
     @Test
     void takesOverTheShardsOfALostControllerWithoutWaitingForHeartbeats() {
         clusterState.remove(StoreKeys.member("perch-1"), 50);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 60);
-        plan();
+        planAndCommit();
         assertThat(clusterState.machine("vm-1").controller()).isEqualTo(TestFixtures.SELF);
         assertThat(clusterState.fencingToken()).isEqualTo(2);
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.commands())
                 .isEmpty());
     }
 
-    /** One new fencing token serves all shards of controllers lost before it; a later loss needs another. */
+    /**
+     * One new fencing token is enough for all shards of controllers that were lost before it. A later loss needs
+     * another one.
+     */
     @Test
     void raisesTheFencingTokenOnceForAllShardsLostBefore() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 60);
@@ -37,10 +40,10 @@
                 clusterState, TestFixtures.SELF, new Transaction.Limits(3, 16 * 1024), TestFixtures.TIME_OF_DAY);
         reconciler.plan(small, TestFixtures.leaderContext(now));
         TestFixtures.commit(clusterState, small, ++revision);
-        Transaction second = plan();
+        Transaction second = planAndCommit();
         assertThat(clusterState.fencingToken()).isEqualTo(2);
         assertThat(second.conditions())
-                .as("the lost member has not come back")
+                .as("conditions that the lost member has not joined again")
                 .contains(StoreKeys.member("perch-1"), StoreKeys.FENCING_TOKEN);
         assertThat(List.of(clusterState.machine("vm-1"), clusterState.machine("vm-2")))
                 .allSatisfy(machine -> {
@@ -50,11 +53,11 @@
         clusterState.put(StoreKeys.member("perch-1"), TestFixtures.PEER, ++revision);
         clusterState.remove(StoreKeys.member("perch-1"), ++revision);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-3", "large", TestFixtures.PEER), ++revision);
-        plan();
+        planAndCommit();
         assertThat(clusterState.machine("vm-3").fencingToken()).isEqualTo(3);
     }
 
-    /** A start of the former controller may still arrive until the agent has confirmed the new fencing token. */
+    /** A start sent by the former controller may still arrive until the agent has confirmed the new fencing token. */
     @Test
     void recordsACompletionOnlyOnceTheFormerControllerIsFenced() {
         clusterState.remove(StoreKeys.member("perch-1"), 50);
@@ -62,26 +65,28 @@
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         TaskStatus ended = new TaskStatus(TASK, 1, Phase.ENDED, Cause.STOPPED, false);
         reconciler.onHeartbeat(heartbeat(1, 1, null, ended), now);
-        plan();
-        plan();
+        planAndCommit();
+        planAndCommit();
         assertThat(clusterState.job("run-000001").livePlacements()).hasSize(1);
         reconciler.onCommandResponse(heartbeat(1, 2, null, ended), now);
-        plan();
+        planAndCommit();
         assertThat(clusterState.job("run-000001").livePlacements()).isEmpty();
         assertThat(clusterState.job("run-000001").waitingTasks()).isEqualTo(1);
     }
 
-    /** Shards are checked again only when shards or members have changed, and then they are. */
+    /**
+     * Shards are checked again only after shards or members have changed; this test guards against a missed change.
+     */
     @Test
-    void claimsTheShardsOfAControllerThatIsLostAfterUnchangedCycles() {
+    void takesOverTheShardsOfAControllerThatIsLostAfterUnchangedCycles() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 60);
         for (int cycle = 0; cycle < 3; cycle++) {
-            plan();
+            planAndCommit();
         }
         assertThat(clusterState.machine("vm-1").controller()).isEqualTo(TestFixtures.PEER);
         clusterState.remove(StoreKeys.member("perch-1"), ++revision);
         clusterState.advanceTo(revision);
-        plan();
+        planAndCommit();
         assertThat(clusterState.machine("vm-1").controller()).isEqualTo(TestFixtures.SELF);
     }
 }
