--- a/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
@@ -89,7 +89,7 @@
     /** Records completions of jobs that go on: at once with surplus changes, or else after the longest delay. */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
-        boolean surplusChanges = context.hasSurplusChanges();
+        boolean surplusChanges = context.hasSpareWriteCapacity();
         Instant now = context.now();
         plan(
                 transaction,
--- a/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
@@ -92,7 +92,7 @@
         updateKnownPartitions();
         QuotaDemand demand = QuotaDemand.of(clusterState.jobs(), transaction.timeOfDay());
         List<String> held = context.leader() ? List.of(StoreKeys.LEADER_QUOTA, ownPartition) : List.of(ownPartition);
-        Duration reductionInterval = context.hasSurplusChanges() ? FAST_REDUCTION_INTERVAL : REDUCTION_INTERVAL;
+        Duration reductionInterval = context.hasSpareWriteCapacity() ? FAST_REDUCTION_INTERVAL : REDUCTION_INTERVAL;
         boolean mayReduce = !reducedAt.plus(reductionInterval).isAfter(now);
         Adjustment adjustment = new Adjustment(transaction, demand, mayReduce, now);
         for (String partition : held) {
