--- a/src/main/java/org/gullway/coordination/cycle/CycleSteps.java
+++ b/src/main/java/org/gullway/coordination/cycle/CycleSteps.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The steps of a scheduling cycle under a time budget. When the budget is used up the cycle ends, and the next one
- * continues with the step that would have come next.
+ * Runs the steps of a scheduling cycle within a time budget. A cycle that exceeds its budget ends after the current
+ * step, and the next cycle resumes with the step after that one.
  */
 public final class CycleSteps {
     private static final Logger LOG = LoggerFactory.getLogger(CycleSteps.class);
@@ -25,26 +25,27 @@
         this.budget = budget;
     }
 
-    /** Appends a step; the name identifies it in the log. */
+    /** Appends a step to the cycle. Log lines identify the step by its name. */
     public CycleSteps add(String name, Runnable action) {
         steps.add(new Step(name, action));
         return this;
     }
 
     /**
-     * Runs the steps in turn, at least one. A step that fails does not prevent the others.
+     * Runs the steps in order, at least one per cycle. An exception thrown by a step is logged, and the remaining steps
+     * still run.
      *
-     * @param startedAt when the cycle started: what came before the steps counts against the budget too
+     * @param startedAt when the cycle started; work that precedes the steps counts against the time budget
      */
     public void run(Instant startedAt, InstantSource clock) {
         Instant deadline = startedAt.plus(budget);
-        for (int done = 0; done < steps.size(); done++) {
-            Step step = steps.get((nextStep + done) % steps.size());
+        for (int completed = 0; completed < steps.size(); completed++) {
+            Step step = steps.get((nextStep + completed) % steps.size());
             run(step);
-            boolean isLast = done + 1 == steps.size();
+            boolean isLast = completed + 1 == steps.size();
             if (!isLast && clock.instant().isAfter(deadline)) {
-                nextStep = (nextStep + done + 1) % steps.size();
-                LOG.debug("the time budget of the scheduling cycle is used up last_step={}", step.name());
+                nextStep = (nextStep + completed + 1) % steps.size();
+                LOG.debug("scheduling cycle exceeded its time budget last_step={}", step.name());
                 return;
             }
         }
@@ -55,7 +56,7 @@
         try {
             step.action().run();
         } catch (RuntimeException e) {
-            LOG.error("a step of the scheduling cycle failed step={}", step.name(), e);
+            LOG.error("scheduling cycle step failed step={}", step.name(), e);
         }
     }
 }
--- a/src/main/java/org/gullway/coordination/cycle/PlanningContext.java
+++ b/src/main/java/org/gullway/coordination/cycle/PlanningContext.java
@@ -4,20 +4,20 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What a planning step may depend on beside the cluster state.
+ * The input of a planning step besides the cluster state.
  *
- * @param now the present moment of the monotonic clock
+ * @param now the current time of the monotonic clock
  * @param leader whether this controller is the leader
- * @param spareWriteCapacity whether the store's rate limit has capacity for changes that could wait; asked only by the
- *     steps that need it, since asking refills the rate limiter
+ * @param spareWriteCapacity whether the rate limit of the state store has capacity for changes that are not urgent;
+ *     evaluated on demand, because each evaluation refills the rate limiter
  */
 public record PlanningContext(Instant now, boolean leader, BooleanSupplier spareWriteCapacity) {
-    /** A context in which it is known whether there is capacity for changes that could wait. */
+    /** Returns a context with a fixed value for the spare write capacity. */
     public static PlanningContext of(Instant now, boolean leader, boolean spareWriteCapacity) {
         return new PlanningContext(now, leader, () -> spareWriteCapacity);
     }
 
-    /** Whether the store's rate limit has capacity for changes that could wait. */
+    /** Returns whether the rate limit of the state store has capacity for changes that are not urgent. */
     public boolean hasSpareWriteCapacity() {
         return spareWriteCapacity.getAsBoolean();
     }
--- a/src/main/java/org/gullway/coordination/cycle/PlanningStep.java
+++ b/src/main/java/org/gullway/coordination/cycle/PlanningStep.java
@@ -2,9 +2,12 @@
 
 import org.gullway.coordination.model.Transaction;
 
-/** One concern's part in a scheduling cycle. */
+/** One step of the scheduling cycle, which plans the changes of one subsystem. */
 @FunctionalInterface
 public interface PlanningStep {
-    /** Adds the changes that are due to the transaction, as far as it has capacity; the next cycle adds the others. */
+    /**
+     * Adds the due changes to the transaction until its capacity is used up. Changes that do not fit are left for the
+     * next cycle.
+     */
     void plan(Transaction transaction, PlanningContext context);
 }
--- a/src/test/java/org/gullway/coordination/cycle/CycleStepsTest.java
+++ b/src/test/java/org/gullway/coordination/cycle/CycleStepsTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void theNextCycleContinuesWhereTheLastOneStopped() {
+    void nextCycleResumesAfterTheStepThatExceededTheBudget() {
         add("a", 60);
         add("b", 60);
         add("c", 60);
@@ -37,17 +37,17 @@
     }
 
     @Test
-    void timeBeforeTheStepsCountsAgainstTheBudgetButOneStepRuns() {
+    void runsOneStepWhenTheBudgetIsSpentBeforeTheFirstStep() {
         add("a", 10);
         add("b", 10);
-        Instant began = now;
+        Instant startedAt = now;
         now = now.plusMillis(150);
-        steps.run(began, () -> now);
+        steps.run(startedAt, () -> now);
         assertThat(ran).containsExactly("a");
     }
 
     @Test
-    void aCycleWithinItsBudgetRunsAllStepsFromTheFirst() {
+    void cycleWithinItsBudgetRunsAllStepsInOrder() {
         add("a", 10);
         add("b", 10);
         assertThat(runCycle()).containsExactly("a", "b");
@@ -55,9 +55,9 @@
     }
 
     @Test
-    void aStepThatFailsDoesNotPreventTheOthers() {
-        steps.add("broken", () -> {
-            throw new IllegalStateException("on purpose");
+    void remainingStepsRunAfterAStepThrows() {
+        steps.add("failing", () -> {
+            throw new IllegalStateException("expected test failure");
         });
         add("b", 1);
         assertThat(runCycle()).containsExactly("b");
