--- a/src/main/java/org/gullway/coordination/placement/BestFit.java
+++ b/src/main/java/org/gullway/coordination/placement/BestFit.java
@@ -11,8 +11,8 @@
 import org.gullway.protocol.JobRequest;
 
 /**
- * Chooses machines for tasks: of those that fit, machines with the task's image come first, since the task starts
- * there without a fetch, and among these the fullest.
+ * Best-fit bin packing. Among the machines that a task fits on, machines that already have the task's image come first,
+ * because the task starts there without fetching the image; ties go to the machine with the fewest free CPUs.
  */
 public final class BestFit {
     private final ClusterState clusterState;
@@ -23,7 +23,7 @@
         this.constraints = constraints;
     }
 
-    /** A machine that fits, with what its place in the order depends on. */
+    /** A machine that the task fits on, with the values that rank it. */
     private record Candidate(MachineRecord machine, boolean hasImage, double freeCpus) {
         private static final Comparator<Candidate> BEST_FIRST = Comparator.<Candidate>comparingInt(
                         candidate -> candidate.hasImage ? 0 : 1)
@@ -32,15 +32,22 @@
     }
 
     /**
-     * Reserves resources in the transaction for up to this many tasks of the job, each on the best of these machines,
-     * and returns the machine of each task that fits.
+     * Reserves resources in the transaction for up to {@code tasks} tasks of the job, each on the best-ranked of the
+     * given machines.
+     *
+     * @return one machine per task that fits; shorter than {@code tasks} if not all tasks fit
      */
     public List<MachineRecord> reserve(
             JobRecord job, int tasks, Collection<MachineRecord> machines, Transaction transaction) {
         return reserve(job, List.of(), tasks, machines, transaction);
     }
 
-    /** As above for a job with tasks that are planned but not on record: their machines count for its zones. */
+    /**
+     * Same as {@link #reserve(JobRecord, int, Collection, Transaction)} for a job that also has planned tasks which its
+     * record does not contain yet.
+     *
+     * @param planned the machines of the planned tasks, which count toward the job's zone constraints
+     */
     public List<MachineRecord> reserve(
             JobRecord job,
             List<MachineRecord> planned,
@@ -54,7 +61,7 @@
         List<MachineRecord> reserved = new ArrayList<>();
         for (Candidate candidate : candidates) {
             MachineRecord machine = candidate.machine();
-            // A machine that was chosen is fuller than before, so it stays the best until nothing more fits.
+            // Each reservation makes the machine fuller, so it remains the best fit until no further task fits on it.
             while (reserved.size() < tasks
                     && constraints.fits(request, machine, transaction)
                     && zones.allow(machine.zone())) {
--- a/src/main/java/org/gullway/coordination/placement/InfeasibleRequests.java
+++ b/src/main/java/org/gullway/coordination/placement/InfeasibleRequests.java
@@ -6,22 +6,27 @@
 import org.gullway.protocol.JobRequest;
 
 /**
- * Requests of which one more task fits no machine in this scheduling cycle. Free resources only shrink while tasks are
- * planned, so a task that needs no less and allows no other machines does not fit either. This saves going through all
- * machines again for each of many similar jobs.
+ * Cache of the requests of which no further task fits on any machine in the current scheduling cycle. Free resources
+ * only shrink while tasks are planned, so a request that needs at least as much and is at least as constrained does not
+ * fit either. The cache avoids scanning all machines again for each of many similar jobs.
  */
 public final class InfeasibleRequests {
     private final List<JobRequest> requests = new ArrayList<>();
 
-    /** Notes that one more task of this request fits no machine. */
+    /** Records that no further task of this request fits on any machine. */
     public void add(JobRequest request) {
-        // With constraints on zones the reason may be where the job's other tasks are, not the free resources.
+        // A task with zone constraints may be rejected because of the zones of the job's other tasks rather than for
+        // lack
+        // of free resources, so its request is not recorded.
         if (!PlacementConstraints.constrainsZones(request) && !isKnownInfeasible(request)) {
             requests.add(request);
         }
     }
 
-    /** Whether a task of this request surely fits no machine. */
+    /**
+     * Returns whether it is known that no task of this request fits on any machine. False means unknown: the request may
+     * or may not fit.
+     */
     public boolean isKnownInfeasible(JobRequest request) {
         for (JobRequest infeasible : requests) {
             if (needsAtLeastAsMuch(request, infeasible) && isAtLeastAsConstrained(request, infeasible)) {
--- a/src/main/java/org/gullway/coordination/placement/PlacementConstraints.java
+++ b/src/main/java/org/gullway/coordination/placement/PlacementConstraints.java
@@ -9,7 +9,7 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
 
-/** Where a task may be placed: machine type, zone, spot or on-demand, and free resources. */
+/** Checks whether a task may run on a machine: machine type, zone, spot or on-demand, and free resources. */
 public final class PlacementConstraints {
     private final MachineTypeCatalog machineTypes;
 
@@ -21,18 +21,24 @@
         return machineTypes;
     }
 
-    /** The type of this machine, or null if the provider does not list it. */
+    /** Returns the type of this machine, or null if the cloud provider does not list the type. */
     public MachineType typeOf(MachineRecord machine) {
         return machineTypes.byName().get(machine.type());
     }
 
-    /** Processors of the machine that neither the records nor the transaction use; 0 if its type is unknown. */
+    /**
+     * Returns the CPUs of the machine that are free after the placements in the cluster state and in the transaction, or
+     * 0 if the machine's type is unknown.
+     */
     public double freeCpus(MachineRecord machine, Transaction transaction) {
         MachineType type = typeOf(machine);
         return type == null ? 0 : type.cpus() - transaction.cpusUsedOn(machine.name());
     }
 
-    /** Whether one task fits on the machine beside all that is on record or in the transaction. */
+    /**
+     * Returns whether one more task of the job fits into the machine's free resources, after the placements in the cluster
+     * state and in the transaction.
+     */
     public boolean fits(JobRequest job, MachineRecord machine, Transaction transaction) {
         MachineType type = typeOf(machine);
         return type != null
@@ -41,24 +47,30 @@
                 && transaction.gpusUsedOn(machine.name()) + job.gpus() <= type.gpus() + EPSILON;
     }
 
-    /** Whether the machine takes tasks and a member of the cluster can send it their starts. */
+    /**
+     * Returns whether the machine accepts new tasks and the controller that commands its agent is a member of the cluster,
+     * so that start commands can be sent.
+     */
     public static boolean isAvailable(MachineRecord machine, ClusterState clusterState) {
         return machine.isSchedulable() && clusterState.isMember(machine.controller());
     }
 
-    /** Whether the job's tasks have to be in one zone or spread, so that a task's place depends on the others'. */
+    /**
+     * Returns whether the job's tasks must share one zone or be spread across zones, so that the zones allowed for a task
+     * depend on where the job's other tasks run.
+     */
     public static boolean constrainsZones(JobRequest request) {
         return request.singleZone() || request.spreadAcrossZones();
     }
 
-    /** Whether the request allows this machine, apart from where the job's other tasks are. */
+    /** Returns whether the request allows this machine, regardless of the zones of the job's other tasks. */
     static boolean isCompatible(JobRequest request, MachineRecord machine) {
         return (!machine.spot() || request.spotAllowed())
                 && (request.zone() == null || request.zone().equals(machine.zone()))
                 && (request.machineTypes() == null || request.machineTypes().contains(machine.type()));
     }
 
-    /** Whether the job allows this machine, given where its other tasks are. */
+    /** Returns whether the job allows this machine, including the zone constraints that its other tasks imply. */
     public boolean isAllowed(JobRecord job, MachineRecord machine, ClusterState clusterState) {
         return isCompatible(job.request(), machine)
                 && (!constrainsZones(job.request()) || new TaskZones(job, clusterState).allow(machine.zone()));
--- a/src/main/java/org/gullway/coordination/placement/ResourceTolerance.java
+++ b/src/main/java/org/gullway/coordination/placement/ResourceTolerance.java
@@ -1,8 +1,11 @@
 package org.gullway.coordination.placement;
 
-/** How far a sum of decimal resource amounts may exceed a capacity and still count as fitting. */
+/** The tolerance for rounding errors when a sum of resource amounts is compared with a capacity. */
 public final class ResourceTolerance {
-    /** Far above the drift of long sums in binary floating point, far below the least amount that a task may ask for. */
+    /**
+     * A sum may exceed a capacity by this much and still fit. The value is far above the accumulated rounding error of long
+     * floating-point sums and far below the smallest amount that a task may request.
+     */
     public static final double EPSILON = 1e-6;
 
     private ResourceTolerance() {}
--- a/src/main/java/org/gullway/coordination/placement/TaskZones.java
+++ b/src/main/java/org/gullway/coordination/placement/TaskZones.java
@@ -8,17 +8,17 @@
 import org.gullway.coordination.model.Placement;
 import org.gullway.protocol.JobRequest;
 
-/** The zones of a job's tasks, and the zones that its next task may go to. */
+/** Tracks the zones of a job's tasks and checks the job's zone constraints for the next task. */
 final class TaskZones {
-    /** Stands for the zone of a machine that is no longer known. */
+    /** Placeholder for the zone of a machine that is no longer in the cluster state. */
     private static final String UNKNOWN_ZONE = "";
 
     private final JobRequest request;
     private final boolean constrained;
-    /** One entry for each task; stays empty if the request does not constrain zones. */
+    /** One entry per task, or empty if the request has no zone constraints. */
     private final List<String> zones = new ArrayList<>();
 
-    /** Starts with the zones of the tasks that are on record. */
+    /** Starts with the zones of the job's recorded live placements. */
     TaskZones(JobRecord job, ClusterState clusterState) {
         this.request = job.request();
         this.constrained = PlacementConstraints.constrainsZones(request);
@@ -30,14 +30,14 @@
         }
     }
 
-    /** Counts one more task, on this machine. */
+    /** Adds a task on the given machine. */
     void add(MachineRecord machine) {
         if (constrained) {
             zones.add(machine.zone());
         }
     }
 
-    /** Whether one more task may go to this zone. */
+    /** Returns whether the zone constraints allow one more task in the given zone. */
     boolean allow(String zone) {
         if (!constrained) {
             return true;
@@ -52,7 +52,7 @@
                 && (!request.spreadAcrossZones() || tasksInZone + 1 <= maxTasksPerZone());
     }
 
-    /** Half of the job's tasks, rounded up. */
+    /** Returns the limit for a job that is spread across zones: half of its tasks, rounded up. */
     private int maxTasksPerZone() {
         return (request.tasks() + 1) / 2;
     }
--- a/src/main/java/org/gullway/coordination/placement/package-info.java
+++ b/src/main/java/org/gullway/coordination/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Where a task may be placed: compatible machines, free resources, zones and best fit. */
+/** Placement of tasks on machines: compatibility, free resources, zone constraints and best-fit bin packing. */
 package org.gullway.coordination.placement;
--- a/src/test/java/org/gullway/coordination/placement/InfeasibleRequestsTest.java
+++ b/src/test/java/org/gullway/coordination/placement/InfeasibleRequestsTest.java
@@ -15,7 +15,7 @@
 import org.gullway.protocol.Priority;
 
 class InfeasibleRequestsTest {
-    /** The properties of a machine that requests constrain. */
+    /** A machine, reduced to the properties that requests constrain. */
     private record Machine(double cpus, double memoryGb, String type, String zone, boolean spot) {
         boolean fits(JobRequest request) {
             return cpus >= request.cpus()
@@ -77,7 +77,10 @@
                 .ofMaxSize(4);
     }
 
-    /** A request that is known to be infeasible fits none of the machines. */
+    /**
+     * Guards against false positives: a request that is reported as infeasible although a machine fits it would leave its
+     * job waiting beside free resources.
+     */
     @Property(tries = 1000, seed = "21")
     void onlyRequestsThatFitNoMachineAreKnownInfeasible(
             @ForAll("machines") List<Machine> machines,
@@ -92,7 +95,7 @@
         }
     }
 
-    /** Only with constraints on zones may the same request fit later. */
+    /** A request with zone constraints is not recorded, because it may still fit later in the same cycle. */
     @Property(tries = 200, seed = "22")
     void theSameRequestIsKnownInfeasibleUnlessItConstrainsZones(@ForAll("requests") JobRequest request) {
         InfeasibleRequests infeasibleRequests = new InfeasibleRequests();
