--- a/src/main/java/org/gullway/coordination/quota/FairDivision.java
+++ b/src/main/java/org/gullway/coordination/quota/FairShare.java
@@ -5,17 +5,17 @@
 import org.gullway.coordination.model.StoreKeys;
 
 /**
- * Divides a quota that all partitions together need more of than there is: the leader's demand is met first, the
- * controllers divide the remainder in proportion to their demand, but none with a stalled job gets less than the
- * largest task of such jobs.
+ * Divides a team's quota when the total demand of all partitions exceeds it. The demand of the leader's partition is met
+ * first. The partitions of the controllers share the remainder in proportion to their demand, except that a partition
+ * with stalled jobs gets at least what the largest task of its stalled jobs needs.
  */
-final class FairDivision {
-    /** Keeps divisors above zero. */
+final class FairShare {
+    /** Lower bound for divisors, which avoids division by zero. */
     private static final double MIN_DIVISOR = 1e-9;
 
-    private FairDivision() {}
+    private FairShare() {}
 
-    /** What one partition may have of the team's resource, beside these others. */
+    /** Returns the amount of the team's resource that the partition is entitled to, given the demand of all partitions. */
     static double amountOf(String partition, List<String> otherPartitions, QuotaDemand demand, TeamResource resource) {
         double quota = resource.quota();
         double leaderAmount = Math.min(quota, demand.total(StoreKeys.LEADER_QUOTA, resource));
@@ -31,7 +31,7 @@
                 controllers.stream()
                         .mapToDouble(controller -> demand.total(controller, resource))
                         .sum());
-        double fixedAmounts = 0;
+        double sumOfFixedAmounts = 0;
         double proportionalDemand = 0;
         for (String controller : controllers) {
             double largestTask = demand.of(controller, resource).largestStalledTask();
@@ -40,10 +40,10 @@
             if (controller.equals(partition) && fixed) {
                 return largestTask;
             }
-            fixedAmounts += fixed ? largestTask : 0;
+            sumOfFixedAmounts += fixed ? largestTask : 0;
             proportionalDemand += fixed ? 0 : ownDemand;
         }
-        return Math.max(0, remainder - fixedAmounts)
+        return Math.max(0, remainder - sumOfFixedAmounts)
                 * demand.total(partition, resource)
                 / Math.max(MIN_DIVISOR, proportionalDemand);
     }
--- a/src/main/java/org/gullway/coordination/quota/GuaranteedQuota.java
+++ b/src/main/java/org/gullway/coordination/quota/GuaranteedQuota.java
@@ -11,7 +11,10 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.protocol.Settings;
 
-/** The jobs that fit into their team's guaranteed quota together with the team's earlier unfinished jobs. */
+/**
+ * The set of jobs that are covered by the guaranteed quota of their team. The unfinished tasks of a team's jobs are summed
+ * in order of submission, and a job is covered if the sum up to and including this job is within the guaranteed quota.
+ */
 public final class GuaranteedQuota {
     private final Set<String> coveredJobs;
 
@@ -19,7 +22,7 @@
         this.coveredJobs = coveredJobs;
     }
 
-    /** Determines which jobs the guarantees of their teams cover, counting jobs in the order of their submission. */
+    /** Determines the covered jobs from the current cluster state. Cancelled jobs and jobs of unknown teams are skipped. */
     public static GuaranteedQuota of(ClusterState clusterState, TeamQuotas quotas) {
         List<JobRecord> jobs = new ArrayList<>(clusterState.jobs());
         jobs.sort(Comparator.comparing(JobRecord::submittedAt)
@@ -42,7 +45,7 @@
         return new GuaranteedQuota(coveredJobs);
     }
 
-    /** Whether the guarantee of the job's team covers all of the job. */
+    /** Returns whether the guaranteed quota of the job's team covers all unfinished tasks of the job. */
     public boolean covers(JobRecord job) {
         return coveredJobs.contains(job.request().id());
     }
--- a/src/main/java/org/gullway/coordination/quota/JobFeasibility.java
+++ b/src/main/java/org/gullway/coordination/quota/JobFeasibility.java
@@ -7,7 +7,10 @@
 import org.gullway.protocol.MachineType;
 import org.gullway.protocol.Settings;
 
-/** Whether a job could ever run: its team is known, its tasks fit the quota, and one task fits a machine type. */
+/**
+ * Checks whether a job can ever run: its team is known, its tasks fit into the team's quota, and one task fits on some
+ * machine type.
+ */
 public final class JobFeasibility {
     private final MachineTypeCatalog machineTypes;
     private final TeamQuotas quotas;
@@ -17,14 +20,14 @@
         this.quotas = quotas;
     }
 
-    /** Whether the job could run on an empty fleet of any size. */
+    /** Returns whether the job could run if the fleet were empty and arbitrarily large. */
     public boolean isFeasible(JobRequest job) {
         Settings.Team team = quotas.team(job.team());
         return team != null && fitsQuota(job, team) && fitsSomeMachineType(job);
     }
 
     private static boolean fitsQuota(JobRequest job, Settings.Team team) {
-        // An array can run one task at a time; a gang or a service needs its quota for all tasks at once.
+        // An array can run its tasks one at a time; a gang or a service needs quota for all its tasks at the same time.
         int simultaneousTasks = job.shape() == JobRequest.Shape.ARRAY ? 1 : job.tasks();
         return simultaneousTasks * job.cpus() <= team.cpusLimit() + EPSILON
                 && simultaneousTasks * job.gpus() <= team.gpusLimit() + EPSILON;
--- a/src/main/java/org/gullway/coordination/quota/LostMemberQuota.java
+++ b/src/main/java/org/gullway/coordination/quota/LostMemberQuota.java
@@ -12,46 +12,52 @@
 import org.gullway.protocol.Settings;
 
 /**
- * Reassigns the quota partitions of lost members. Each change requires that the member's key is still absent, so that
- * the lost member cannot place on its partition at the same time.
+ * Reassigns the quota partitions of lost members. Each transaction requires that the member key of the lost member is
+ * still absent, so it fails if that controller has rejoined and may be placing tasks on its partition concurrently.
  */
 public final class LostMemberQuota {
     private LostMemberQuota() {}
 
     /**
-     * Assigns a lost member's job to another member, together with the quota that its tasks use.
+     * Transfers a lost member's job to another member, together with the quota that the job's placements use.
      *
-     * <p>While the jobs on record use more than the partition holds, some completions are not on record yet. Which of
-     * the jobs they belong to is not known here, so no division of the partition would surely cover what each new
-     * owner receives, and the quota could be exceeded: the job stays until the completions are on record.
+     * <p>If the recorded placements of the lost member's jobs use more than its partition holds, some completions have
+     * not been recorded yet. It is unknown which jobs these completions belong to, so no split of the partition is certain
+     * to cover the placements that each new owner receives, and the team's quota could be exceeded. In this case the
+     * method changes nothing, and the job stays with the lost member until the completions are recorded.
      */
     public static void transferJob(Transaction transaction, ClusterState clusterState, JobRecord job, String newOwner) {
-        String source = StoreKeys.quotaPartition(job.owner());
+        String sourcePartition = StoreKeys.quotaPartition(job.owner());
         String team = job.request().team();
-        QuotaPartition.Amount allocated = transaction.quotaPartition(source).of(team);
-        if (exceeds(recordedUse(transaction, clusterState, job.owner(), team), allocated)) {
+        QuotaPartition.Amount allocated =
+                transaction.quotaPartition(sourcePartition).of(team);
+        if (exceeds(recordedUsage(transaction, clusterState, job.owner(), team), allocated)) {
             return;
         }
-        String target = StoreKeys.quotaPartition(newOwner);
+        String targetPartition = StoreKeys.quotaPartition(newOwner);
         double cpus = job.livePlacements().size() * job.request().cpus();
         double gpus = job.livePlacements().size() * job.request().gpus();
         transaction.requireUnchanged(StoreKeys.member(job.owner()));
         if (cpus > 0 || gpus > 0) {
-            transaction.put(source, transaction.quotaPartition(source).with(team, allocated.plus(-cpus, -gpus)));
-            QuotaPartition receiving = transaction.quotaPartition(target);
-            transaction.put(target, receiving.with(team, receiving.of(team).plus(cpus, gpus)));
+            transaction.put(
+                    sourcePartition,
+                    transaction.quotaPartition(sourcePartition).with(team, allocated.plus(-cpus, -gpus)));
+            QuotaPartition receivingPartition = transaction.quotaPartition(targetPartition);
+            transaction.put(
+                    targetPartition,
+                    receivingPartition.with(team, receivingPartition.of(team).plus(cpus, gpus)));
         }
-        transaction.moveQuotaUsage(job, target);
+        transaction.moveQuotaUsage(job, targetPartition);
         transaction.putJob(job.withOwner(newOwner));
     }
 
-    /** What the team's jobs of this owner use, as the transaction leaves their records. */
-    private static QuotaPartition.Amount recordedUse(
+    /** Returns what the recorded placements of the owner's jobs of this team use, including changes in the transaction. */
+    private static QuotaPartition.Amount recordedUsage(
             Transaction transaction, ClusterState clusterState, String owner, String team) {
         double cpus = 0;
         double gpus = 0;
-        for (JobRecord known : clusterState.jobs()) {
-            JobRecord job = transaction.job(known.request().id());
+        for (JobRecord storedJob : clusterState.jobs()) {
+            JobRecord job = transaction.job(storedJob.request().id());
             if (job != null && owner.equals(job.owner()) && job.request().team().equals(team)) {
                 cpus += job.livePlacements().size() * job.request().cpus();
                 gpus += job.livePlacements().size() * job.request().gpus();
@@ -60,7 +66,7 @@
         return new QuotaPartition.Amount(cpus, gpus);
     }
 
-    /** Frees what lost members hold beyond the use of the jobs that they still own. */
+    /** Reduces the partitions of lost members to what the jobs that these members still own use. */
     public static void releaseUnused(Transaction transaction, ClusterState clusterState, TeamQuotas quotas) {
         for (String key : clusterState.quotaPartitions().keySet()) {
             String holder = StoreKeys.quotaHolder(key);
@@ -73,7 +79,7 @@
             QuotaPartition partition = clusterState.quotaPartitions().get(key);
             if (holdsMoreThanUsed(clusterState, key, partition)) {
                 transaction.requireUnchanged(StoreKeys.member(holder));
-                transaction.put(key, reducedToUse(clusterState, quotas, key, partition));
+                transaction.put(key, reducedToUsage(clusterState, quotas, key, partition));
             }
         }
     }
@@ -88,7 +94,7 @@
         return false;
     }
 
-    private static QuotaPartition reducedToUse(
+    private static QuotaPartition reducedToUsage(
             ClusterState clusterState, TeamQuotas quotas, String key, QuotaPartition partition) {
         QuotaPartition reduced = QuotaPartition.EMPTY;
         for (Settings.Team team : quotas.teams()) {
@@ -107,7 +113,7 @@
         return new QuotaPartition.Amount(usage.cpus, usage.gpus);
     }
 
-    private static boolean exceeds(QuotaPartition.Amount amount, QuotaPartition.Amount bound) {
-        return amount.cpus() > bound.cpus() + EPSILON || amount.gpus() > bound.gpus() + EPSILON;
+    private static boolean exceeds(QuotaPartition.Amount amount, QuotaPartition.Amount limit) {
+        return amount.cpus() > limit.cpus() + EPSILON || amount.gpus() > limit.gpus() + EPSILON;
     }
 }
--- a/src/main/java/org/gullway/coordination/quota/QuotaDemand.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaDemand.java
@@ -8,29 +8,29 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.StoreKeys;
 
-/** What the unfinished jobs could use of each quota partition, by team and resource. */
+/** The demand of the unfinished jobs for each quota partition, by team and resource. */
 final class QuotaDemand {
     private static final ResourceDemand NONE = new ResourceDemand();
 
     private final Map<String, Map<String, TeamDemand>> byPartitionAndTeam = new TreeMap<>();
 
-    /** The demand of these jobs for one resource. */
+    /** The demand for one resource by a team's jobs that draw on the same partition. */
     static final class ResourceDemand {
         private double total;
         private double smallestWaitingTask;
         private double largestStalledTask;
 
-        /** What all unfinished tasks need together. */
+        /** Returns the sum of what all unfinished tasks need. */
         double total() {
             return total;
         }
 
-        /** What the least demanding of the waiting tasks needs; 0 if none waits. */
+        /** Returns what the smallest waiting task needs, or 0 if no task waits. */
         double smallestWaitingTask() {
             return smallestWaitingTask;
         }
 
-        /** What the most demanding task of the stalled jobs needs; 0 if no job is stalled. */
+        /** Returns what the largest task of the stalled jobs needs, or 0 if no job is stalled. */
         double largestStalledTask() {
             return largestStalledTask;
         }
@@ -65,7 +65,11 @@
         }
     }
 
-    /** Sums up the demand of all these jobs at the given time of day. */
+    /**
+     * Computes the demand of the given jobs.
+     *
+     * @param timeOfDay the current time, which determines the jobs that count as stalled
+     */
     static QuotaDemand of(Collection<JobRecord> jobs, Instant timeOfDay) {
         QuotaDemand demand = new QuotaDemand();
         for (JobRecord job : jobs) {
@@ -77,7 +81,7 @@
         return demand;
     }
 
-    /** The demand for one team's resource in this partition. */
+    /** Returns the demand for one team's resource in the partition. */
     ResourceDemand of(String partition, TeamResource resource) {
         TeamDemand demand = byPartitionAndTeam
                 .getOrDefault(partition, Map.of())
@@ -85,7 +89,7 @@
         return demand == null ? NONE : demand.of(resource.resource());
     }
 
-    /** What all unfinished tasks need of one team's resource in this partition. */
+    /** Returns the sum of what all unfinished tasks need of one team's resource in the partition. */
     double total(String partition, TeamResource resource) {
         return of(partition, resource).total();
     }
--- a/src/main/java/org/gullway/coordination/quota/QuotaHeadroom.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaHeadroom.java
@@ -12,15 +12,16 @@
 import org.gullway.protocol.Settings;
 
 /**
- * The processors that may still be used: unused ones of a job's quota partition, and those of its team's quota that
- * are not allocated to any partition. Tasks that are admitted reduce both for the tasks that are asked about later.
+ * The CPUs that waiting tasks could still use within the quotas: the unused CPUs of the job's quota partition, plus the
+ * CPUs of its team's quota that are not allocated to any partition. Each admitted task reduces the headroom of later
+ * calls.
  */
 public final class QuotaHeadroom {
     private final ClusterState clusterState;
     private final Map<String, Double> unusedByPartitionAndTeam = new HashMap<>();
     private final Map<String, Double> unallocatedByTeam = new HashMap<>();
 
-    /** Starts from what is on record. */
+    /** Computes the headroom from the partitions and the usage in the cluster state. */
     public QuotaHeadroom(ClusterState clusterState, TeamQuotas quotas) {
         this.clusterState = clusterState;
         for (Settings.Team team : quotas.teams()) {
@@ -32,7 +33,11 @@
         }
     }
 
-    /** Admits as many of these tasks of the job as the quota allows, and returns how many. */
+    /**
+     * Admits up to {@code tasks} tasks of the job, as far as the headroom allows.
+     *
+     * @return the number of admitted tasks
+     */
     public int admit(JobRecord job, int tasks) {
         if (tasks <= 0) {
             return 0;
--- a/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
@@ -20,58 +20,69 @@
 import org.gullway.protocol.Settings;
 
 /**
- * Keeps the quota partitions that this controller holds as large as its jobs need. Each team's quota is partitioned
- * among the leader, for reserved jobs, and the owners of best-effort jobs. Only its holder changes a partition, except
- * that the partition of a lost member is reassigned.
+ * Adjusts the quota partitions that this controller holds to the demand of its jobs. Each team's quota is split into one
+ * partition for the leader, which places reserved jobs, and one for each controller, which places the best-effort jobs it
+ * owns. Only the holder of a partition changes it, except that the partition of a lost member is reassigned.
  *
- * <p>A change requires that all other partitions are unchanged, so the sum of the partitions never exceeds the quota.
- * All controllers know all jobs: each sees what the others need, and reduces its own partition if they are short.
+ * <p>A transaction that changes a partition requires that all other partitions are unchanged, so the sum of the
+ * partitions never exceeds the quota. Every controller has the records of all jobs, so it knows the demand on the other
+ * partitions and reduces its own partition when they need more than is unallocated.
  */
 public final class QuotaPartitioner implements PlanningStep {
-    /** Allocating this part of the quota beyond the demand, where others do not need it, makes raises rare. */
+    /**
+     * A partition may exceed its demand by up to this fraction of the quota, if the other partitions do not need it. The
+     * spare amount makes increases rare.
+     */
     private static final double MAX_SPARE_FRACTION = 0.1;
-    /** A smaller reduction is not worth a change of the store. */
+    /** Reductions by less than this fraction of the quota are skipped, since each one costs a write to the state store. */
     private static final double MIN_REDUCTION_FRACTION = 0.02;
 
     private static final Duration REDUCTION_INTERVAL = Duration.ofSeconds(2);
-    /** Used while the store has changes to spare, since tasks wait for what others release. */
+    /** Used while the store has spare write capacity, because tasks of other partitions wait for the released quota. */
     private static final Duration FAST_REDUCTION_INTERVAL = Duration.ofMillis(50);
 
     private final ClusterState clusterState;
     private final TeamQuotas quotas;
     private final String ownPartition;
     private final Set<String> expectedPartitions = new TreeSet<>();
-    /** For each partition that exists or may come into being, all others. */
+    /** Maps each existing or expected partition to all other ones. */
     private final Map<String, List<String>> othersByPartition = new TreeMap<>();
 
-    private final UnusedQuota unusedQuota = new UnusedQuota();
+    private final UnusedAllocationTracker unusedAllocations = new UnusedAllocationTracker();
     private Instant reducedAt = Instant.MIN;
 
-    /** What the adjustments of one scheduling cycle depend on. */
+    /**
+     * The input for adjusting partitions in one scheduling cycle.
+     *
+     * @param mayReduce whether the interval since the last reduction has elapsed
+     */
     private record Adjustment(Transaction transaction, QuotaDemand demand, boolean mayReduce, Instant now) {}
 
-    /** What the adjusted partition holds of one resource, what of it is used, and what its jobs need. */
+    /** The amount of one resource that the adjusted partition holds, the used part of it, and the demand of its jobs. */
     private record Allocation(double amount, double used, QuotaDemand.ResourceDemand demand) {
-        /** Whether completed tasks still have to release resources until the largest task of a stalled job fits. */
+        /**
+         * Returns whether the partition is large enough for the largest task of its stalled jobs, but must keep its unused
+         * part until running tasks complete and release enough for that task.
+         */
         boolean isAccumulating() {
             double largestTask = demand.largestStalledTask();
             return largestTask > 0 && amount >= largestTask && amount - used < largestTask;
         }
 
-        boolean fitsSmallestTaskAfter(double raise) {
-            return amount + raise - used >= demand.smallestWaitingTask() - EPSILON;
+        boolean fitsSmallestTaskAfter(double increase) {
+            return amount + increase - used >= demand.smallestWaitingTask() - EPSILON;
         }
     }
 
     /**
-     * The other partitions' state of one resource.
+     * The state of the other partitions for one resource.
      *
-     * @param unallocated what no partition holds, this one included
-     * @param shortage what the others need beyond what they hold
-     * @param demand what the others need in all
+     * @param unallocated the part of the quota that is allocated neither to the adjusted partition nor to another one
+     * @param shortage the sum of the demand of each other partition beyond the amount that it holds
+     * @param demand the total demand of the other partitions
      */
     private record OtherPartitions(double unallocated, double shortage, double demand) {
-        boolean areShort() {
+        boolean haveUnmetDemand() {
             return shortage > unallocated;
         }
     }
@@ -85,17 +96,18 @@
         controllers.forEach(controller -> expectedPartitions.add(StoreKeys.quotaPartition(controller)));
     }
 
-    /** Adjusts the partitions held here: this controller's, and the leader's while this controller leads. */
+    /** Adjusts this controller's own partition and, if it is the leader, the leader's partition. */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         Instant now = context.now();
         updateKnownPartitions();
         QuotaDemand demand = QuotaDemand.of(clusterState.jobs(), transaction.timeOfDay());
-        List<String> held = context.leader() ? List.of(StoreKeys.LEADER_QUOTA, ownPartition) : List.of(ownPartition);
+        List<String> heldPartitions =
+                context.leader() ? List.of(StoreKeys.LEADER_QUOTA, ownPartition) : List.of(ownPartition);
         Duration reductionInterval = context.hasSpareWriteCapacity() ? FAST_REDUCTION_INTERVAL : REDUCTION_INTERVAL;
         boolean mayReduce = !reducedAt.plus(reductionInterval).isAfter(now);
         Adjustment adjustment = new Adjustment(transaction, demand, mayReduce, now);
-        for (String partition : held) {
+        for (String partition : heldPartitions) {
             QuotaPartition before = transaction.quotaPartition(partition);
             QuotaPartition after = adjusted(adjustment, partition, before);
             if (!after.equals(before) && transaction.hasCapacityFor(1)) {
@@ -108,7 +120,10 @@
         }
     }
 
-    /** Includes partitions that were never written: their holders may be about to write them. */
+    /**
+     * Updates the map of partitions. It includes expected partitions that were never written, because their holders may
+     * write them concurrently.
+     */
     private void updateKnownPartitions() {
         Set<String> partitions = new TreeSet<>(expectedPartitions);
         partitions.addAll(clusterState.quotaPartitions().keySet());
@@ -141,15 +156,16 @@
                 resource.usedOf(partition, adjustment.transaction()),
                 adjustment.demand().of(partition, resource));
         OtherPartitions others = others(adjustment, partition, resource, own.amount());
-        boolean wasted = others.areShort() && own.amount() > own.used() && !own.isAccumulating();
-        boolean yields = unusedQuota.mustYield(partition, resource, own.used(), wasted, adjustment.now());
+        boolean neededElsewhere = others.haveUnmetDemand() && own.amount() > own.used() && !own.isAccumulating();
+        boolean yields =
+                unusedAllocations.mustYield(partition, resource, own.used(), neededElsewhere, adjustment.now());
         if (own.demand().total() > own.amount() && !yields) {
-            double raise = raise(own, others, resource.quota());
-            if (raise > EPSILON && own.fitsSmallestTaskAfter(raise)) {
-                return own.amount() + raise;
+            double increase = increase(own, others, resource.quota());
+            if (increase > EPSILON && own.fitsSmallestTaskAfter(increase)) {
+                return own.amount() + increase;
             }
         }
-        if (!others.areShort() || !adjustment.mayReduce()) {
+        if (!others.haveUnmetDemand() || !adjustment.mayReduce()) {
             return own.amount();
         }
         return yields
@@ -171,19 +187,22 @@
         return new OtherPartitions(Math.max(0, resource.quota() - allocated), shortage, totalDemand);
     }
 
-    private static double raise(Allocation own, OtherPartitions others, double quota) {
-        double missing = own.demand().total() - own.amount();
-        double spare = Math.max(0, others.unallocated() - others.shortage() - missing);
-        return Math.min(others.unallocated(), missing + Math.min(quota * MAX_SPARE_FRACTION, spare / 2));
+    private static double increase(Allocation own, OtherPartitions others, double quota) {
+        double ownShortage = own.demand().total() - own.amount();
+        double spare = Math.max(0, others.unallocated() - others.shortage() - ownShortage);
+        return Math.min(others.unallocated(), ownShortage + Math.min(quota * MAX_SPARE_FRACTION, spare / 2));
     }
 
-    /** The amount without what is not needed here, or is beyond the fair part of a contended quota. */
+    /**
+     * Returns the amount after a reduction to the partition's own demand or, if the total demand exceeds the quota, to its
+     * fair share. The result is never below the used amount, and is the current amount if the reduction is too small.
+     */
     private double reducedAmount(
             Adjustment adjustment, String partition, TeamResource resource, Allocation own, OtherPartitions others) {
         double quota = resource.quota();
         double needed = own.demand().total();
         double target = needed + others.demand() > quota
-                ? FairDivision.amountOf(partition, othersByPartition.get(partition), adjustment.demand(), resource)
+                ? FairShare.amountOf(partition, othersByPartition.get(partition), adjustment.demand(), resource)
                 : needed;
         double current = own.amount();
         double reduced = Math.max(
--- a/src/main/java/org/gullway/coordination/quota/QuotaResource.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaResource.java
@@ -4,12 +4,12 @@
 import org.gullway.coordination.model.Transaction;
 import org.gullway.protocol.Settings;
 
-/** A resource that quotas limit, and where its amount is found. */
+/** A resource that quotas limit, with access to its amount in quotas, partitions and usage. */
 enum QuotaResource {
     CPUS,
     GPUS;
 
-    /** What all of the team's tasks together may use. */
+    /** Returns the team's quota: the limit for the sum of all its tasks. */
     double quotaOf(Settings.Team team) {
         return switch (this) {
             case CPUS -> team.cpusLimit();
@@ -17,7 +17,7 @@
         };
     }
 
-    /** What the partition allocates to the team. */
+    /** Returns the amount that the partition allocates to the team. */
     double allocatedTo(String team, QuotaPartition partition) {
         QuotaPartition.Amount amount = partition.of(team);
         return switch (this) {
@@ -26,7 +26,7 @@
         };
     }
 
-    /** What the team's tasks use of the partition, as the transaction leaves it. */
+    /** Returns the amount of the partition that the team's tasks use, including changes in the transaction. */
     double usedBy(String team, String partition, Transaction transaction) {
         return switch (this) {
             case CPUS -> transaction.quotaCpusUsed(partition, team);
--- a/src/main/java/org/gullway/coordination/quota/TeamQuotas.java
+++ b/src/main/java/org/gullway/coordination/quota/TeamQuotas.java
@@ -11,7 +11,7 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Settings;
 
-/** The teams' quotas by the platform's settings, and how much of them a job may still use. */
+/** The quotas of the teams from the platform settings, and the number of tasks that they still allow for a job. */
 public final class TeamQuotas {
     private final Map<String, Settings.Team> teams;
 
@@ -19,17 +19,17 @@
         this.teams = teams;
     }
 
-    /** The team of this name, or null if the settings do not have it. */
+    /** Returns the team with this name, or null if the settings do not define it. */
     public Settings.Team team(String name) {
         return teams.get(name);
     }
 
-    /** All teams of the settings. */
+    /** Returns all teams that the settings define. */
     public Collection<Settings.Team> teams() {
         return teams.values();
     }
 
-    /** How many more tasks of the job its partition of the team's quota allows. */
+    /** Returns the number of further tasks of the job that fit into the quota partition that the job draws on. */
     public int remainingTasks(JobRecord job, Transaction transaction) {
         JobRequest request = job.request();
         String partition = StoreKeys.quotaPartitionOf(job);
--- a/src/main/java/org/gullway/coordination/quota/TeamResource.java
+++ b/src/main/java/org/gullway/coordination/quota/TeamResource.java
@@ -3,19 +3,19 @@
 import org.gullway.coordination.model.Transaction;
 import org.gullway.protocol.Settings;
 
-/** One resource of one team's quota. */
+/** One resource in the quota of one team. */
 record TeamResource(Settings.Team team, QuotaResource resource) {
-    /** What all partitions together may allocate. */
+    /** Returns the limit for the sum of all partitions. */
     double quota() {
         return resource.quotaOf(team);
     }
 
-    /** What the partition allocates, as the transaction leaves it. */
+    /** Returns the amount that the partition allocates, including changes in the transaction. */
     double allocatedTo(String partition, Transaction transaction) {
         return resource.allocatedTo(team.name(), transaction.quotaPartition(partition));
     }
 
-    /** What tasks use of the partition, as the transaction leaves it. */
+    /** Returns the amount of the partition that tasks use, including changes in the transaction. */
     double usedOf(String partition, Transaction transaction) {
         return resource.usedBy(team.name(), partition, transaction);
     }
--- a/src/test/java/org/gullway/coordination/quota/TeamQuotasTest.java
+++ b/src/test/java/org/gullway/coordination/quota/TeamQuotasTest.java
@@ -27,7 +27,7 @@
         machineTypes.update(List.of(TestFixtures.type("small", 16), TestFixtures.type("large", 32)));
     }
 
-    /** A quota of 0 in the settings means that the team has no limit, not that it may run nothing. */
+    /** A quota of 0 in the settings means no limit; it must not be read as a limit of zero, which rejects every job. */
     @Test
     void jobsOfATeamWithoutQuotaAreFeasibleIfATaskFitsAMachineType() {
         assertThat(new JobFeasibility(machineTypes, quotas)
@@ -63,13 +63,13 @@
                 4);
         clusterState.advanceTo(4);
         long revision = 4;
-        for (Incarnation each : List.of(TestFixtures.SELF, TestFixtures.PEER)) {
+        for (Incarnation controller : List.of(TestFixtures.SELF, TestFixtures.PEER)) {
             Transaction transaction =
-                    new Transaction(clusterState, each, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                    new Transaction(clusterState, controller, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
             new QuotaPartitioner(
                             clusterState,
                             quotas,
-                            each.node(),
+                            controller.node(),
                             List.of(TestFixtures.SELF.node(), TestFixtures.PEER.node()))
                     .plan(transaction, PlanningContext.of(Instant.EPOCH, false, true));
             TestFixtures.commit(clusterState, transaction, ++revision);
