--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortPlacement.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortPlacement.java
@@ -16,8 +16,15 @@
 import org.gullway.protocol.Priority;
 
 /**
- * The order in which waiting best-effort jobs get free resources: one task of each stalled job; jobs in time that a
- * guaranteed quota covers; all jobs in time; late jobs; and jobs of the scavenger class.
+ * Places the tasks of waiting best-effort jobs on free resources, in this order:
+ *
+ * <ol>
+ *   <li>one task of each stalled job
+ *   <li>jobs that can still meet their deadline and are covered by the guaranteed quota of their team
+ *   <li>all jobs that can still meet their deadline
+ *   <li>jobs that will miss their deadline
+ *   <li>jobs of the scavenger class
+ * </ol>
  */
 final class BestEffortPlacement {
     private final ClusterState clusterState;
@@ -36,7 +43,7 @@
         this.stalledJobPlacement = new StalledJobPlacement(clusterState, quotas, teamRoundRobin);
     }
 
-    /** Places tasks of the waiting jobs on the machines. */
+    /** Adds placements for the waiting jobs on the given machines to the transaction. */
     void place(Transaction transaction, Collection<MachineRecord> machines, List<JobRecord> waitingJobs, Instant now) {
         if (waitingJobs.isEmpty()) {
             return;
@@ -70,21 +77,24 @@
                 .toList();
     }
 
-    /** Later passes include the jobs of earlier ones; none of their remaining tasks fits. */
+    /**
+     * Places jobs in three passes. The later passes include the jobs of the earlier ones, which is harmless: none of their
+     * remaining tasks fits any more.
+     */
     private void placeByDeadline(Transaction transaction, Collection<MachineRecord> machines, List<JobRecord> jobs) {
         GuaranteedQuota guaranteedQuota = GuaranteedQuota.of(clusterState, quotas);
-        List<JobRecord> inTime = new ArrayList<>();
-        List<JobRecord> guaranteedInTime = new ArrayList<>();
+        List<JobRecord> onTime = new ArrayList<>();
+        List<JobRecord> guaranteedOnTime = new ArrayList<>();
         for (JobRecord job : jobs) {
             if (!deadlines.willMissDeadline(job, transaction.timeOfDay())) {
-                inTime.add(job);
+                onTime.add(job);
                 if (guaranteedQuota.covers(job)) {
-                    guaranteedInTime.add(job);
+                    guaranteedOnTime.add(job);
                 }
             }
         }
-        teamRoundRobin.place(transaction, machines, guaranteedInTime, TeamRoundRobin.Limits.NONE);
-        teamRoundRobin.place(transaction, machines, inTime, TeamRoundRobin.Limits.NONE);
+        teamRoundRobin.place(transaction, machines, guaranteedOnTime, TeamRoundRobin.Limits.NONE);
+        teamRoundRobin.place(transaction, machines, onTime, TeamRoundRobin.Limits.NONE);
         teamRoundRobin.place(transaction, machines, jobs, TeamRoundRobin.Limits.NONE);
     }
 
--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
@@ -19,8 +19,9 @@
 import org.gullway.protocol.ResourceOffer;
 
 /**
- * This controller's own queue of best-effort jobs. Their tasks are placed on free resources of the machines whose
- * agents report here and of machines that peers offered; what fits nothing in this queue is offered to a random peer.
+ * This controller's queue of best-effort jobs. Tasks are placed on free resources of the machines whose agents report to
+ * this controller and of machines that peers have offered. Free resources that no task in this queue can use are offered
+ * to a random peer.
  */
 public final class BestEffortQueue implements PlanningStep {
     private final ClusterState clusterState;
@@ -32,21 +33,22 @@
     private final BestEffortPlacement placement;
     private final PeerOffers peerOffers;
 
-    /** Offers on their way to a peer. */
+    /** Resource offers to be sent to a peer. */
     public record OutgoingOffers(String peer, List<ResourceOffer> offers) {}
 
     /**
-     * The jobs with tasks that may start.
+     * The best-effort jobs with waiting tasks that are not backed off.
      *
-     * @param own those in this controller's queue
-     * @param othersWait whether there are any in other controllers' queues
+     * @param ownJobs the jobs in this controller's queue
+     * @param peersHaveWaitingJobs whether there are such jobs in the queues of other controllers
      */
-    private record WaitingJobs(List<JobRecord> own, boolean othersWait) {}
+    private record WaitingJobs(List<JobRecord> ownJobs, boolean peersHaveWaitingJobs) {}
 
     /**
-     * @param offerValidity how long an offer from a peer may be used
-     * @param schedulableMachines the machines whose agents report here and that can be given tasks
-     * @param offerSender sends offers to a peer
+     * @param self the node name of this controller
+     * @param offerValidity the time after receipt for which an offer from a peer may be used
+     * @param schedulableMachines supplies the machines whose agents report to this controller and that accept tasks
+     * @param offerSender sends the offers of each scheduling cycle to the peers
      */
     public BestEffortQueue(
             SchedulingContext context,
@@ -66,7 +68,7 @@
         this.peerOffers = new PeerOffers(clusterState, constraints, self, offerValidity, random);
     }
 
-    /** Takes offers from a peer, which the next scheduling cycle uses. */
+    /** Receives offers from a peer. The next scheduling cycle uses them. */
     public void onOffers(List<ResourceOffer> offers, Instant now) {
         peerOffers.receive(offers, now);
     }
@@ -76,45 +78,50 @@
         schedule(transaction, schedulableMachines, context.now()).forEach(offerSender);
     }
 
-    /** Places tasks on the given machines and those offered by peers, and returns the offers to send. */
+    /**
+     * Places tasks on the given machines and on those offered by peers.
+     *
+     * @param ownMachines supplies the machines whose agents report to this controller; called only if they are needed
+     * @return the offers to send to peers
+     */
     List<OutgoingOffers> schedule(Transaction transaction, Supplier<List<MachineRecord>> ownMachines, Instant now) {
         WaitingJobs waiting = waitingJobs(now);
-        boolean offersOwn = waiting.othersWait() && peerOffers.isSendingDue(now);
-        boolean usesOwn = !waiting.own().isEmpty() || offersOwn;
-        if (!usesOwn && !peerOffers.hasReceived()) {
+        boolean offersOwnMachines = waiting.peersHaveWaitingJobs() && peerOffers.isSendingDue(now);
+        boolean usesOwnMachines = !waiting.ownJobs().isEmpty() || offersOwnMachines;
+        if (!usesOwnMachines && !peerOffers.hasReceived()) {
             return List.of();
         }
         Map<MachineRecord, ResourceOffer> offerByMachine = new LinkedHashMap<>();
-        if (usesOwn) {
+        if (usesOwnMachines) {
             addMachinesWithFreeCpus(ownMachines.get(), transaction, offerByMachine);
         }
         peerOffers.drainTo(offerByMachine, now);
         offerByMachine
                 .keySet()
                 .removeIf(machine -> clusterState.cordonedMachines().contains(machine.name()));
-        placement.place(transaction, offerByMachine.keySet(), waiting.own(), now);
-        if (offersOwn) {
+        placement.place(transaction, offerByMachine.keySet(), waiting.ownJobs(), now);
+        if (offersOwnMachines) {
             peerOffers.markSent(now);
         } else {
-            // Offers of peers are passed on at once: the controller that made them limits their rate.
+            // Offers from peers are forwarded without delay, because the controller that made them limits their rate.
             offerByMachine.values().removeIf(offer -> offer.askedPeers().isEmpty());
         }
-        return waiting.othersWait() ? peerOffers.outgoing(offerByMachine, transaction) : List.of();
+        return waiting.peersHaveWaitingJobs() ? peerOffers.outgoing(offerByMachine, transaction) : List.of();
     }
 
     private WaitingJobs waitingJobs(Instant now) {
-        List<JobRecord> own = new ArrayList<>();
-        boolean othersWait = false;
+        List<JobRecord> ownJobs = new ArrayList<>();
+        boolean peersHaveWaitingJobs = false;
         for (JobRecord job : clusterState.jobs()) {
             if (!job.isReserved() && job.waitingTasks() > 0 && !backoff.isBackedOff(job, now)) {
                 if (self.equals(job.owner())) {
-                    own.add(job);
+                    ownJobs.add(job);
                 } else {
-                    othersWait = true;
+                    peersHaveWaitingJobs = true;
                 }
             }
         }
-        return new WaitingJobs(own, othersWait);
+        return new WaitingJobs(ownJobs, peersHaveWaitingJobs);
     }
 
     private void addMachinesWithFreeCpus(
--- a/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
@@ -18,22 +18,25 @@
 import org.gullway.protocol.MachineType;
 
 /**
- * Cordons machines, so that no best-effort task starts there while reserved jobs wait for them, and keeps machines for
- * the large tasks of stalled best-effort jobs, which small tasks would otherwise take all resources from for ever.
+ * Chooses the machines to cordon. Some are cordoned for waiting reserved jobs, so that no best-effort task starts there;
+ * others for the large tasks of stalled best-effort jobs, which would starve if small tasks took all released resources.
  */
 final class CordonPlanner {
-    /** In a large fleet the choice changes all the time, and each change is one of few that the store allows. */
+    /**
+     * The minimum time between changes in a large fleet. The choice would otherwise change in almost every cycle, and the
+     * state store allows only few changes per second.
+     */
     private static final Duration CHANGE_INTERVAL = Duration.ofSeconds(2);
 
     private static final int MAX_STALLED_JOBS = 3;
-    /** Keeps a divisor above zero. */
+    /** Lower bound for the memory request in a divisor, which avoids division by zero. */
     private static final double MIN_MEMORY_GB = 1e-9;
 
     private final ClusterState clusterState;
     private final PlacementConstraints constraints;
     private Instant changedAt = Instant.MIN;
 
-    /** A machine with its free processors when candidates are ordered. */
+    /** A machine with the free CPUs by which candidates are ordered. */
     private record Candidate(MachineRecord machine, double freeCpus) {
         private static final Comparator<Candidate> MOST_FREE_FIRST = Comparator.comparingDouble(Candidate::freeCpus)
                 .reversed()
@@ -45,25 +48,34 @@
         this.constraints = constraints;
     }
 
-    /** Whether other machines may be cordoned now; all machines of a large fleet are considered only then. */
+    /**
+     * Returns whether the set of cordoned machines may change now. In a large fleet callers skip the scan of all machines
+     * while this is false.
+     */
     boolean mayChange(Transaction transaction) {
         return clusterState.cordonedMachines().isEmpty()
                 || clusterState.machines().size() <= MachineWindow.MAX_MACHINES
                 || !changedAt.plus(CHANGE_INTERVAL).isAfter(transaction.timeOfDay());
     }
 
-    /** Cordons these machines for reserved jobs and one for each of some stalled jobs, and no others. */
+    /**
+     * Replaces the set of cordoned machines by the given machines for reserved jobs and one machine for each of the first
+     * stalled best-effort jobs.
+     */
     void cordon(Transaction transaction, Set<String> forReserved) {
-        Set<String> wanted = new LinkedHashSet<>(forReserved);
-        wanted.addAll(machinesForStalledJobs(transaction));
-        boolean changes = !wanted.equals(clusterState.cordonedMachines());
-        if (changes && transaction.hasCapacityFor(1) && (wanted.isEmpty() || mayChange(transaction))) {
+        Set<String> newCordons = new LinkedHashSet<>(forReserved);
+        newCordons.addAll(machinesForStalledJobs(transaction));
+        boolean changes = !newCordons.equals(clusterState.cordonedMachines());
+        if (changes && transaction.hasCapacityFor(1) && (newCordons.isEmpty() || mayChange(transaction))) {
             changedAt = transaction.timeOfDay();
-            transaction.put(StoreKeys.CORDONED, new CordonedMachines(wanted));
+            transaction.put(StoreKeys.CORDONED, new CordonedMachines(newCordons));
         }
     }
 
-    /** The machines with most free resources that together would fit all waiting tasks of these jobs once empty. */
+    /**
+     * Returns machines that together fit all waiting tasks of the given jobs once no other tasks run there, choosing the
+     * machines with the most free CPUs first.
+     */
     Set<String> machinesFor(List<JobRecord> jobs, List<MachineRecord> machines, Transaction transaction) {
         Set<String> chosen = new LinkedHashSet<>();
         if (jobs.isEmpty()) {
@@ -104,7 +116,7 @@
         return candidates;
     }
 
-    /** One machine for each of some stalled best-effort jobs; only the job's owner may start tasks there. */
+    /** Returns one machine for each of the first stalled best-effort jobs. Only the job's owner starts tasks there. */
     private Set<String> machinesForStalledJobs(Transaction transaction) {
         List<JobRecord> stalled = clusterState.jobs().stream()
                 .filter(job -> !job.isReserved() && job.isStalledAt(transaction.timeOfDay()))
@@ -114,22 +126,25 @@
         Set<String> chosen = new LinkedHashSet<>();
         for (JobRecord job : stalled) {
             clusterState.machines().stream()
-                    .filter(machine -> !chosen.contains(machine.name()) && couldRunOn(job, machine))
-                    .max(bestLast(transaction))
+                    .filter(machine -> !chosen.contains(machine.name()) && fitsOnEmptyMachine(job, machine))
+                    .max(byFreeCpusThenCordoned(transaction))
                     .ifPresent(machine -> chosen.add(machine.name()));
         }
         return chosen;
     }
 
-    /** By free processors; among equals a machine that is cordoned already stays so. */
-    private Comparator<MachineRecord> bestLast(Transaction transaction) {
+    /**
+     * Orders machines by free CPUs, best candidate last. Among equals, machines that are already cordoned are better, so
+     * that the choice is stable.
+     */
+    private Comparator<MachineRecord> byFreeCpusThenCordoned(Transaction transaction) {
         return Comparator.<MachineRecord>comparingDouble(machine -> constraints.freeCpus(machine, transaction))
                 .thenComparing(machine -> clusterState.cordonedMachines().contains(machine.name()))
                 .thenComparing(MachineRecord::name);
     }
 
-    /** Whether one task of the job would fit on the machine if that was empty. */
-    private boolean couldRunOn(JobRecord job, MachineRecord machine) {
+    /** Returns whether one task of the job would fit on the machine if no other tasks ran there. */
+    private boolean fitsOnEmptyMachine(JobRecord job, MachineRecord machine) {
         MachineType type = constraints.typeOf(machine);
         return PlacementConstraints.isAvailable(machine, clusterState)
                 && type != null
--- a/src/main/java/org/gullway/coordination/scheduling/DeadlinePolicy.java
+++ b/src/main/java/org/gullway/coordination/scheduling/DeadlinePolicy.java
@@ -8,20 +8,29 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.protocol.Settings;
 
-/** When a job should be complete, by its own deadline or its job class's objective, and whether it still can be. */
+/**
+ * Determines when a job is due, from its own deadline or the completion objective of its job class, and whether it can
+ * still complete in time.
+ */
 public final class DeadlinePolicy {
-    /** The kind of objective that limits the time from submission to completion. */
+    /** The kind of objective that limits the time from submission to completion, as written in the settings. */
     private static final String COMPLETION_OBJECTIVE = "finished";
-    /** Estimates of run times are often too high: a deadline counts as missed only if this part is too long already. */
+    /**
+     * Run time estimates are often too high, so a deadline counts as missed only if even this fraction of the estimate no
+     * longer fits before it.
+     */
     private static final double MIN_FRACTION_OF_ESTIMATE = 0.7;
-    /** A job this late is ordered by its due time again, so that it does not wait for ever. */
+    /**
+     * A late job is placed after the jobs that are on time only until it is overdue by this much. From then on it is ordered
+     * by its due time again, so that it does not starve.
+     */
     private static final Duration MAX_DEFERRAL = Duration.ofMinutes(10);
-    /** Orders jobs without a deadline among the others. */
+    /** The time limit by which jobs without a deadline and without an objective are ordered among the other jobs. */
     private static final Duration DEFAULT_TIME_LIMIT = Duration.ofMinutes(5);
 
     private final Map<String, Duration> timeLimitByJobClass = new HashMap<>();
 
-    /** Takes the strictest completion objective of each job class. */
+    /** Uses the shortest completion objective of each job class; objectives of other kinds are ignored. */
     public DeadlinePolicy(List<Settings.Objective> objectives) {
         for (Settings.Objective objective : objectives) {
             if (objective.kind().equals(COMPLETION_OBJECTIVE)
@@ -36,7 +45,10 @@
         return first.compareTo(second) < 0 ? first : second;
     }
 
-    /** The time from submission within which the job should be complete; null if nothing limits it. */
+    /**
+     * Returns the time from submission within which the job should complete, or null if it has neither a deadline nor an
+     * objective.
+     */
     private Duration timeLimit(JobRecord job) {
         Duration deadline = job.request().deadline();
         Duration objective = timeLimitByJobClass.get(job.request().jobClass());
@@ -46,15 +58,19 @@
         return objective == null ? deadline : shorter(deadline, objective);
     }
 
-    /** Time of day at which the job should be complete; a job without a time limit counts as if it had a long one. */
+    /**
+     * Returns the time of day at which the job is due. A job without a time limit is due after a default limit, which only
+     * orders it among the other jobs.
+     */
     public Instant dueAt(JobRecord job) {
         Duration timeLimit = timeLimit(job);
         return job.submittedAt().plus(timeLimit == null ? DEFAULT_TIME_LIMIT : timeLimit);
     }
 
     /**
-     * Whether a task started now would end after the job is due. In an overload such jobs come after those that can
-     * still be in time: ordered by due time alone, late jobs would make all others late too.
+     * Returns whether a task started now would end after the job is due. Such jobs are placed after the jobs that can still
+     * complete in time: in an overload, an order by due time alone would put late jobs first and so make all others late
+     * too.
      */
     public boolean willMissDeadline(JobRecord job, Instant timeOfDay) {
         if (timeLimit(job) == null) {
--- a/src/main/java/org/gullway/coordination/scheduling/FreeResources.java
+++ b/src/main/java/org/gullway/coordination/scheduling/FreeResources.java
@@ -7,7 +7,7 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
 
-/** The resources of a machine that no task uses, as tasks are added and removed. */
+/** Mutable count of the free resources of one machine, used to simulate starts and stops of tasks. */
 final class FreeResources {
     private double cpus;
     private double gpus;
@@ -19,7 +19,7 @@
         this.memoryGb = memoryGb;
     }
 
-    /** What neither the records nor the transaction use on the machine. */
+    /** Returns the resources that are free after the placements in the cluster state and in the transaction. */
     static FreeResources on(MachineRecord machine, MachineType type, Transaction transaction) {
         return new FreeResources(
                 type.cpus() - transaction.cpusUsedOn(machine.name()),
@@ -27,19 +27,19 @@
                 type.memoryGb() - transaction.memoryUsedOn(machine.name()));
     }
 
-    /** Whether one more task fits. */
+    /** Returns whether one more task of the job fits. */
     boolean fits(JobRequest job) {
         return job.cpus() <= cpus + EPSILON && job.gpus() <= gpus + EPSILON && job.memoryGb() <= memoryGb + EPSILON;
     }
 
-    /** Adds what a task uses that ends. */
+    /** Adds the resources of a task that ends. */
     void release(JobRequest job) {
         cpus += job.cpus();
         gpus += job.gpus();
         memoryGb += job.memoryGb();
     }
 
-    /** Subtracts what a task needs that is to start. */
+    /** Subtracts the resources of a task that is to start. */
     void reserve(JobRequest job) {
         cpus -= job.cpus();
         gpus -= job.gpus();
--- a/src/main/java/org/gullway/coordination/scheduling/JobBackoff.java
+++ b/src/main/java/org/gullway/coordination/scheduling/JobBackoff.java
@@ -8,8 +8,9 @@
 import org.gullway.coordination.model.JobRecord;
 
 /**
- * Delays a job's next start exponentially after repeated errors, so that a job that fails on every machine does not
- * keep the fleet busy. The number of errors is in the job's record; the delay is kept only by this controller.
+ * Exponential back-off for jobs whose attempts fail repeatedly, so that a job that fails on every machine does not occupy
+ * the fleet. The number of consecutive errors is part of the job's record; the end of the delay is kept only in the memory
+ * of this controller.
  */
 public final class JobBackoff {
     private static final int ERRORS_WITHOUT_DELAY = 3;
@@ -20,7 +21,7 @@
 
     private record Delay(int errors, Instant until) {}
 
-    /** Whether the job must wait before its next start, because several of its attempts ended in errors. */
+    /** Returns whether the job must wait before its next start, because several consecutive attempts ended in errors. */
     public boolean isBackedOff(JobRecord job, Instant now) {
         String id = job.request().id();
         if (job.consecutiveErrors() <= ERRORS_WITHOUT_DELAY) {
@@ -40,7 +41,7 @@
         return delay.compareTo(MAX_DELAY) < 0 ? delay : MAX_DELAY;
     }
 
-    /** Drops the delays of jobs that have ended. */
+    /** Drops the delays of jobs that are no longer in the cluster state. */
     public void retainJobsOf(ClusterState clusterState) {
         delayByJob.keySet().removeIf(id -> clusterState.job(id) == null);
     }
--- a/src/main/java/org/gullway/coordination/scheduling/PlacementAttempt.java
+++ b/src/main/java/org/gullway/coordination/scheduling/JobPlacementPlan.java
@@ -11,42 +11,48 @@
 import org.gullway.coordination.placement.PlacementConstraints;
 import org.gullway.coordination.quota.TeamQuotas;
 
-/** Plans the tasks of one job, one at a time. */
-final class PlacementAttempt {
+/** Plans placements for the tasks of one job, one task per call, and records them in the transaction at the end. */
+final class JobPlacementPlan {
     private final JobRecord job;
-    private final Pass pass;
+    private final PassContext context;
     private final TeamQuotas quotas;
     private final BestFit bestFit;
     private final List<MachineRecord> planned = new ArrayList<>();
     private int remainingTasks;
 
-    /** What the attempts of all jobs share during one pass over the waiting jobs. */
-    record Pass(Transaction transaction, Collection<MachineRecord> machines, InfeasibleRequests infeasibleRequests) {}
+    /** The state that the plans of all jobs share during one pass over the waiting jobs. */
+    record PassContext(
+            Transaction transaction, Collection<MachineRecord> machines, InfeasibleRequests infeasibleRequests) {}
 
-    PlacementAttempt(JobRecord job, Pass pass, TeamQuotas quotas, BestFit bestFit, int maxTasks) {
+    JobPlacementPlan(JobRecord job, PassContext context, TeamQuotas quotas, BestFit bestFit, int maxTasks) {
         this.job = job;
-        this.pass = pass;
+        this.context = context;
         this.quotas = quotas;
         this.bestFit = bestFit;
         this.remainingTasks = Math.min(
-                maxTasks, Math.min(job.waitingTasks(), pass.transaction().placeableTasks(job)));
+                maxTasks, Math.min(job.waitingTasks(), context.transaction().placeableTasks(job)));
     }
 
-    /** Plans one more task; false if no more are due, allowed by the quota, or fit. */
-    boolean placeOne() {
-        Transaction transaction = pass.transaction();
+    /**
+     * Plans one more task.
+     *
+     * @return false if no task remains, the quota or the transaction does not allow another one, or none fits
+     */
+    boolean placeOneTask() {
+        Transaction transaction = context.transaction();
         if (remainingTasks == 0
                 || (planned.isEmpty() && transaction.placeableTasks(job) == 0)
                 || quotas.remainingTasks(job, transaction) == 0) {
             return false;
         }
-        List<MachineRecord> reserved = reserveOne();
+        List<MachineRecord> reserved = reserveForOneTask();
         if (reserved.isEmpty()) {
-            pass.infeasibleRequests().add(job.request());
+            context.infeasibleRequests().add(job.request());
             return false;
         }
         if (planned.isEmpty()) {
-            // Counts the job's record in the transaction now, so that it has capacity for what is planned.
+            // Adds the job's record to the transaction now, so that there is capacity for it once all tasks are
+            // planned.
             transaction.putJob(job);
         }
         planned.addAll(reserved);
@@ -54,24 +60,24 @@
         return true;
     }
 
-    /** Adds the placements of all planned tasks to the transaction, once no more of them follow. */
+    /** Adds the placements of all planned tasks to the transaction. Called once, after the last planned task. */
     void recordPlacements() {
         if (!planned.isEmpty()) {
-            pass.transaction().place(job, planned);
+            context.transaction().place(job, planned);
         }
     }
 
-    private List<MachineRecord> reserveOne() {
+    private List<MachineRecord> reserveForOneTask() {
         if (!planned.isEmpty() && !PlacementConstraints.constrainsZones(job.request())) {
-            // The machine chosen last is the best until nothing more fits there.
+            // The machine that was chosen last remains the best fit until no further task fits on it.
             MachineRecord last = planned.get(planned.size() - 1);
-            List<MachineRecord> reserved = bestFit.reserve(job, 1, List.of(last), pass.transaction());
+            List<MachineRecord> reserved = bestFit.reserve(job, 1, List.of(last), context.transaction());
             if (!reserved.isEmpty()) {
                 return reserved;
             }
         }
-        return pass.infeasibleRequests().isKnownInfeasible(job.request())
+        return context.infeasibleRequests().isKnownInfeasible(job.request())
                 ? List.of()
-                : bestFit.reserve(job, planned, 1, pass.machines(), pass.transaction());
+                : bestFit.reserve(job, planned, 1, context.machines(), context.transaction());
     }
 }
--- a/src/main/java/org/gullway/coordination/scheduling/MachineWindow.java
+++ b/src/main/java/org/gullway/coordination/scheduling/MachineWindow.java
@@ -5,23 +5,23 @@
 import org.gullway.coordination.model.MachineRecord;
 
 /**
- * Goes through a large fleet in parts, each time from where the last part ended: considering every task of all
- * machines at once would take seconds.
+ * Sliding window over the machines of a large fleet. Each call returns the machines that follow the previous window,
+ * because planning over every task of all machines at once would take seconds.
  */
 final class MachineWindow {
-    /** The machines of one part; larger fleets count as large. */
+    /** The size of the window. A fleet with more machines counts as large. */
     static final int MAX_MACHINES = 256;
 
     private int start;
 
-    /** The next part of these machines. */
+    /** Returns the next window of the given machines, wrapping around at the end of the list. */
     List<MachineRecord> next(List<MachineRecord> machines) {
         int size = Math.min(MAX_MACHINES, machines.size());
-        List<MachineRecord> part = new ArrayList<>(size);
+        List<MachineRecord> window = new ArrayList<>(size);
         for (int i = 0; i < size; i++) {
-            part.add(machines.get((start + i) % machines.size()));
+            window.add(machines.get((start + i) % machines.size()));
         }
         start = machines.isEmpty() ? 0 : (start + MAX_MACHINES) % machines.size();
-        return part;
+        return window;
     }
 }
--- a/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
@@ -15,9 +15,9 @@
 import org.gullway.coordination.scheduling.BestEffortQueue.OutgoingOffers;
 import org.gullway.protocol.ResourceOffer;
 
-/** The resource offers that peers made to this controller, and those that it makes to peers. */
+/** Keeps the resource offers received from peers and creates the offers to be sent to peers. */
 final class PeerOffers {
-    /** Between the offers of this controller's machines; peers get many machines in one message. */
+    /** The minimum time between two rounds of offers for this controller's machines. One message offers many machines. */
     private static final Duration SEND_INTERVAL = Duration.ofMillis(500);
 
     private static final double MIN_OFFERED_CPUS = 1;
@@ -32,7 +32,7 @@
 
     private record ReceivedOffer(ResourceOffer offer, Instant validUntil) {}
 
-    /** @param validity how long an offer from a peer may be used */
+    /** @param validity the time after receipt for which an offer from a peer may be used */
     PeerOffers(
             ClusterState clusterState,
             PlacementConstraints constraints,
@@ -56,7 +56,10 @@
         return !receivedByMachine.isEmpty();
     }
 
-    /** Moves the received offers that are still valid to the given ones. */
+    /**
+     * Moves the received offers into the given map and drops those that are no longer valid: expired offers, and offers of
+     * machines that are gone, do not accept tasks, or have an agent of another epoch.
+     */
     void drainTo(Map<MachineRecord, ResourceOffer> offerByMachine, Instant now) {
         for (ReceivedOffer received : receivedByMachine.values()) {
             ResourceOffer offer = received.offer();
@@ -71,7 +74,7 @@
         receivedByMachine.clear();
     }
 
-    /** Whether this controller's machines may be offered again. */
+    /** Returns whether the interval since this controller last offered its machines has elapsed. */
     boolean isSendingDue(Instant now) {
         return !sentAt.plus(SEND_INTERVAL).isAfter(now);
     }
@@ -80,7 +83,7 @@
         sentAt = now;
     }
 
-    /** Offers each of these machines that still has free processors to a random member that had no offer of it yet. */
+    /** Offers each machine that still has enough free CPUs to a random member that has not been offered it yet. */
     List<OutgoingOffers> outgoing(Map<MachineRecord, ResourceOffer> offerByMachine, Transaction transaction) {
         Map<String, List<ResourceOffer>> offersByPeer = new TreeMap<>();
         offerByMachine.forEach((machine, offer) -> {
@@ -95,17 +98,17 @@
 
     private void addOffer(
             MachineRecord machine, List<String> askedPeers, Map<String, List<ResourceOffer>> offersByPeer) {
-        List<String> asked = new ArrayList<>(askedPeers);
-        asked.add(self);
+        List<String> alreadyOffered = new ArrayList<>(askedPeers);
+        alreadyOffered.add(self);
         List<String> peers = new ArrayList<>(clusterState.members().keySet());
-        peers.removeAll(asked);
+        peers.removeAll(alreadyOffered);
         if (peers.isEmpty()) {
             return;
         }
         String peer = peers.get(random.nextInt(peers.size()));
         List<ResourceOffer> offers = offersByPeer.computeIfAbsent(peer, key -> new ArrayList<>());
         if (offers.size() < ResourceOffer.MAX_PER_MESSAGE) {
-            offers.add(new ResourceOffer(machine.name(), machine.agentEpoch(), asked));
+            offers.add(new ResourceOffer(machine.name(), machine.agentEpoch(), alreadyOffered));
         }
     }
 }
--- a/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
@@ -20,11 +20,11 @@
 import org.gullway.protocol.MachineType;
 
 /**
- * Preempts tasks on a set of machines so that others fit there. Resources that are already being released are counted
- * first, so that one waiting task never has two others stopped for it.
+ * Plans the preemption of tasks on a set of machines, so that waiting tasks fit there. Resources of tasks that are already
+ * stopping count as free, so that repeated planning does not preempt again for the same waiting task.
  */
 final class PreemptionPlanner {
-    /** Work of a job that will miss its deadline anyway counts for less than work that can be in time. */
+    /** Weight of the work of a job that will miss its deadline anyway, compared with a job that can complete in time. */
     private static final double LATE_JOB_WEIGHT = 0.3;
 
     private final ClusterState clusterState;
@@ -32,16 +32,16 @@
     private final DeadlinePolicy deadlines;
     private final Transaction transaction;
     private final List<MachineRecord> machines;
-    /** What is free or being released on each machine, less what waiting tasks are to get. */
+    /** The free resources and those being released on each machine, minus the resources set aside for waiting tasks. */
     private final Map<String, FreeResources> freeByMachine = new HashMap<>();
 
     private final Map<String, List<Victim>> victimsByMachine = new HashMap<>();
     private final Set<String> targetMachines = new LinkedHashSet<>();
 
-    /** A task that could be preempted, and the work that would be lost. */
+    /** A task that could be preempted, and the weighted work in CPU seconds that would be lost. */
     private record Victim(JobRecord job, Placement placement, double loss) {}
 
-    /** A machine on which one more task fits once the victims, if any, are stopped. */
+    /** A machine on which one more task fits once the victims are stopped; the list of victims may be empty. */
     private record PreemptionOption(MachineRecord machine, List<Victim> victims, double loss) {
         static PreemptionOption of(MachineRecord machine, List<Victim> victims) {
             return new PreemptionOption(
@@ -79,16 +79,18 @@
         return free;
     }
 
-    /** The machines on which waiting tasks are to start. */
+    /** Returns the machines on which resources are set aside for waiting tasks. */
     Set<String> targetMachines() {
         return targetMachines;
     }
 
     /**
-     * Finds resources for this many tasks of the job: free, being released, or released by preempting tasks of
-     * preemptible jobs where that loses least.
+     * Sets resources aside for waiting tasks of the job. Free resources and those being released are used first, then
+     * tasks are preempted where the least work is lost.
      *
-     * @return whether there is enough for all of the tasks
+     * @param tasks the number of tasks that need resources
+     * @param preemptible selects the jobs whose tasks may be preempted
+     * @return whether resources were found for all of the tasks
      */
     boolean preemptFor(JobRecord job, int tasks, Predicate<JobRecord> preemptible) {
         if (tasks == 0) {
@@ -113,7 +115,7 @@
         return true;
     }
 
-    /** Stops the option's victims, and sets its machine's resources aside for one task of the job. */
+    /** Stops the victims of the option and sets resources of its machine aside for one task of the job. */
     private void apply(PreemptionOption option, JobRecord job) {
         String machine = option.machine().name();
         FreeResources free = freeByMachine.get(machine);
@@ -131,7 +133,10 @@
         targetMachines.add(machine);
     }
 
-    /** Adds the option that loses least on this machine, if one more task can fit there at all. */
+    /**
+     * Adds an option for one more task on this machine, if it can fit there. Victims are taken in order of increasing loss
+     * until the task fits.
+     */
     private void addOption(
             JobRecord job,
             MachineRecord machine,
@@ -156,7 +161,7 @@
         }
     }
 
-    /** The tasks on a machine that could be preempted, those with least loss first. */
+    /** Returns the best-effort tasks on the machine that are not stopping yet, in order of increasing loss. */
     private List<Victim> possibleVictims(String machine) {
         List<Victim> victims = new ArrayList<>();
         clusterState.placementsOn(machine).forEach((id, placement) -> {
@@ -169,7 +174,10 @@
         return victims;
     }
 
-    /** Processor seconds that are lost: all since the start, or at most the time in which a checkpoint is saved. */
+    /**
+     * Returns the weighted CPU seconds of work that preemption would lose: the run time since the placement, or for jobs
+     * with checkpoints at most the time that saving a checkpoint takes.
+     */
     private double loss(JobRecord job, Placement placement) {
         Duration runTime = Duration.between(placement.placedAt(), transaction.timeOfDay());
         double seconds = Math.max(0, runTime.toMillis() / 1000.0);
--- a/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
@@ -22,13 +22,16 @@
 import org.gullway.protocol.Priority;
 
 /**
- * The leader's placement of reserved jobs, each task on the fullest machine that fits. For tasks that fit nowhere,
- * best-effort tasks are preempted and machines cordoned.
+ * Places reserved jobs by best fit. For reserved tasks that fit on no machine, it preempts best-effort tasks and cordons
+ * machines. Runs on the leader only.
  */
 public final class ReservedScheduler implements PlanningStep {
-    /** In a large fleet preemption considers thousands of tasks, so it is planned less often. */
+    /** The minimum time between preemptions in a large fleet, where planning them considers thousands of tasks. */
     private static final Duration PREEMPTION_INTERVAL = Duration.ofMillis(500);
-    /** Once preemption found too little for this many jobs, those after them wait for cordoned machines. */
+    /**
+     * The number of jobs that preemption may fail for in one cycle. After that, no preemption is attempted for the remaining
+     * jobs; machines are cordoned for them instead.
+     */
     private static final int MAX_UNSATISFIED_JOBS = 8;
 
     private final ClusterState clusterState;
@@ -52,8 +55,8 @@
     }
 
     /**
-     * Places waiting reserved jobs, the most urgent first, and preempts and cordons for those that fit nowhere. Only
-     * the leader calls it.
+     * Places the waiting reserved jobs, the most urgent first. Plans preemption and cordons machines for the jobs with
+     * tasks that fit on no machine. Only the leader calls this method.
      */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
@@ -94,7 +97,10 @@
         return waiting;
     }
 
-    /** By priority, then jobs that the guaranteed quota of their team covers, then by age. */
+    /**
+     * Orders jobs by priority, then jobs covered by the guaranteed quota of their team before others, then by time of
+     * submission.
+     */
     private Comparator<JobRecord> mostUrgentFirst() {
         GuaranteedQuota guaranteedQuota = GuaranteedQuota.of(clusterState, quotas);
         return Comparator.<JobRecord, Priority>comparing(job -> job.request().priority())
@@ -103,13 +109,13 @@
                 .thenComparing(job -> job.request().id());
     }
 
-    /** Places the tasks that fit, and returns the jobs of which some tasks fit nowhere. */
+    /** Places the tasks that fit and returns the jobs that still have tasks which fit on no machine. */
     private List<JobRecord> placeAll(List<JobRecord> jobs, List<MachineRecord> machines, Transaction transaction) {
         List<JobRecord> unplaced = new ArrayList<>();
         InfeasibleRequests infeasibleRequests = new InfeasibleRequests();
-        for (JobRecord known : jobs) {
-            // Another step of this cycle may have cancelled the job or recorded completions of its tasks.
-            JobRecord job = transaction.job(known.request().id());
+        for (JobRecord storedJob : jobs) {
+            // An earlier step of this cycle may have cancelled the job or recorded completions of its tasks.
+            JobRecord job = transaction.job(storedJob.request().id());
             if (job == null) {
                 continue;
             }
@@ -118,7 +124,7 @@
             if (infeasible || !place(job, machines, transaction)) {
                 unplaced.add(transaction.job(job.request().id()));
                 if (!job.isGang()) {
-                    // Single tasks of a gang may fit; of any other job not one more does.
+                    // A gang is unplaced if not all of its tasks fit, so single tasks of the same size may still fit.
                     infeasibleRequests.add(job.request());
                 }
             }
@@ -126,7 +132,11 @@
         return unplaced;
     }
 
-    /** Places as many tasks as fit, a gang's all or none; false if some that the quota allows fit nowhere. */
+    /**
+     * Places as many tasks of the job as fit; a gang is placed as a whole or not at all.
+     *
+     * @return false if some of the tasks that the quota and the transaction allow fit on no machine
+     */
     private boolean place(JobRecord job, List<MachineRecord> machines, Transaction transaction) {
         if (job.isGang() && !job.livePlacements().isEmpty()) {
             return true;
@@ -148,7 +158,7 @@
         return reserved.size() == allowedTasks;
     }
 
-    /** Preempts best-effort tasks for these jobs, and cordons machines for those that still do not fit then. */
+    /** Preempts best-effort tasks for the given jobs, and cordons machines for the jobs that still do not fit. */
     private void preemptAndCordon(List<JobRecord> unplaced, List<MachineRecord> machines, Transaction transaction) {
         List<MachineRecord> considered =
                 machines.size() <= MachineWindow.MAX_MACHINES ? machines : window.next(machines);
@@ -169,7 +179,11 @@
         cordonPlanner.cordon(transaction, cordoned);
     }
 
-    /** Preempts best-effort tasks of a lower priority for all waiting tasks that the quota allows. */
+    /**
+     * Preempts best-effort tasks of lower priority for all waiting tasks that the quota allows.
+     *
+     * @return whether resources were found for all of them
+     */
     private boolean preemptFor(JobRecord job, PreemptionPlanner preemption, Transaction transaction) {
         int tasks = Math.min(job.waitingTasks(), quotas.remainingTasks(job, transaction));
         Priority priority = job.request().priority();
--- a/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
@@ -18,12 +18,13 @@
 import org.gullway.protocol.Settings;
 
 /**
- * Limits the scavenger class to leftover resources: its tasks start only while no best-effort job of a higher priority
- * waits, leave a reserve for reserved jobs, and are preempted when a best-effort job of a higher priority waits.
+ * Restricts jobs of the scavenger class to leftover resources. Their tasks start only while no best-effort job of higher
+ * priority waits, leave a reserve of free CPUs for reserved jobs, and are preempted when a best-effort job of higher
+ * priority waits.
  */
 public final class ScavengerScheduler implements PlanningStep {
     private static final Duration PREEMPTION_INTERVAL = Duration.ofSeconds(1);
-    /** Most jobs are placed within this time without preemption. */
+    /** A job has to wait this long before tasks are preempted for it; most jobs are placed earlier without preemption. */
     private static final Duration MIN_WAIT = Duration.ofSeconds(2);
 
     private static final int MAX_JOBS_PER_CYCLE = 8;
@@ -37,7 +38,7 @@
     private final MachineWindow window = new MachineWindow();
     private Instant preemptedAt = Instant.MIN;
 
-    /** @param reserveFraction processors kept free for reserved jobs, as a fraction of what these use at present */
+    /** @param reserveFraction the CPUs to keep free for reserved jobs, as a fraction of the CPUs that these jobs now use */
     public ScavengerScheduler(SchedulingContext context, double reserveFraction) {
         this.clusterState = context.clusterState();
         this.constraints = context.constraints();
@@ -51,7 +52,7 @@
         return job.request().priority() == Priority.IDLE;
     }
 
-    /** Processors that scavenger tasks may use now. */
+    /** Returns the number of free CPUs that scavenger tasks may use now. */
     double availableCpus(Transaction transaction, Instant now) {
         if (!waitingJobsOfHigherPriority(transaction, now).isEmpty()) {
             return 0;
@@ -67,7 +68,10 @@
         return Math.max(0, free - reserveFraction * usedByReserved);
     }
 
-    /** The leader's part: preempts as many scavenger tasks as the waiting jobs of a higher priority could use. */
+    /**
+     * Preempts as many scavenger tasks as the waiting best-effort jobs of higher priority can use. Only the leader calls this
+     * method.
+     */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         Instant now = context.now();
@@ -96,11 +100,14 @@
         return false;
     }
 
-    /** Best-effort jobs that wait although their quota would let them run, the oldest first. */
+    /**
+     * Returns the best-effort jobs outside the scavenger class that have waited for some time although their quota allows
+     * more tasks, the oldest first.
+     */
     private List<JobRecord> waitingJobsOfHigherPriority(Transaction transaction, Instant now) {
         List<JobRecord> waiting = new ArrayList<>();
-        for (JobRecord known : clusterState.jobs()) {
-            JobRecord job = transaction.job(known.request().id());
+        for (JobRecord storedJob : clusterState.jobs()) {
+            JobRecord job = transaction.job(storedJob.request().id());
             if (job != null
                     && !job.isReserved()
                     && !isScavenger(job)
--- a/src/main/java/org/gullway/coordination/scheduling/SchedulingContext.java
+++ b/src/main/java/org/gullway/coordination/scheduling/SchedulingContext.java
@@ -5,10 +5,10 @@
 import org.gullway.coordination.quota.TeamQuotas;
 
 /**
- * What all schedulers of a controller decide by.
+ * The state and the policies that the schedulers of a controller share.
  *
- * @param backoff which jobs must not start anything now
- * @param deadlines which jobs can still be in time
+ * @param backoff determines which jobs must not start tasks now because of repeated errors
+ * @param deadlines determines which jobs can still complete in time
  */
 public record SchedulingContext(
         ClusterState clusterState,
--- a/src/main/java/org/gullway/coordination/scheduling/StalledJobPlacement.java
+++ b/src/main/java/org/gullway/coordination/scheduling/StalledJobPlacement.java
@@ -15,8 +15,8 @@
 import org.gullway.coordination.quota.TeamQuotas;
 
 /**
- * Places one task of each stalled job before anything else, the largest first: otherwise small tasks of other jobs
- * would use every released resource before a job of large tasks could start.
+ * Places one task of each stalled job before any other task, to avoid starvation: otherwise small tasks of other jobs would
+ * take every released resource before a job with large tasks could start.
  */
 final class StalledJobPlacement {
     private static final TeamRoundRobin.Limits ONE_TASK = TeamRoundRobin.Limits.ofTasksPerJob(1);
@@ -32,10 +32,11 @@
     }
 
     /**
-     * Places one task of each of these jobs, on these machines or the cordoned ones.
+     * Places one task of each stalled job on the given machines or on cordoned ones.
      *
-     * @return the teams of which other jobs must not start: their quota partition is large enough for a stalled job,
-     *     but too much of it is used, and small tasks would keep it so
+     * @param stalledJobs the stalled jobs in {@link JobRecord#STALLED_ORDER}, which puts large tasks before small ones
+     * @return the teams whose other jobs must not start tasks now: the team's quota partition is large enough for a task of
+     *     a stalled job, but too much of it is in use, and further small tasks would keep it in use
      */
     Set<String> place(Transaction transaction, Collection<MachineRecord> machines, List<JobRecord> stalledJobs) {
         Set<String> blockedTeams = new HashSet<>();
@@ -43,20 +44,23 @@
             return blockedTeams;
         }
         List<MachineRecord> withCordoned = withCordoned(machines);
-        for (JobRecord known : stalledJobs) {
-            if (blockedTeams.contains(known.request().team())) {
+        for (JobRecord storedJob : stalledJobs) {
+            if (blockedTeams.contains(storedJob.request().team())) {
                 continue;
             }
-            teamRoundRobin.place(transaction, withCordoned, List.of(known), ONE_TASK);
-            JobRecord job = transaction.job(known.request().id());
-            if (job != null && waitsForUsedQuota(job, transaction)) {
+            teamRoundRobin.place(transaction, withCordoned, List.of(storedJob), ONE_TASK);
+            JobRecord job = transaction.job(storedJob.request().id());
+            if (job != null && isBlockedByUsedQuota(job, transaction)) {
                 blockedTeams.add(job.request().team());
             }
         }
         return blockedTeams;
     }
 
-    /** The leader cordons machines for stalled jobs regardless of which controller commands the machine. */
+    /**
+     * Adds the cordoned machines, whichever controller commands their agents: the leader chooses machines for stalled jobs
+     * from the whole fleet.
+     */
     private List<MachineRecord> withCordoned(Collection<MachineRecord> machines) {
         List<MachineRecord> all = new ArrayList<>(machines);
         for (String name : clusterState.cordonedMachines()) {
@@ -68,7 +72,7 @@
         return all;
     }
 
-    private boolean waitsForUsedQuota(JobRecord job, Transaction transaction) {
+    private boolean isBlockedByUsedQuota(JobRecord job, Transaction transaction) {
         if (!job.livePlacements().isEmpty() || quotas.remainingTasks(job, transaction) > 0) {
             return false;
         }
--- a/src/main/java/org/gullway/coordination/scheduling/TeamRoundRobin.java
+++ b/src/main/java/org/gullway/coordination/scheduling/TeamRoundRobin.java
@@ -17,16 +17,16 @@
 import org.gullway.coordination.quota.TeamQuotas;
 
 /**
- * Places tasks of waiting jobs in turns of their teams, one task at each turn, until nothing more fits. The order of
- * the teams is kept from one pass to the next, so that all get equally many turns.
+ * Places tasks of waiting jobs round-robin across teams, one task per turn, until no further task fits. The order of the
+ * teams carries over from one pass to the next, so that all teams get the same number of turns.
  */
 final class TeamRoundRobin {
     private final TeamQuotas quotas;
     private final BestFit bestFit;
-    /** All teams that ever had a waiting job, the one whose next turn comes first at the start. */
+    /** All teams that ever had a waiting job, in the order of their next turns. */
     private final List<String> teams = new ArrayList<>();
 
-    /** How much one pass may place: tasks of each job, and processors of all of them. */
+    /** Limits of one pass: the number of tasks per job, and the sum of the CPUs of all placed tasks. */
     record Limits(int maxTasksPerJob, double maxCpus) {
         static final Limits NONE = new Limits(Integer.MAX_VALUE, Double.MAX_VALUE);
 
@@ -44,15 +44,19 @@
         this.bestFit = bestFit;
     }
 
-    /** Places tasks of these jobs on these machines; the jobs of a team have their turns in the given order. */
+    /**
+     * Places tasks of the given jobs on the given machines within the limits.
+     *
+     * @param jobs the jobs to place; jobs of the same team are served in this order
+     */
     void place(Transaction transaction, Collection<MachineRecord> machines, List<JobRecord> jobs, Limits limits) {
-        TurnsOfOnePass turns = new TurnsOfOnePass(transaction, machines, jobs, limits);
-        addNewTeams(turns.waitingByTeam.keySet());
+        RoundRobinPass pass = new RoundRobinPass(transaction, machines, jobs, limits);
+        addNewTeams(pass.waitingByTeam.keySet());
         boolean placedAny = true;
         while (placedAny) {
             placedAny = false;
             for (String team : List.copyOf(teams)) {
-                if (turns.placeOneOf(team)) {
+                if (pass.placeOneTaskOf(team)) {
                     placedAny = true;
                     teams.remove(team);
                     teams.add(team);
@@ -69,20 +73,20 @@
         }
     }
 
-    private final class TurnsOfOnePass {
-        private final PlacementAttempt.Pass pass;
+    private final class RoundRobinPass {
+        private final JobPlacementPlan.PassContext context;
         private final int maxTasksPerJob;
         private final Map<String, Deque<JobRecord>> waitingByTeam = new TreeMap<>();
-        private final Map<String, PlacementAttempt> attemptByJob = new HashMap<>();
+        private final Map<String, JobPlacementPlan> planByJob = new HashMap<>();
         private double remainingCpus;
 
-        TurnsOfOnePass(
+        RoundRobinPass(
                 Transaction transaction, Collection<MachineRecord> machines, List<JobRecord> jobs, Limits limits) {
-            this.pass = new PlacementAttempt.Pass(transaction, machines, new InfeasibleRequests());
+            this.context = new JobPlacementPlan.PassContext(transaction, machines, new InfeasibleRequests());
             this.maxTasksPerJob = limits.maxTasksPerJob();
             this.remainingCpus = limits.maxCpus();
-            for (JobRecord known : jobs) {
-                JobRecord job = transaction.job(known.request().id());
+            for (JobRecord storedJob : jobs) {
+                JobRecord job = transaction.job(storedJob.request().id());
                 if (job != null && job.waitingTasks() > 0) {
                     waitingByTeam
                             .computeIfAbsent(job.request().team(), team -> new ArrayDeque<>())
@@ -91,18 +95,22 @@
             }
         }
 
-        /** One turn: places one task of the team's first job of which one fits. */
-        boolean placeOneOf(String team) {
+        /**
+         * Takes one turn of the team: places one task of the team's first job that has a task which fits.
+         *
+         * @return false if no task of the team fits
+         */
+        boolean placeOneTaskOf(String team) {
             Deque<JobRecord> jobs = waitingByTeam.get(team);
             while (jobs != null && !jobs.isEmpty()) {
                 JobRecord job = jobs.peek();
-                PlacementAttempt attempt = attemptByJob.computeIfAbsent(
-                        job.request().id(), id -> new PlacementAttempt(job, pass, quotas, bestFit, maxTasksPerJob));
-                if (job.request().cpus() <= remainingCpus && attempt.placeOne()) {
+                JobPlacementPlan plan = planByJob.computeIfAbsent(
+                        job.request().id(), id -> new JobPlacementPlan(job, context, quotas, bestFit, maxTasksPerJob));
+                if (job.request().cpus() <= remainingCpus && plan.placeOneTask()) {
                     remainingCpus -= job.request().cpus();
                     return true;
                 }
-                attempt.recordPlacements();
+                plan.recordPlacements();
                 jobs.poll();
             }
             return false;
--- a/src/main/java/org/gullway/coordination/scheduling/package-info.java
+++ b/src/main/java/org/gullway/coordination/scheduling/package-info.java
@@ -1,2 +1,2 @@
-/** Decides which task runs on which machine: reserved, best-effort and scavenger-class jobs, and preemption. */
+/** Scheduling: placement of reserved, best-effort and scavenger-class jobs on machines, preemption and cordons. */
 package org.gullway.coordination.scheduling;
--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -62,7 +62,7 @@
         return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
     }
 
-    /** Runs the queue on one machine with 16 processors. */
+    /** Runs one scheduling cycle of the queue on one machine with 16 CPUs. */
     private Transaction schedule() {
         Transaction transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine), Instant.EPOCH);
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aTeamWithinItsGuaranteedQuotaIsServedFirst() {
+    void teamWithinItsGuaranteedQuotaIsServedFirst() {
         accept("run-000001", "red", "perch-0", 9, 9, 11);
         accept("run-000002", "blue", "perch-0", 4, 1, 12);
         Transaction transaction = schedule();
@@ -89,7 +89,7 @@
 
     @Test
     void jobsInTimeAreServedBeforeLateJobs() {
-        JobRecord begun = TestFixtures.placed(
+        JobRecord lateJob = TestFixtures.placed(
                 JobRecord.accepted(
                         TestFixtures.request("run-000001", "red", Priority.NORMAL, 5, 4),
                         "perch-0",
@@ -98,7 +98,7 @@
                 "vm-9");
         clusterState.put(
                 StoreKeys.job("run-000001"),
-                begun.withCompletions(Map.of(begun.livePlacements().get(0), JobRecord.AttemptOutcome.DONE)),
+                lateJob.withCompletions(Map.of(lateJob.livePlacements().get(0), JobRecord.AttemptOutcome.DONE)),
                 11);
         accept("run-000002", "red", "perch-0", 4, 5, 12);
         Transaction transaction = schedule();
@@ -106,7 +106,7 @@
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
     }
 
-    /** While other jobs keep coming, a late job would otherwise never start. */
+    /** Guards against starvation: while other jobs keep arriving, a late job would otherwise never start. */
     @Test
     void aStalledJobStartsWithOneTask() {
         accept("run-000001", "red", "perch-0", 4, 110, 11);
@@ -116,7 +116,7 @@
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(3);
     }
 
-    /** The machine that the leader cordons for a large task is used by the job's owner, whichever controller commands it. */
+    /** The owner of a stalled job uses the machine that the leader cordoned for it, even if a peer commands its agent. */
     @Test
     void aStalledJobUsesTheMachineCordonedForIt() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.PEER), 11);
@@ -139,9 +139,9 @@
     }
 
     @Test
-    void usesTheResourcesOfCompletedAttemptsAndNoMore() {
+    void usesOnlyTheQuotaThatCompletedAttemptsReleased() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.SELF), 11);
-        JobRecord small = TestFixtures.placed(
+        JobRecord runningJob = TestFixtures.placed(
                 JobRecord.accepted(
                         TestFixtures.request("run-000009", "red", Priority.NORMAL, 8, 4),
                         "perch-0",
@@ -155,7 +155,7 @@
                 "vm-2",
                 "vm-2",
                 "vm-2");
-        clusterState.put(StoreKeys.job("run-000009"), small, 12);
+        clusterState.put(StoreKeys.job("run-000009"), runningJob, 12);
         clusterState.put(
                 StoreKeys.job("run-000001"),
                 JobRecord.accepted(
@@ -165,20 +165,22 @@
                 13);
         CompletionBuffer completionBuffer = new CompletionBuffer(clusterState);
         completionBuffer.add(
-                AttemptId.of(small, small.livePlacements().get(0)), JobRecord.AttemptOutcome.DONE, Instant.EPOCH);
+                AttemptId.of(runningJob, runningJob.livePlacements().get(0)),
+                JobRecord.AttemptOutcome.DONE,
+                Instant.EPOCH);
         Transaction transaction = newTransaction();
         completionBuffer.releaseResources(transaction);
         bestEffortQueue.schedule(transaction, () -> List.of(machine, clusterState.machine("vm-2")), Instant.EPOCH);
         assertThat(transaction.job("run-000001").livePlacements())
-                .as("4 of the quota of 32 are free")
+                .as("4 CPUs of the quota of 32 are free")
                 .hasSize(2);
         assertThat(transaction.quotaCpusUsed(StoreKeys.quotaPartition("perch-0"), "red"))
                 .isEqualTo(32);
     }
 
-    /** Tasks are placed one by one; those planned before in the same transaction count for the zones. */
+    /** Zone constraints must also count earlier tasks of the transaction that are not in the job's record yet. */
     @Test
-    void tasksOfOneTransactionKeepToTheZonesThatTheJobAllows() {
+    void zoneConstraintsCountTasksPlannedInTheSameTransaction() {
         MachineRecord other = TestFixtures.machine("vm-2", "small", TestFixtures.SELF);
         MachineRecord otherZone = new MachineRecord(
                 "vm-2",
@@ -200,7 +202,7 @@
         Transaction transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine, otherZone), Instant.EPOCH);
         assertThat(transaction.job(singleZone.id()).livePlacements())
-                .as("in one zone")
+                .as("all tasks in one zone")
                 .hasSize(4);
         assertThat(transaction.job(singleZone.id()).livePlacements().stream()
                         .map(Placement::machine)
@@ -216,10 +218,10 @@
         transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine, otherZone), Instant.EPOCH);
         assertThat(transaction.job(spread.id()).livePlacements())
-                .as("spread over two")
+                .as("spread across two zones")
                 .hasSize(5);
         assertThat(transaction.job(spread.id()).livePlacements().stream()
-                        .filter(p -> p.machine().equals("vm-2"))
+                        .filter(placement -> placement.machine().equals("vm-2"))
                         .count())
                 .isBetween(2L, 3L);
     }
@@ -249,7 +251,7 @@
     }
 
     @Test
-    void nothingStartsOnACordonedMachine() {
+    void noTaskStartsOnACordonedMachine() {
         clusterState.put(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1")), 20);
         accept("run-000001", "red", "perch-0", 4, 5, 11);
         Transaction transaction = schedule();
@@ -257,7 +259,7 @@
     }
 
     @Test
-    void resourcesThatFitNothingHereAreOfferedToAPeerAndUsedThere() {
+    void unusedResourcesAreOfferedToAPeerAndUsedThere() {
         accept("run-000001", "red", "perch-1", 2, 5, 11);
         Transaction transaction = newTransaction();
         List<BestEffortQueue.OutgoingOffers> offers =
@@ -309,16 +311,16 @@
                 12);
         transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements())
-                .as("8 of the 16 are kept free for reserved jobs")
+                .as("8 of the 16 CPUs are kept free for reserved jobs")
                 .hasSize(2);
 
-        // A best-effort job of another controller waits and may run: nothing is left over.
+        // A best-effort job of another controller waits within its quota, so no resources are left over.
         accept("run-000002", "red", "perch-1", 1, 5, 13);
         transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
     }
 
-    /** The leader preempts as many scavenger tasks as the waiting job could use, and no others. */
+    /** The leader preempts as many scavenger tasks as the waiting job can use, and no tasks of other classes. */
     @Test
     void scavengerTasksArePreemptedForBestEffortJobsOfAHigherPriority() {
         acceptScavenger("run-000001", 9, 11);
--- a/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
@@ -88,7 +88,7 @@
         assertThat(transaction.changes()).containsEntry(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1")));
     }
 
-    /** Small tasks would otherwise use all released resources before a job of large tasks could start. */
+    /** Guards against starvation: small tasks would otherwise take all released resources before a large task could start. */
     @Test
     void cordonsAMachineForTheLargeTaskOfAStalledBestEffortJob() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "small", TestFixtures.SELF), 10);
@@ -104,7 +104,7 @@
         assertThat(transaction.changes()).containsEntry(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-2")));
     }
 
-    /** A job that was cancelled and placed in one transaction would be recorded as ended and run. */
+    /** Guards against a transaction that both ends a job and places its tasks, which would run after the final state. */
     @Test
     void doesNotPlaceAJobThatTheSameTransactionCancels() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
@@ -120,21 +120,21 @@
     @Test
     void preemptsTheBestEffortTaskThatLosesLeast() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "small", TestFixtures.SELF), 10);
-        JobRecord old = JobRecord.accepted(
+        JobRecord smallTasks = JobRecord.accepted(
                 TestFixtures.request("run-000008", "blue", Priority.NORMAL, 2, 4), "perch-0", TestFixtures.TIME_OF_DAY);
-        old = TestFixtures.placed(
-                TestFixtures.placed(old, TestFixtures.TIME_OF_DAY.minusSeconds(60), "vm-1"),
+        smallTasks = TestFixtures.placed(
+                TestFixtures.placed(smallTasks, TestFixtures.TIME_OF_DAY.minusSeconds(60), "vm-1"),
                 TestFixtures.TIME_OF_DAY.minusSeconds(5),
                 "vm-1");
-        JobRecord wide = TestFixtures.placed(
+        JobRecord largeTask = TestFixtures.placed(
                 JobRecord.accepted(
                         TestFixtures.request("run-000009", "blue", Priority.NORMAL, 1, 8),
                         "perch-0",
                         TestFixtures.TIME_OF_DAY),
                 TestFixtures.TIME_OF_DAY.minusSeconds(30),
                 "vm-1");
-        clusterState.put(StoreKeys.job("run-000008"), old, 12);
-        clusterState.put(StoreKeys.job("run-000009"), wide, 13);
+        clusterState.put(StoreKeys.job("run-000008"), smallTasks, 12);
+        clusterState.put(StoreKeys.job("run-000009"), largeTask, 13);
         accept("run-000001", "red", Priority.HIGH, 1, 4, 14);
         Transaction transaction = schedule();
         assertThat(transaction.job("run-000008").livePlacements())
@@ -149,7 +149,7 @@
         Transaction next = newTransaction();
         reservedScheduler.plan(next, TestFixtures.leaderContext(Instant.EPOCH.plusSeconds(1)));
         assertThat(next.isEmpty())
-                .as("one waiting task has only one preempted for it")
+                .as("no second task is preempted for the same waiting task")
                 .isTrue();
     }
 }
