--- a/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
@@ -195,7 +195,8 @@
 
     /**
      * Returns the amount after a reduction to the partition's own demand or, if the total demand exceeds the quota, to its
-     * fair share. The result is never below the used amount, and is the current amount if the reduction is too small.
+     * fair share. The partition keeps at least the used amount and what the largest task of its stalled jobs needs.
+     * Returns the current amount if the reduction is too small to be worth a write to the state store.
      */
     private double reducedAmount(
             Adjustment adjustment, String partition, TeamResource resource, Allocation own, OtherPartitions others) {
--- a/src/main/java/org/gullway/coordination/quota/UnusedAllocationTracker.java
+++ b/src/main/java/org/gullway/coordination/quota/UnusedAllocationTracker.java
@@ -32,21 +32,21 @@
      */
     boolean mustYield(String partition, TeamResource resource, double used, boolean neededElsewhere, Instant now) {
         String key = partition + '\n' + resource.team().name() + '\n' + resource.resource();
-        Observation previous = observations.get(key);
-        if (previous != null && now.isBefore(previous.yieldsUntil())) {
+        Observation before = observations.get(key);
+        if (before != null && now.isBefore(before.yieldsUntil())) {
             return true;
         }
-        Observation next = next(previous, used, neededElsewhere, now);
+        Observation next = next(before, used, neededElsewhere, now);
         observations.put(key, next);
         return now.isBefore(next.yieldsUntil());
     }
 
-    private static Observation next(Observation previous, double used, boolean neededElsewhere, Instant now) {
-        if (!neededElsewhere || previous == null || previous.used() != used) {
+    private static Observation next(Observation before, double used, boolean neededElsewhere, Instant now) {
+        if (!neededElsewhere || before == null || before.used() != used) {
             return new Observation(used, now, Instant.MIN);
         }
-        if (previous.since().plus(MAX_UNUSED).isAfter(now)) {
-            return previous;
+        if (before.since().plus(MAX_UNUSED).isAfter(now)) {
+            return before;
         }
         return new Observation(used, now, now.plus(MAX_UNUSED));
     }
--- a/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Returns whether the set of cordoned machines may change now. In a large fleet callers skip the scan of all machines
-     * while this is false.
+     * Returns whether the set of cordoned machines may change now: always if it is empty or the fleet is small, otherwise
+     * once the minimum time since the last change has elapsed. Callers skip the scan of all machines while this is false.
      */
     boolean mayChange(Transaction transaction) {
         return clusterState.cordonedMachines().isEmpty()
@@ -74,7 +74,7 @@
 
     /**
      * Returns machines that together fit all waiting tasks of the given jobs once no other tasks run there, choosing the
-     * machines with the most free CPUs first.
+     * machines with the most free CPUs first. The result is limited to the maximum number of cordoned machines.
      */
     Set<String> machinesFor(List<JobRecord> jobs, List<MachineRecord> machines, Transaction transaction) {
         Set<String> chosen = new LinkedHashSet<>();
--- a/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
@@ -83,7 +83,7 @@
         sentAt = now;
     }
 
-    /** Offers each machine that still has enough free CPUs to a random member that has not been offered it yet. */
+    /** Offers each machine that still has enough free CPUs to a random peer that has not been offered it yet. */
     List<OutgoingOffers> outgoing(Map<MachineRecord, ResourceOffer> offerByMachine, Transaction transaction) {
         Map<String, List<ResourceOffer>> offersByPeer = new TreeMap<>();
         offerByMachine.forEach((machine, offer) -> {
--- a/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
@@ -22,8 +22,9 @@
 import org.gullway.protocol.Priority;
 
 /**
- * Places reserved jobs by best fit. For reserved tasks that fit on no machine, it preempts best-effort tasks and cordons
- * machines. Runs on the leader only.
+ * Places reserved jobs by best fit. Reserved jobs are placed by the leader, while best-effort jobs are placed by the
+ * controllers that own them. For reserved tasks that fit on no machine, the scheduler preempts best-effort tasks and
+ * cordons machines.
  */
 public final class ReservedScheduler implements PlanningStep {
     /** The minimum time between preemptions in a large fleet, where planning them considers thousands of tasks. */
--- a/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
@@ -18,7 +18,7 @@
 import org.gullway.protocol.Settings;
 
 /**
- * Restricts jobs of the scavenger class to leftover resources. Their tasks start only while no best-effort job of higher
+ * Restricts jobs of the scavenger class (the lowest priority) to leftover resources. Their tasks start only while no best-effort job of higher
  * priority waits, leave a reserve of free CPUs for reserved jobs, and are preempted when a best-effort job of higher
  * priority waits.
  */
@@ -52,7 +52,10 @@
         return job.request().priority() == Priority.IDLE;
     }
 
-    /** Returns the number of free CPUs that scavenger tasks may use now. */
+    /**
+     * Returns the number of free CPUs that scavenger tasks may use now, which is 0 while a best-effort job of higher
+     * priority waits.
+     */
     double availableCpus(Transaction transaction, Instant now) {
         if (!waitingJobsOfHigherPriority(transaction, now).isEmpty()) {
             return 0;
--- a/src/main/java/org/gullway/coordination/scheduling/StalledJobPlacement.java
+++ b/src/main/java/org/gullway/coordination/scheduling/StalledJobPlacement.java
@@ -15,8 +15,9 @@
 import org.gullway.coordination.quota.TeamQuotas;
 
 /**
- * Places one task of each stalled job before any other task, to avoid starvation: otherwise small tasks of other jobs would
- * take every released resource before a job with large tasks could start.
+ * Places one task of each stalled job before any other task. A job is stalled if it was accepted long ago and none of its
+ * tasks is placed. Without this step small tasks of other jobs would take every released resource, and a job with large
+ * tasks would starve.
  */
 final class StalledJobPlacement {
     private static final TeamRoundRobin.Limits ONE_TASK = TeamRoundRobin.Limits.ofTasksPerJob(1);
@@ -34,7 +35,8 @@
     /**
      * Places one task of each stalled job on the given machines or on cordoned ones.
      *
-     * @param stalledJobs the stalled jobs in {@link JobRecord#STALLED_ORDER}, which puts large tasks before small ones
+     * @param stalledJobs the stalled jobs in {@link JobRecord#STALLED_ORDER}, which puts jobs without a
+     *     completed task first, then large tasks before small ones
      * @return the teams whose other jobs must not start tasks now: the team's quota partition is large enough for a task of
      *     a stalled job, but too much of it is in use, and further small tasks would keep it in use
      */
--- a/src/test/java/org/gullway/coordination/placement/InfeasibleRequestsTest.java
+++ b/src/test/java/org/gullway/coordination/placement/InfeasibleRequestsTest.java
@@ -79,7 +79,7 @@
 
     /**
      * Guards against false positives: a request that is reported as infeasible although a machine fits it would leave its
-     * job waiting beside free resources.
+     * job waiting although resources are free.
      */
     @Property(tries = 1000, seed = "21")
     void onlyRequestsThatFitNoMachineAreKnownInfeasible(
