--- a/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
@@ -98,7 +98,7 @@
      */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
-        boolean surplusChanges = context.hasSurplusChanges();
+        boolean surplusChanges = context.hasSpareWriteCapacity();
         Instant now = context.now();
         plan(
                 transaction,
