--- a/src/main/java/org/gullway/coordination/membership/Membership.java
+++ b/src/main/java/org/gullway/coordination/membership/Membership.java
@@ -17,7 +17,7 @@
 
     private final Incarnation self;
     private final Duration leaseDuration;
-    private long lease;
+    private long leaseId;
     private Instant validUntil = Instant.MIN;
 
     public Membership(Incarnation self, Duration leaseDuration) {
@@ -35,14 +35,14 @@
         return leaseDuration;
     }
 
-    /** Id of the present or last lease in the state store; 0 before the first. */
-    public long lease() {
-        return lease;
+    /** Id of the current or last lease in the state store; 0 before the first. */
+    public long leaseId() {
+        return leaseId;
     }
 
     /** A membership has begun, on a lease that was requested at this moment. */
-    public void onJoined(long newLease, Instant requestSentAt) {
-        lease = newLease;
+    public void onJoined(long newLeaseId, Instant requestSentAt) {
+        leaseId = newLeaseId;
         onRenewed(requestSentAt);
     }
 
--- a/src/main/java/org/gullway/storage/MembershipLease.java
+++ b/src/main/java/org/gullway/storage/MembershipLease.java
@@ -72,7 +72,7 @@
 
     /** Whether the membership with this lease is the present one, expired or not. */
     boolean isCurrent(long lease) {
-        return lease == membership.lease() && phase == Phase.MEMBER;
+        return lease == membership.leaseId() && phase == Phase.MEMBER;
     }
 
     Incarnation self() {
@@ -80,7 +80,7 @@
     }
 
     long lease() {
-        return membership.lease();
+        return membership.leaseId();
     }
 
     int term() {
@@ -177,7 +177,7 @@
         if (phase != Phase.MEMBER || renewalsInFlight >= MAX_RENEWALS_IN_FLIGHT) {
             return;
         }
-        long lease = membership.lease();
+        long lease = membership.leaseId();
         Instant sentAt = loop.now();
         Duration timeout = membership.leaseDuration().dividedBy(RENEWAL_TIMEOUT_DIVISOR);
         renewalsInFlight++;
@@ -194,11 +194,11 @@
             boolean wasValid = membership.isLeaseValid(loop.now());
             membership.onRenewed(sentAt);
             if (!wasValid) {
-                LOG.info("the membership lease is valid again lease={}", membership.lease());
+                LOG.info("the membership lease is valid again lease={}", membership.leaseId());
                 onStateChanged.run();
             }
         } else if (outcome.isNotFound()) {
-            LOG.info("the membership lease has expired lease={}", membership.lease());
+            LOG.info("the membership lease has expired lease={}", membership.leaseId());
             join();
         }
     }
