--- a/src/main/java/org/gullway/coordination/membership/StoreOutageDetector.java
+++ b/src/main/java/org/gullway/coordination/membership/StoreOutageDetector.java
@@ -23,7 +23,7 @@
 
     private final List<String> peers;
     /** By peer: when it last said that the state store does not answer it. */
-    private final Map<String, Instant> peerUnreachableAt = new HashMap<>();
+    private final Map<String, Instant> peerReportedAt = new HashMap<>();
 
     /** @param peers names of all other controllers of the deployment */
     public StoreOutageDetector(Collection<String> peers) {
@@ -40,17 +40,17 @@
     }
 
     /** Records that a peer has just said that the state store does not answer it. */
-    public void onPeerWithoutStore(String peer, Instant now) {
-        peerUnreachableAt.put(peer, now);
+    public void onPeerReportedOutage(String peer, Instant now) {
+        peerReportedAt.put(peer, now);
     }
 
     /** Whether all peers have lately said that the state store does not answer them. */
-    public boolean isSharedByAllPeers(Instant now) {
-        return peers.stream().allMatch(peer -> hasLatelySaidSo(peer, now));
+    public boolean isReportedByAllPeers(Instant now) {
+        return peers.stream().allMatch(peer -> hasRecentlyReportedOutage(peer, now));
     }
 
-    private boolean hasLatelySaidSo(String peer, Instant now) {
-        return peerUnreachableAt
+    private boolean hasRecentlyReportedOutage(String peer, Instant now) {
+        return peerReportedAt
                 .getOrDefault(peer, Instant.MIN)
                 .plus(PEER_NOTICE_VALIDITY)
                 .isAfter(now);
--- a/src/main/java/org/gullway/peer/StoreOutageMonitor.java
+++ b/src/main/java/org/gullway/peer/StoreOutageMonitor.java
@@ -44,11 +44,11 @@
     private void onResponse(String peer, HttpResponse response) {
         if (response.outcome() == HttpResponse.Outcome.ANSWERED
                 && response.status() == HttpStatus.SERVICE_UNAVAILABLE) {
-            outageDetector.onPeerWithoutStore(peer, loop.now());
+            outageDetector.onPeerReportedOutage(peer, loop.now());
         }
     }
 
     boolean isSharedByAllPeers() {
-        return outageDetector.isSharedByAllPeers(loop.now());
+        return outageDetector.isReportedByAllPeers(loop.now());
     }
 }
