--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -64,7 +64,7 @@
     }
 
     private void wakeChangedMachines(Instant now) {
-        for (String name : clusterState.drainChangedMachines()) {
+        for (String name : clusterState.takeChangedMachines()) {
             MachineRecord record = clusterState.machine(name);
             if (agents.isAssignedHere(record)) {
                 AgentState agent = agents.getOrCreate(name, now);
--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -156,10 +156,10 @@
     }
 
     /** Machines whose records or placements have changed since the last call. */
-    public Set<String> drainChangedMachines() {
-        Set<String> drained = new HashSet<>(changedMachines);
+    public Set<String> takeChangedMachines() {
+        Set<String> taken = new HashSet<>(changedMachines);
         changedMachines.clear();
-        return drained;
+        return taken;
     }
 
     /** The store was read as of this revision; a member may have been lost at any time before. */
