--- a/src/main/java/org/gullway/coordination/model/AttemptId.java
+++ b/src/main/java/org/gullway/coordination/model/AttemptId.java
@@ -2,7 +2,7 @@
 
 import org.gullway.protocol.TaskId;
 
-/** One attempt of one task. */
+/** Identifies one attempt of one task. */
 public record AttemptId(TaskId task, long attempt) {
     /** The attempt that a placement of the job records. */
     public static AttemptId of(JobRecord job, Placement placement) {
--- a/src/main/java/org/gullway/coordination/model/ChangeSet.java
+++ b/src/main/java/org/gullway/coordination/model/ChangeSet.java
@@ -33,7 +33,7 @@
         return changes.containsKey(key) && changes.get(key) == null;
     }
 
-    /** The new value of a key; null if it is not changed, or is removed. */
+    /** The new value of a key; null if the key is not changed or is removed. */
     StoreRecord valueOf(String key) {
         return changes.get(key);
     }
@@ -58,7 +58,7 @@
         return value == null ? 0 : value.maxEncodedBytes();
     }
 
-    /** Whether so many further changes, each with one condition besides its own, are within the limits. */
+    /** Whether this many further changes fit, each with one condition besides that on the changed key. */
     boolean hasCapacityFor(int furtherChanges) {
         return changes.size() + furtherChanges <= limits.changes()
                 && conditions.size() + 2 * furtherChanges <= limits.conditions()
--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -9,24 +9,24 @@
 import java.util.TreeMap;
 
 /**
- * This controller's copy of the state store: the records of all watched keys, their versions for the conditions of
- * transactions, and the indexes that follow from the records.
+ * This controller's in-memory replica of the watched part of the state store: the records of all watched keys, the key
+ * versions that transactions compare against, and indexes derived from the records.
  */
 public final class ClusterState {
-    /** Bounds the memory for jobs that ended long ago. */
+    /** Bounds the memory for cancelled jobs that ended long ago; beyond it the oldest entry is evicted. */
     private static final int MAX_CANCELLED_JOBS = 10_000;
 
-    /** Machines whose records or placements have changed since they were last drained. */
+    /** Names of machines whose records or placements changed after the last {@link #takeChangedMachines}. */
     private final Set<String> changedMachines = new HashSet<>();
 
     private final KeyVersions versions = new KeyVersions();
     private final MachineIndex machineIndex = new MachineIndex(changedMachines);
     private final PlacementIndex placementIndex = new PlacementIndex(changedMachines);
     private final Map<String, JobRecord> jobs = new TreeMap<>();
-    /** Jobs of which a record or the machine of a placement has changed since their placements were last checked. */
+    /** Ids of jobs whose placements must be checked: the record of the job, or of a machine of it, has changed. */
     private final Set<String> uncheckedJobs = new HashSet<>();
 
-    /** Jobs known to be cancelled, which they stay: also those whose records have ended or are being read again. */
+    /** Ids of cancelled jobs, kept across full reads and after the job's end, since cancellation is final. */
     private final Set<String> cancelledJobs = Collections.newSetFromMap(new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
@@ -41,7 +41,7 @@
     private long fencingToken;
     private Set<String> cordonedMachines = Set.of();
 
-    /** Forgets all records, before the store is read again. */
+    /** Discards all records before a full read of the store; the set of cancelled jobs is kept. */
     public void clear() {
         versions.clear();
         machineIndex.clear();
@@ -56,7 +56,7 @@
         cordonedMachines = Set.of();
     }
 
-    /** Takes a value with its version; false if that is no news, and nothing has changed. */
+    /** Stores a value at a version; returns false and changes nothing if the version is outdated. */
     public boolean put(String key, StoreRecord value, long version) {
         if (!versions.acceptPut(key, version)) {
             return false;
@@ -86,7 +86,7 @@
         members.put(key.substring(StoreKeys.MEMBERS.length()), incarnation, version);
     }
 
-    /** Takes the removal of a key at a revision; false if that is no news, and nothing has changed. */
+    /** Removes a key as of a revision; returns false and changes nothing if the removal is outdated. */
     public boolean remove(String key, long revision) {
         if (!versions.acceptRemoval(key, revision)) {
             return false;
@@ -108,7 +108,7 @@
         return true;
     }
 
-    /** Applies the changes of a transaction that was committed at a revision. */
+    /** Applies the changes of a transaction, committed at a revision, to the watched keys. */
     public void apply(Map<String, StoreRecord> changes, long revision) {
         changes.forEach((key, value) -> {
             if (value == null) {
@@ -129,13 +129,13 @@
         }
     }
 
-    /** Placements on a machine that is gone, or in a later agent epoch than before, have to be checked. */
+    /** Marks the jobs of a machine for a check if it has been removed or has entered a later agent epoch. */
     private void onMachineReplaced(MachineRecord previous) {
-        MachineRecord present = machineIndex.machine(previous.name());
-        if (present == null) {
+        MachineRecord current = machineIndex.machine(previous.name());
+        if (current == null) {
             placementIndex.forgetImages(previous.name());
         }
-        if (present == null || present.agentEpoch() > previous.agentEpoch()) {
+        if (current == null || current.agentEpoch() > previous.agentEpoch()) {
             for (AttemptId attempt : placementsOn(previous.name()).keySet()) {
                 uncheckedJobs.add(attempt.task().job());
             }
@@ -155,20 +155,20 @@
         }
     }
 
-    /** Machines whose records or placements have changed since the last call. */
+    /** Returns and clears the names of machines whose records or placements changed after the last call. */
     public Set<String> takeChangedMachines() {
         Set<String> taken = new HashSet<>(changedMachines);
         changedMachines.clear();
         return taken;
     }
 
-    /** The store was read as of this revision; a member may have been lost at any time before. */
+    /** Records a full read as of this revision, and that a member may have been lost unseen before it. */
     public void onFullRead(long revision) {
-        members.lostAt(revision);
+        members.recordLoss(revision);
         advanceTo(revision);
     }
 
-    /** Whether the fencing token has risen after the last loss of any member. */
+    /** Whether the fencing token was raised after the last loss of a member. */
     public boolean isFencingTokenNewerThanLastLoss() {
         return version(StoreKeys.FENCING_TOKEN) > members.lastLossRevision();
     }
@@ -178,27 +178,27 @@
         return versions.versionOf(key);
     }
 
-    /** All jobs that have not ended, in the order of their ids. */
+    /** All jobs that have not ended, in ascending order of id. */
     public Collection<JobRecord> jobs() {
         return jobs.values();
     }
 
-    /** The job that has not ended, or null. */
+    /** The job's record, or null if the job has ended or is unknown. */
     public JobRecord job(String id) {
         return jobs.get(id);
     }
 
-    /** Whether a placement of the job may be on a machine that is gone, or in an earlier agent epoch. */
+    /** Whether the job may have a placement on a removed machine, or in a former agent epoch of its machine. */
     public boolean hasUncheckedPlacements(String job) {
         return uncheckedJobs.contains(job);
     }
 
-    /** All placements of the job's present record are on machines in their present agent epochs. */
+    /** Records that all placements of the job are on existing machines, in their current agent epochs. */
     public void markPlacementsChecked(String job) {
         uncheckedJobs.remove(job);
     }
 
-    /** Whether the job is known to be cancelled, even if its record has ended since. */
+    /** Whether the job is known to be cancelled, even if its record has been removed since. */
     public boolean isCancelled(String job) {
         return cancelledJobs.contains(job);
     }
@@ -208,72 +208,72 @@
         return machineIndex.machines();
     }
 
-    /** The machine, or null if it is not on record. */
+    /** The machine, or null if no shard contains it. */
     public MachineRecord machine(String name) {
         return machineIndex.machine(name);
     }
 
-    /** All shards, in the order of their ids. */
+    /** All shards, in ascending order of id. */
     public Collection<MachineShard> shards() {
         return machineIndex.shards();
     }
 
-    /** The shard, or null if it is not on record. */
+    /** The shard, or null if it does not exist. */
     public MachineShard shard(String id) {
         return machineIndex.shard(id);
     }
 
-    /** Id of the shard that the machine belongs to, or null. */
+    /** Id of the shard that contains the machine, or null. */
     public String shardOf(String machine) {
         return machineIndex.shardOf(machine);
     }
 
-    /** Version of the record that holds the machine. */
+    /** Version of the shard record that contains the machine; 0 if there is none. */
     public long machineVersion(String machine) {
         return machineIndex.versionOf(machine);
     }
 
-    /** All quota partitions by their keys. */
+    /** All quota partitions, by store key. */
     public Map<String, QuotaPartition> quotaPartitions() {
         return quotaPartitions;
     }
 
-    /** The present incarnation of each member by its name. */
+    /** The current incarnation of each member, by member name. */
     public Map<String, Incarnation> members() {
         return members.byName();
     }
 
-    /** Rises with every change of a shard or a member. */
+    /** A local counter that increases with every change of a shard or a member. */
     public long shardsAndMembersVersion() {
         return shardsAndMembersVersion;
     }
 
-    /** Whether this run of a controller holds a member key; false for null. */
+    /** Whether this incarnation of a controller holds a member key; false for null. */
     public boolean isMember(Incarnation incarnation) {
         return members.contains(incarnation);
     }
 
-    /** The leader, or null if there is none. */
+    /** The leader's incarnation, or null if there is no leader. */
     public Incarnation leader() {
         return leader;
     }
 
-    /** The present fencing token; 0 before the first. */
+    /** The current fencing token; 0 before the first one is written. */
     public long fencingToken() {
         return fencingToken;
     }
 
-    /** Machines on which no best-effort task starts while reserved work waits. */
+    /** Names of machines on which no best-effort task starts while reserved jobs wait. */
     public Set<String> cordonedMachines() {
         return cordonedMachines;
     }
 
-    /** Resources that the placements on a machine use. */
+    /** Resources used by the placements on a machine. */
     public ResourceUsage usageOn(String machine) {
         return placementIndex.usageOn(machine);
     }
 
-    /** Resources that a team's tasks use of one quota partition. */
+    /** Resources that a team's placed tasks use from one quota partition. */
     public ResourceUsage quotaUsage(String partition, String team) {
         return placementIndex.quotaUsage(partition, team);
     }
@@ -283,17 +283,17 @@
         return placementIndex.hasImage(machine, image);
     }
 
-    /** Attempts that may be on a machine. */
+    /** Attempts that may be running on a machine, with their placements. */
     public Map<AttemptId, Placement> placementsOn(String machine) {
         return placementIndex.placementsOn(machine);
     }
 
-    /** Every change up to this revision has been brought by the watch. */
+    /** Records that the watch has delivered every change up to this revision. */
     public void advanceTo(long revision) {
         versions.advanceTo(revision);
     }
 
-    /** The revision up to which the watch has brought every change. */
+    /** The revision up to which the watch has delivered every change. */
     public long watchedRevision() {
         return versions.watchedRevision();
     }
--- a/src/main/java/org/gullway/coordination/model/FencingToken.java
+++ b/src/main/java/org/gullway/coordination/model/FencingToken.java
@@ -1,11 +1,11 @@
 package org.gullway.coordination.model;
 
 /**
- * The present fencing token of the cluster. It rises whenever a shard of machines gets another controller, so that an
- * agent that has confirmed a token refuses every command of an earlier one.
+ * The current fencing token of the cluster. When a shard of machines moves to another controller, its token is raised
+ * above the former one: an agent that has confirmed a token refuses every command that carries an earlier token.
  */
 public record FencingToken(long value) implements StoreRecord {
-    /** The token after this one. */
+    /** The next higher token. */
     public FencingToken next() {
         return new FencingToken(value + 1);
     }
--- a/src/main/java/org/gullway/coordination/model/FinalState.java
+++ b/src/main/java/org/gullway/coordination/model/FinalState.java
@@ -3,7 +3,7 @@
 import org.gullway.protocol.JobState;
 
 /**
- * The final state of a job, which is kept for good under {@link StoreKeys#finalState}.
+ * The final state of a job, which is kept permanently under {@link StoreKeys#finalState}.
  *
  * @param tasks number of the job's tasks
  * @param done number of tasks that were completed
--- a/src/main/java/org/gullway/coordination/model/IntegerRanges.java
+++ b/src/main/java/org/gullway/coordination/model/IntegerRanges.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.BitSet;
 
-/** An immutable set of task numbers, kept as sorted ranges. */
+/** An immutable set of task numbers, stored as sorted ranges. */
 public final class IntegerRanges {
     public static final IntegerRanges EMPTY = new IntegerRanges(new int[0]);
 
@@ -42,7 +42,7 @@
         return new IntegerRanges(bounds.clone());
     }
 
-    /** The numbers of a bit set. */
+    /** Builds a set of the indexes of the bits that are set. */
     public static IntegerRanges of(BitSet numbers) {
         IntList bounds = new IntArrayList();
         for (int first = numbers.nextSetBit(0); first >= 0; ) {
@@ -54,7 +54,7 @@
         return new IntegerRanges(bounds.toIntArray());
     }
 
-    /** How many numbers the set has. */
+    /** The number of elements. */
     public int size() {
         return size;
     }
@@ -83,7 +83,7 @@
         return 2 * low;
     }
 
-    /** This set and the number. */
+    /** This set with a number added. */
     public IntegerRanges with(int number) {
         int range = rangeAtOrAfter(number);
         if (startsAtOrBefore(range, number)) {
@@ -115,7 +115,7 @@
         return bounds.clone();
     }
 
-    /** How many ranges the set consists of. */
+    /** The number of ranges that the set is stored as. */
     int rangeCount() {
         return bounds.length / 2;
     }
--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -16,14 +16,15 @@
 import org.gullway.protocol.Priority;
 
 /**
- * The one record of a job that has not ended.
+ * The stored record of a job that has not ended.
  *
- * @param owner controller whose queue holds the job; null for reserved jobs, which are the leader's
- * @param submittedAt time of day of the acceptance
- * @param cancelledAt time of day before the cancellation was confirmed to anybody; null if the job is not cancelled
- * @param attemptCount number of attempts that were placed so far, which numbers the next one
- * @param consecutiveErrors attempts that failed since the last one that did not
- * @param livePlacements attempts that may be on machines
+ * @param owner name of the controller whose queue holds the job; null for reserved jobs, which the leader places
+ * @param submittedAt wall-clock time at which the job was accepted
+ * @param cancelledAt wall-clock time of the cancellation, taken before any confirmation of it was sent; null if the job
+ *     is not cancelled
+ * @param attemptCount the highest attempt number assigned so far; the next attempt gets the next number
+ * @param consecutiveErrors number of attempts that failed since a task was last completed
+ * @param livePlacements placements of the attempts that may be running
  */
 public record JobRecord(
         JobRequest request,
@@ -36,16 +37,16 @@
         List<Placement> livePlacements)
         implements StoreRecord {
 
-    /** Upper bound for one placement's part of the record, counted as the state store counts. */
+    /** Upper bound for the encoded size of one placement, as the state store measures it. */
     public static final int PLACEMENT_BYTES = 36;
 
     private static final Duration STALLED_AFTER = Duration.ofSeconds(100);
-    /** Upper bound for one range of completed tasks. */
+    /** Upper bound for the encoded size of one range of completed tasks. */
     private static final int RANGE_BYTES = 10;
-    /** Upper bound for all fields of fixed size. */
+    /** Upper bound for the encoded size of all other fields together. */
     private static final int FIXED_BYTES = 1500;
 
-    /** Order of stalled jobs: first those without a completed task, then the largest task, then the oldest. */
+    /** Order of stalled jobs: jobs without a completed task first, then larger tasks first, then older jobs first. */
     public static final Comparator<JobRecord> STALLED_ORDER = Comparator.<JobRecord>comparingInt(
                     job -> job.completedTasks().size() == 0 ? 0 : 1)
             .thenComparingDouble(job -> -job.request().cpus())
@@ -54,27 +55,27 @@
 
     /** How an attempt ended. */
     public enum AttemptOutcome {
-        /** Its task is complete. */
+        /** The attempt completed its task. */
         DONE,
-        /** It was stopped, or its machine was lost. */
+        /** The attempt was stopped, or its machine was lost. */
         STOPPED,
-        /** It failed, mostly because of its machine. */
+        /** The attempt failed, in most cases because of its machine. */
         FAILED
     }
 
-    /** Whether the leader places the job; the others wait in the queues of their owners. */
+    /** Whether the job is reserved: the leader places reserved jobs, the controller that owns the job all others. */
     public static boolean isReserved(JobRequest request) {
         return request.shape() != Shape.ARRAY
                 || request.priority() == Priority.PROD
                 || request.priority() == Priority.HIGH;
     }
 
-    /** A job that has just been accepted, without any placement. */
+    /** The first record of an accepted job, without placements. */
     public static JobRecord accepted(JobRequest request, String owner, Instant submittedAt) {
         return new JobRecord(request, owner, submittedAt, null, IntegerRanges.EMPTY, 0, 0, List.of());
     }
 
-    /** Whether the leader places this job. */
+    /** Whether this job is reserved, so that the leader places it. */
     public boolean isReserved() {
         return isReserved(request);
     }
@@ -89,7 +90,7 @@
         return cancelledAt != null;
     }
 
-    /** Whether nothing is left to do: no task remains to be run or, if cancelled, to be stopped. */
+    /** Whether the job ends now: all tasks are completed or, for a cancelled job, no attempt can be running. */
     public boolean isFinished() {
         return isCancelled() ? livePlacements.isEmpty() : isComplete();
     }
@@ -98,7 +99,7 @@
         return completedTasks.size() == request.tasks();
     }
 
-    /** The state as users see it. */
+    /** The state that users are shown. */
     public JobState state() {
         if (isCancelled()) {
             return JobState.CANCELLED;
@@ -109,29 +110,29 @@
         return livePlacements.isEmpty() ? JobState.PENDING : JobState.RUNNING;
     }
 
-    /** The status as users see it. */
+    /** The status that users are shown. */
     public JobStatus status() {
         return new JobStatus(request.id(), state(), completedTasks.size(), livePlacements.size());
     }
 
-    /** Whether no task is placed although the job was accepted long ago: it then gets one task before all others. */
+    /** Whether tasks wait and none is placed long after acceptance; one task of such a job is placed before others. */
     public boolean isStalledAt(Instant timeOfDay) {
         return livePlacements.isEmpty()
                 && waitingTasks() > 0
                 && submittedAt.plus(STALLED_AFTER).isBefore(timeOfDay);
     }
 
-    /** Tasks that are neither completed nor placed. */
+    /** Number of tasks that are neither completed nor placed; 0 for a cancelled job. */
     public int waitingTasks() {
         return isCancelled() ? 0 : Math.max(0, request.tasks() - completedTasks.size() - livePlacements.size());
     }
 
-    /** Tasks that are still to be completed, or for a cancelled job to be stopped. */
+    /** Number of tasks still to be completed or, for a cancelled job, of attempts still to be stopped. */
     public int unfinishedTasks() {
         return isCancelled() ? livePlacements.size() : request.tasks() - completedTasks.size();
     }
 
-    /** The placement of a live attempt, or null if it is not on record. */
+    /** The live placement with this task and attempt number, or null. */
     public Placement placementOf(int task, long attempt) {
         for (Placement placement : livePlacements) {
             if (placement.task() == task && placement.attempt() == attempt) {
@@ -141,14 +142,14 @@
         return null;
     }
 
-    /** Whether the tasks start only all together. */
+    /** Whether the job is a gang, whose tasks start all together or not at all. */
     public boolean isGang() {
         return request.shape() == Shape.GANG;
     }
 
     /**
-     * Records one attempt on each of these machines, for the lowest tasks that are neither completed nor placed. Those
-     * of a gang, which are placed together, carry the same number.
+     * This record with one new attempt on each of these machines, for the lowest-numbered tasks that are neither
+     * completed nor placed. The tasks of a gang are placed together and share one attempt number.
      */
     public JobRecord withPlacements(List<MachineRecord> machines, Instant timeOfDay) {
         BitSet placedTasks = new BitSet();
@@ -168,7 +169,7 @@
         return with(completedTasks, attempt, consecutiveErrors, List.copyOf(next));
     }
 
-    /** The lowest task from {@code from} on that is neither completed nor placed. */
+    /** The lowest-numbered task, at or after {@code from}, that is neither completed nor placed. */
     private int nextWaitingTask(int from, BitSet placedTasks) {
         int task = completedTasks.firstMissing(placedTasks.nextClearBit(from));
         while (placedTasks.get(task)) {
@@ -177,12 +178,12 @@
         return task;
     }
 
-    /** How many more placements the record can hold. */
+    /** How many more placements the record can hold if its value may have this size. */
     public int remainingPlacements(int valueBytes) {
         return Math.max(0, (valueBytes - maxEncodedBytes()) / PLACEMENT_BYTES);
     }
 
-    /** Records how attempts ended; a task that is not completed by it waits again. A service is never complete. */
+    /** This record with attempts ended; their tasks wait again unless completed. A service never completes a task. */
     public JobRecord withCompletions(Map<Placement, AttemptOutcome> outcomes) {
         IntegerRanges nextCompleted = completedTasks;
         int nextErrors = consecutiveErrors;
@@ -201,7 +202,7 @@
         return with(nextCompleted, attemptCount, nextErrors, List.copyOf(remaining));
     }
 
-    /** This record with the matching live attempts marked as being stopped. */
+    /** This record with the matching live placements marked as stopping. */
     public JobRecord withStopping(Predicate<Placement> matching) {
         UnaryOperator<Placement> stop = placement -> matching.test(placement) ? placement.asStopping() : placement;
         List<Placement> next = livePlacements.stream().map(stop).toList();
@@ -212,12 +213,12 @@
         return new JobRecord(request, owner, submittedAt, cancelledAt, completed, attempts, errors, live);
     }
 
-    /** The first cancellation counts: from it on the limit runs for the job's tasks to be gone. */
+    /** This record marked as cancelled; it keeps the first cancellation time, from which the cancel limit runs. */
     public JobRecord withCancellation(Instant timeOfDay) {
         return isCancelled() ? this : with(owner, timeOfDay);
     }
 
-    /** This record in the queue of another controller. */
+    /** This record, owned by another controller. */
     public JobRecord withOwner(String controller) {
         return with(controller, cancelledAt);
     }
--- a/src/main/java/org/gullway/coordination/model/KeyVersions.java
+++ b/src/main/java/org/gullway/coordination/model/KeyVersions.java
@@ -4,12 +4,15 @@
 import java.util.Map;
 
 /**
- * The known version of each key, and what the watch has not confirmed yet. Changes come from the watch and from the
- * outcomes of this controller's own transactions, in any order; only those that are news are accepted.
+ * The latest known version of each key, and the removals that the watch has not delivered yet. Changes arrive from the
+ * watch and from the outcomes of this controller's own transactions, in any order; outdated ones are rejected.
  */
 final class KeyVersions {
     private final Map<String, Long> versions = new HashMap<>();
-    /** Removals that the watch has not reached yet, so that an earlier change that it still brings does not undo them. */
+    /**
+     * Revisions of the removals that the watch has not delivered yet. An earlier change of such a key, which the watch
+     * may still deliver, must not restore the key.
+     */
     private final Map<String, Long> removalTombstones = new HashMap<>();
 
     private long watchedRevision;
@@ -26,9 +29,9 @@
     }
 
     /**
-     * Accepts a value's version, unless it is not newer than the known one or than a removal. Nor is one accepted that
-     * the watch has passed: the outcome of an own transaction can come after the watch has brought another
-     * controller's removal of the key, and would bring the key back for good.
+     * Accepts the version of a written value if it is newer than the known version, than any known removal of the key
+     * and than the watched revision. The last condition rejects the outcome of an own transaction that arrives after the
+     * watch has delivered another controller's removal of the key: it would restore the key permanently.
      */
     boolean acceptPut(String key, long version) {
         if (version <= watchedRevision
@@ -40,7 +43,7 @@
         return true;
     }
 
-    /** Accepts the removal of a key at a revision, unless its known version is as new. */
+    /** Accepts the removal of a key at a revision, unless the known version is the same or newer. */
     boolean acceptRemoval(String key, long revision) {
         if (versionOf(key) >= revision) {
             return false;
@@ -52,7 +55,7 @@
         return true;
     }
 
-    /** Every change up to this revision has been brought by the watch. */
+    /** Records that the watch has delivered every change up to this revision. */
     void advanceTo(long revision) {
         if (revision > watchedRevision) {
             watchedRevision = revision;
--- a/src/main/java/org/gullway/coordination/model/MachineIndex.java
+++ b/src/main/java/org/gullway/coordination/model/MachineIndex.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Shards by their ids, and the machines in them by their names. */
+/** Indexes the shards by id and their machines by name. */
 final class MachineIndex {
     private final Map<String, MachineShard> shards = new TreeMap<>();
     private final Map<String, MachineRecord> machines = new LinkedHashMap<>();
@@ -29,10 +29,10 @@
     }
 
     /**
-     * Replaces a shard and its machines. A machine that has moved to another shard before stays there.
+     * Replaces a shard and its machines. A machine that has already been moved to another shard stays there.
      *
      * @param next the shard's new record, or null if it is removed
-     * @return the shard's former record, or null
+     * @return the shard's previous record, or null
      */
     MachineShard replace(String id, MachineShard next, long version) {
         MachineShard previous = next == null ? shards.remove(id) : shards.put(id, next);
--- a/src/main/java/org/gullway/coordination/model/MachineRecord.java
+++ b/src/main/java/org/gullway/coordination/model/MachineRecord.java
@@ -3,13 +3,13 @@
 import java.time.Instant;
 
 /**
- * A provisioned machine, until the cloud has confirmed that it is gone.
+ * The record of a provisioned machine, kept until the cloud provider confirms that the machine no longer exists.
  *
- * @param address where its agent takes commands; null until the first heartbeat
- * @param controller incarnation of the controller that commands it, which is its shard's
+ * @param address address at which the machine's agent accepts commands; null until the first heartbeat
+ * @param controller incarnation of the controller that commands the machine; the same as its shard's
  * @param agentEpoch agent epoch in which tasks may be placed; 0 until the first heartbeat
- * @param fencingToken its shard's fencing token
- * @param provisionedAt time of day of the provisioning request, as far as known
+ * @param fencingToken fencing token of the machine's shard
+ * @param provisionedAt wall-clock time of the provisioning request, as far as known
  */
 public record MachineRecord(
         String name,
@@ -23,15 +23,15 @@
         MachineLifecycle lifecycle,
         Instant provisionedAt) {
 
-    /** What a machine may take, and what happens to it next. */
+    /** Whether a machine accepts new tasks, and when it is released. */
     public enum MachineLifecycle {
-        /** Takes tasks. */
+        /** Accepts new tasks. */
         ACTIVE,
-        /** Has missed a heartbeat, or does not answer commands: takes no more tasks until it is responsive again. */
+        /** Has missed a heartbeat or does not answer commands; gets no new tasks until it responds again. */
         UNRESPONSIVE,
-        /** Takes no more tasks and is released when it has none. */
+        /** Gets no new tasks and is released once its last task has ended. */
         DRAINING,
-        /** Is released at once, with all that is on it. */
+        /** Is released at once, whether or not tasks are running on it. */
         LOST
     }
 
@@ -48,29 +48,29 @@
                 name, null, type, zone, spot, controller, 0, fencingToken, MachineLifecycle.ACTIVE, provisionedAt);
     }
 
-    /** Names are unique, and machines are keys of maps in each scheduling cycle. */
+    /** Hashes the name only, which is unique: machines are map keys in each scheduling cycle. */
     @Override
     public int hashCode() {
         return name.hashCode();
     }
 
-    /** Whether its agent has sent a heartbeat. */
+    /** Whether the machine's agent has sent its first heartbeat. */
     public boolean isUp() {
         return agentEpoch > 0;
     }
 
-    /** Whether tasks may be placed on it. */
+    /** Whether tasks may be placed on the machine. */
     public boolean isSchedulable() {
         return isUp() && lifecycle == MachineLifecycle.ACTIVE;
     }
 
-    /** This machine under another controller. */
+    /** This machine, commanded by another controller. */
     public MachineRecord claimedBy(Incarnation newController, long newFencingToken) {
         return new MachineRecord(
                 name, address, type, zone, spot, newController, agentEpoch, newFencingToken, lifecycle, provisionedAt);
     }
 
-    /** This machine in an agent epoch that has begun, so that every earlier one is over. */
+    /** This machine in a new agent epoch, whose begin has ended every earlier one. */
     public MachineRecord withAgentEpoch(long newAgentEpoch, String newAddress) {
         return new MachineRecord(
                 name, newAddress, type, zone, spot, controller, newAgentEpoch, fencingToken, lifecycle, provisionedAt);
--- a/src/main/java/org/gullway/coordination/model/MachineShard.java
+++ b/src/main/java/org/gullway/coordination/model/MachineShard.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * Machines that one controller commands together. A shard is one record, so that a failover of many machines changes
- * few keys.
+ * A group of machines that one controller commands. A shard is stored as one record, so that a failover of many
+ * machines changes few keys.
  *
  * @param controller incarnation of the controller that commands the machines
- * @param fencingToken token under which it took them over; an agent that has confirmed it refuses commands of earlier
- *     controllers
+ * @param fencingToken token that the controller's commands carry; an agent that has confirmed it refuses commands of
+ *     earlier controllers
  */
 public record MachineShard(String id, Incarnation controller, long fencingToken, List<MachineRecord> machines)
         implements StoreRecord {
-    /** Small enough that a change of one machine costs little, large enough that a third of a fleet is few shards. */
+    /** Small, so that rewriting a shard is cheap; large enough that a third of a fleet consists of few shards. */
     public static final int MAX_MACHINES = 16;
 
-    /** Upper bound for one machine's part of the record. */
+    /** Upper bound for the encoded size of one machine. */
     private static final int MACHINE_BYTES = 120;
 
     @Override
@@ -34,7 +34,7 @@
         return null;
     }
 
-    /** This shard with the machine added, or replaced if it has one of that name. */
+    /** This shard with the machine added, or replaced if the shard contains one of that name. */
     public MachineShard with(MachineRecord machine) {
         List<MachineRecord> next = new ArrayList<>(machines.size() + 1);
         boolean replaced = false;
@@ -60,7 +60,7 @@
         return new MachineShard(id, controller, fencingToken, next);
     }
 
-    /** This shard and its machines under another controller, which fences commands under earlier tokens. */
+    /** This shard and its machines under another controller; the new token fences off former controllers. */
     public MachineShard claimedBy(Incarnation newController, long newFencingToken) {
         return new MachineShard(
                 id,
--- a/src/main/java/org/gullway/coordination/model/MemberIndex.java
+++ b/src/main/java/org/gullway/coordination/model/MemberIndex.java
@@ -3,31 +3,31 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The members by their names, and when one was last lost. */
+/** The members by name, and the revision at which a member was last lost. */
 final class MemberIndex {
     private final Map<String, Incarnation> members = new TreeMap<>();
-    /** Revision of the last loss of a member, as far as known; it outlasts a full read. */
+    /** Revision of the last known loss of a member; {@link #clear} keeps it. */
     private long lastLossRevision;
 
     void clear() {
         members.clear();
     }
 
-    /** Takes a member's present incarnation; a former one of the same name is lost. */
+    /** Stores a member's current incarnation; a different former incarnation of the member counts as lost. */
     void put(String name, Incarnation incarnation, long revision) {
         Incarnation previous = members.put(name, incarnation);
         if (previous != null && !previous.equals(incarnation)) {
-            lostAt(revision);
+            recordLoss(revision);
         }
     }
 
     void remove(String name, long revision) {
         members.remove(name);
-        lostAt(revision);
+        recordLoss(revision);
     }
 
-    /** A member was lost at this revision, or may have been. */
-    void lostAt(long revision) {
+    /** Records that a member was lost, or may have been lost, at this revision. */
+    void recordLoss(long revision) {
         lastLossRevision = Math.max(lastLossRevision, revision);
     }
 
--- a/src/main/java/org/gullway/coordination/model/PeerZones.java
+++ b/src/main/java/org/gullway/coordination/model/PeerZones.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * The other controllers of the deployment as the settings name them.
+ * The other controllers of the deployment, with their zones, as configured.
  *
- * @param zoneOf the zone of each controller by its name
- * @param cancelLimit how long tasks of a cancelled job may be on a machine
+ * @param zoneByPeer the zone of each other controller, by the controller's name
+ * @param cancelLimit how long after its cancellation a job may still have tasks on a machine
  */
-public record PeerZones(Map<String, String> zoneOf, Duration cancelLimit) {
-    /** The other controllers in the zone. */
+public record PeerZones(Map<String, String> zoneByPeer, Duration cancelLimit) {
+    /** Names of the other controllers in the zone. */
     public List<String> inZone(String zone) {
-        return zoneOf.entrySet().stream()
+        return zoneByPeer.entrySet().stream()
                 .filter(peer -> peer.getValue().equals(zone))
                 .map(Map.Entry::getKey)
                 .toList();
--- a/src/main/java/org/gullway/coordination/model/Placement.java
+++ b/src/main/java/org/gullway/coordination/model/Placement.java
@@ -3,12 +3,12 @@
 import java.time.Instant;
 
 /**
- * One attempt of a task that may be on a machine: recorded before its start command is sent, removed only when it is
- * certain that the attempt has ended and cannot begin again.
+ * An attempt of a task that may be running on a machine. It is recorded before the start command is sent, and removed
+ * only when it is certain that the attempt has ended and cannot begin again.
  *
  * @param agentEpoch the machine's agent epoch for which the attempt was placed
  * @param stopping whether the attempt is to be stopped
- * @param placedAt time of day of the placement
+ * @param placedAt wall-clock time of the placement
  */
 public record Placement(int task, long attempt, String machine, long agentEpoch, boolean stopping, Instant placedAt) {
     @Override
@@ -28,7 +28,7 @@
         return 31 * (31 * machine.hashCode() + task) + Long.hashCode(attempt);
     }
 
-    /** This attempt, to be stopped. */
+    /** This placement, marked as stopping. */
     public Placement asStopping() {
         return stopping ? this : new Placement(task, attempt, machine, agentEpoch, true, placedAt);
     }
--- a/src/main/java/org/gullway/coordination/model/PlacementIndex.java
+++ b/src/main/java/org/gullway/coordination/model/PlacementIndex.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.gullway.protocol.JobRequest;
 
-/** What follows from the placements of all jobs: attempts, usage and images of each machine, and usage of quotas. */
+/** Indexes derived from the placements of all jobs: attempts, usage and images by machine, and quota usage. */
 final class PlacementIndex {
     private static final ResourceUsage NO_USAGE = new ResourceUsage();
 
@@ -30,10 +30,10 @@
     }
 
     /**
-     * Replaces a job's record. Only what differs is counted: most changes of a record leave most of its placements as
-     * they are.
+     * Replaces a job's record. Only placements that differ are processed, since most changes of a record leave most of
+     * its placements as they are.
      *
-     * @param previous the former record, or null
+     * @param previous the previous record, or null
      * @param next the new record, or null
      */
     void replace(JobRecord previous, JobRecord next) {
@@ -47,11 +47,11 @@
     }
 
     private static Set<Placement> unchangedPlacements(JobRecord previous, JobRecord next) {
-        boolean countsAlike = previous != null
+        boolean sameAccounting = previous != null
                 && next != null
                 && Objects.equals(previous.owner(), next.owner())
                 && previous.isCancelled() == next.isCancelled();
-        if (!countsAlike || previous.livePlacements().isEmpty()) {
+        if (!sameAccounting || previous.livePlacements().isEmpty()) {
             return Set.of();
         }
         Set<Placement> unchanged = new HashSet<>(previous.livePlacements());
@@ -59,10 +59,10 @@
         return unchanged;
     }
 
-    private void addPlacements(JobRecord job, Set<Placement> except) {
+    private void addPlacements(JobRecord job, Set<Placement> unchanged) {
         JobRequest request = job.request();
         for (Placement placement : job.livePlacements()) {
-            if (except.contains(placement)) {
+            if (unchanged.contains(placement)) {
                 continue;
             }
             String machine = placement.machine();
@@ -74,9 +74,9 @@
         }
     }
 
-    private void removePlacements(JobRecord job, Set<Placement> except) {
+    private void removePlacements(JobRecord job, Set<Placement> unchanged) {
         for (Placement placement : job.livePlacements()) {
-            if (except.contains(placement)) {
+            if (unchanged.contains(placement)) {
                 continue;
             }
             String machine = placement.machine();
@@ -93,11 +93,11 @@
     private void addUsage(JobRecord job, String machine, int sign) {
         JobRequest request = job.request();
         changedMachines.add(machine);
-        machineUsage.computeIfAbsent(machine, m -> new ResourceUsage()).add(request, sign);
-        quotaUsage.toChange(StoreKeys.quotaPartitionOf(job), request.team()).add(request, sign);
+        machineUsage.computeIfAbsent(machine, m -> new ResourceUsage()).addToTotal(request, sign);
+        quotaUsage.mutableUsage(StoreKeys.quotaPartitionOf(job), request.team()).addToTotal(request, sign);
     }
 
-    /** Forgets the images of a machine that is gone. */
+    /** Discards the list of images on a machine that no longer exists. */
     void forgetImages(String machine) {
         imagesByMachine.remove(machine);
     }
--- a/src/main/java/org/gullway/coordination/model/QuotaPartition.java
+++ b/src/main/java/org/gullway/coordination/model/QuotaPartition.java
@@ -4,23 +4,23 @@
 import java.util.TreeMap;
 
 /**
- * The part of each team's quota that the holder of the partition may use. The partitions of a team never sum to more
- * than its quota, so holders place without asking each other.
+ * The part of each team's quota that the holder of the partition may use. A team's amounts in all partitions never sum
+ * to more than its quota, so the holders place tasks without coordinating with each other.
  */
 public record QuotaPartition(Map<String, Amount> amountByTeam) implements StoreRecord {
     public static final QuotaPartition EMPTY = new QuotaPartition(Map.of());
 
-    /** Processors and GPUs. */
+    /** A number of processors and GPUs. */
     public record Amount(double cpus, double gpus) {
         public static final Amount NONE = new Amount(0, 0);
 
-        /** This amount with more, or less if negative, but never below zero. */
+        /** The sum of this amount and the arguments, which may be negative; never below zero. */
         public Amount plus(double moreCpus, double moreGpus) {
             return new Amount(Math.max(0, cpus + moreCpus), Math.max(0, gpus + moreGpus));
         }
     }
 
-    /** The amount of one team; nothing if it has none. */
+    /** The amount of one team; {@link Amount#NONE} if the partition has none for it. */
     public Amount of(String team) {
         return amountByTeam.getOrDefault(team, Amount.NONE);
     }
--- a/src/main/java/org/gullway/coordination/model/QuotaUsage.java
+++ b/src/main/java/org/gullway/coordination/model/QuotaUsage.java
@@ -13,13 +13,13 @@
         usage.clear();
     }
 
-    /** The usage to read; it must not be changed. */
+    /** The usage of a team, for reading only. */
     ResourceUsage of(String partition, String team) {
         return usage.getOrDefault(partition, Map.of()).getOrDefault(team, NONE);
     }
 
-    /** The usage to change. */
-    ResourceUsage toChange(String partition, String team) {
+    /** The usage of a team, for modification; created on first use. */
+    ResourceUsage mutableUsage(String partition, String team) {
         return usage.computeIfAbsent(partition, p -> new HashMap<>()).computeIfAbsent(team, t -> new ResourceUsage());
     }
 }
--- a/src/main/java/org/gullway/coordination/model/ResourceUsage.java
+++ b/src/main/java/org/gullway/coordination/model/ResourceUsage.java
@@ -2,25 +2,29 @@
 
 import org.gullway.protocol.JobRequest;
 
-/** Resources in use, or free. */
+/** A mutable sum of the resources that tasks use. */
 public final class ResourceUsage {
     public double cpus;
     public double gpus;
     public double memoryGb;
     public int tasks;
 
-    /** Adds to a difference, which may be negative and is not zero when as many tasks came as went. */
-    void change(JobRequest job, int sign) {
+    /**
+     * Adds or subtracts one task in a sum of differences. The sum may be negative, and it need not be zero when as many
+     * tasks were added as subtracted.
+     */
+    void addToDelta(JobRequest job, int sign) {
         cpus += sign * job.cpus();
         gpus += sign * job.gpus();
         memoryGb += sign * job.memoryGb();
         tasks += sign;
     }
 
-    void add(JobRequest job, int sign) {
-        change(job, sign);
+    /** Adds or subtracts one task in a total. */
+    void addToTotal(JobRequest job, int sign) {
+        addToDelta(job, sign);
         if (tasks == 0) {
-            // Sums of decimals drift; an empty machine is exactly empty.
+            // Sums of floating-point numbers drift; without tasks the usage is exactly zero.
             cpus = 0;
             gpus = 0;
             memoryGb = 0;
--- a/src/main/java/org/gullway/coordination/model/StoreKeys.java
+++ b/src/main/java/org/gullway/coordination/model/StoreKeys.java
@@ -1,6 +1,9 @@
 package org.gullway.coordination.model;
 
-/** Keys of the state store; their names are stored, and stay as they are. Everything under {@link #LIVE} is watched by every controller. */
+/**
+ * Keys of the state store. The key names are part of the stored data and must not change. Every controller watches all
+ * keys under {@link #LIVE}.
+ */
 public final class StoreKeys {
     public static final String LIVE = "live/";
     public static final String LEADER = LIVE + "leader";
@@ -10,7 +13,7 @@
     public static final String JOBS = LIVE + "jobs/";
     public static final String SHARDS = LIVE + "groups/";
     public static final String QUOTA_PARTITIONS = LIVE + "shares/";
-    /** The quota partition for all reserved jobs, which the leader places. */
+    /** The quota partition that all reserved jobs are charged to; the leader holds it. */
     public static final String LEADER_QUOTA = QUOTA_PARTITIONS + "leader";
 
     private static final String NODE_QUOTAS = QUOTA_PARTITIONS + "node/";
@@ -18,7 +21,7 @@
 
     private StoreKeys() {}
 
-    /** The key that a member holds on its lease. */
+    /** The key of a member, which is attached to the member's lease. */
     public static String member(String node) {
         return MEMBERS + node;
     }
@@ -43,12 +46,12 @@
         return key.startsWith(NODE_QUOTAS) ? key.substring(NODE_QUOTAS.length()) : null;
     }
 
-    /** The quota partition that a job's placements count for. */
+    /** The quota partition that a job's placements are charged to. */
     public static String quotaPartitionOf(JobRecord job) {
         return job.isReserved() ? LEADER_QUOTA : quotaPartition(job.owner());
     }
 
-    /** Where the final state of a job is kept for good. */
+    /** The key under which the final state of a job is kept permanently. */
     public static String finalState(String id) {
         return FINAL_STATES + id;
     }
--- a/src/main/java/org/gullway/coordination/model/Transaction.java
+++ b/src/main/java/org/gullway/coordination/model/Transaction.java
@@ -8,36 +8,40 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A compare-and-swap transaction in the making. The version of every key that it changes or depends on is a condition,
- * and so is the version of the controller's member key: a transaction that comes late, or from a controller whose
- * membership has ended, changes nothing.
+ * Builds a compare-and-swap transaction. Its conditions are the versions of all keys that it changes or depends on, and
+ * the version of this controller's member key. The store rejects the whole transaction if one of these keys has changed
+ * meanwhile, or if the controller's membership has ended.
  *
- * <p>A placement makes the job's version a condition, but not the machine's: a machine that is gone, or in a newer agent
- * epoch, never gets the start command, and the placement is removed again. Nor is the usage of the team a condition:
- * only the holder of a quota partition places on it, and it has one transaction in flight at a time.
+ * <p>A placement makes the version of the job's record a condition, but not that of the machine's record: if the
+ * machine is removed or enters a newer agent epoch, the start command is never sent and the placement is removed. The
+ * team's usage is no condition either: only the holder of a quota partition places tasks against it, and the holder has
+ * at most one transaction in flight.
  */
 public final class Transaction {
     /**
      * Limits of one transaction of the state store.
      *
-     * @param changes keys that it may write or remove
-     * @param conditions keys whose versions it may compare
-     * @param valueBytes size of one value
+     * @param changes maximum number of keys that it writes or removes
+     * @param conditions maximum number of keys whose versions it compares
+     * @param valueBytes maximum size of one value
      */
     public record Limits(int changes, int conditions, int valueBytes) {
-        /** Below the store's limit by as much as the last change may add. */
+        /**
+         * Total size of the new values from which on no further change is added. It is below the store's limit by the
+         * size that the last change may add.
+         */
         static final int MAX_BYTES = 48 * 1024;
 
         private static final int CONDITIONS_PER_CHANGE = 4;
-        /** A job that ends changes two keys. */
+        /** A job that ends changes two keys: its record and its final state. */
         private static final int MIN_CHANGES = 2;
 
-        /** The limits that the state store sets. */
+        /** The limits set by the state store. */
         public Limits(int changes, int valueBytes) {
             this(changes, CONDITIONS_PER_CHANGE * changes, valueBytes);
         }
 
-        /** The same for a transaction of fewer changes. */
+        /** These limits with at most {@code maxChanges} changes, but no fewer than the end of one job needs. */
         public Limits withMaxChanges(int maxChanges) {
             return new Limits(Math.max(MIN_CHANGES, Math.min(changes, maxChanges)), conditions, valueBytes);
         }
@@ -59,12 +63,12 @@
         changeSet.requireUnchanged(StoreKeys.member(self.node()));
     }
 
-    /** The time of day that the changes of this transaction record. */
+    /** The wall-clock time that the records written by this transaction contain. */
     public Instant timeOfDay() {
         return timeOfDay;
     }
 
-    /** Whether there is nothing to commit. */
+    /** Whether the transaction contains no changes. */
     public boolean isEmpty() {
         return changeSet.changes().isEmpty();
     }
@@ -79,41 +83,41 @@
         return changeSet.conditions();
     }
 
-    /** Whether so many further changes, each with one condition besides its own, fit into this transaction. */
-    public boolean hasCapacityFor(int more) {
-        return changeSet.hasCapacityFor(more);
+    /** Whether this many further changes fit, each with one condition besides that on the changed key. */
+    public boolean hasCapacityFor(int furtherChanges) {
+        return changeSet.hasCapacityFor(furtherChanges);
     }
 
-    /** Makes the transaction depend on a key that it does not change. */
+    /** Adds the condition that a key is unchanged, for a key that the transaction depends on. */
     public void requireUnchanged(String key) {
         changeSet.requireUnchanged(key);
     }
 
-    /** Writes a record; its key must be unchanged. */
+    /** Writes a record, on the condition that its key is unchanged. */
     public void put(String key, StoreRecord value) {
         changeSet.put(key, value);
     }
 
-    /** Removes a key, which must be unchanged. */
+    /** Removes a key, on the condition that it is unchanged. */
     public void remove(String key) {
         changeSet.remove(key);
     }
 
-    /** The job as this transaction leaves it, or null. */
+    /** The job as this transaction leaves it, or null if it has no record. */
     public JobRecord job(String id) {
         String key = StoreKeys.job(id);
         return changeSet.isChanged(key) ? (JobRecord) changeSet.valueOf(key) : clusterState.job(id);
     }
 
-    /** Whether a change of the job still fits, given that it may end and so change two keys. */
+    /** Whether a change of the job still fits, even if the job ends and so changes two keys. */
     public boolean canPutJob(String id) {
         return hasCapacityFor(changeSet.isChanged(StoreKeys.job(id)) ? 1 : 2);
     }
 
     /**
-     * Records the job; one that is over moves to where final states are kept.
+     * Writes the job's record; if the job is finished, removes the record and writes the final state instead.
      *
-     * @throws IllegalStateException if this transaction has ended the job before, which must stay final
+     * @throws IllegalStateException if this transaction already removes the record: a final state never changes
      */
     public void putJob(JobRecord job) {
         String id = job.request().id();
@@ -128,13 +132,13 @@
         }
     }
 
-    /** The shard as this transaction leaves it, or null. */
+    /** The shard as this transaction leaves it, or null if it does not exist. */
     public MachineShard shard(String id) {
         String key = StoreKeys.shard(id);
         return changeSet.isChanged(key) ? (MachineShard) changeSet.valueOf(key) : clusterState.shard(id);
     }
 
-    /** Records the shard; one without machines is removed. */
+    /** Writes the shard, or removes it if it contains no machines. */
     public void putShard(MachineShard shard) {
         if (shard.machines().isEmpty()) {
             remove(StoreKeys.shard(shard.id()));
@@ -143,25 +147,25 @@
         }
     }
 
-    /** The machine as this transaction leaves it, or null. */
+    /** The machine as this transaction leaves it, or null if no shard contains it. */
     public MachineRecord machine(String name) {
         String id = clusterState.shardOf(name);
         MachineShard shard = id == null ? null : shard(id);
         return shard == null ? null : shard.machine(name);
     }
 
-    /** Whether a change of this machine's record still fits. */
+    /** Whether a shard contains the machine and a change of its record still fits. */
     public boolean canPutMachine(String name) {
         String id = clusterState.shardOf(name);
         return id != null && (changeSet.isChanged(StoreKeys.shard(id)) || hasCapacityFor(1));
     }
 
-    /** Changes a machine that is on record. */
+    /** Replaces the record of a machine that a shard contains. */
     public void putMachine(MachineRecord machine) {
         putShard(shard(clusterState.shardOf(machine.name())).with(machine));
     }
 
-    /** Removes a machine that is on record. */
+    /** Removes a machine from the shard that contains it. */
     public void removeMachine(String name) {
         putShard(shard(clusterState.shardOf(name)).without(name));
     }
@@ -172,7 +176,7 @@
         return planned == null ? clusterState.fencingToken() : ((FencingToken) planned).value();
     }
 
-    /** Raises the fencing token, once for all that this transaction does. */
+    /** Raises the fencing token, at most once per transaction, and returns the raised token. */
     public long nextFencingToken() {
         if (!changeSet.isChanged(StoreKeys.FENCING_TOKEN)) {
             put(StoreKeys.FENCING_TOKEN, new FencingToken(clusterState.fencingToken()).next());
@@ -213,33 +217,33 @@
         return clusterState.quotaUsage(partition, team).gpus + usageDelta.ofQuota(partition, team).gpus;
     }
 
-    /** How many more attempts of this job fit into this transaction and the job's record. */
+    /** The number of further attempts of this job that fit into this transaction and into the job's record. */
     public int placeableTasks(JobRecord job) {
         boolean fits = changeSet.isChanged(StoreKeys.job(job.request().id())) || hasCapacityFor(1);
         return fits && changeSet.hasFreeBytes() ? job.remainingPlacements(limits.valueBytes()) : 0;
     }
 
-    /** Counts the resources of one more task, whose placement is to be recorded in this transaction. */
+    /** Reserves resources and quota for one task that this transaction is about to place on a machine. */
     public void reserve(JobRecord job, MachineRecord machine) {
         usageDelta.addTask(job, machine.name());
     }
 
-    /** Takes back a reservation for a task that is not placed after all. */
+    /** Cancels a reservation for a task that is not placed after all. */
     public void unreserve(JobRecord job, MachineRecord machine) {
         usageDelta.removeTask(job, machine.name());
     }
 
-    /** The job's tasks count for another quota partition from this transaction on. */
+    /** Charges the job's placed tasks to another quota partition from this transaction on. */
     public void moveQuotaUsage(JobRecord job, String toPartition) {
         usageDelta.moveQuota(job, toPartition);
     }
 
-    /** Frees the resources and quota of an attempt that has certainly ended, although that is not on record yet. */
+    /** Frees the resources and quota of an attempt that has ended but whose placement is still in the job's record. */
     public void releaseResources(JobRecord job, String machine) {
         usageDelta.removeTask(job, machine);
     }
 
-    /** Places one task on each of these machines, on which resources were reserved before. */
+    /** Places one task on each of these machines; the caller has reserved the resources. */
     public void place(JobRecord job, List<MachineRecord> machines) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
--- a/src/main/java/org/gullway/coordination/model/UsageDelta.java
+++ b/src/main/java/org/gullway/coordination/model/UsageDelta.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.gullway.protocol.JobRequest;
 
-/** By how much a transaction changes the usage of machines and of quota partitions, beside the cluster state's. */
+/** The changes of machine and quota usage that a transaction makes, relative to the cluster state. */
 final class UsageDelta {
     private static final ResourceUsage NONE = new ResourceUsage();
 
@@ -24,18 +24,18 @@
         changeTasks(job, machine, 1);
     }
 
-    /** Takes away one task of the job on a machine. */
+    /** Subtracts one task of the job on a machine. */
     void removeTask(JobRecord job, String machine) {
         changeTasks(job, machine, -1);
     }
 
     private void changeTasks(JobRecord job, String machine, int sign) {
         JobRequest request = job.request();
-        byMachine.computeIfAbsent(machine, m -> new ResourceUsage()).change(request, sign);
+        byMachine.computeIfAbsent(machine, m -> new ResourceUsage()).addToDelta(request, sign);
         changeQuota(StoreKeys.quotaPartitionOf(job), request, sign);
     }
 
-    /** Counts the placed tasks of a job for another quota partition than before. */
+    /** Charges the placed tasks of a job to another quota partition instead of its present one. */
     void moveQuota(JobRecord job, String toPartition) {
         JobRequest request = job.request();
         String fromPartition = StoreKeys.quotaPartitionOf(job);
@@ -46,6 +46,6 @@
     }
 
     private void changeQuota(String partition, JobRequest request, int sign) {
-        byQuota.toChange(partition, request.team()).change(request, sign);
+        byQuota.mutableUsage(partition, request.team()).addToDelta(request, sign);
     }
 }
--- a/src/main/java/org/gullway/coordination/model/package-info.java
+++ b/src/main/java/org/gullway/coordination/model/package-info.java
@@ -1,2 +1,2 @@
-/** Records of the state store, the cluster state that they make up, and transactions that change them. */
+/** The records of the state store, this controller's replica of them, and the transactions that change them. */
 package org.gullway.coordination.model;
