--- a/src/main/java/org/gullway/coordination/failover/Reconciliation.java
+++ b/src/main/java/org/gullway/coordination/failover/Reconciliation.java
@@ -18,13 +18,14 @@
 import org.gullway.coordination.quota.TeamQuotas;
 
 /**
- * Reconciles records after the loss of a machine or a member: attempts that are certainly gone are waiting tasks again,
- * jobs of a lost owner get another one, quota partitions of lost members are released and shards are balanced.
+ * Reconciles records after the loss of a machine or a member: tasks whose attempts have certainly ended wait again,
+ * jobs of a lost owner are transferred to another member, unused quota of lost members is released and shards are
+ * balanced.
  */
 public final class Reconciliation implements PlanningStep {
-    /** Short beside the seconds after which a loss is noticed. */
+    /** Short compared with the seconds that it takes to detect a loss. */
     private static final Duration INTERVAL = Duration.ofMillis(250);
-    /** A job's record, its final state, and the quota partitions of both owners. */
+    /** Keys that one job may change: its record, its final state, and the quota partitions of both owners. */
     private static final int CHANGES_PER_JOB = 4;
 
     private final ClusterState clusterState;
@@ -43,7 +44,7 @@
         this.shardBalancer = new ShardBalancer(clusterState);
     }
 
-    /** Each record is reconciled by one controller: its owner, or the leader if no member owns it. */
+    /** Each job is reconciled by one controller: its owner, or the leader if it is reserved or its owner is lost. */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         Instant now = context.now();
@@ -64,7 +65,7 @@
         }
     }
 
-    // Instances are shared while nothing has changed; comparing values would cost as much as the change.
+    // An unchanged record is the same instance; comparing the values would cost as much as changing them.
     @SuppressWarnings("ReferenceEquality")
     private void reconcile(Transaction transaction, JobRecord known, boolean orphaned) {
         String id = known.request().id();
@@ -91,13 +92,14 @@
         return members.get(random.nextInt(members.size()));
     }
 
-    /** The record with lost attempts ended; the same instance if there are none. */
+    /** This job without its lost attempts; the same instance if it has none. */
     private JobRecord withoutLostAttempts(JobRecord job) {
         checkedPlacements += job.livePlacements().size();
         Map<Placement, JobRecord.AttemptOutcome> lost = new HashMap<>();
         for (Placement placement : job.livePlacements()) {
             MachineRecord machine = clusterState.machine(placement.machine());
-            // A machine leaves the records only after the cloud has confirmed that it is gone.
+            // A machine's record is removed only after the cloud provider has confirmed that the machine no longer
+            // exists.
             if (machine == null || machine.agentEpoch() > placement.agentEpoch()) {
                 lost.put(placement, JobRecord.AttemptOutcome.STOPPED);
             }
@@ -106,11 +108,11 @@
         boolean gangIncomplete = next.isGang()
                 && next.waitingTasks() > 0
                 && next.livePlacements().stream().anyMatch(placement -> !placement.stopping());
-        // A gang of which a task is lost starts again as a whole.
+        // A gang that has lost a task is stopped and started again as a whole.
         return gangIncomplete ? next.withStopping(placement -> true) : next;
     }
 
-    /** How many placements were checked so far. */
+    /** Number of placements that were checked for lost machines so far. */
     long checkedPlacements() {
         return checkedPlacements;
     }
--- a/src/main/java/org/gullway/coordination/failover/ShardAssignment.java
+++ b/src/main/java/org/gullway/coordination/failover/ShardAssignment.java
@@ -12,18 +12,18 @@
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.coordination.model.Transaction;
 
-/** Puts new machines on record, in shards of the members that command the fewest machines. */
+/** Adds newly provisioned machines to shards of the members that command the fewest machines. */
 public final class ShardAssignment {
     private final ClusterState clusterState;
     private final Transaction transaction;
     private final String idPrefix;
     private final Map<String, Integer> machineCounts = new TreeMap<>();
-    /** Shards of each member that can take another machine; the last one is filled first. */
+    /** Ids of the shards of each member that can hold another machine; the last one is filled first. */
     private final Map<String, List<String>> openShards = new HashMap<>();
 
-    private int created;
+    private int createdShards;
 
-    /** @param idPrefix distinguishes the shards created now from all others ever created */
+    /** @param idPrefix prefix of the ids of new shards, unique among all shards ever created */
     public ShardAssignment(ClusterState clusterState, Transaction transaction, String idPrefix) {
         this.clusterState = clusterState;
         this.transaction = transaction;
@@ -47,16 +47,16 @@
         return shard.machines().size() >= MachineShard.MAX_MACHINES;
     }
 
-    /** Records a provisioned machine; false if it does not fit into the transaction, or if there is no member. */
+    /** Adds a machine to a shard; false if the change does not fit into the transaction, or if there is no member. */
     public boolean assign(MachineRecord machine) {
         if (machineCounts.isEmpty()) {
             return false;
         }
         String node = memberWithFewestMachines();
         Optional<MachineShard> open = openShard(node);
-        boolean changedAlready = open.isPresent()
+        boolean alreadyChanged = open.isPresent()
                 && transaction.changes().containsKey(StoreKeys.shard(open.get().id()));
-        if (!changedAlready && !transaction.hasCapacityFor(2)) {
+        if (!alreadyChanged && !transaction.hasCapacityFor(2)) {
             return false;
         }
         MachineShard shard = open.orElseGet(() -> createShard(node));
@@ -72,14 +72,14 @@
                 .getKey();
     }
 
-    /** The member's last open shard as the transaction leaves it; shards that it has filled are dropped. */
+    /** The member's last open shard as the transaction leaves it; removes full shards from the open ones. */
     private Optional<MachineShard> openShard(String node) {
         List<String> ids = openShards.get(node);
         while (!ids.isEmpty()) {
             int last = ids.size() - 1;
             MachineShard shard = transaction.shard(ids.get(last));
             if (shard == null || !isFull(shard)) {
-                // Null if the transaction has removed the shard.
+                // The shard is null if the transaction removes it.
                 return Optional.ofNullable(shard);
             }
             ids.remove(last);
@@ -88,10 +88,10 @@
     }
 
     private MachineShard createShard(String node) {
-        // Before any shard exists there is no fencing token either.
+        // The first shard of a cluster needs the first fencing token: without any shard there is none.
         long fencingToken =
                 transaction.fencingToken() == 0 ? transaction.nextFencingToken() : transaction.fencingToken();
-        String id = idPrefix + "-" + ++created;
+        String id = idPrefix + "-" + ++createdShards;
         openShards.get(node).add(id);
         return new MachineShard(id, clusterState.members().get(node), fencingToken, List.of());
     }
--- a/src/main/java/org/gullway/coordination/failover/ShardBalancer.java
+++ b/src/main/java/org/gullway/coordination/failover/ShardBalancer.java
@@ -11,11 +11,14 @@
 import org.gullway.coordination.model.MachineShard;
 import org.gullway.coordination.model.Transaction;
 
-/** Moves shards from members with many machines to the one with the fewest, for instance after a member has come back. */
+/** Moves shards from members with many machines to the member with the fewest, such as one that has just rejoined. */
 final class ShardBalancer {
     private static final Duration INTERVAL = Duration.ofSeconds(5);
-    /** A move has to even out by more than this, so that shards do not move back and forth. */
-    private static final int MIN_GAIN = MachineShard.MAX_MACHINES / 2;
+    /**
+     * Number of machines by which the source must still exceed the target without the moved shard, so that shards do
+     * not move back and forth.
+     */
+    private static final int MIN_SURPLUS = MachineShard.MAX_MACHINES / 2;
 
     private static final Comparator<Map.Entry<Incarnation, Integer>> FEWEST_MACHINES =
             Map.Entry.<Incarnation, Integer>comparingByValue()
@@ -41,7 +44,7 @@
             int size = shard.machines().size();
             if (machineCounts.containsKey(source)
                     && transaction.hasCapacityFor(2)
-                    && machineCounts.get(source) - machineCounts.get(target) > size + MIN_GAIN) {
+                    && machineCounts.get(source) - machineCounts.get(target) > size + MIN_SURPLUS) {
                 transaction.putShard(transaction.shard(shard.id()).claimedBy(target, transaction.nextFencingToken()));
                 machineCounts.merge(source, -size, Integer::sum);
                 machineCounts.merge(target, size, Integer::sum);
@@ -49,7 +52,7 @@
         }
     }
 
-    /** How many machines each member commands; shards of lost controllers are not counted. */
+    /** Number of machines that each member commands; shards of lost controllers are not counted. */
     private Map<Incarnation, Integer> machineCounts() {
         Map<Incarnation, Integer> counts = new HashMap<>();
         for (Incarnation member : clusterState.members().values()) {
--- a/src/main/java/org/gullway/coordination/failover/ShardFailover.java
+++ b/src/main/java/org/gullway/coordination/failover/ShardFailover.java
@@ -13,35 +13,41 @@
 import org.gullway.coordination.model.Transaction;
 
 /**
- * Decides which shards this controller takes over: those of controllers that are lost, and those of a member that most
- * agents of the shard cannot reach.
+ * Decides which shards this controller takes over: those of lost controllers, and those whose controller is a member
+ * that at least half of the shard's agents cannot reach.
  */
 public final class ShardFailover {
-    private static final long NONE = -1;
+    private static final long NO_VERSION = -1;
 
     private final ClusterState clusterState;
     private final Incarnation self;
     private final Predicate<String> isReroutedHere;
-    /** Shards of members that some of their agents cannot reach. */
+    /** Ids of shards of other members with agents that repeatedly send their heartbeats here. */
     private final Set<String> reroutedShards = new HashSet<>();
-    /** Version of shards and members at which every shard had a member as its controller. */
-    private long completeVersion = NONE;
+    /** Value of {@code shardsAndMembersVersion} when all shards last had members as their controllers. */
+    private long fullyAssignedVersion = NO_VERSION;
 
-    /** @param isReroutedHere whether the agent of a machine sends its heartbeats here since it cannot reach its controller */
+    /**
+     * Creates the failover decisions of one controller.
+     *
+     * @param isReroutedHere whether the agent of the machine of this name sends its heartbeats here because it cannot
+     *     reach its own controller
+     */
     public ShardFailover(ClusterState clusterState, Incarnation self, Predicate<String> isReroutedHere) {
         this.clusterState = clusterState;
         this.self = self;
         this.isReroutedHere = isReroutedHere;
     }
 
-    /** To be called for a shard of which an agent repeatedly sends its heartbeats here. */
+    /** Called with the id of a shard when one of its agents repeatedly sends its heartbeats here. */
     public void onRerouted(String shard) {
         reroutedShards.add(shard);
     }
 
     /**
-     * The controller that takes over the shard of a lost one: the same node if it is back, or else a member that all
-     * controllers agree on as far as they agree on the members. Empty if there is no member.
+     * The member that takes over the shard of a lost controller: the same node if it is a member again, or else a
+     * member chosen by the hash of the shard's id, so that controllers that know the same members choose the same one.
+     * Empty if there is no member.
      */
     public Optional<String> successor(MachineShard shard) {
         if (clusterState.members().containsKey(shard.controller().node())) {
@@ -53,16 +59,16 @@
                 : Optional.of(members.get(Math.floorMod(shard.id().hashCode(), members.size())));
     }
 
-    /** Claims the shards that this controller has to take over. */
+    /** Adds to the transaction the claims of all shards that this controller takes over. */
     public void plan(Transaction transaction) {
-        reroutedShards.removeIf(this::isGoneOrOwn);
-        if (reroutedShards.isEmpty() && completeVersion == clusterState.shardsAndMembersVersion()) {
+        reroutedShards.removeIf(this::isRemovedOrOwn);
+        if (reroutedShards.isEmpty() && fullyAssignedVersion == clusterState.shardsAndMembersVersion()) {
             return;
         }
-        boolean complete = true;
+        boolean fullyAssigned = true;
         for (MachineShard shard : clusterState.shards()) {
             boolean lost = !clusterState.isMember(shard.controller());
-            complete &= !lost;
+            fullyAssigned &= !lost;
             if (lost && isSuccessor(shard)) {
                 if (transaction.hasCapacityFor(2)) {
                     claim(transaction, shard, fencingTokenAfterLoss(transaction, shard));
@@ -73,10 +79,10 @@
                 claim(transaction, shard, transaction.nextFencingToken());
             }
         }
-        completeVersion = complete ? clusterState.shardsAndMembersVersion() : NONE;
+        fullyAssignedVersion = fullyAssigned ? clusterState.shardsAndMembersVersion() : NO_VERSION;
     }
 
-    private boolean isGoneOrOwn(String id) {
+    private boolean isRemovedOrOwn(String id) {
         MachineShard shard = clusterState.shard(id);
         return shard == null || self.equals(shard.controller());
     }
@@ -91,8 +97,10 @@
     }
 
     /**
-     * A fencing token that the lost controller never commanded under: the present one, if it was raised after the last
-     * loss of a member, which must not have come back unseen. After a loss of all, one new token serves all shards.
+     * A fencing token under which the lost controller has sent no command: the current token if it was raised after the
+     * last loss of a member, or else a new one. After the loss of all members, one raise of the token thus serves all
+     * shards. The lost controller's member key becomes a condition of the transaction, which therefore fails if that
+     * controller has rejoined meanwhile.
      */
     private long fencingTokenAfterLoss(Transaction transaction, MachineShard shard) {
         transaction.requireUnchanged(StoreKeys.member(shard.controller().node()));
--- a/src/main/java/org/gullway/coordination/membership/Membership.java
+++ b/src/main/java/org/gullway/coordination/membership/Membership.java
@@ -5,14 +5,14 @@
 import org.gullway.coordination.model.Incarnation;
 
 /**
- * This controller's own membership lease. Its validity is decided by the monotonic clock alone: from the moment at which
- * the last successful renewal was sent, for the lease's duration less the drift between clocks.
+ * This controller's own membership lease. The monotonic clock alone decides its validity: the lease is valid from the
+ * moment at which the last successful renewal was sent, for its duration less the possible drift between two clocks.
  */
 public final class Membership {
-    /** Twice the drift that two monotonic clocks may have, which is 0.05% each. */
+    /** A 500th is 0.2%, twice the drift between two monotonic clocks, each of which may drift by 0.05%. */
     private static final long DRIFT_DIVISOR = 500;
 
-    /** Allows for the granularity of timers. */
+    /** Allowance for the granularity of timers. */
     private static final Duration TIMER_MARGIN = Duration.ofMillis(50);
 
     private final Incarnation self;
@@ -25,7 +25,7 @@
         this.leaseDuration = leaseDuration;
     }
 
-    /** This run of this controller. */
+    /** The incarnation of this controller. */
     public Incarnation self() {
         return self;
     }
@@ -40,13 +40,13 @@
         return leaseId;
     }
 
-    /** A membership has begun, on a lease that was requested at this moment. */
+    /** Records the begin of a membership, on a lease that was requested at this moment. */
     public void onJoined(long newLeaseId, Instant requestSentAt) {
         leaseId = newLeaseId;
         onRenewed(requestSentAt);
     }
 
-    /** The lease was renewed by a request that was sent at this moment. */
+    /** Records a renewal of the lease by a request that was sent at this moment. */
     public void onRenewed(Instant requestSentAt) {
         validUntil = requestSentAt
                 .plus(leaseDuration)
@@ -54,7 +54,7 @@
                 .minus(TIMER_MARGIN);
     }
 
-    /** The membership has ended. */
+    /** Records the end of the membership. */
     public void onLost() {
         validUntil = Instant.MIN;
     }
--- a/src/main/java/org/gullway/coordination/membership/StoreOutageDetector.java
+++ b/src/main/java/org/gullway/coordination/membership/StoreOutageDetector.java
@@ -8,21 +8,22 @@
 import java.util.Map;
 
 /**
- * Tells an outage of the state store, which affects all controllers, from refusals that one controller alone gets, by
- * what the controllers say to each other.
+ * Distinguishes an outage of the state store, which affects all controllers, from a failure that affects this
+ * controller alone, by the reports that the controllers exchange.
  *
- * <p>In an outage a controller stays healthy for the load balancer, since no other one could serve its users any better.
- * The balancer takes a controller back only after a pause that doubles with each removal, so that short outages in a row
- * would leave users without any healthy controller after each.
+ * <p>During an outage of the store a controller keeps reporting itself as healthy to the load balancer, since no other
+ * controller could serve its users any better. The load balancer readmits a controller after a pause that doubles with
+ * each removal, so if controllers were removed, repeated short outages would leave users without a healthy controller
+ * after each of them.
  */
 public final class StoreOutageDetector {
-    /** Watches last a second, so an answer that is older shows that later requests had none. */
+    /** Watch requests last one second: if the last answered request is older than this, later ones had no answer. */
     private static final Duration MAX_ANSWER_AGE = Duration.ofSeconds(3);
-    /** Peers are asked every second; this is how long a notice of theirs counts. */
-    private static final Duration PEER_NOTICE_VALIDITY = Duration.ofSeconds(4);
+    /** How long a peer's report counts; every peer is asked once per second. */
+    private static final Duration PEER_REPORT_VALIDITY = Duration.ofSeconds(4);
 
     private final List<String> peers;
-    /** By peer: when it last said that the state store does not answer it. */
+    /** When each peer last reported that the state store does not answer it, by the peer's name. */
     private final Map<String, Instant> peerReportedAt = new HashMap<>();
 
     /** @param peers names of all other controllers of the deployment */
@@ -31,20 +32,20 @@
     }
 
     /**
-     * Whether a controller has to say that the state store does not answer it.
+     * Whether a controller has to report that the state store does not answer it.
      *
-     * @param answeredRequestSentAt when the last request that the state store has answered was sent
+     * @param answeredRequestSentAt when the last request that the state store answered was sent
      */
     public static boolean isStoreUnreachable(Instant answeredRequestSentAt, Instant now) {
         return answeredRequestSentAt.plus(MAX_ANSWER_AGE).isBefore(now);
     }
 
-    /** Records that a peer has just said that the state store does not answer it. */
+    /** Records a peer's report that the state store does not answer it. */
     public void onPeerReportedOutage(String peer, Instant now) {
         peerReportedAt.put(peer, now);
     }
 
-    /** Whether all peers have lately said that the state store does not answer them. */
+    /** Whether every peer has recently reported that the state store does not answer it. */
     public boolean isReportedByAllPeers(Instant now) {
         return peers.stream().allMatch(peer -> hasRecentlyReportedOutage(peer, now));
     }
@@ -52,7 +53,7 @@
     private boolean hasRecentlyReportedOutage(String peer, Instant now) {
         return peerReportedAt
                 .getOrDefault(peer, Instant.MIN)
-                .plus(PEER_NOTICE_VALIDITY)
+                .plus(PEER_REPORT_VALIDITY)
                 .isAfter(now);
     }
 }
--- a/src/main/java/org/gullway/coordination/membership/package-info.java
+++ b/src/main/java/org/gullway/coordination/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Membership of controllers: how long a lease is valid, and whether all members have lost the state store. */
+/** The controller's membership lease and its validity, and the detection of outages of the state store. */
 package org.gullway.coordination.membership;
