--- a/src/main/java/org/gullway/coordination/scaling/AvailableOfferings.java
+++ b/src/main/java/org/gullway/coordination/scaling/AvailableOfferings.java
@@ -12,13 +12,13 @@
 import org.gullway.coordination.placement.MachineTypeCatalog;
 import org.gullway.protocol.MachineType;
 
-/** The kinds of machines that can be provisioned now, without those of which the cloud provider had none lately. */
+/** The machine offerings that can be provisioned now; excludes those of which the provider recently had too few. */
 final class AvailableOfferings {
     private static final Duration EXHAUSTED_BACKOFF = Duration.ofSeconds(10);
 
     private final ClusterState clusterState;
     private final MachineTypeCatalog machineTypes;
-    /** Offerings of which the provider had too few, with the end of their backoff. */
+    /** Offerings of which the cloud provider had too few, with the end of their back-off. */
     private final Map<MachineOffering, Instant> exhaustedUntil = new HashMap<>();
 
     AvailableOfferings(ClusterState clusterState, MachineTypeCatalog machineTypes) {
@@ -26,7 +26,7 @@
         this.machineTypes = machineTypes;
     }
 
-    /** Leaves out, for a while, the kind of machine of which fewer were provisioned than were requested. */
+    /** Excludes an offering for the back-off period after the provider provisioned fewer machines than requested. */
     void onExhausted(ProvisioningRequest request, Instant now) {
         MachineType type = machineTypes.byName().get(request.type());
         if (type != null) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** All available offerings, the cheapest first; of equal price, those of the zone with the fewest machines. */
+    /** All available offerings by price per processor; of equal price, the zone with the fewest machines first. */
     List<MachineOffering> byPrice(Instant now) {
         exhaustedUntil.values().removeIf(until -> !now.isBefore(until));
         List<MachineOffering> offerings = allOfferings();
--- a/src/main/java/org/gullway/coordination/scaling/BinPacking.java
+++ b/src/main/java/org/gullway/coordination/scaling/BinPacking.java
@@ -8,16 +8,16 @@
 import org.gullway.protocol.JobRequest;
 
 /**
- * Packs tasks onto machines, first fit: first onto the free resources of machines that are up or booting, then onto
- * machines that would have to be provisioned, of the first compatible offering.
+ * First-fit bin packing of tasks onto machines: first onto the free resources of machines that are up or booting, then
+ * onto machines that would have to be provisioned, of the first compatible offering.
  */
 final class BinPacking {
-    /** Bounds the time of one packing; tasks that remain are packed by the next one, beside what was provisioned. */
+    /** Bounds the duration of one packing; the next packing takes up the remaining tasks and includes new machines. */
     static final int MAX_PROVISIONED = 10_000;
 
     private static final double EPSILON = 1e-6;
 
-    /** The free resources of one machine. */
+    /** The free resources of one machine, which is up, booting or still to be provisioned. */
     private static final class Bin {
         private final MachineOffering offering;
         private double freeCpus;
@@ -59,17 +59,17 @@
     }
 
     private final List<MachineOffering> offerings;
-    private final List<Bin> existing = new ArrayList<>();
-    private final List<Bin> provisioned = new ArrayList<>();
+    private final List<Bin> existingBins = new ArrayList<>();
+    private final List<Bin> newBins = new ArrayList<>();
 
-    /** @param offerings what can be provisioned, the best first */
+    /** @param offerings the offerings that can be provisioned, the most preferred first */
     BinPacking(List<MachineOffering> offerings) {
         this.offerings = offerings;
     }
 
     /** Adds a machine that is up or booting. */
     void add(MachineOffering machine, ResourceUsage used) {
-        existing.add(new Bin(
+        existingBins.add(new Bin(
                 machine,
                 machine.type().cpus() - used.cpus,
                 machine.type().gpus() - used.gpus,
@@ -78,10 +78,10 @@
 
     /** Packs as many of the tasks as possible and returns their number. */
     int pack(JobRequest job, int tasks) {
-        int packed = packInto(existing, job, tasks);
-        packed += packInto(provisioned, job, tasks - packed);
+        int packed = packInto(existingBins, job, tasks);
+        packed += packInto(newBins, job, tasks - packed);
         if (packed > 0) {
-            existing.removeIf(bin -> bin.freeCpus <= EPSILON);
+            existingBins.removeIf(bin -> bin.freeCpus <= EPSILON);
         }
         for (MachineOffering offering : offerings) {
             if (packed < tasks && offering.isCompatible(job)) {
@@ -101,18 +101,18 @@
 
     private int packIntoNew(MachineOffering offering, JobRequest job, int tasks) {
         int packed = 0;
-        while (packed < tasks && provisioned.size() < MAX_PROVISIONED) {
+        while (packed < tasks && newBins.size() < MAX_PROVISIONED) {
             Bin bin = Bin.empty(offering);
             packed += bin.pack(job, tasks - packed);
-            provisioned.add(bin);
+            newBins.add(bin);
         }
         return packed;
     }
 
-    /** How many machines of each kind have to be provisioned for the packed tasks. */
+    /** Number of machines of each offering that have to be provisioned for the packed tasks. */
     Map<MachineOffering, Integer> machinesToProvision() {
         Map<MachineOffering, Integer> counts = new LinkedHashMap<>();
-        provisioned.forEach(bin -> counts.merge(bin.offering, 1, Integer::sum));
+        newBins.forEach(bin -> counts.merge(bin.offering, 1, Integer::sum));
         return counts;
     }
 }
--- a/src/main/java/org/gullway/coordination/scaling/CapacityBalance.java
+++ b/src/main/java/org/gullway/coordination/scaling/CapacityBalance.java
@@ -1,10 +1,10 @@
 package org.gullway.coordination.scaling;
 
 /**
- * The fleet's capacity beside what is needed of it, in processors.
+ * The free capacity of the fleet compared with the capacity that is required, in processors.
  *
  * @param free processors that are free on schedulable machines
- * @param waiting processors that waiting tasks need, as far as quotas admit them
+ * @param waiting processors that waiting tasks need, as far as their quotas permit
  * @param spare processors to keep free for reserved jobs
  */
 record CapacityBalance(double free, double waiting, double spare) {
--- a/src/main/java/org/gullway/coordination/scaling/ExcessCapacity.java
+++ b/src/main/java/org/gullway/coordination/scaling/ExcessCapacity.java
@@ -5,18 +5,18 @@
 import org.gullway.coordination.placement.MachineTypeCatalog;
 import org.gullway.protocol.MachineType;
 
-/** Measures, one time window after the other, how many processors were in excess during the whole window. */
+/** Measures, in consecutive time windows, the number of processors that were in excess throughout a window. */
 final class ExcessCapacity {
     /**
-     * Free resources are fragmented over the machines, so as much as a few of the largest ones have is never drained;
-     * it matters to small fleets only.
+     * Number of machines of the largest type whose processors are never drained, since free resources are fragmented
+     * across machines. The effect is noticeable in small fleets only.
      */
-    private static final int KEPT_MACHINES = 4;
+    private static final int RETAINED_MACHINES = 4;
 
     private final MachineTypeCatalog machineTypes;
     private final Duration window;
     private double leastExcess;
-    /** When the present window began; null between two windows. */
+    /** Start of the current window; null between two windows. */
     private Instant windowStart;
 
     private double cpusToDrain;
@@ -26,7 +26,7 @@
         this.window = window;
     }
 
-    /** Takes note of the processors in excess now. */
+    /** Records the number of processors in excess now. */
     void observe(double excess, Instant now) {
         if (windowStart == null) {
             windowStart = now;
@@ -34,7 +34,7 @@
         }
         leastExcess = Math.min(leastExcess, excess);
         if (!windowStart.plus(window).isAfter(now)) {
-            cpusToDrain = leastExcess - KEPT_MACHINES * largestMachineCpus();
+            cpusToDrain = leastExcess - RETAINED_MACHINES * largestMachineCpus();
             windowStart = null;
         }
     }
@@ -47,12 +47,12 @@
         return largest;
     }
 
-    /** Processors that were in excess during the whole last window, less those drained since. */
+    /** Processors that may be drained: the excess of the last window, less those retained and those drained since. */
     double cpusToDrain() {
         return cpusToDrain;
     }
 
-    /** Takes note that a machine is drained. */
+    /** Records that a machine with this number of processors is drained. */
     void onDrained(double cpus) {
         cpusToDrain -= cpus;
     }
--- a/src/main/java/org/gullway/coordination/scaling/FleetAutoscaler.java
+++ b/src/main/java/org/gullway/coordination/scaling/FleetAutoscaler.java
@@ -17,11 +17,11 @@
 import org.gullway.protocol.JobRequest;
 
 /**
- * The leader's sizing of the fleet: scales out for waiting tasks that fit on no machine, at the lowest price per
- * processor, and scales in what has not been needed for long, except for the spare capacity for reserved jobs.
+ * Sizes the fleet, on the leader: scales out, at the lowest price per processor, for waiting tasks that fit on no
+ * machine, and scales in machines that have not been needed for long, except for the spare capacity for reserved jobs.
  */
 public final class FleetAutoscaler implements PlanningStep {
-    /** Planning goes through the whole fleet, and machines take far longer than this to boot. */
+    /** Planning iterates over the whole fleet, and machines take far longer than this interval to boot. */
     private static final Duration PLANNING_INTERVAL = Duration.ofMillis(500);
 
     private final ClusterState clusterState;
@@ -45,12 +45,12 @@
         this.scaleInPolicy = new ScaleInPolicy(clusterState, constraints, policy);
     }
 
-    /** Notes that the cloud provider provisioned fewer machines than were requested. */
+    /** Records that the cloud provider provisioned fewer machines than were requested. */
     public void onCapacityExhausted(ProvisioningRequest request, Instant now) {
         availableOfferings.onExhausted(request, now);
     }
 
-    /** What to provision now, each request for at most as many machines as the provider allows in one. */
+    /** The machines to provision now, split into requests of at most the size that the cloud provider allows. */
     public List<ProvisioningRequest> machinesToProvision(Instant now) {
         if (scaleOutPlannedAt.plus(PLANNING_INTERVAL).isAfter(now)) {
             return List.of();
@@ -59,7 +59,7 @@
         return scaleOutPlanner.plan(availableOfferings.byPrice(now), now);
     }
 
-    /** Drains machines that are not needed, and declares machines lost that did not boot in time. */
+    /** Drains machines that are not needed, and declares those machines lost that have not booted in time. */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         Instant now = context.now();
@@ -100,7 +100,7 @@
         return names;
     }
 
-    /** A placement recorded before the machine was drained has to be known here before the machine counts as empty. */
+    /** Whether no task is placed on the machine, and every placement from before its draining is known here. */
     private boolean isKnownEmpty(MachineRecord machine) {
         return clusterState.watchedRevision() >= clusterState.machineVersion(machine.name())
                 && clusterState.usageOn(machine.name()).tasks == 0;
--- a/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
@@ -15,9 +15,9 @@
 import org.gullway.protocol.MachineType;
 
 /**
- * Drains machines that are not needed any more, and declares machines lost that did not boot in time. In a large fleet
- * machines are seldom empty, so capacity in excess is drained while tasks run on it: the machines take no more tasks
- * and are released when their last one ends, so that no work is lost.
+ * Drains machines that are no longer needed, and declares those machines lost that have not booted in time. In a large
+ * fleet machines are seldom empty, so excess capacity is drained while tasks are running on it: draining machines get
+ * no new tasks and are released when their last task has ended, so that no work is lost.
  */
 final class ScaleInPolicy {
     private final ClusterState clusterState;
@@ -26,12 +26,12 @@
     private final ExcessCapacity excessCapacity;
     private final Map<String, Instant> idleSince = new HashMap<>();
 
-    /** A machine that may be drained or declared lost, with what decides its place in the order. */
+    /** A machine that may be drained or declared lost, with the values that {@link #DRAIN_ORDER} compares. */
     private record Candidate(
             MachineRecord machine, double pricePerCpu, double shardUtilization, String shard, double usedCpus) {
         /**
-         * The most expensive first, and the machines of one shard next to each other: they are stored in one record,
-         * which changes once however many of them are drained.
+         * Machines with the highest price per processor first, with the machines of one shard next to each other: they
+         * are stored in one record, which is rewritten only once for any number of drained machines.
          */
         private static final Comparator<Candidate> DRAIN_ORDER = Comparator.<Candidate>comparingDouble(
                         candidate -> -candidate.pricePerCpu)
@@ -47,7 +47,7 @@
         this.excessCapacity = new ExcessCapacity(constraints.machineTypes(), policy.scaleInDelay());
     }
 
-    /** Adds the changes of machines that are due to the transaction. */
+    /** Adds to the transaction the machines that are to be drained or declared lost now. */
     void plan(Transaction transaction, CapacityBalance balance, Instant now) {
         idleSince.keySet().removeIf(name -> clusterState.machine(name) == null || clusterState.usageOn(name).tasks > 0);
         excessCapacity.observe(balance.excess(), now);
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Whether the machine has had no tasks for the whole scale-in delay. */
+    /** Whether the machine has had no tasks for longer than the scale-in delay. */
     private boolean isIdle(MachineRecord machine, Instant now) {
         if (clusterState.usageOn(machine.name()).tasks > 0) {
             return false;
@@ -95,7 +95,7 @@
         transaction.putMachine(transaction.machine(machine.name()).withLifecycle(lifecycle));
     }
 
-    /** In a fleet of the right size most machines are up and busy: only the others are sorted. */
+    /** Sorts only machines that may be drained or declared lost; in a fleet of the right size these are few. */
     private List<Candidate> candidates(Transaction transaction) {
         List<Candidate> candidates = new ArrayList<>();
         Map<String, Double> utilizations = new HashMap<>();
--- a/src/main/java/org/gullway/coordination/scaling/ScaleOutPlanner.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleOutPlanner.java
@@ -18,8 +18,8 @@
 import org.gullway.protocol.Priority;
 
 /**
- * Decides which machines to provision: all waiting tasks, and the spare capacity for reserved jobs, are packed onto the
- * machines that are up or booting; what does not fit there needs new ones.
+ * Decides which machines to provision: packs all waiting tasks, and the spare capacity for reserved jobs, onto the
+ * machines that are up or booting. The tasks that do not fit there need new machines.
  */
 final class ScaleOutPlanner {
     private static final double EPSILON = 1e-6;
@@ -40,7 +40,7 @@
         this.spareCapacity = spareCapacity;
     }
 
-    /** What to provision from these offerings, the best of which comes first. */
+    /** The machines to provision, chosen from these offerings, of which the most preferred comes first. */
     List<ProvisioningRequest> plan(List<MachineOffering> offerings, Instant now) {
         BinPacking packing = new BinPacking(offerings);
         addMachines(packing);
@@ -50,7 +50,7 @@
         return requests;
     }
 
-    /** Adds the machines that have free resources for any task. */
+    /** Adds the machines with enough free processors for at least the smallest task. */
     private void addMachines(BinPacking packing) {
         double smallestTask = smallestTaskCpus();
         for (MachineRecord machine : clusterState.machines()) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** By priority, then the smallest first: one huge array must not use up the machines that one packing may add. */
+    /** By priority, then fewest waiting tasks first, so that one huge array cannot use up {@code MAX_PROVISIONED}. */
     private List<JobRecord> jobsInPackingOrder() {
         List<JobRecord> jobs = new ArrayList<>(clusterState.jobs());
         jobs.sort(Comparator.<JobRecord, Priority>comparing(job -> job.request().priority())
--- a/src/main/java/org/gullway/coordination/scaling/SpareCapacityPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/SpareCapacityPolicy.java
@@ -8,18 +8,20 @@
 import org.gullway.coordination.model.JobRecord;
 
 /**
- * How much capacity is kept free for reserved jobs: a fraction of what they use, and at least the size of the largest
- * recent one, since the next may be submitted at any moment and has to start all at once.
+ * Decides how much capacity is kept free for reserved jobs: a fraction of what their unfinished tasks need, and at
+ * least the size of the largest recent one, which decays over time. The next reserved job may be submitted at any
+ * moment, and all of its tasks have to start at once.
  */
 final class SpareCapacityPolicy {
-    private static final Duration BURST_MEMORY = Duration.ofMinutes(1);
+    private static final Duration BURST_RETENTION = Duration.ofMinutes(1);
     private static final Duration BURST_HALF_LIFE = Duration.ofSeconds(90);
 
     private final ClusterState clusterState;
     private final double fraction;
-    /** Ids of the reserved jobs that are part of the burst size already. */
+    /** Ids of the reserved jobs that the burst size already includes. */
     private final Set<String> observedJobs = new HashSet<>();
 
+    /** The burst size: processors of the largest recent reserved job, as of {@link #burstAt}. */
     private double burstCpus;
     /** When the burst size last changed; it decays from then on. */
     private Instant burstAt = Instant.MIN;
@@ -29,7 +31,7 @@
         this.fraction = fraction;
     }
 
-    /** Processors to be kept free while reserved jobs use {@code reservedCpus}. */
+    /** Number of processors to keep free while the unfinished tasks of reserved jobs need {@code reservedCpus}. */
     double requiredCpus(double reservedCpus, Instant now) {
         for (JobRecord job : clusterState.jobs()) {
             if (job.isReserved() && observedJobs.add(job.request().id())) {
@@ -39,7 +41,7 @@
             }
         }
         observedJobs.removeIf(id -> clusterState.job(id) == null);
-        boolean burstExpired = burstAt.plus(BURST_MEMORY).isBefore(now);
+        boolean burstExpired = burstAt.plus(BURST_RETENTION).isBefore(now);
         return Math.max(fraction * reservedCpus, burstExpired ? 0 : burstCpus * decay(now));
     }
 
--- a/src/main/java/org/gullway/coordination/scaling/package-info.java
+++ b/src/main/java/org/gullway/coordination/scaling/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Sizing of the fleet by the leader: which machines to provision, to drain and to release. Calls of the cloud provider
- * are made elsewhere, as planned here.
+ * Sizing of the fleet by the leader: decides which machines to provision, to drain and to release. The package
+ * {@code org.gullway.cloud} sends the requests to the cloud provider.
  */
 package org.gullway.coordination.scaling;
