--- a/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
+++ b/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
@@ -61,11 +61,13 @@
     }
 
     /**
-     * The lost owner held 24 processors. Two of the 8 tasks of 4 on record had ended, and it had used their processors
-     * again; no other controller knows which two. Whichever they are, no new owner may hold less quota than its jobs use.
+     * The lost owner held a quota of 24 processors, and 8 tasks of 4 processors each are on record. Two of the 8 had
+     * ended and the owner had used their processors for other tasks, but the completions are not on record, and no
+     * other controller knows which two tasks these are. Whichever they are, no new owner may hold less quota than its
+     * jobs use.
      */
     @Property(tries = 40, seed = "41")
-    void anOverdrawnQuotaPartitionIsNotDividedBetweenNewOwners(
+    void overdrawnQuotaPartitionIsNotDividedBetweenNewOwners(
             @ForAll @IntRange(min = 0, max = 8) int firstJobTasks, @ForAll @IntRange(max = 1000) int seed) {
         clusterState.put(StoreKeys.member("perch-2"), THIRD, ++revision);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), ++revision);
@@ -81,11 +83,12 @@
         reconcile(seed, 3);
         for (String id : List.of("run-000001", "run-000002")) {
             assertThat(clusterState.job(id).owner())
-                    .as("not transferred before the completions are on record")
+                    .as("owner before the completions are on record")
                     .isEqualTo("perch-9");
         }
         assertThat(quotaOf("perch-9")).isEqualTo(24);
-        // With the completions on record the remaining tasks fit into the quota, which is transferred with the jobs.
+        // Once the completions are on record, the remaining tasks fit into the quota, and it is transferred with the
+        // jobs.
         String completed = firstJobTasks >= 2 ? "run-000001" : "run-000002";
         JobRecord job = clusterState.job(completed);
         clusterState.put(
@@ -118,7 +121,7 @@
         TestFixtures.commit(clusterState, transaction, ++revision);
     }
 
-    /** Placements are checked when their job's record or their machine has changed, and only then. */
+    /** Guards against a repeated check of all placements: only those of changed jobs or machines are checked again. */
     @Example
     void checksOnlyChangedPlacementsAndStillFindsThoseLostLater() {
         for (String machine : List.of("vm-1", "vm-2")) {
@@ -144,14 +147,16 @@
             reconcileAt(reconciliation, second);
         }
         assertThat(reconciliation.checkedPlacements())
-                .as("unchanged placements")
+                .as("number of checks after changes that affect no placement")
                 .isEqualTo(80);
         TestFixtures.put(
                 clusterState,
                 TestFixtures.machine("vm-2", "large", TestFixtures.SELF).withAgentEpoch(2, "10.1.0.1:9000"),
                 ++revision);
         reconcileAt(reconciliation, 50);
-        assertThat(reconciliation.checkedPlacements()).as("the jobs on vm-2").isEqualTo(80 + 20);
+        assertThat(reconciliation.checkedPlacements())
+                .as("number of checks after the 10 jobs on vm-2 became lost")
+                .isEqualTo(80 + 20);
         assertThat(clusterState.placementsOn("vm-2")).isEmpty();
         assertThat(clusterState.placementsOn("vm-1")).hasSize(60);
         clusterState.remove(StoreKeys.shard("g-vm-1"), ++revision);
@@ -159,7 +164,7 @@
             reconcileAt(reconciliation, second);
         }
         assertThat(clusterState.placementsOn("vm-1"))
-                .as("more than one transaction can hold")
+                .as("placements on the removed machine vm-1, which take more than one transaction to end")
                 .isEmpty();
     }
 }
--- a/src/test/java/org/gullway/coordination/model/ClusterStateTest.java
+++ b/src/test/java/org/gullway/coordination/model/ClusterStateTest.java
@@ -12,11 +12,14 @@
 import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** The cluster state follows the records, in whatever order their changes become known. */
+/** Checks that the cluster state matches the store's records, in whatever order their changes arrive. */
 class ClusterStateTest {
-    /** The outcome of an own transaction may come after the watch has brought the removal of a key by another. */
+    /**
+     * Guards against a key that is restored permanently: the outcome of this controller's own transaction can arrive
+     * after the watch has delivered a later removal of the same key by another controller.
+     */
     @Test
-    void aLateOutcomeDoesNotBringBackARemovedKey() {
+    void lateTransactionOutcomeDoesNotRestoreARemovedKey() {
         ClusterState clusterState = TestFixtures.clusterState();
         JobRecord job = JobRecord.accepted(
                 TestFixtures.request("run-000001", "red", Priority.HIGH, 1, 4), null, TestFixtures.TIME_OF_DAY);
@@ -28,9 +31,9 @@
         assertThat(clusterState.version(StoreKeys.job("run-000001"))).isZero();
     }
 
-    /** Only what differs between two records of a job is counted; the usage must stay that of a full count. */
+    /** The indexes process only the placements that differ between two records; the sums must match a full recount. */
     @Property(tries = 100, seed = "11")
-    void usageFollowsTheRecords(@ForAll long seed) {
+    void incrementalUsageMatchesAFullRecount(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ClusterState clusterState = TestFixtures.clusterState();
         Map<String, JobRecord> expected = new HashMap<>();
--- a/src/test/java/org/gullway/coordination/model/IntegerRangesTest.java
+++ b/src/test/java/org/gullway/coordination/model/IntegerRangesTest.java
@@ -11,10 +11,10 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Ranges hold the same numbers as a plain expected. */
+/** Compares {@link IntegerRanges} with a {@link TreeSet} as the reference implementation. */
 class IntegerRangesTest {
     @Property(tries = 500, seed = "4")
-    void containTheSameNumbersAsASet(@ForAll @Size(max = 60) List<@IntRange(min = 0, max = 40) Integer> numbers) {
+    void containsTheSameNumbersAsATreeSet(@ForAll @Size(max = 60) List<@IntRange(min = 0, max = 40) Integer> numbers) {
         IntegerRanges ranges = IntegerRanges.EMPTY;
         TreeSet<Integer> expected = new TreeSet<>();
         for (int number : numbers) {
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void rejectBoundsOutOfOrder() {
+    void rejectsInvalidBounds() {
         assertThatThrownBy(() -> IntegerRanges.of(0, 3, 4, 5)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> IntegerRanges.of(3, 2)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> IntegerRanges.of(3)).isInstanceOf(IllegalArgumentException.class);
--- a/src/test/java/org/gullway/coordination/model/TestFixtures.java
+++ b/src/test/java/org/gullway/coordination/model/TestFixtures.java
@@ -14,11 +14,11 @@
 import org.gullway.protocol.Priority;
 import org.gullway.protocol.Settings;
 
-/** Small clusters for tests. */
+/** Records and cluster states of a small cluster, for tests. */
 public final class TestFixtures {
     public static final Incarnation SELF = new Incarnation("perch-0", 17);
     public static final Incarnation PEER = new Incarnation("perch-1", 18);
-    /** perch-1 is in the zone of this controller, perch-2 in another. */
+    /** Controller perch-1 is in the zone of {@link #SELF}, perch-2 in another zone. */
     public static final PeerZones PEER_ZONES =
             new PeerZones(Map.of("perch-1", "a", "perch-2", "b"), Duration.ofSeconds(40));
 
@@ -58,7 +58,7 @@
                 "blue", new Settings.Team("blue", 16, 64, 0, 0)));
     }
 
-    /** Constraints by two machine types. */
+    /** Placement constraints with two machine types, small and large. */
     public static PlacementConstraints constraints() {
         MachineTypeCatalog machineTypes = new MachineTypeCatalog();
         machineTypes.update(List.of(type("small", 16), type("large", 32)));
@@ -75,7 +75,7 @@
                 .withAgentEpoch(1, "10.1.0.1:9000");
     }
 
-    /** Puts a machine into a shard of its own. */
+    /** Puts a machine into a cluster state, in a shard that contains only this machine. */
     public static void put(ClusterState clusterState, MachineRecord machine, long version) {
         clusterState.put(
                 StoreKeys.shard("g-" + machine.name()),
@@ -90,7 +90,7 @@
                 Stream.of(machines).map(name -> machine(name, "large", SELF)).toList(), placedAt);
     }
 
-    /** A cluster state with two controllers as members, the first leading, at fencing token 1. */
+    /** A cluster state with two members, of which {@link #SELF} is the leader, at fencing token 1. */
     public static ClusterState clusterState() {
         ClusterState clusterState = new ClusterState();
         clusterState.put(StoreKeys.member(SELF.node()), SELF, 1);
@@ -107,7 +107,7 @@
         return clusterState;
     }
 
-    /** The context of the leader, with changes to spare. */
+    /** A planning context of the leader, with spare capacity for changes. */
     public static PlanningContext leaderContext(Instant now) {
         return PlanningContext.of(now, true, true);
     }
--- a/src/test/java/org/gullway/coordination/scaling/BinPackingTest.java
+++ b/src/test/java/org/gullway/coordination/scaling/BinPackingTest.java
@@ -27,7 +27,7 @@
     private static final MachineOffering SPOT = new MachineOffering(TYPE, "a", true);
     private static final MachineOffering ON_DEMAND = new MachineOffering(TYPE, "a", false);
 
-    /** Tasks with the same request. */
+    /** A number of tasks of one job request. */
     private record Batch(JobRequest request, int tasks) {}
 
     private static JobRequest request(double cpus, double memoryGb, boolean spot) {
@@ -64,7 +64,7 @@
                 .as((cpus, memory, spot, tasks) -> new Batch(request(cpus, memory, spot), tasks));
     }
 
-    /** Tasks packed many at a time need the same machines as tasks packed one by one. */
+    /** Packing many tasks in one call must give the same machines as packing them one by one. */
     @Property(tries = 300, seed = "31")
     void packingInBatchesMatchesPackingOneByOne(
             @ForAll @Size(max = 8) List<@From("batches") Batch> batches, @ForAll @IntRange(max = 6) int existing) {
@@ -90,7 +90,7 @@
         assertThat(batched.machinesToProvision()).isEqualTo(oneByOne.machinesToProvision());
     }
 
-    /** Waiting tasks for six thousand machines. */
+    /** The waiting tasks need 6,000 machines, which must not be cut off at a lower number. */
     @Test
     void packsOntoMoreThanFourThousandMachines() {
         BinPacking packing = new BinPacking(List.of(SPOT));
