--- a/src/main/java/org/gullway/coordination/model/IntegerRanges.java
+++ b/src/main/java/org/gullway/coordination/model/IntegerRanges.java
@@ -30,12 +30,13 @@
      */
     public static IntegerRanges of(int... bounds) {
         if (bounds.length % 2 != 0) {
-            throw new IllegalArgumentException("an odd number of bounds");
+            throw new IllegalArgumentException("range bounds must come in pairs: got " + bounds.length + " bounds");
         }
         int previousLast = -2;
         for (int i = 0; i < bounds.length; i += 2) {
             if (bounds[i] <= previousLast + 1 || bounds[i + 1] < bounds[i]) {
-                throw new IllegalArgumentException("bounds out of order: " + Arrays.toString(bounds));
+                throw new IllegalArgumentException("range bounds not ascending, or ranges not separated, at index " + i
+                        + ": got " + bounds[i] + " to " + bounds[i + 1]);
             }
             previousLast = bounds[i + 1];
         }
--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -161,7 +161,8 @@
         for (MachineRecord machine : machines) {
             task = nextWaitingTask(task + 1, placedTasks);
             if (task >= request.tasks()) {
-                throw new IllegalStateException("more placements than waiting tasks of job " + request.id());
+                throw new IllegalStateException("cannot place " + machines.size() + " tasks of job " + request.id()
+                        + ": only " + waitingTasks() + " are waiting");
             }
             attempt = isGang() && attempt > attemptCount ? attempt : attempt + 1;
             next.add(new Placement(task, attempt, machine.name(), machine.agentEpoch(), false, timeOfDay));
--- a/src/main/java/org/gullway/coordination/model/Transaction.java
+++ b/src/main/java/org/gullway/coordination/model/Transaction.java
@@ -122,7 +122,7 @@
     public void putJob(JobRecord job) {
         String id = job.request().id();
         if (changeSet.isRemoved(StoreKeys.job(id))) {
-            throw new IllegalStateException("job " + id + " has ended in this transaction");
+            throw new IllegalStateException("cannot write job " + id + ": this transaction already removes its record");
         }
         if (job.isFinished()) {
             remove(StoreKeys.job(id));
