--- a/src/main/java/org/gullway/coordination/membership/Membership.java
+++ b/src/main/java/org/gullway/coordination/membership/Membership.java
@@ -40,7 +40,7 @@
         return leaseId;
     }
 
-    /** Records the begin of a membership, on a lease that was requested at this moment. */
+    /** Records the start of a membership, on a lease that was requested at this moment. */
     public void onJoined(long newLeaseId, Instant requestSentAt) {
         leaseId = newLeaseId;
         onRenewed(requestSentAt);
--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -23,7 +23,7 @@
     private final MachineIndex machineIndex = new MachineIndex(changedMachines);
     private final PlacementIndex placementIndex = new PlacementIndex(changedMachines);
     private final Map<String, JobRecord> jobs = new TreeMap<>();
-    /** Ids of jobs whose placements must be checked: the record of the job, or of a machine of it, has changed. */
+    /** Ids of jobs whose placements must be checked: the record of the job or of one of its machines has changed. */
     private final Set<String> uncheckedJobs = new HashSet<>();
 
     /** Ids of cancelled jobs, kept across full reads and after the job's end, since cancellation is final. */
--- a/src/main/java/org/gullway/coordination/model/MachineRecord.java
+++ b/src/main/java/org/gullway/coordination/model/MachineRecord.java
@@ -70,7 +70,7 @@
                 name, address, type, zone, spot, newController, agentEpoch, newFencingToken, lifecycle, provisionedAt);
     }
 
-    /** This machine in a new agent epoch, whose begin has ended every earlier one. */
+    /** This machine in a new agent epoch, which has ended every earlier one. */
     public MachineRecord withAgentEpoch(long newAgentEpoch, String newAddress) {
         return new MachineRecord(
                 name, newAddress, type, zone, spot, controller, newAgentEpoch, fencingToken, lifecycle, provisionedAt);
--- a/src/main/java/org/gullway/coordination/model/MachineShard.java
+++ b/src/main/java/org/gullway/coordination/model/MachineShard.java
@@ -13,7 +13,7 @@
  */
 public record MachineShard(String id, Incarnation controller, long fencingToken, List<MachineRecord> machines)
         implements StoreRecord {
-    /** Small, so that rewriting a shard is cheap; large enough that a third of a fleet consists of few shards. */
+    /** Small enough that rewriting a shard is cheap; large enough that a third of a fleet is only a few shards. */
     public static final int MAX_MACHINES = 16;
 
     /** Upper bound for the encoded size of one machine. */
--- a/src/main/java/org/gullway/coordination/model/ResourceUsage.java
+++ b/src/main/java/org/gullway/coordination/model/ResourceUsage.java
@@ -11,7 +11,7 @@
 
     /**
      * Adds or subtracts one task in a sum of differences. The sum may be negative, and it need not be zero when as many
-     * tasks were added as subtracted.
+     * tasks were added as subtracted, since tasks differ in size.
      */
     void addToDelta(JobRequest job, int sign) {
         cpus += sign * job.cpus();
--- a/src/test/java/org/gullway/coordination/scaling/BinPackingTest.java
+++ b/src/test/java/org/gullway/coordination/scaling/BinPackingTest.java
@@ -90,7 +90,7 @@
         assertThat(batched.machinesToProvision()).isEqualTo(oneByOne.machinesToProvision());
     }
 
-    /** The waiting tasks need 6,000 machines, which must not be cut off at a lower number. */
+    /** The tasks need 6,000 machines, which is below {@link BinPacking#MAX_PROVISIONED}, so all of them are packed. */
     @Test
     void packsOntoMoreThanFourThousandMachines() {
         BinPacking packing = new BinPacking(List.of(SPOT));
