--- a/src/main/java/org/gullway/storage/CordonedMachinesFormat.java
+++ b/src/main/java/org/gullway/storage/CordonedMachinesFormat.java
@@ -11,7 +11,7 @@
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.protocol.MessageFields;
 
-/** The stored form of the set of cordoned machines. */
+/** Stored encoding of the set of cordoned machines. */
 final class CordonedMachinesFormat implements RecordFormat<CordonedMachines> {
     @Override
     public ObjectNode encode(CordonedMachines cordoned) {
--- a/src/main/java/org/gullway/storage/FencingTokenFormat.java
+++ b/src/main/java/org/gullway/storage/FencingTokenFormat.java
@@ -7,7 +7,7 @@
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.protocol.MessageFields;
 
-/** The stored form of the cluster's fencing token. */
+/** Stored encoding of the cluster's fencing token. */
 final class FencingTokenFormat implements RecordFormat<FencingToken> {
     @Override
     public ObjectNode encode(FencingToken token) {
--- a/src/main/java/org/gullway/storage/FinalStateFormat.java
+++ b/src/main/java/org/gullway/storage/FinalStateFormat.java
@@ -9,7 +9,7 @@
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.protocol.MessageFields;
 
-/** The stored form of a job's final state, which is kept outside the watched keys. */
+/** Stored encoding of a job's final state. Final states are stored outside the watched keys. */
 final class FinalStateFormat implements RecordFormat<FinalState> {
     @Override
     public ObjectNode encode(FinalState finalState) {
--- a/src/main/java/org/gullway/storage/IncarnationFormat.java
+++ b/src/main/java/org/gullway/storage/IncarnationFormat.java
@@ -7,7 +7,7 @@
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.protocol.MessageFields;
 
-/** The stored form of a controller's incarnation: a record of its own, and a field of a shard. */
+/** Stored encoding of a controller's incarnation, both as a record and as a field of a machine shard. */
 final class IncarnationFormat implements RecordFormat<Incarnation> {
     @Override
     public ObjectNode encode(Incarnation incarnation) {
--- a/src/main/java/org/gullway/storage/JobFormat.java
+++ b/src/main/java/org/gullway/storage/JobFormat.java
@@ -18,9 +18,12 @@
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.protocol.MessageFields;
 
-/** The stored form of a job that has not ended. */
+/** Stored encoding of a job that has not ended. */
 final class JobFormat implements RecordFormat<JobRecord> {
-    /** Positions in a list of placements: these three, then a task and its attempt alternately. */
+    /**
+     * Positions in an entry of the {@code live} list: the machine, its agent epoch and the time of the placements. From
+     * {@link #FIRST_TASK} on, tasks and their attempts alternate.
+     */
     private static final int MACHINE = 0;
 
     private static final int AGENT_EPOCH = 1;
@@ -48,7 +51,10 @@
         return node;
     }
 
-    /** Placements of one machine and moment together; times count from the submission, which keeps them short. */
+    /**
+     * Writes one entry for all placements on the same machine, in the same agent epoch and at the same time. The time
+     * is stored in milliseconds since the submission of the job, which keeps the number short.
+     */
     private static void encodePlacements(JobRecord job, ObjectNode node) {
         Map<List<Object>, ArrayNode> byMachineAndTime = new HashMap<>();
         ArrayNode live = node.putArray("live");
@@ -75,21 +81,21 @@
     @Override
     public JobRecord decode(String name, JsonNode value) throws MalformedMessageException {
         MessageFields fields = MessageFields.of(value);
-        Instant submittedAt = time(fields, "submitted");
+        Instant submittedAt = decodeTime(fields, "submitted");
         List<Placement> live = decodePlacements(value, submittedAt);
         IntegerRanges completed = decodeRanges("done", value.path("done"));
         return new JobRecord(
                 JobRequest.parse(value.path("request")),
                 fields.textOrNull("owner"),
                 submittedAt,
-                fields.has("cancelled") ? time(fields, "cancelled") : null,
+                fields.has("cancelled") ? decodeTime(fields, "cancelled") : null,
                 completed,
                 fields.count("attempts"),
                 fields.countUpTo("errors", Integer.MAX_VALUE),
                 live);
     }
 
-    private static Instant time(MessageFields fields, String name) throws MalformedMessageException {
+    private static Instant decodeTime(MessageFields fields, String name) throws MalformedMessageException {
         return Instant.ofEpochMilli(fields.count(name));
     }
 
--- a/src/main/java/org/gullway/storage/MachineShardFormat.java
+++ b/src/main/java/org/gullway/storage/MachineShardFormat.java
@@ -14,7 +14,7 @@
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.protocol.MessageFields;
 
-/** The stored form of a shard of machines: each machine is a list, whose positions are constants here. */
+/** Stored encoding of a machine shard. Each machine is an array; the constants are the positions of its values. */
 final class MachineShardFormat implements RecordFormat<MachineShard> {
     private static final int NAME = 0;
     private static final int TYPE = 1;
@@ -79,11 +79,12 @@
                 controller,
                 machine.path(AGENT_EPOCH).asLong(),
                 fencingToken,
-                lifecycle(name, machine.path(LIFECYCLE).asText()),
+                decodeLifecycle(name, machine.path(LIFECYCLE).asText()),
                 Instant.ofEpochMilli(machine.path(PROVISIONED_AT).asLong()));
     }
 
-    private static MachineLifecycle lifecycle(String machine, String storedName) throws MalformedMessageException {
+    private static MachineLifecycle decodeLifecycle(String machine, String storedName)
+            throws MalformedMessageException {
         return switch (storedName) {
             case "STAYS" -> MachineLifecycle.ACTIVE;
             case "SILENT" -> MachineLifecycle.UNRESPONSIVE;
--- a/src/main/java/org/gullway/storage/QuotaPartitionFormat.java
+++ b/src/main/java/org/gullway/storage/QuotaPartitionFormat.java
@@ -7,7 +7,7 @@
 import org.gullway.coordination.model.QuotaPartition;
 import org.gullway.protocol.Cbor;
 
-/** The stored form of a quota partition: for each team a list of its processors and GPUs. */
+/** Stored encoding of a quota partition: for each team an array of the CPUs and the GPUs assigned to it. */
 final class QuotaPartitionFormat implements RecordFormat<QuotaPartition> {
     private static final int CPUS = 0;
     private static final int GPUS = 1;
--- a/src/main/java/org/gullway/storage/RecordCodec.java
+++ b/src/main/java/org/gullway/storage/RecordCodec.java
@@ -15,7 +15,7 @@
 import org.gullway.coordination.model.StoreRecord;
 import org.gullway.protocol.MalformedMessageException;
 
-/** Translates records to and from values of the state store, by the {@link RecordFormat} of each type. */
+/** Encodes and decodes values of the state store with the {@link RecordFormat} of each record type. */
 public final class RecordCodec {
     private static final JobFormat JOB = new JobFormat();
     private static final MachineShardFormat SHARD = new MachineShardFormat();
@@ -25,7 +25,7 @@
     private static final CordonedMachinesFormat CORDONED_MACHINES = new CordonedMachinesFormat();
     private static final FinalStateFormat FINAL_STATE = new FinalStateFormat();
 
-    /** Every type of record under the watched keys. */
+    /** All record types under {@link StoreKeys#LIVE}, the watched keys. */
     private static final List<StoredType<?>> WATCHED_TYPES = List.of(
             new StoredType<>(StoreKeys.JOBS, JOB),
             new StoredType<>(StoreKeys.SHARDS, SHARD),
@@ -46,22 +46,22 @@
 
     private RecordCodec() {}
 
-    /** The form in which a record is kept in the state store. */
+    /** Returns the value that is stored in the state store for a record. */
     public static ObjectNode encode(StoreRecord value) {
         return formatOf(value).encode(value);
     }
 
-    /** The registry has each format under the type that it encodes. */
+    /** The cast is safe because {@link #FORMATS} maps each record class to the format that encodes it. */
     @SuppressWarnings("unchecked")
     private static RecordFormat<StoreRecord> formatOf(StoreRecord value) {
         return (RecordFormat<StoreRecord>) FORMATS.get(value.getClass());
     }
 
     /**
-     * Reads a value under {@link StoreKeys#LIVE}; null for a key of no known type, which a later version may have
-     * written.
+     * Decodes a value under {@link StoreKeys#LIVE}. Returns null if the key belongs to no known record type; a later
+     * version may have written it.
      *
-     * @throws MalformedMessageException naming the key and the field that does not have the stored form
+     * @throws MalformedMessageException if the value is malformed; the message names the key and the field
      */
     public static StoreRecord decode(String key, JsonNode value) throws MalformedMessageException {
         for (StoredType<?> type : WATCHED_TYPES) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Reads the record of a job that is over, which is kept outside the watched keys. */
+    /** Decodes the final state of an ended job, which is stored outside the watched keys. */
     public static FinalState decodeFinalState(JsonNode value) throws MalformedMessageException {
         return FINAL_STATE.decode("", value);
     }
--- a/src/main/java/org/gullway/storage/RecordFormat.java
+++ b/src/main/java/org/gullway/storage/RecordFormat.java
@@ -6,17 +6,17 @@
 import org.gullway.protocol.MalformedMessageException;
 
 /**
- * The stored form of one type of record. The field names are literals: they stay as they are whatever the Java names
- * become, so that stored records remain readable.
+ * Stored encoding of one record type. Field names are string literals and must not change when Java names are renamed,
+ * so that records stored by earlier versions remain readable.
  */
 interface RecordFormat<T extends StoreRecord> {
     ObjectNode encode(T record);
 
     /**
-     * Reads a stored record.
+     * Decodes a stored record.
      *
-     * @param name the part of the key that names the record among those of its type
-     * @throws MalformedMessageException naming the field that does not have the stored form
+     * @param name the key without the prefix of the record type
+     * @throws MalformedMessageException if the value is malformed; the message names the field
      */
     T decode(String name, JsonNode value) throws MalformedMessageException;
 }
--- a/src/main/java/org/gullway/storage/StoredType.java
+++ b/src/main/java/org/gullway/storage/StoredType.java
@@ -5,16 +5,16 @@
 import org.gullway.protocol.MalformedMessageException;
 
 /**
- * A type of record, the keys under which it is stored, and its stored form.
+ * A record type with the keys under which it is stored and its encoding.
  *
- * @param key the one key of this type, or a prefix of its keys, which ends with a slash
+ * @param keyOrPrefix the only key of this type, or the prefix of all its keys if it ends with a slash
  */
-record StoredType<T extends StoreRecord>(String key, RecordFormat<T> format) {
-    boolean matches(String otherKey) {
-        return key.endsWith("/") ? otherKey.startsWith(key) : otherKey.equals(key);
+record StoredType<T extends StoreRecord>(String keyOrPrefix, RecordFormat<T> format) {
+    boolean matches(String storedKey) {
+        return keyOrPrefix.endsWith("/") ? storedKey.startsWith(keyOrPrefix) : storedKey.equals(keyOrPrefix);
     }
 
     T decode(String storedKey, JsonNode value) throws MalformedMessageException {
-        return format.decode(storedKey.substring(key.length()), value);
+        return format.decode(storedKey.substring(keyOrPrefix.length()), value);
     }
 }
--- a/src/main/java/org/gullway/storage/package-info.java
+++ b/src/main/java/org/gullway/storage/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Access to the state store: reading, watching and committing records, and this controller's membership. Nothing here
- * decides about jobs or machines.
+ * Access to the state store: reading, watching and committing records, and maintaining this controller's membership.
+ * This package makes no decisions about jobs or machines.
  */
 package org.gullway.storage;
