--- a/src/main/java/org/gullway/storage/CommitPacing.java
+++ b/src/main/java/org/gullway/storage/CommitPacing.java
@@ -5,31 +5,36 @@
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.TokenBucket;
 
-/** Keeps transactions within what the store allows this controller, and pauses between them. */
+/**
+ * Decides when this controller may send its next transaction: keeps its transactions within its share of the state
+ * store's rate limits, and pauses between transactions.
+ */
 final class CommitPacing {
-    private static final Duration CONTENTION_MEMORY = Duration.ofSeconds(10);
-    private static final Duration REFUSED_PAUSE = Duration.ofMillis(120);
+    private static final Duration CONTENTION_PERIOD = Duration.ofSeconds(10);
+    private static final Duration REJECTION_PAUSE = Duration.ofMillis(120);
     private static final Duration CONFLICT_PAUSE = Duration.ofMillis(20);
 
     private final EventLoop loop;
     private final ReplicatedState.StoreRateLimits rateLimits;
     private final TokenBucket changeLimit;
     private final TokenBucket requestLimit;
-    private final Runnable onPauseOver;
+    private final Runnable onPauseEnded;
     private Instant pausedUntil = Instant.MIN;
-    /** Until then the store counts as contended, and this controller keeps to its fair share of the changes. */
+    /**
+     * Until this time the store counts as contended, and this controller uses only its contended share of the changes.
+     */
     private Instant contendedUntil = Instant.MIN;
 
     CommitPacing(
             EventLoop loop,
             ReplicatedState.StoreRateLimits rateLimits,
             TokenBucket requestLimit,
-            Runnable onPauseOver) {
+            Runnable onPauseEnded) {
         this.loop = loop;
         this.rateLimits = rateLimits;
         this.changeLimit = new TokenBucket(loop, rateLimits.changesPerSecond());
         this.requestLimit = requestLimit;
-        this.onPauseOver = onPauseOver;
+        this.onPauseEnded = onPauseEnded;
     }
 
     /** See {@link ReplicatedState#setWriteShare}. */
@@ -52,13 +57,13 @@
         return !loop.now().isBefore(pausedUntil) && changeLimit.hasBatch();
     }
 
-    /** Counts a transaction that is being sent. */
+    /** Consumes the rate limit tokens of a transaction that is being sent. */
     void onSent(int changes) {
         changeLimit.consume(changes);
         requestLimit.consume(1);
     }
 
-    void onApplied() {
+    void onCommitted() {
         pauseFor(requestLimit.batchingDelay());
     }
 
@@ -66,16 +71,16 @@
         pauseFor(CONFLICT_PAUSE);
     }
 
-    /** The store refused a transaction without comparing its conditions. */
-    void onRefused(boolean rateLimited) {
+    /** Handles a transaction that the store rejected, or never received, without comparing its conditions. */
+    void onRejected(boolean rateLimited) {
         if (rateLimited) {
-            contendedUntil = loop.now().plus(CONTENTION_MEMORY);
+            contendedUntil = loop.now().plus(CONTENTION_PERIOD);
         }
-        pauseFor(REFUSED_PAUSE);
+        pauseFor(REJECTION_PAUSE);
     }
 
     private void pauseFor(Duration pause) {
         pausedUntil = loop.now().plus(pause);
-        loop.after(pause, onPauseOver);
+        loop.after(pause, onPauseEnded);
     }
 }
--- a/src/main/java/org/gullway/storage/ConflictHistory.java
+++ b/src/main/java/org/gullway/storage/ConflictHistory.java
@@ -5,7 +5,10 @@
 import java.util.Set;
 import org.gullway.coordination.model.StoreKeys;
 
-/** Remembers failed conditions since the last transaction that was applied, to notice keys that are wrong here. */
+/**
+ * Keeps the failed conditions since the last committed transaction, to detect keys whose version in the cluster state
+ * is wrong.
+ */
 final class ConflictHistory {
     private record Conflict(long expectedVersion, long revision) {}
 
@@ -16,26 +19,27 @@
     }
 
     /**
-     * Records the failed conditions of a transaction. A key that fails for the same version again, though the watch has
-     * passed the first conflict, is wrong in the cluster state, and every transaction on it would fail.
+     * Records the failed conditions of a transaction. If the condition on a key fails twice with the same expected
+     * version, and the second transaction was sent after the watch had passed the revision of the first failure, then
+     * the version in the cluster state is wrong, and every further transaction on the key would fail too.
      *
      * @param failed the keys whose conditions failed
-     * @param expectedVersions the versions that the transaction expected
-     * @param revision at which the conditions failed
+     * @param expectedVersions the versions that the transaction expected, by key
+     * @param revision revision of the state store at which the conditions failed
      * @param watchedRevision the revision that the watch had reached when the transaction was sent
-     * @return whether the cluster state is wrong about any of the keys
+     * @return true if the version of any of the keys in the cluster state is wrong
      */
     boolean record(Set<String> failed, Map<String, Long> expectedVersions, long revision, long watchedRevision) {
-        boolean wrong = false;
+        boolean inconsistent = false;
         for (String key : failed) {
             long expected = expectedVersions.get(key);
             Conflict previous = lastConflicts.put(key, new Conflict(expected, revision));
-            wrong |= key.startsWith(StoreKeys.LIVE)
+            inconsistent |= key.startsWith(StoreKeys.LIVE)
                     && previous != null
                     && previous.expectedVersion() > 0
                     && previous.expectedVersion() == expected
                     && watchedRevision >= previous.revision();
         }
-        return wrong;
+        return inconsistent;
     }
 }
--- a/src/main/java/org/gullway/storage/FullRead.java
+++ b/src/main/java/org/gullway/storage/FullRead.java
@@ -6,19 +6,20 @@
 import java.util.function.BooleanSupplier;
 import org.gullway.coordination.model.StoreKeys;
 
-/** One read of all live keys, page by page. */
+/** Reads all keys under {@link StoreKeys#LIVE} once, page by page. */
 final class FullRead {
-    /** Takes the outcome of a read, unless another one has begun since. */
+    /** Receives the outcome of the read. It is not called if the read has been superseded. */
     interface Callback {
         /**
-         * All pages were read.
+         * Called when all pages have been read.
          *
-         * @param items the keys with their values and versions, each at the revision of its page
-         * @param revision of the first page: a watch from there brings what changed during the read
+         * @param items the value and version of each key, as of the revision of its page
+         * @param revision revision of the first page; a watch from this revision returns all changes made during the
+         *     read
          */
-        void onRead(Map<String, JsonNode> items, long revision);
+        void onComplete(Map<String, JsonNode> items, long revision);
 
-        /** A page could not be read. */
+        /** Called when a page could not be read; the remaining pages are not requested. */
         void onFailed();
     }
 
@@ -27,7 +28,7 @@
     private final Callback callback;
     private final Map<String, JsonNode> items = new HashMap<>();
 
-    /** @param isCurrent whether the read is still wanted; if not, its responses are dropped */
+    /** @param isCurrent returns false once the read has been superseded; later responses are then ignored */
     FullRead(StateStoreClient store, BooleanSupplier isCurrent, Callback callback) {
         this.store = store;
         this.isCurrent = isCurrent;
@@ -61,7 +62,7 @@
         if (outcome.body().path("more").asBoolean() && lastKey != null) {
             readPage(lastKey, revision);
         } else {
-            callback.onRead(items, revision);
+            callback.onComplete(items, revision);
         }
     }
 }
--- a/src/main/java/org/gullway/storage/LinearizableRead.java
+++ b/src/main/java/org/gullway/storage/LinearizableRead.java
@@ -3,19 +3,19 @@
 import java.util.Set;
 
 /**
- * The store's comparison of key versions with those of the cluster state.
+ * Result of a linearizable comparison of key versions in the cluster state with those in the state store.
  *
- * @param staleKeys the keys of which the cluster state has not the newest version, if they were compared
- * @param revision of the state store at which they were compared
+ * @param staleKeys keys whose version in the cluster state is not the current one; empty if no versions were compared
+ * @param revision revision of the state store at which the versions were compared; 0 if no versions were compared
  */
 public record LinearizableRead(Kind kind, Set<String> staleKeys, long revision) {
-    /** How the comparison ended. */
+    /** Whether the versions were compared, and if not, why. */
     public enum Kind {
-        /** The versions were compared; {@code staleKeys} names those that differ. */
+        /** The versions were compared; {@code staleKeys} contains the keys whose versions differ. */
         COMPARED,
-        /** The store has too many requests at this moment. */
+        /** The state store rejected the request because of its rate limit. */
         BUSY,
-        /** The store did not answer, or refused. */
+        /** The state store did not respond, or rejected the request for another reason. */
         FAILED
     }
 
--- a/src/main/java/org/gullway/storage/LinearizableReader.java
+++ b/src/main/java/org/gullway/storage/LinearizableReader.java
@@ -7,7 +7,7 @@
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.transport.TokenBucket;
 
-/** Confirms that records of the cluster state are the newest, by transactions with conditions but without changes. */
+/** Confirms that records of the cluster state are current, with transactions that have conditions but no changes. */
 final class LinearizableReader {
     private final StateStoreClient store;
     private final ClusterState clusterState;
--- a/src/main/java/org/gullway/storage/MembershipLease.java
+++ b/src/main/java/org/gullway/storage/MembershipLease.java
@@ -12,7 +12,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes this controller's member key on a lease, renews the lease, and joins again once it has ended. */
+/**
+ * Maintains this controller's membership: writes its member key on a lease, renews the lease, and joins again once the
+ * lease has expired.
+ */
 final class MembershipLease {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
     private static final int RENEWALS_PER_LEASE_DURATION = 5;
@@ -20,7 +23,7 @@
     private static final int MAX_RENEWALS_IN_FLIGHT = 2;
 
     private enum Phase {
-        OUTSIDE,
+        NOT_MEMBER,
         JOINING,
         MEMBER
     }
@@ -31,19 +34,22 @@
     private final Membership membership;
     private final Runnable onJoined;
     private final Runnable onStateChanged;
-    private Phase phase = Phase.OUTSIDE;
-    /** Revision at which the own member key was last written. */
+    private Phase phase = Phase.NOT_MEMBER;
+    /** Revision at which this controller's member key was last written. */
     private long memberKeyRevision;
-    /** Revision at which the present membership began. */
+    /** Revision at which the current membership began. */
     private long joinedRevision;
-    /** Counts memberships: the outcome of a transaction of an earlier one says nothing about the one in flight. */
+    /**
+     * Number of the current membership. The outcome of a transaction that was sent during an earlier membership does
+     * not concern the transaction in flight.
+     */
     private int term;
 
     private int renewalsInFlight;
 
     /**
-     * @param onJoined runs whenever a membership begins
-     * @param onStateChanged runs, after {@code onJoined}, whenever this controller may have come to hold a valid lease
+     * @param onJoined runs whenever a membership has begun
+     * @param onStateChanged runs, after {@code onJoined}, whenever this controller may have gained a valid lease
      */
     MembershipLease(
             EventLoop loop,
@@ -65,12 +71,12 @@
         loop.every(membership.leaseDuration().dividedBy(RENEWALS_PER_LEASE_DURATION), this::renew);
     }
 
-    /** Whether the member key is written and its lease has certainly not expired. */
+    /** Returns true if the member key is written and its lease has certainly not expired. */
     boolean isValid() {
         return phase == Phase.MEMBER && membership.isLeaseValid(loop.now());
     }
 
-    /** Whether the membership with this lease is the present one, expired or not. */
+    /** Returns true if the current membership is on this lease, even if the lease may have expired. */
     boolean isCurrent(long lease) {
         return lease == membership.lease() && phase == Phase.MEMBER;
     }
@@ -99,25 +105,28 @@
         return StoreKeys.member(self().node());
     }
 
-    /** Records that the member key was written again, on the same lease. */
+    /** Records that the member key was written, at a revision, on the lease of the current membership. */
     void onMemberKeyWritten(long revision) {
         memberKeyRevision = revision;
         clusterState.put(memberKey(), self(), revision);
     }
 
-    /** Joins again, unless that is in progress: two at a time would revoke each other's lease. */
+    /**
+     * Joins the cluster, unless a join is already in progress: two concurrent joins would revoke each other's lease.
+     */
     void join() {
         if (phase != Phase.JOINING) {
             phase = Phase.JOINING;
             membership.onLost();
-            tryToJoin();
+            tryJoin();
         }
     }
 
-    private void tryToJoin() {
+    private void tryJoin() {
         store.get(memberKey(), outcome -> {
             if (outcome.isOkWithBody() && outcome.hasLease()) {
-                // Only this controller writes this key, so it is from an earlier process or membership of its own.
+                // Only this controller writes this key, so the lease is left over from an earlier
+                // process or an earlier membership of this controller.
                 revokeFormerLease(outcome.lease());
             } else if (outcome.isNotFound()) {
                 requestLease();
@@ -130,7 +139,7 @@
     private void revokeFormerLease(long lease) {
         store.revokeLease(lease, outcome -> {
             if (outcome.isOk()) {
-                tryToJoin();
+                tryJoin();
             } else {
                 retryJoin();
             }
@@ -138,7 +147,7 @@
     }
 
     private void retryJoin() {
-        loop.after(StateStoreClient.RETRY_DELAY, this::tryToJoin);
+        loop.after(StateStoreClient.RETRY_DELAY, this::tryJoin);
     }
 
     private void requestLease() {
@@ -155,14 +164,14 @@
     private void writeMemberKey(long lease, Instant requestedAt) {
         store.commit(Set.of(memberKey()), key -> 0, Map.of(memberKey(), self()), lease, outcome -> {
             if (outcome.isOkWithBody()) {
-                joined(lease, requestedAt, outcome.revision());
+                completeJoin(lease, requestedAt, outcome.revision());
             } else {
                 retryJoin();
             }
         });
     }
 
-    private void joined(long lease, Instant requestedAt, long revision) {
+    private void completeJoin(long lease, Instant requestedAt, long revision) {
         membership.onJoined(lease, requestedAt);
         joinedRevision = revision;
         onMemberKeyWritten(revision);
@@ -184,21 +193,21 @@
         store.renewLease(lease, timeout, outcome -> {
             renewalsInFlight--;
             if (isCurrent(lease)) {
-                onRenewalAnswered(outcome, sentAt);
+                onRenewalOutcome(outcome, sentAt);
             }
         });
     }
 
-    private void onRenewalAnswered(StateStoreClient.Outcome outcome, Instant sentAt) {
+    private void onRenewalOutcome(StateStoreClient.Outcome outcome, Instant sentAt) {
         if (outcome.isOk()) {
             boolean wasValid = membership.isLeaseValid(loop.now());
             membership.onRenewed(sentAt);
             if (!wasValid) {
-                LOG.info("the membership lease is valid again lease={}", membership.lease());
+                LOG.info("membership lease valid again after a late renewal lease={}", membership.lease());
                 onStateChanged.run();
             }
         } else if (outcome.isNotFound()) {
-            LOG.info("the membership lease has expired lease={}", membership.lease());
+            LOG.info("membership lease expired in the state store; joining again lease={}", membership.lease());
             join();
         }
     }
--- a/src/main/java/org/gullway/storage/ReplicatedState.java
+++ b/src/main/java/org/gullway/storage/ReplicatedState.java
@@ -11,51 +11,57 @@
 import org.gullway.transport.TokenBucket;
 
 /**
- * Keeps the cluster state up to date with the state store, keeps this controller a member, and commits transactions,
- * one at a time. All calls come from the thread of the event loop, on which the callbacks run too.
+ * Keeps the cluster state up to date with the state store, maintains this controller's membership, and commits
+ * transactions, one at a time. All methods must be called on the event loop, on which the callbacks run too.
  *
- * <p>A transaction without a response may still be applied, at any later time. It is fenced by writing the own member
- * key again: the version of that key is a condition of every transaction. Only then is the next one sent.
+ * <p>A transaction whose response is missing may still be applied at any later time. Before the next transaction is
+ * sent, this controller therefore fences it by rewriting its own member key: the version of the member key is a
+ * condition of every transaction.
  */
 public final class ReplicatedState {
     /**
-     * Outcome of a transaction; one that was not committed never will be.
+     * Outcome of a transaction.
      *
+     * @param committed true if the store confirmed the commit; if false, the transaction cannot be applied any more,
+     *     but a transaction that had to be fenced may have been applied before
      * @param failedConditions keys whose conditions failed
-     * @param revision of the state store at which it was committed
+     * @param revision revision of the state store at which the transaction was committed; 0 if {@code committed} is
+     *     false
      */
     public record CommitResult(boolean committed, Set<String> failedConditions, long revision) {
-        static final CommitResult REFUSED = refused(Set.of());
+        static final CommitResult NOT_COMMITTED = notCommitted(Set.of());
 
         static CommitResult committed(long revision) {
             return new CommitResult(true, Set.of(), revision);
         }
 
-        static CommitResult refused(Set<String> failedConditions) {
+        static CommitResult notCommitted(Set<String> failedConditions) {
             return new CommitResult(false, failedConditions, 0);
         }
     }
 
-    /** What the state store allows all controllers together, and how many they are. */
+    /** Rate limits of the state store for all controllers together, and the number of controllers. */
     public record StoreRateLimits(double changesPerSecond, double requestsPerSecond, int controllers) {
-        /** Fraction of the changes that each controller takes while the store refuses none. */
+        /** Fraction of the changes that each controller may use while the store rejects none for its rate limit. */
         static final double UNCONTENDED_SHARE = 0.6;
-        /** The leader writes most of the changes; the others divide the rest. */
-        private static final double LEADER_SHARE = 0.55;
+        /**
+         * The leader writes most of the changes; the other controllers divide the rest while the store is contended.
+         */
+        private static final double CONTENDED_LEADER_SHARE = 0.55;
 
-        private static final double OTHERS_SHARE = 0.4;
-        // Fractions of a controller's requests; the rest is for the renewal of its membership lease.
+        private static final double CONTENDED_NON_LEADERS_SHARE = 0.4;
+        // Fractions of the request rate of one controller; the rest is for the renewal of its membership lease.
         static final double WATCH_SHARE = 0.38;
         static final double COMMIT_SHARE = 0.35;
-        /** Confirmations of the versions that responses to users are based on. */
+        /** Requests that confirm the versions on which responses to users are based. */
         static final double CONFIRMATION_SHARE = 0.075;
         /** Reads of single jobs for status queries. */
         static final double QUERY_READ_SHARE = 0.12;
-        /** Reads of single jobs for submissions and cancellations, which never wait for those of status queries. */
+        /** Reads of single jobs for submissions and cancellations, which never wait for reads for status queries. */
         static final double REQUEST_READ_SHARE = 0.06;
 
         double contendedShare(boolean leading) {
-            return leading ? LEADER_SHARE : OTHERS_SHARE / Math.max(1, controllers - 1);
+            return leading ? CONTENDED_LEADER_SHARE : CONTENDED_NON_LEADERS_SHARE / Math.max(1, controllers - 1);
         }
 
         private TokenBucket requestLimit(EventLoop loop, double share) {
@@ -74,9 +80,9 @@
     private final TokenBucket requestReadLimit;
 
     /**
-     * @param rateLimits what the state store allows
-     * @param watchWait how long the state store holds back the response to a watch while nothing changes
-     * @param onStateChanged runs on the event loop whenever a new scheduling cycle may have something to do
+     * @param rateLimits rate limits of the state store
+     * @param watchWait how long the state store may delay its response to a watch while there are no changes
+     * @param onStateChanged runs on the event loop whenever a new scheduling cycle may find work
      */
     public ReplicatedState(
             EventLoop loop,
@@ -111,87 +117,103 @@
         committer.onJoined();
     }
 
-    /** Begins to read the store, to join, and to renew the membership. To be called once, on the event loop. */
+    /**
+     * Starts to read the state store, to join the cluster and to renew the membership lease. Must be called once, on
+     * the event loop.
+     */
     public void start() {
         watchStream.readAll();
         membershipLease.start();
     }
 
-    /** Whether this controller may act: its lease has not expired, and the cluster state is fresh. */
+    /**
+     * Returns true if this controller may act: its lease has not expired, and the cluster state is fresh and contains
+     * all changes up to the revision at which this controller joined.
+     */
     public boolean holdsValidLease() {
-        // A cluster state from before the joining may lack what other controllers have placed until then.
+        // A cluster state from before the join may lack placements that other controllers committed until then.
         return membershipLease.isValid()
                 && watchStream.isFresh()
                 && clusterState.watchedRevision() >= membershipLease.joinedRevision();
     }
 
-    /** Whether the cluster state follows the store without a gap. */
+    /** Returns true if all keys have been read, and the watch that follows has been answered recently. */
     public boolean isFresh() {
         return watchStream.isFresh();
     }
 
     /**
-     * The moment up to which all transactions of all controllers are surely known here: when the last watch or read
-     * that was answered had been sent. A response may be held back for long, and an open watch just waits in an outage.
+     * Returns the time up to which the cluster state certainly contains the transactions of all controllers: the time
+     * at which the last watch or full read that was answered had been sent. The time of the response would be too late,
+     * because the store may delay a response for long. A watch that is still open counts for nothing, because it also
+     * stays open during an outage.
      */
     public Instant knownThrough() {
         return watchStream.knownThrough();
     }
 
-    /** Takes the share of the changes that a leader, or another controller, may use now. */
+    /**
+     * Sets this controller's share of the change rate, which depends on whether it leads and the store is contended.
+     */
     public void setWriteShare(boolean leading) {
         commitPacing.setWriteShare(leading);
     }
 
-    /** How many changes a transaction may hold now, so that the next one need not wait long for the rate limit. */
+    /**
+     * Returns how many changes a transaction may contain now so that the rate limit does not delay the next one long.
+     */
     public int availableChanges() {
         return commitPacing.availableChanges();
     }
 
-    /** Whether changes that could wait may be committed as well. */
+    /** Returns true if the rate limit has room for changes that are not urgent. */
     public boolean hasSurplusChanges() {
         return commitPacing.hasSurplusChanges();
     }
 
-    /** Whether a transaction could be committed now. */
+    /** Returns true if a transaction may be committed now. */
     public boolean canCommit() {
         return holdsValidLease() && committer.isReady();
     }
 
     /**
-     * Sends the transaction. To be called only while {@link #canCommit()}, and on the event loop; the callback runs
-     * there too, once the outcome is certain: if it was unknown, after the transaction has been fenced.
+     * Sends the transaction. Must be called on the event loop, and only if {@link #canCommit()} returns true. The
+     * callback runs on the event loop once the outcome is known; if the outcome is unknown, the callback runs after the
+     * transaction has been fenced.
      */
     public void commit(Transaction transaction, Consumer<CommitResult> callback) {
         committer.commit(transaction, callback);
     }
 
-    /** Asks whether these versions are the newest; a key that is not in the cluster state must not exist. */
+    /**
+     * Asks the state store whether the versions of the keys in the cluster state are current. A key that is missing
+     * from the cluster state is current only if it does not exist in the store.
+     */
     public void confirmVersions(Set<String> keys, Consumer<LinearizableRead> callback) {
         linearizableReader.confirmVersions(keys, callback);
     }
 
-    /** How long queries should be batched before the next confirmation. */
+    /** Returns how long status queries should be collected before the next confirmation is requested. */
     public Duration confirmationDelay() {
         return linearizableReader.batchingDelay();
     }
 
-    /** How long it takes until so many confirmations may have been sent. */
+    /** Returns the time until the rate limit allows this number of confirmations. */
     public Duration timeUntilConfirmation(int count) {
         return linearizableReader.timeUntilAvailable(count);
     }
 
-    /** Limit of the reads of single jobs for status queries. */
+    /** Returns the rate limit for reads of single jobs for status queries. */
     public TokenBucket queryReadLimit() {
         return queryReadLimit;
     }
 
-    /** Limit of the reads of single jobs for submissions and cancellations. */
+    /** Returns the rate limit for reads of single jobs for submissions and cancellations. */
     public TokenBucket requestReadLimit() {
         return requestReadLimit;
     }
 
-    /** The client, for reads of single keys. */
+    /** Returns the client of the state store, for reads of single keys. */
     public StateStoreClient store() {
         return store;
     }
--- a/src/main/java/org/gullway/storage/StateStoreClient.java
+++ b/src/main/java/org/gullway/storage/StateStoreClient.java
@@ -19,10 +19,13 @@
 import org.gullway.transport.HttpResponse;
 import org.gullway.transport.HttpStatus;
 
-/** The calls of the state store. A response that is not of the stated form counts as unknown. */
+/**
+ * Client for the HTTP API of the state store. If a response has an unexpected status, or lacks a readable body that is
+ * required, the outcome of the request counts as unknown.
+ */
 public final class StateStoreClient {
-    private static final Duration TIMEOUT = Duration.ofSeconds(3);
-    /** The pause before a call that failed is repeated. */
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
+    /** Delay before a failed request is sent again. */
     static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
     private static final int PAGE_SIZE = 500;
@@ -36,43 +39,43 @@
     }
 
     /**
-     * Outcome of a call.
+     * Outcome of a request.
      *
-     * @param kind whether the call was answered, and if not, whether it may have been carried out
-     * @param status 0 unless the call was answered
-     * @param body null unless the response came with a map
+     * @param kind whether the request was answered, and if not, whether it may have been carried out
+     * @param status HTTP status; 0 if the request was not answered
+     * @param body decoded body of the response; null if the response has no body or the body is not a CBOR map
      */
     public record Outcome(HttpResponse.Outcome kind, int status, ObjectNode body) {
         private boolean hasStatus(int expected) {
             return kind == HttpResponse.Outcome.ANSWERED && status == expected;
         }
 
-        /** Carried out, whether or not the response could be read. */
+        /** Returns true if the request was carried out, whether or not the response has a readable body. */
         public boolean isOk() {
             return hasStatus(HttpStatus.OK);
         }
 
-        /** Carried out, and the response was read. */
+        /** Returns true if the request was carried out and the response has a readable body. */
         boolean isOkWithBody() {
             return isOk() && body != null;
         }
 
-        /** Conditions of a transaction failed, and the response names them. */
+        /** Returns true if conditions of a transaction failed and the response has a readable body that names them. */
         boolean isConflict() {
             return hasStatus(HttpStatus.CONFLICT) && body != null;
         }
 
-        /** The key or the lease does not exist. */
+        /** Returns true if the key or the lease does not exist. */
         public boolean isNotFound() {
             return hasStatus(HttpStatus.NOT_FOUND);
         }
 
-        /** The store no longer keeps the changes that a watch asked for. */
+        /** Returns true if the store no longer retains the changes that a watch requested. */
         boolean isGone() {
             return hasStatus(HttpStatus.GONE);
         }
 
-        /** The request was malformed, or wrote on a lease that has expired. */
+        /** Returns true if the request was malformed, or wrote a key on a lease that has expired. */
         boolean isBadRequest() {
             return hasStatus(HttpStatus.BAD_REQUEST);
         }
@@ -81,7 +84,7 @@
             return hasStatus(HttpStatus.TOO_MANY_REQUESTS);
         }
 
-        /** The request may have been carried out, or may be carried out later. */
+        /** Returns true if the request may have been carried out, or may still be carried out later. */
         boolean isUnknown() {
             return switch (kind) {
                 case ANSWERED -> !isConclusive();
@@ -103,22 +106,25 @@
             };
         }
 
-        /** Revision of the store at which the response holds, or that of a single key; 0 if it names none. */
+        /**
+         * Returns the revision of the store for which the response is valid or, for a read of a single key, the version
+         * of that key; 0 if the response contains neither.
+         */
         public long revision() {
             return body == null ? 0 : body.path("logline").asLong(version(body));
         }
 
-        /** The lease that was granted, or on which the key is held; only for outcomes with a body. */
+        /** Returns the ID of the lease that was granted, or on which the key is held. Requires a body. */
         long lease() {
             return body.path("tether").asLong();
         }
 
-        /** Whether the key that was read is held on a lease; only for outcomes with a body. */
+        /** Returns true if the key that was read is held on a lease. Requires a body. */
         boolean hasLease() {
             return body.hasNonNull("tether");
         }
 
-        /** The keys whose conditions failed; only for outcomes with a body. */
+        /** Returns the keys whose conditions failed. Requires a body. */
         Set<String> failedConditions() {
             Set<String> failed = new HashSet<>();
             body.path("failed").forEach(key -> failed.add(key.asText()));
@@ -144,49 +150,53 @@
         }
     }
 
-    /** Reads one key. */
+    /** Reads a single key. */
     public void get(String key, Consumer<Outcome> callback) {
-        send(HttpRequest.get("/store/" + key, TIMEOUT), callback);
+        send(HttpRequest.get("/store/" + key, REQUEST_TIMEOUT), callback);
     }
 
     /**
-     * Reads one page of the keys with the prefix, in their order.
+     * Reads one page of the keys with the prefix, in key order.
      *
-     * @param after the page begins after this key; null for the first page
+     * @param after key after which the page begins; null for the first page
      */
     public void list(String prefix, String after, Consumer<Outcome> callback) {
         String from = after == null ? "" : "&from=" + after;
-        send(HttpRequest.get("/store?under=" + prefix + from + "&page=" + PAGE_SIZE, TIMEOUT), callback);
+        send(HttpRequest.get("/store?under=" + prefix + from + "&page=" + PAGE_SIZE, REQUEST_TIMEOUT), callback);
     }
 
-    /** Asks for the changes under the prefix after a revision; while there are none, the response takes {@code wait}. */
+    /**
+     * Requests the changes under the prefix after a revision. The store responds as soon as there are changes, or after
+     * the duration {@code wait} if there are none.
+     */
     public void watch(String prefix, long afterRevision, Duration wait, Consumer<Outcome> callback) {
         String path = "/watch?under=" + prefix + "&from=" + afterRevision + "&block_ms=" + wait.toMillis();
-        send(HttpRequest.get(path, wait.plus(TIMEOUT)), callback);
+        send(HttpRequest.get(path, wait.plus(REQUEST_TIMEOUT)), callback);
     }
 
-    /** Asks for a new lease. */
+    /** Requests a new lease. */
     public void grantLease(Duration duration, Consumer<Outcome> callback) {
         byte[] body = Cbor.encode(Cbor.map().put("life_ms", duration.toMillis()));
-        send(HttpRequest.post("/grants", body, TIMEOUT), callback);
+        send(HttpRequest.post("/grants", body, REQUEST_TIMEOUT), callback);
     }
 
-    /** Extends a lease by its duration. */
+    /** Renews a lease, which extends it by its duration. */
     public void renewLease(long lease, Duration timeout, Consumer<Outcome> callback) {
         send(HttpRequest.post("/grants/" + lease + "/renew", Cbor.encode(Cbor.map()), timeout), callback);
     }
 
-    /** Ends a lease at once, with the keys that are held on it. */
+    /** Revokes a lease immediately, which also removes the keys that are held on it. */
     public void revokeLease(long lease, Consumer<Outcome> callback) {
-        send(HttpRequest.delete("/grants/" + lease, TIMEOUT), callback);
+        send(HttpRequest.delete("/grants/" + lease, REQUEST_TIMEOUT), callback);
     }
 
     /**
-     * Applies the changes if the keys of all conditions have the given versions.
+     * Commits a transaction: applies the changes if all keys in {@code conditions} have their expected versions.
      *
-     * @param versionOf the expected version of a condition's key; 0 if it must not exist
-     * @param changes keys with their new values; null removes the key
-     * @param lease holds the member key and the leader key, if they are written
+     * @param versionOf returns the expected version of a key; 0 if the key must not exist
+     * @param changes new value of each key; null removes the key
+     * @param lease ID of the lease on which the member key and the leader key are written, if they are among the
+     *     changes
      */
     public void commit(
             Collection<String> conditions,
@@ -201,7 +211,7 @@
         }
         ArrayNode then = transaction.putArray("then");
         changes.forEach((key, value) -> addChange(then.addObject(), key, value, lease));
-        send(HttpRequest.post("/commit", Cbor.encode(transaction), TIMEOUT), callback);
+        send(HttpRequest.post("/commit", Cbor.encode(transaction), REQUEST_TIMEOUT), callback);
     }
 
     private static void addChange(ObjectNode change, String key, StoreRecord value, long lease) {
@@ -216,12 +226,12 @@
         }
     }
 
-    /** Whether a key is written on the writer's lease, and so goes with its membership. */
+    /** Returns true if the key is written on the writer's lease, so that it is removed when the lease ends. */
     private static boolean isHeldOnLease(String key) {
         return key.startsWith(StoreKeys.MEMBERS) || key.equals(StoreKeys.LEADER);
     }
 
-    /** The version of a key, from an item of a list, an event of a watch, or the response to a read of it. */
+    /** Returns the version of a key from a list item, a watch event, or the response to a read of the key. */
     static long version(JsonNode item) {
         return item.path("mark").asLong();
     }
--- a/src/main/java/org/gullway/storage/TransactionCommitter.java
+++ b/src/main/java/org/gullway/storage/TransactionCommitter.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commits transactions, one at a time. One whose outcome is unknown is fenced by {@link TransactionFence} before the
- * next one is sent.
+ * Commits transactions, one at a time. A transaction whose outcome is unknown is fenced by {@link TransactionFence}
+ * before the next transaction is sent.
  */
 final class TransactionCommitter {
     private static final Logger LOG = LoggerFactory.getLogger(TransactionCommitter.class);
@@ -29,10 +29,10 @@
     private final CommitPacing pacing;
     private final Runnable onStateChanged;
     private final TransactionFence fence;
-    private final ConflictHistory conflicts = new ConflictHistory();
+    private final ConflictHistory conflictHistory = new ConflictHistory();
     private boolean inFlight;
 
-    /** A transaction in flight, with the membership and the cluster state under which it was sent. */
+    /** A transaction in flight, with the membership and the key versions with which it was sent. */
     private record SentTransaction(
             Transaction transaction,
             Instant sentAt,
@@ -59,19 +59,23 @@
         this.fence = new TransactionFence(loop, store, clusterState, membershipLease);
     }
 
-    /** Forgets the transaction in flight: its condition on the member key of a former membership fails. */
+    /**
+     * Stops waiting for the transaction in flight. It was sent during an earlier membership, so its condition on the
+     * version of the member key fails.
+     */
     void onJoined() {
         inFlight = false;
     }
 
-    /** Whether a transaction could be committed now, provided that this controller holds a valid lease. */
+    /** Returns true if a transaction may be sent now, provided that this controller holds a valid lease. */
     boolean isReady() {
         if (inFlight || !pacing.allowsCommit()) {
             return false;
         }
-        // What a former incarnation of this controller, or a former leader, has placed must be known first.
+        // The cluster state must already contain the placements that an earlier incarnation of this controller, or an
+        // earlier leader, has committed.
         return clusterState.watchedRevision() >= Math.max(membershipLease.memberKeyRevision(), leaderRevision())
-                && watchStream.hasReachedAwaited();
+                && watchStream.hasReachedAwaitedRevision();
     }
 
     private long leaderRevision() {
@@ -82,16 +86,16 @@
     void commit(Transaction transaction, Consumer<CommitResult> callback) {
         inFlight = true;
         pacing.onSent(transaction.changes().size());
-        SentTransaction sent = describe(transaction);
+        SentTransaction sent = toSentTransaction(transaction);
         store.commit(
                 transaction.conditions(),
                 sent.expectedVersions()::get,
                 transaction.changes(),
                 sent.lease(),
-                outcome -> onAnswered(sent, outcome, callback));
+                outcome -> onOutcome(sent, outcome, callback));
     }
 
-    private SentTransaction describe(Transaction transaction) {
+    private SentTransaction toSentTransaction(Transaction transaction) {
         Map<String, Long> expectedVersions = new HashMap<>();
         transaction.conditions().forEach(key -> expectedVersions.put(key, clusterState.version(key)));
         return new SentTransaction(
@@ -103,34 +107,36 @@
                 expectedVersions);
     }
 
-    private void onAnswered(SentTransaction sent, StateStoreClient.Outcome outcome, Consumer<CommitResult> callback) {
+    private void onOutcome(SentTransaction sent, StateStoreClient.Outcome outcome, Consumer<CommitResult> callback) {
         if (outcome.isOkWithBody()) {
-            onApplied(sent, outcome.revision(), callback);
+            onCommitted(sent, outcome.revision(), callback);
         } else if (outcome.isUnknown()) {
-            LOG.info("the outcome of a transaction is unknown; rewriting the member key lease={}", sent.lease());
+            LOG.info(
+                    "transaction outcome unknown; rewriting the member key to fence the transaction lease={}",
+                    sent.lease());
             fence.fence((result, term, revision) -> {
                 onFenced(result, term, revision);
-                callback.accept(CommitResult.REFUSED);
+                callback.accept(CommitResult.NOT_COMMITTED);
             });
         } else {
-            callback.accept(CommitResult.refused(onRefused(sent, outcome)));
+            callback.accept(CommitResult.notCommitted(onNotCommitted(sent, outcome)));
         }
     }
 
-    private void onApplied(SentTransaction sent, long revision, Consumer<CommitResult> callback) {
-        logApplied(sent, revision);
+    private void onCommitted(SentTransaction sent, long revision, Consumer<CommitResult> callback) {
+        logCommitted(sent, revision);
         onOutcomeKnown(sent.term());
-        conflicts.clear();
+        conflictHistory.clear();
         clusterState.apply(sent.transaction().changes(), revision);
-        pacing.onApplied();
+        pacing.onCommitted();
         callback.accept(CommitResult.committed(revision));
         onStateChanged.run();
     }
 
-    private void logApplied(SentTransaction sent, long revision) {
+    private void logCommitted(SentTransaction sent, long revision) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
-                    "committed a transaction revision={} elapsed_ms={} watched_revision={} keys={}",
+                    "transaction committed revision={} elapsed_ms={} watched_revision={} keys={}",
                     revision,
                     Duration.between(sent.sentAt(), loop.now()).toMillis(),
                     sent.watchedRevision(),
@@ -138,7 +144,7 @@
         }
     }
 
-    /** The next transaction may be sent, unless this outcome is one of an earlier membership. */
+    /** Allows the next transaction, unless the known outcome is that of a transaction of an earlier membership. */
     private void onOutcomeKnown(int term) {
         if (term == membershipLease.term()) {
             inFlight = false;
@@ -152,30 +158,30 @@
                 awaitWatch(revision);
             }
             case MEMBERSHIP_ENDED -> {
-                // Joining again forgets the transaction.
+                // onJoined() clears the transaction in flight once this controller has joined again.
             }
             case MEMBERSHIP_REPLACED -> onOutcomeKnown(term);
         }
     }
 
-    /** Handles a response after which the transaction is certainly not applied; returns the failed conditions. */
-    private Set<String> onRefused(SentTransaction sent, StateStoreClient.Outcome outcome) {
+    /** Handles an outcome which shows that the transaction was not applied. Returns the keys of failed conditions. */
+    private Set<String> onNotCommitted(SentTransaction sent, StateStoreClient.Outcome outcome) {
         onOutcomeKnown(sent.term());
         if (outcome.isConflict()) {
             Set<String> failed = outcome.failedConditions();
             onConflict(sent, failed, outcome.revision());
             return failed;
         }
-        pacing.onRefused(outcome.isRateLimited());
+        pacing.onRejected(outcome.isRateLimited());
         if (outcome.isBadRequest()) {
-            LOG.info("a transaction was refused as malformed or on an expired lease response={}", outcome.body());
+            LOG.info("transaction rejected as malformed or on an expired lease response={}", outcome.body());
         }
         return Set.of();
     }
 
     private void onConflict(SentTransaction sent, Set<String> failed, long revision) {
         LOG.debug(
-                "conditions of a transaction failed revision={} watched_revision={} failed={}",
+                "transaction conditions failed revision={} watched_revision={} failed={}",
                 revision,
                 sent.watchedRevision(),
                 failed);
@@ -183,11 +189,11 @@
             membershipLease.join();
             return;
         }
-        if (conflicts.record(failed, sent.expectedVersions(), revision, sent.watchedRevision())) {
+        if (conflictHistory.record(failed, sent.expectedVersions(), revision, sent.watchedRevision())) {
             LOG.error(
-                    "conditions failed again although the watch has passed the conflict; reading all keys failed={}",
+                    "conditions failed again after the watch passed the conflict; starting a full read failed={}",
                     failed);
-            conflicts.clear();
+            conflictHistory.clear();
             watchStream.readAll();
         } else {
             awaitWatch(revision);
@@ -195,7 +201,7 @@
     }
 
     private void awaitWatch(long revision) {
-        if (!watchStream.await(revision)) {
+        if (!watchStream.awaitRevision(revision)) {
             pacing.onConflict();
         }
     }
--- a/src/main/java/org/gullway/storage/TransactionFence.java
+++ b/src/main/java/org/gullway/storage/TransactionFence.java
@@ -6,27 +6,30 @@
 import org.gullway.transport.EventLoop;
 
 /**
- * Makes sure that a transaction whose outcome is unknown can no longer be applied. Every transaction has the version of
- * the own member key as a condition; writing that key again makes the conditions of all earlier ones fail.
+ * Ensures that a transaction whose outcome is unknown can no longer be applied. The version of this controller's member
+ * key is a condition of every transaction, so rewriting the member key makes all transactions sent before fail.
  */
 final class TransactionFence {
-    /** Why earlier transactions can no longer be applied, or no longer matter. */
+    /** Why the fenced transactions can no longer be applied, or why their outcome no longer matters. */
     enum Result {
-        /** The member key has a new version. */
+        /** The member key was rewritten and has a new version. */
         MEMBER_KEY_REWRITTEN,
-        /** The membership has ended, or the member key has a version that is unknown here: this controller joins again. */
+        /**
+         * The membership has ended, or the version of the member key differs from that in the cluster state. This
+         * controller joins again.
+         */
         MEMBERSHIP_ENDED,
-        /** This controller has left that membership while the member key could not be written. */
+        /** This controller left the membership of the transactions before it could rewrite the member key. */
         MEMBERSHIP_REPLACED
     }
 
-    /** Runs once, when the result is certain. */
+    /** Receives the result of fencing. */
     interface Callback {
         /**
-         * The result is certain.
+         * Called exactly once, when the result is certain.
          *
-         * @param term of the membership whose transactions were fenced
-         * @param revision at which the member key was rewritten, or 0
+         * @param term number of the membership whose transactions were fenced
+         * @param revision revision at which the member key was rewritten; 0 if it was not
          */
         void onFenced(Result result, int term, long revision);
     }
@@ -44,7 +47,7 @@
         this.membershipLease = membershipLease;
     }
 
-    /** Fences all transactions of the present membership that were sent before. */
+    /** Fences all transactions that were sent before this call during the current membership. */
     void fence(Callback callback) {
         long lease = membershipLease.lease();
         int term = membershipLease.term();
@@ -54,17 +57,17 @@
                 clusterState::version,
                 Map.of(memberKey, membershipLease.self()),
                 lease,
-                outcome -> onAnswered(outcome, lease, term, callback));
+                outcome -> onOutcome(outcome, lease, term, callback));
     }
 
-    private void onAnswered(StateStoreClient.Outcome outcome, long lease, int term, Callback callback) {
+    private void onOutcome(StateStoreClient.Outcome outcome, long lease, int term, Callback callback) {
         if (outcome.isOkWithBody()) {
             membershipLease.onMemberKeyWritten(outcome.revision());
             callback.onFenced(Result.MEMBER_KEY_REWRITTEN, term, outcome.revision());
         } else if (outcome.isConflict() || outcome.isBadRequest()) {
-            // Either the membership has ended, or an earlier attempt of this very write was applied.
+            // Either the membership has ended, or an earlier attempt at this write was applied without a response.
             callback.onFenced(Result.MEMBERSHIP_ENDED, term, 0);
-            // A response that comes after this controller has joined again says nothing about its present membership.
+            // A response that arrives after this controller has joined again does not concern its current membership.
             if (lease == membershipLease.lease()) {
                 membershipLease.join();
             }
--- a/src/main/java/org/gullway/storage/WatchStream.java
+++ b/src/main/java/org/gullway/storage/WatchStream.java
@@ -13,15 +13,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps the cluster state up to date with the store: one read of all keys, then the watch from its revision on. */
+/**
+ * Keeps the cluster state up to date with the state store: reads all keys, then watches for changes after the revision
+ * of that read.
+ */
 final class WatchStream {
     private static final Logger LOG = LoggerFactory.getLogger(WatchStream.class);
-    /** How old the cluster state may be for this controller to act on it. */
+    /** How long after the last response to a watch or a full read the cluster state still counts as fresh. */
     private static final Duration MAX_AGE = Duration.ofSeconds(10);
 
-    private static final Duration MAX_AWAIT = Duration.ofSeconds(5);
-    /** A watch that is answered sooner than this shows that more changes are to be expected. */
-    private static final Duration PROMPT_ANSWER = Duration.ofMillis(120);
+    private static final Duration MAX_REVISION_WAIT = Duration.ofSeconds(5);
+    /** A watch that is answered within this time indicates that more changes will follow. */
+    private static final Duration PROMPT_RESPONSE_THRESHOLD = Duration.ofMillis(120);
 
     private final EventLoop loop;
     private final StateStoreClient store;
@@ -30,20 +33,21 @@
     private final Duration watchWait;
     private final Runnable onStateChanged;
     private boolean synced;
-    private Instant lastAnsweredAt = Instant.MIN;
-    /** When the last read or watch that was answered had been sent. */
+    private Instant lastResponseAt = Instant.MIN;
+    /** Time at which the last full read or watch that was answered had been sent. */
     private Instant knownThrough = Instant.MIN;
-    /** Counts reads of all keys: responses that belong to an earlier one are dropped. */
+    /** Number of the latest full read. Responses that belong to an earlier full read are ignored. */
     private long generation;
-    /** Revision that the watch has to reach before the cluster state is good enough for another commit. */
+    /** Revision that the watch must reach before the next transaction is sent; 0 if there is none. */
     private long awaitedRevision;
 
     private Instant awaitedSince;
 
     /**
-     * @param requestLimit what watches may use of the requests that the store allows
-     * @param watchWait how long the store holds back the response to a watch while nothing changes
-     * @param onStateChanged runs whenever the cluster state has changed, or has come nearer to an awaited revision
+     * @param requestLimit rate limit for watch requests
+     * @param watchWait how long the store may delay its response to a watch while there are no changes
+     * @param onStateChanged runs whenever the cluster state has changed, and on each watch response while a revision is
+     *     awaited
      */
     WatchStream(
             EventLoop loop,
@@ -60,9 +64,9 @@
         this.onStateChanged = onStateChanged;
     }
 
-    /** Whether the cluster state follows the store without a gap. */
+    /** See {@link ReplicatedState#isFresh()}. */
     boolean isFresh() {
-        return synced && loop.now().isBefore(lastAnsweredAt.plus(MAX_AGE));
+        return synced && loop.now().isBefore(lastResponseAt.plus(MAX_AGE));
     }
 
     /** See {@link ReplicatedState#knownThrough()}. */
@@ -70,8 +74,11 @@
         return knownThrough;
     }
 
-    /** Makes {@link #hasReachedAwaited()} false until the watch has passed the revision; false if it has already. */
-    boolean await(long revision) {
+    /**
+     * Makes {@link #hasReachedAwaitedRevision()} return false until the watch has reached the revision. Has no effect
+     * and returns false if the watch has already reached it.
+     */
+    boolean awaitRevision(long revision) {
         if (clusterState.watchedRevision() >= revision) {
             return false;
         }
@@ -80,62 +87,70 @@
         return true;
     }
 
-    /** Whether the watch has passed the awaited revision; if that takes too long, all keys are read again. */
-    boolean hasReachedAwaited() {
+    /**
+     * Returns true if the watch has reached the awaited revision. Starts a full read if the watch does not reach it
+     * within {@link #MAX_REVISION_WAIT}.
+     */
+    boolean hasReachedAwaitedRevision() {
         if (clusterState.watchedRevision() >= awaitedRevision) {
             awaitedRevision = 0;
             return true;
         }
-        if (awaitedSince.plus(MAX_AWAIT).isBefore(loop.now())) {
-            LOG.info("the watch does not reach an awaited revision; reading all keys revision={}", awaitedRevision);
+        if (awaitedSince.plus(MAX_REVISION_WAIT).isBefore(loop.now())) {
+            LOG.info(
+                    "watch did not reach the awaited revision in time; starting a full read revision={}",
+                    awaitedRevision);
             awaitedRevision = 0;
             readAll();
         }
         return false;
     }
 
-    /** Reads all live keys; until that is done the cluster state is not fresh. */
+    /**
+     * Starts a full read of the keys under {@link StoreKeys#LIVE}. The cluster state is not fresh until the read is
+     * complete.
+     */
     void readAll() {
         synced = false;
         generation++;
-        long ofGeneration = generation;
+        long readGeneration = generation;
         Instant sentAt = loop.now();
         FullRead.Callback callback = new FullRead.Callback() {
             @Override
-            public void onRead(Map<String, JsonNode> items, long revision) {
-                onFullRead(ofGeneration, sentAt, items, revision);
+            public void onComplete(Map<String, JsonNode> items, long revision) {
+                onFullRead(readGeneration, sentAt, items, revision);
             }
 
             @Override
             public void onFailed() {
-                retry(ofGeneration, WatchStream.this::readAll);
+                retry(readGeneration, WatchStream.this::readAll);
             }
         };
-        new FullRead(store, () -> isCurrent(ofGeneration), callback).start();
+        new FullRead(store, () -> isCurrent(readGeneration), callback).start();
     }
 
-    private void onFullRead(long ofGeneration, Instant sentAt, Map<String, JsonNode> items, long revision) {
+    private void onFullRead(long readGeneration, Instant sentAt, Map<String, JsonNode> items, long revision) {
         clusterState.clear();
         items.forEach(this::put);
         clusterState.onFullRead(revision);
         synced = true;
-        lastAnsweredAt = loop.now();
+        lastResponseAt = loop.now();
         knownThrough = sentAt;
-        LOG.info("read all keys revision={} keys={}", revision, items.size());
+        LOG.info("full read of the state store complete revision={} keys={}", revision, items.size());
         onStateChanged.run();
-        watch(ofGeneration, revision);
+        watch(readGeneration, revision);
     }
 
-    private boolean isCurrent(long ofGeneration) {
-        return ofGeneration == generation;
+    private boolean isCurrent(long readGeneration) {
+        return readGeneration == generation;
     }
 
-    private void retry(long ofGeneration, Runnable action) {
-        loop.after(StateStoreClient.RETRY_DELAY, () -> runIfCurrent(ofGeneration, action));
+    private void retry(long readGeneration, Runnable action) {
+        loop.after(StateStoreClient.RETRY_DELAY, () -> runIfCurrent(readGeneration, action));
     }
 
-    private void runIfCurrent(long ofGeneration, Runnable action) {
-        if (isCurrent(ofGeneration)) {
+    private void runIfCurrent(long readGeneration, Runnable action) {
+        if (isCurrent(readGeneration)) {
             action.run();
         }
     }
@@ -147,47 +162,48 @@
                 clusterState.put(key, value, StateStoreClient.version(item));
             }
         } catch (MalformedMessageException e) {
-            LOG.error("ignored a malformed record error=\"{}\"", e.getMessage());
+            LOG.error("ignored malformed record error=\"{}\"", e.getMessage());
         }
     }
 
-    private void watch(long ofGeneration, long afterRevision) {
+    private void watch(long readGeneration, long afterRevision) {
         Instant sentAt = loop.now();
         store.watch(StoreKeys.LIVE, afterRevision, watchWait, outcome -> {
-            if (!isCurrent(ofGeneration)) {
+            if (!isCurrent(readGeneration)) {
                 return;
             }
             if (outcome.isGone()) {
                 readAll();
             } else if (outcome.isOkWithBody()) {
-                onWatchAnswered(ofGeneration, sentAt, afterRevision, outcome);
+                onWatchResponse(readGeneration, sentAt, afterRevision, outcome);
             } else {
-                retry(ofGeneration, () -> watch(ofGeneration, afterRevision));
+                retry(readGeneration, () -> watch(readGeneration, afterRevision));
             }
         });
     }
 
-    private void onWatchAnswered(
-            long ofGeneration, Instant sentAt, long afterRevision, StateStoreClient.Outcome outcome) {
+    private void onWatchResponse(
+            long readGeneration, Instant sentAt, long afterRevision, StateStoreClient.Outcome outcome) {
         boolean changed = false;
         for (JsonNode event : outcome.body().path("events")) {
             changed |= apply(event);
         }
         long revision = Math.max(afterRevision, outcome.revision());
         clusterState.advanceTo(revision);
-        lastAnsweredAt = loop.now();
+        lastResponseAt = loop.now();
         knownThrough = sentAt;
         if (changed || awaitedRevision > 0) {
             onStateChanged.run();
         }
-        // The store answers at once while there are changes; a short pause batches them and saves requests.
-        if (sentAt.plus(PROMPT_ANSWER).isAfter(loop.now())) {
+        // The store answers immediately while there are changes; a short pause before the next watch collects several
+        // changes in one response and saves requests.
+        if (sentAt.plus(PROMPT_RESPONSE_THRESHOLD).isAfter(loop.now())) {
             requestLimit.consume(1);
             loop.after(
                     requestLimit.batchingDelay(),
-                    () -> runIfCurrent(ofGeneration, () -> watch(ofGeneration, revision)));
+                    () -> runIfCurrent(readGeneration, () -> watch(readGeneration, revision)));
         } else {
-            watch(ofGeneration, revision);
+            watch(readGeneration, revision);
         }
     }
 
