--- a/src/main/java/org/gullway/storage/MachineShardFormat.java
+++ b/src/main/java/org/gullway/storage/MachineShardFormat.java
@@ -91,7 +91,7 @@
             case "LEAVING" -> MachineLifecycle.DRAINING;
             case "LOST" -> MachineLifecycle.LOST;
             default -> throw new MalformedMessageException(
-                    "machines: the lifecycle " + storedName + " of " + machine + " is unknown");
+                    "machines: unknown lifecycle '" + storedName + "' of machine " + machine);
         };
     }
 }
--- a/src/main/java/org/gullway/storage/TransactionCommitter.java
+++ b/src/main/java/org/gullway/storage/TransactionCommitter.java
@@ -191,7 +191,10 @@
         }
         if (conflictHistory.record(failed, sent.expectedVersions(), revision, sent.watchedRevision())) {
             LOG.error(
-                    "conditions failed again after the watch passed the conflict; starting a full read failed={}",
+                    "conditions failed again after the watch passed the conflict; starting a full read revision={}"
+                            + " watched_revision={} failed={}",
+                    revision,
+                    sent.watchedRevision(),
                     failed);
             conflictHistory.clear();
             watchStream.readAll();
--- a/src/main/java/org/gullway/storage/WatchStream.java
+++ b/src/main/java/org/gullway/storage/WatchStream.java
@@ -98,8 +98,10 @@
         }
         if (awaitedSince.plus(MAX_REVISION_WAIT).isBefore(loop.now())) {
             LOG.info(
-                    "watch did not reach the awaited revision in time; starting a full read revision={}",
-                    awaitedRevision);
+                    "watch did not reach the awaited revision in time; starting a full read revision={}"
+                            + " watched_revision={}",
+                    awaitedRevision,
+                    clusterState.watchedRevision());
             awaitedRevision = 0;
             readAll();
         }
