--- a/src/test/java/org/gullway/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenRecordsTest.java
@@ -30,13 +30,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Records that an earlier version stored are still read, and written again byte for byte. */
+/** Records that an earlier version stored can be decoded, and are encoded again to the same bytes. */
 class GoldenRecordsTest {
     private static final GoldenFile GOLDEN = GoldenFile.of("records");
     private static final Instant SUBMITTED = Instant.parse("2026-11-20T06:00:00.123Z");
     private static final Incarnation CONTROLLER = new Incarnation("perch-1", 7_654_321_098_765L);
 
-    /** A record under its key. */
+    /** A record with its key and the name of its golden entry. */
     record Sample(String name, String key, StoreRecord value) {
         @Override
         public String toString() {
@@ -44,7 +44,7 @@
         }
     }
 
-    private static JobRequest request(JobRequest.Shape shape, Priority priority, boolean optional) {
+    private static JobRequest request(JobRequest.Shape shape, Priority priority, boolean allFields) {
         return new JobRequest(
                 "run-000412",
                 "render",
@@ -53,23 +53,24 @@
                 priority,
                 300,
                 1.5,
-                optional ? 1 : 0,
+                allFields ? 1 : 0,
                 6.25,
                 "img-1",
                 0.5,
-                optional ? List.of("small", "large") : null,
-                optional ? "a" : null,
-                optional,
-                !optional,
-                optional,
+                allFields ? List.of("small", "large") : null,
+                allFields ? "a" : null,
+                allFields,
+                !allFields,
+                allFields,
                 Duration.ofMillis(12_500),
-                optional ? Duration.ofSeconds(20) : Duration.ZERO,
-                optional ? Duration.ofMillis(1500) : Duration.ZERO,
-                optional ? Duration.ofMinutes(2) : null);
+                allFields ? Duration.ofSeconds(20) : Duration.ZERO,
+                allFields ? Duration.ofMillis(1500) : Duration.ZERO,
+                allFields ? Duration.ofMinutes(2) : null);
     }
 
-    private static Placement placement(int task, long attempt, String machine, boolean stopping, long sinceMillis) {
-        return new Placement(task, attempt, machine, 3, stopping, SUBMITTED.plusMillis(sinceMillis));
+    private static Placement placement(
+            int task, long attempt, String machine, boolean stopping, long millisSinceSubmission) {
+        return new Placement(task, attempt, machine, 3, stopping, SUBMITTED.plusMillis(millisSinceSubmission));
     }
 
     private static JobRecord job(JobRequest request, String owner, Instant cancelledAt, List<Placement> live) {
@@ -82,7 +83,7 @@
                 name, address, "small", "a", agentEpoch % 2 == 0, CONTROLLER, agentEpoch, 9, lifecycle, SUBMITTED);
     }
 
-    private static String key() {
+    private static String jobKey() {
         return StoreKeys.job("run-000412");
     }
 
@@ -90,14 +91,14 @@
         List<Sample> samples = new ArrayList<>();
         for (JobRequest.Shape shape : JobRequest.Shape.values()) {
             for (Priority priority : Priority.values()) {
-                for (boolean optional : new boolean[] {false, true}) {
+                for (boolean allFields : new boolean[] {false, true}) {
                     String name = "job-" + GoldenFile.position(shape) + "-" + GoldenFile.position(priority)
-                            + (optional ? "-all" : "-least");
+                            + (allFields ? "-all" : "-least");
                     samples.add(new Sample(
                             name,
-                            key(),
+                            jobKey(),
                             JobRecord.accepted(
-                                    request(shape, priority, optional), optional ? "perch-0" : null, SUBMITTED)));
+                                    request(shape, priority, allFields), allFields ? "perch-0" : null, SUBMITTED)));
                 }
             }
         }
@@ -107,8 +108,8 @@
                 placement(6, 32, "vm-000001", true, 0),
                 placement(7, 33, "vm-000001", false, 250),
                 placement(299, 40, "vm-000002", true, 86_400_000));
-        samples.add(new Sample("job-placed", key(), job(request, "perch-2", null, live)));
-        samples.add(new Sample("job-cancelled", key(), job(request, null, SUBMITTED.plusMillis(4321), live)));
+        samples.add(new Sample("job-placed", jobKey(), job(request, "perch-2", null, live)));
+        samples.add(new Sample("job-cancelled", jobKey(), job(request, null, SUBMITTED.plusMillis(4321), live)));
         List<MachineRecord> machines = new ArrayList<>();
         for (MachineRecord.MachineLifecycle lifecycle : MachineRecord.MachineLifecycle.values()) {
             machines.add(machine(
@@ -149,17 +150,17 @@
 
     @ParameterizedTest
     @MethodSource("samples")
-    void aRecordIsWrittenAsBefore(Sample sample) {
+    void recordIsEncodedToGoldenBytes(Sample sample) {
         GOLDEN.check(sample.name(), Cbor.encode(RecordCodec.encode(sample.value())));
         GOLDEN.checkText(sample.name() + ".key", sample.key());
     }
 
     @ParameterizedTest
     @MethodSource("samples")
-    void aStoredRecordIsReadAndWrittenAgain(Sample sample) throws MalformedMessageException {
+    void goldenBytesAreDecodedAndEncodedAgainUnchanged(Sample sample) throws MalformedMessageException {
         byte[] stored = GOLDEN.bytes(sample.name());
-        StoreRecord read = decode(sample.key(), stored);
-        assertThat(read).isEqualTo(sample.value());
-        assertThat(Cbor.encode(RecordCodec.encode(read))).isEqualTo(stored);
+        StoreRecord decoded = decode(sample.key(), stored);
+        assertThat(decoded).isEqualTo(sample.value());
+        assertThat(Cbor.encode(RecordCodec.encode(decoded))).isEqualTo(stored);
     }
 }
--- a/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
@@ -17,15 +17,15 @@
 import org.gullway.transport.HttpResponse;
 import org.junit.jupiter.api.Test;
 
-/** Every call of the state store goes out as an earlier version sent it. */
+/** Requests to the state store are byte for byte those that an earlier version sent. */
 class GoldenStoreCallsTest {
     private static final GoldenFile GOLDEN = GoldenFile.of("store-calls");
 
-    private String name;
+    private String goldenEntry;
 
-    private static void ignore(StateStoreClient.Outcome outcome) {}
+    private static void ignoreOutcome(StateStoreClient.Outcome outcome) {}
 
-    private void record(String address, HttpRequest request, Consumer<HttpResponse> callback) {
+    private void compareWithGoldenEntry(String address, HttpRequest request, Consumer<HttpResponse> callback) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         String head = address
                 + ' '
@@ -37,46 +37,51 @@
                 + '\n';
         bytes.writeBytes(head.getBytes(StandardCharsets.UTF_8));
         bytes.writeBytes(request.body());
-        GOLDEN.check(name, bytes.toByteArray());
+        GOLDEN.check(goldenEntry, bytes.toByteArray());
     }
 
-    private StateStoreClient call(String sample) {
-        name = sample;
-        HttpClient client = this::record;
+    private StateStoreClient clientFor(String entry) {
+        goldenEntry = entry;
+        HttpClient client = this::compareWithGoldenEntry;
         return new StateStoreClient(client, "10.2.0.1:2379");
     }
 
     @Test
-    void readsAreSentAsBefore() {
-        call("get").get("live/jobs/run-000412", GoldenStoreCallsTest::ignore);
-        call("list-first").list(StoreKeys.LIVE, null, GoldenStoreCallsTest::ignore);
-        call("list-next").list(StoreKeys.LIVE, "live/jobs/run-000412", GoldenStoreCallsTest::ignore);
-        call("watch").watch(StoreKeys.LIVE, 431, Duration.ofMillis(875), GoldenStoreCallsTest::ignore);
+    void readRequestsMatchGoldenBytes() {
+        clientFor("get").get("live/jobs/run-000412", GoldenStoreCallsTest::ignoreOutcome);
+        clientFor("list-first").list(StoreKeys.LIVE, null, GoldenStoreCallsTest::ignoreOutcome);
+        clientFor("list-next").list(StoreKeys.LIVE, "live/jobs/run-000412", GoldenStoreCallsTest::ignoreOutcome);
+        clientFor("watch").watch(StoreKeys.LIVE, 431, Duration.ofMillis(875), GoldenStoreCallsTest::ignoreOutcome);
     }
 
     @Test
-    void leasesAreSentAsBefore() {
-        call("grant").grantLease(Duration.ofSeconds(6), GoldenStoreCallsTest::ignore);
-        call("renew").renewLease(17, Duration.ofSeconds(2), GoldenStoreCallsTest::ignore);
-        call("end").revokeLease(17, GoldenStoreCallsTest::ignore);
+    void leaseRequestsMatchGoldenBytes() {
+        clientFor("grant").grantLease(Duration.ofSeconds(6), GoldenStoreCallsTest::ignoreOutcome);
+        clientFor("renew").renewLease(17, Duration.ofSeconds(2), GoldenStoreCallsTest::ignoreOutcome);
+        clientFor("end").revokeLease(17, GoldenStoreCallsTest::ignoreOutcome);
     }
 
     @Test
-    void transactionsAreSentAsBefore() {
+    void transactionRequestsMatchGoldenBytes() {
         Incarnation incarnation = new Incarnation("perch-0", 42);
         Map<String, StoreRecord> changes = new LinkedHashMap<>();
         changes.put(StoreKeys.member("perch-0"), incarnation);
         changes.put(StoreKeys.LEADER, incarnation);
         changes.put(StoreKeys.FENCING_TOKEN, new FencingToken(12));
         changes.put(StoreKeys.job("run-000412"), null);
-        call("commit")
+        clientFor("commit")
                 .commit(
                         List.of(StoreKeys.member("perch-0"), StoreKeys.FENCING_TOKEN, StoreKeys.job("run-000412")),
                         key -> key.length(),
                         changes,
                         17,
-                        GoldenStoreCallsTest::ignore);
-        call("verify")
-                .commit(List.of(StoreKeys.job("run-000412")), key -> 9, Map.of(), 0, GoldenStoreCallsTest::ignore);
+                        GoldenStoreCallsTest::ignoreOutcome);
+        clientFor("verify")
+                .commit(
+                        List.of(StoreKeys.job("run-000412")),
+                        key -> 9,
+                        Map.of(),
+                        0,
+                        GoldenStoreCallsTest::ignoreOutcome);
     }
 }
--- a/src/test/java/org/gullway/storage/RecordCodecTest.java
+++ b/src/test/java/org/gullway/storage/RecordCodecTest.java
@@ -31,14 +31,14 @@
 import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Records are read as they were written, and keep within the sizes that are planned for them. */
+/** Records are decoded as they were encoded, and jobs stay within the sizes that placement allows for. */
 class RecordCodecTest {
     private static StoreRecord roundTrip(String key, StoreRecord value) throws MalformedMessageException {
         return RecordCodec.decode(key, Cbor.decode(Cbor.encode(RecordCodec.encode(value))));
     }
 
     @Property(tries = 300, seed = "5")
-    void jobsSurviveTheStoreWithinTheirSizeBound(@ForAll long seed) throws MalformedMessageException {
+    void jobsAreDecodedAsEncodedWithinTheirSizeBound(@ForAll long seed) throws MalformedMessageException {
         SplittableRandom random = new SplittableRandom(seed);
         IntegerRanges completed = IntegerRanges.EMPTY;
         for (int i = random.nextInt(40); i > 0; i--) {
@@ -73,16 +73,16 @@
         assertThat(RecordCodec.encode(job).toString().length()).isLessThanOrEqualTo(job.maxEncodedBytes());
     }
 
-    /** A job of 400 tasks, each on a machine of its own, fits into 16 KiB with all of them placed. */
+    /** The record of a job with 400 tasks, each placed on a different machine, fits into 16 KiB. */
     @Test
-    void theLargestJobsFitIntoOneRecord() {
+    void allPlacementsOfLargestJobFitIntoOneRecord() {
         JobRecord job = JobRecord.accepted(
                 TestFixtures.request("run-000001", "red", Priority.HIGH, 400, 4), null, TestFixtures.TIME_OF_DAY);
         assertThat(job.remainingPlacements(16 * 1024)).isGreaterThanOrEqualTo(400);
     }
 
     @Test
-    void otherRecordsSurviveTheStore() throws MalformedMessageException {
+    void otherRecordsAreDecodedAsEncoded() throws MalformedMessageException {
         Incarnation incarnation = new Incarnation("perch-0", Long.MAX_VALUE);
         MachineRecord booting =
                 MachineRecord.booting("vm-1", "small", "a", true, TestFixtures.TIME_OF_DAY, incarnation, 7);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void theErrorOfAMalformedRecordNamesItsKeyAndField() {
+    void errorOfMalformedRecordNamesKeyAndField() {
         ObjectNode token = Cbor.map().put("epoch", "high");
         assertThatThrownBy(() -> RecordCodec.decode(StoreKeys.FENCING_TOKEN, token))
                 .isInstanceOf(MalformedMessageException.class)
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void aKeyOfNoKnownTypeHasNoRecord() throws MalformedMessageException {
+    void keyOfUnknownTypeIsDecodedToNull() throws MalformedMessageException {
         assertThat(RecordCodec.decode("live/other", Cbor.map())).isNull();
     }
 }
--- a/src/test/java/org/gullway/storage/ReplicatedStateTest.java
+++ b/src/test/java/org/gullway/storage/ReplicatedStateTest.java
@@ -21,7 +21,7 @@
 import org.gullway.fake.SimulatedTime;
 import org.junit.jupiter.api.Test;
 
-/** Joining, renewing, watching and committing against a simulated state store. */
+/** Tests joining, lease renewal, watching and committing against a simulated state store. */
 class ReplicatedStateTest {
     private static final String STORE_ADDRESS = "10.2.0.1:2379";
     private final SimulatedTime time = new SimulatedTime();
@@ -30,12 +30,12 @@
     private final SimulatedNetwork network = new SimulatedNetwork(time, new SplittableRandom(2), 0);
     private final FakeStateStore store = new FakeStateStore(storeProcess);
     private final ClusterState clusterState = new ClusterState();
-    private final List<String> calls = new ArrayList<>();
+    private final List<String> storeRequests = new ArrayList<>();
     private final ReplicatedState replicatedState;
 
     ReplicatedStateTest() {
         network.listen(STORE_ADDRESS, storeProcess, exchange -> {
-            calls.add(exchange.method() + " " + exchange.path());
+            storeRequests.add(exchange.method() + " " + exchange.path());
             store.handle(exchange);
         });
         replicatedState = new ReplicatedState(
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void keepsWithinItsShareOfTheStoresWriteRate() {
+    void commitsStayWithinTheShareOfTheStoreWriteRate() {
         int committed = 0;
         for (int i = 0; i < 1000; i++) {
             time.runUntil(time.now().plusMillis(10));
@@ -85,12 +85,15 @@
         assertThat(committed).isBetween(100, 30 * 10);
     }
 
-    /** A full read that ends after the joining may show the former process's member key: no reason to join again. */
+    /**
+     * Guards against a second join after a restart. A full read that completes after the join may still contain the
+     * member key of the former process; the controller must not take it for the end of its own membership.
+     */
     @Property(tries = 40, seed = "12")
-    void joinsOnceThoughItsFullReadIsOlder(@ForAll @IntRange(min = 0, max = 400) int millis) {
+    void joinsOnceWhenFullReadShowsMemberKeyOfFormerProcess(@ForAll @IntRange(min = 0, max = 400) int millis) {
         ReplicatedStateTest test = new ReplicatedStateTest();
         ClusterState restartedState = new ClusterState();
-        Incarnation next = new Incarnation(TestFixtures.SELF.node(), 99);
+        Incarnation restartedIncarnation = new Incarnation(TestFixtures.SELF.node(), 99);
         test.time.runUntil(test.time.now().plusMillis(millis));
         test.network.delayResponses("/store", Duration.ofMillis(700));
         test.controllerProcess.kill();
@@ -99,28 +102,31 @@
                 process,
                 new StateStoreClient(test.network.client("perch-0", process), STORE_ADDRESS),
                 restartedState,
-                new Membership(next, Duration.ofSeconds(6)),
+                new Membership(restartedIncarnation, Duration.ofSeconds(6)),
                 new ReplicatedState.StoreRateLimits(30, 150, 3),
                 Duration.ofSeconds(1),
                 () -> {});
-        test.calls.clear();
+        test.storeRequests.clear();
         restarted.start();
         for (int i = 0; i < 6000; i++) {
             test.time.runUntil(test.time.now().plusMillis(1));
             if (restarted.canCommit()) {
-                Transaction transaction =
-                        new Transaction(restartedState, next, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                Transaction transaction = new Transaction(
+                        restartedState, restartedIncarnation, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
                 transaction.nextFencingToken();
                 restarted.commit(transaction, result -> {});
             }
         }
         assertThat(restartedState.fencingToken()).isPositive();
-        assertThat(test.calls).filteredOn(c -> c.equals("POST /grants")).hasSize(1);
+        assertThat(test.storeRequests).filteredOn(c -> c.equals("POST /grants")).hasSize(1);
     }
 
-    /** Whatever made the cluster state wrong about a key, conflicts on it must not go on for ever. */
+    /**
+     * Guards against endless conflicts on a key whose version in the cluster state is wrong, whatever the cause. The
+     * test puts a version that the store never wrote.
+     */
     @Test
-    void readsAllKeysAgainAfterARepeatedConflict() {
+    void repeatedConflictTriggersFullRead() {
         clusterState.put(StoreKeys.LEADER, TestFixtures.PEER, clusterState.watchedRevision() + 1_000_000);
         clusterState.advanceTo(clusterState.watchedRevision());
         for (int i = 0; i < 300 && clusterState.leader() != null; i++) {
@@ -138,7 +144,7 @@
     }
 
     @Test
-    void holdsNoValidLeaseWithoutTheStoreAndHoldsOneAgainAfterwards() {
+    void losesValidLeaseDuringStoreOutageAndRegainsItAfterwards() {
         store.setDown(true);
         run(7);
         assertThat(replicatedState.holdsValidLease()).isFalse();
@@ -147,9 +153,12 @@
         assertThat(replicatedState.holdsValidLease()).isTrue();
     }
 
-    /** The transaction is held back by the partition and arrives after it; the rewritten member key makes it fail. */
+    /**
+     * The network partition delays the transaction, which arrives only after the partition has healed. The rewritten
+     * member key makes the late transaction fail.
+     */
     @Test
-    void aTransactionOfUnknownOutcomeIsFencedBeforeItsCallback() {
+    void transactionWithUnknownOutcomeIsFencedBeforeItsCallback() {
         List<ReplicatedState.CommitResult> results = new ArrayList<>();
         network.cut("perch-0", STORE_ADDRESS);
         replicatedState.commit(fencingTokenTransaction(), results::add);
@@ -162,21 +171,24 @@
         assertThat(clusterState.fencingToken()).isEqualTo(applied ? 1 : 0);
     }
 
-    /** Two attempts to join at a time would revoke each other's lease. */
+    /** Guards against two concurrent joins, which would revoke each other's lease. */
     @Property(tries = 60, seed = "6")
-    void joinsOnceAfterALongPartitionWithATransactionInFlight(@ForAll @IntRange(min = 7_000, max = 30_000) int millis) {
+    void joinsOnceAfterLongPartitionWithTransactionInFlight(@ForAll @IntRange(min = 7_000, max = 30_000) int millis) {
         ReplicatedStateTest test = new ReplicatedStateTest();
         test.network.cut("perch-0", STORE_ADDRESS);
         test.replicatedState.commit(test.fencingTokenTransaction(), result -> {});
         test.time.runUntil(test.time.now().plusMillis(millis));
         test.network.heal();
-        test.calls.clear();
+        test.storeRequests.clear();
         test.run(10);
         assertThat(test.replicatedState.holdsValidLease()).isTrue();
-        assertThat(test.calls).filteredOn(c -> c.equals("POST /grants")).hasSizeLessThanOrEqualTo(1);
+        assertThat(test.storeRequests).filteredOn(c -> c.equals("POST /grants")).hasSizeLessThanOrEqualTo(1);
     }
 
-    /** Only a watch that was answered counts, from its sending on: one that is open, or refused, adds nothing. */
+    /**
+     * {@code knownThrough} advances only to the time at which an answered watch was sent. A watch that is open, or was
+     * rejected, does not advance it.
+     */
     @Property(tries = 50, seed = "32")
     void knownThroughDoesNotAdvanceWhileTheStoreIsDown(@ForAll @IntRange(min = 1, max = 20_000) int millis) {
         ReplicatedStateTest test = new ReplicatedStateTest();
@@ -192,29 +204,38 @@
         assertThat(test.replicatedState.knownThrough()).isAfter(downSince.plusSeconds(30));
     }
 
-    /** Until the watch has passed the joining, other controllers may have placed tasks that are not known here. */
+    /**
+     * Until the watch has reached the revision of the join, the cluster state may lack placements that other
+     * controllers have committed.
+     */
     @Test
-    void holdsNoValidLeaseBeforeTheWatchHasPassedItsJoining() {
+    void holdsNoValidLeaseUntilWatchReachesJoinRevision() {
         run(2);
         network.delayResponses("/watch", Duration.ofMillis(900));
         new StateStoreClient(network.client("other", storeProcess), STORE_ADDRESS).revokeLease(1, outcome -> {});
-        int valid = 0;
-        int behind = 0;
+        int millisWithValidLease = 0;
+        int millisBehind = 0;
         for (int i = 0; i < 6000; i++) {
             time.runUntil(time.now().plusMillis(1));
-            boolean caughtUp =
+            boolean watchHasReachedJoin =
                     clusterState.watchedRevision() >= clusterState.version(StoreKeys.member(TestFixtures.SELF.node()));
-            behind += caughtUp ? 0 : 1;
-            valid += replicatedState.holdsValidLease() ? 1 : 0;
-            assertThat(replicatedState.holdsValidLease() && !caughtUp).isFalse();
+            millisBehind += watchHasReachedJoin ? 0 : 1;
+            millisWithValidLease += replicatedState.holdsValidLease() ? 1 : 0;
+            assertThat(replicatedState.holdsValidLease() && !watchHasReachedJoin)
+                    .isFalse();
         }
-        assertThat(behind).as("the watch was behind for a while").isPositive();
-        assertThat(valid).isPositive();
+        assertThat(millisBehind)
+                .as("milliseconds during which the watch was behind the join")
+                .isPositive();
+        assertThat(millisWithValidLease).isPositive();
     }
 
-    /** A response to a transaction of the former membership says nothing about the one that is now in flight. */
+    /**
+     * Guards against two transactions in flight: the late response to a transaction of the former membership must not
+     * be taken for the response to the transaction that was sent after this controller joined again.
+     */
     @Test
-    void oneTransactionIsInFlightThoughAnOlderOneIsAnsweredLate() {
+    void lateResponseFromFormerMembershipDoesNotAllowSecondTransactionInFlight() {
         run(2);
         network.delayResponses("/commit", Duration.ofMillis(2500));
         List<ReplicatedState.CommitResult> results = new ArrayList<>();
@@ -229,14 +250,22 @@
                 i++) {
             time.runUntil(time.now().plusMillis(1));
         }
-        assertThat(replicatedState.canCommit()).as("joined again").isTrue();
-        assertThat(results).as("the first is still open").isEmpty();
+        assertThat(replicatedState.canCommit())
+                .as("can commit after joining again")
+                .isTrue();
+        assertThat(results)
+                .as("results while the first transaction has no response")
+                .isEmpty();
         network.delayResponses("/commit", Duration.ofMillis(2900));
         replicatedState.commit(fencingTokenTransaction(), results::add);
         for (int i = 0; i < 2800; i++) {
             time.runUntil(time.now().plusMillis(1));
-            assertThat(replicatedState.canCommit()).as("the second is open").isFalse();
+            assertThat(replicatedState.canCommit())
+                    .as("can commit while the second transaction is in flight")
+                    .isFalse();
         }
-        assertThat(results).as("the first was answered in between").hasSize(1);
+        assertThat(results)
+                .as("results after the late response to the first transaction")
+                .hasSize(1);
     }
 }
