--- a/src/main/java/org/gullway/storage/MembershipLease.java
+++ b/src/main/java/org/gullway/storage/MembershipLease.java
@@ -105,7 +105,7 @@
         return StoreKeys.member(self().node());
     }
 
-    /** Records that the member key was written, at a revision, on the lease of the current membership. */
+    /** Records the revision at which this controller's member key was written on its current lease. */
     void onMemberKeyWritten(long revision) {
         memberKeyRevision = revision;
         clusterState.put(memberKey(), self(), revision);
--- a/src/main/java/org/gullway/storage/ReplicatedState.java
+++ b/src/main/java/org/gullway/storage/ReplicatedState.java
@@ -45,7 +45,8 @@
         /** Fraction of the changes that each controller may use while the store rejects none for its rate limit. */
         static final double UNCONTENDED_SHARE = 0.6;
         /**
-         * The leader writes most of the changes; the other controllers divide the rest while the store is contended.
+         * Fraction of the changes that the leader may use while the store is contended; the leader writes most of them.
+         * The other controllers divide {@link #CONTENDED_NON_LEADERS_SHARE} equally.
          */
         private static final double CONTENDED_LEADER_SHARE = 0.55;
 
--- a/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
@@ -25,7 +25,7 @@
 
     private static void ignoreOutcome(StateStoreClient.Outcome outcome) {}
 
-    private void compareWithGoldenEntry(String address, HttpRequest request, Consumer<HttpResponse> callback) {
+    private void record(String address, HttpRequest request, Consumer<HttpResponse> callback) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         String head = address
                 + ' '
@@ -42,7 +42,7 @@
 
     private StateStoreClient clientFor(String entry) {
         goldenEntry = entry;
-        HttpClient client = this::compareWithGoldenEntry;
+        HttpClient client = this::record;
         return new StateStoreClient(client, "10.2.0.1:2379");
     }
 
