--- a/src/main/java/org/gullway/coordination/placement/InfeasibleRequests.java
+++ b/src/main/java/org/gullway/coordination/placement/InfeasibleRequests.java
@@ -7,25 +7,26 @@
 
 /**
  * Cache of the requests of which no further task fits on any machine in the current scheduling cycle. Free resources
- * only shrink while tasks are planned, so a request that needs at least as much and is at least as constrained does not
- * fit either. The cache avoids scanning all machines again for each of many similar jobs.
+ * only shrink while tasks are planned, so a request that needs at least as much as a cached request, and is at least as
+ * constrained, does not fit either. The cache avoids scanning all machines again for each of many similar jobs.
  */
 public final class InfeasibleRequests {
     private final List<JobRequest> requests = new ArrayList<>();
 
-    /** Records that no further task of this request fits on any machine. */
+    /**
+     * Records that no further task of this request fits on any machine. Requests with zone constraints are ignored.
+     */
     public void add(JobRequest request) {
-        // A task with zone constraints may be rejected because of the zones of the job's other tasks rather than for
-        // lack
-        // of free resources, so its request is not recorded.
+        // A task with zone constraints may be rejected because of the zones of its job's other tasks, while the same
+        // request of another job still fits.
         if (!PlacementConstraints.constrainsZones(request) && !isKnownInfeasible(request)) {
             requests.add(request);
         }
     }
 
     /**
-     * Returns whether it is known that no task of this request fits on any machine. False means unknown: the request may
-     * or may not fit.
+     * Returns whether it is known that no task of this request fits on any machine. False means unknown: the request
+     * may or may not fit.
      */
     public boolean isKnownInfeasible(JobRequest request) {
         for (JobRequest infeasible : requests) {
--- a/src/main/java/org/gullway/coordination/placement/PlacementConstraints.java
+++ b/src/main/java/org/gullway/coordination/placement/PlacementConstraints.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Returns the CPUs of the machine that are free after the placements in the cluster state and in the transaction, or
-     * 0 if the machine's type is unknown.
+     * Returns the CPUs of the machine that are free after the placements in the cluster state and in the transaction,
+     * or 0 if the machine's type is unknown.
      */
     public double freeCpus(MachineRecord machine, Transaction transaction) {
         MachineType type = typeOf(machine);
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Returns whether one more task of the job fits into the machine's free resources, after the placements in the cluster
-     * state and in the transaction.
+     * Returns whether one more task of the job fits into the machine's free resources, after the placements in the
+     * cluster state and in the transaction.
      */
     public boolean fits(JobRequest job, MachineRecord machine, Transaction transaction) {
         MachineType type = typeOf(machine);
@@ -48,16 +48,16 @@
     }
 
     /**
-     * Returns whether the machine accepts new tasks and the controller that commands its agent is a member of the cluster,
-     * so that start commands can be sent.
+     * Returns whether the machine accepts new tasks and the controller that commands its agent is a member of the
+     * cluster, so that start commands can be sent.
      */
     public static boolean isAvailable(MachineRecord machine, ClusterState clusterState) {
         return machine.isSchedulable() && clusterState.isMember(machine.controller());
     }
 
     /**
-     * Returns whether the job's tasks must share one zone or be spread across zones, so that the zones allowed for a task
-     * depend on where the job's other tasks run.
+     * Returns whether the job's tasks must share one zone or be spread across zones, so that the zones allowed for a
+     * task depend on where the job's other tasks run.
      */
     public static boolean constrainsZones(JobRequest request) {
         return request.singleZone() || request.spreadAcrossZones();
--- a/src/main/java/org/gullway/coordination/placement/TaskZones.java
+++ b/src/main/java/org/gullway/coordination/placement/TaskZones.java
@@ -10,7 +10,10 @@
 
 /** Tracks the zones of a job's tasks and checks the job's zone constraints for the next task. */
 final class TaskZones {
-    /** Placeholder for the zone of a machine that is no longer in the cluster state. */
+    /**
+     * Placeholder for the zone of a machine that is no longer in the cluster state. It equals no real zone, so a job
+     * that must run in a single zone gets no further task while such a placement is live.
+     */
     private static final String UNKNOWN_ZONE = "";
 
     private final JobRequest request;
--- a/src/main/java/org/gullway/coordination/quota/FairShare.java
+++ b/src/main/java/org/gullway/coordination/quota/FairShare.java
@@ -5,9 +5,12 @@
 import org.gullway.coordination.model.StoreKeys;
 
 /**
- * Divides a team's quota when the total demand of all partitions exceeds it. The demand of the leader's partition is met
- * first. The partitions of the controllers share the remainder in proportion to their demand, except that a partition
- * with stalled jobs gets at least what the largest task of its stalled jobs needs.
+ * Divides a team's quota when the total demand of all partitions exceeds it. The demand of the leader's partition is
+ * met first. The partitions of the controllers share the remainder in proportion to their demand, except that a
+ * partition with stalled jobs gets at least what the largest task of its stalled jobs needs.
+ *
+ * <p>If these minimum amounts exceed the remainder, the sum of the results exceeds the quota. {@link QuotaPartitioner}
+ * uses a result only to reduce a partition; it increases partitions only by unallocated quota.
  */
 final class FairShare {
     /** Lower bound for divisors, which avoids division by zero. */
@@ -15,7 +18,9 @@
 
     private FairShare() {}
 
-    /** Returns the amount of the team's resource that the partition is entitled to, given the demand of all partitions. */
+    /**
+     * Returns the amount of the team's resource that the partition is entitled to, given the demand of all partitions.
+     */
     static double amountOf(String partition, List<String> otherPartitions, QuotaDemand demand, TeamResource resource) {
         double quota = resource.quota();
         double leaderAmount = Math.min(quota, demand.total(StoreKeys.LEADER_QUOTA, resource));
@@ -31,19 +36,19 @@
                 controllers.stream()
                         .mapToDouble(controller -> demand.total(controller, resource))
                         .sum());
-        double sumOfFixedAmounts = 0;
+        double sumOfMinimums = 0;
         double proportionalDemand = 0;
         for (String controller : controllers) {
             double largestTask = demand.of(controller, resource).largestStalledTask();
             double ownDemand = demand.total(controller, resource);
-            boolean fixed = largestTask > remainder * ownDemand / totalDemand;
-            if (controller.equals(partition) && fixed) {
+            boolean usesMinimum = largestTask > remainder * ownDemand / totalDemand;
+            if (controller.equals(partition) && usesMinimum) {
                 return largestTask;
             }
-            sumOfFixedAmounts += fixed ? largestTask : 0;
-            proportionalDemand += fixed ? 0 : ownDemand;
+            sumOfMinimums += usesMinimum ? largestTask : 0;
+            proportionalDemand += usesMinimum ? 0 : ownDemand;
         }
-        return Math.max(0, remainder - sumOfFixedAmounts)
+        return Math.max(0, remainder - sumOfMinimums)
                 * demand.total(partition, resource)
                 / Math.max(MIN_DIVISOR, proportionalDemand);
     }
--- a/src/main/java/org/gullway/coordination/quota/GuaranteedQuota.java
+++ b/src/main/java/org/gullway/coordination/quota/GuaranteedQuota.java
@@ -12,8 +12,9 @@
 import org.gullway.protocol.Settings;
 
 /**
- * The set of jobs that are covered by the guaranteed quota of their team. The unfinished tasks of a team's jobs are summed
- * in order of submission, and a job is covered if the sum up to and including this job is within the guaranteed quota.
+ * The set of jobs that are covered by the guaranteed quota of their team. The unfinished tasks of a team's jobs are
+ * summed in order of submission, and a job is covered if the sum up to and including this job is within the guaranteed
+ * quota.
  */
 public final class GuaranteedQuota {
     private final Set<String> coveredJobs;
@@ -22,7 +23,9 @@
         this.coveredJobs = coveredJobs;
     }
 
-    /** Determines the covered jobs from the current cluster state. Cancelled jobs and jobs of unknown teams are skipped. */
+    /**
+     * Determines the covered jobs from the current cluster state. Cancelled jobs and jobs of unknown teams are skipped.
+     */
     public static GuaranteedQuota of(ClusterState clusterState, TeamQuotas quotas) {
         List<JobRecord> jobs = new ArrayList<>(clusterState.jobs());
         jobs.sort(Comparator.comparing(JobRecord::submittedAt)
--- a/src/main/java/org/gullway/coordination/quota/LostMemberQuota.java
+++ b/src/main/java/org/gullway/coordination/quota/LostMemberQuota.java
@@ -13,18 +13,20 @@
 
 /**
  * Reassigns the quota partitions of lost members. Each transaction requires that the member key of the lost member is
- * still absent, so it fails if that controller has rejoined and may be placing tasks on its partition concurrently.
+ * still absent, so it fails if that controller has rejoined and may use the quota of its partition concurrently.
  */
 public final class LostMemberQuota {
     private LostMemberQuota() {}
 
     /**
-     * Transfers a lost member's job to another member, together with the quota that the job's placements use.
+     * Transfers a lost member's job to another member, together with the quota that the job's placements use. Does
+     * nothing while the usage of the lost member's jobs is not fully accounted for.
      *
-     * <p>If the recorded placements of the lost member's jobs use more than its partition holds, some completions have
-     * not been recorded yet. It is unknown which jobs these completions belong to, so no split of the partition is certain
-     * to cover the placements that each new owner receives, and the team's quota could be exceeded. In this case the
-     * method changes nothing, and the job stays with the lost member until the completions are recorded.
+     * <p>A controller reuses the quota of a completed attempt before it has recorded the completion. So if the recorded
+     * placements of a lost member's jobs use more than its partition holds, some completions are not recorded yet. It
+     * is unknown which jobs these completions belong to, so no split of the partition is certain to cover the
+     * placements that each new owner receives, and the team's quota could be exceeded. In this case the job stays with
+     * the lost member until the completions are recorded.
      */
     public static void transferJob(Transaction transaction, ClusterState clusterState, JobRecord job, String newOwner) {
         String sourcePartition = StoreKeys.quotaPartition(job.owner());
@@ -51,7 +53,9 @@
         transaction.putJob(job.withOwner(newOwner));
     }
 
-    /** Returns what the recorded placements of the owner's jobs of this team use, including changes in the transaction. */
+    /**
+     * Returns what the recorded placements of the owner's jobs of this team use, including changes in the transaction.
+     */
     private static QuotaPartition.Amount recordedUsage(
             Transaction transaction, ClusterState clusterState, String owner, String team) {
         double cpus = 0;
--- a/src/main/java/org/gullway/coordination/quota/QuotaDemand.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaDemand.java
@@ -25,7 +25,10 @@
             return total;
         }
 
-        /** Returns what the smallest waiting task needs, or 0 if no task waits. */
+        /**
+         * Returns what the smallest waiting task needs, or 0 if no task waits. The value 0 also stands for "not set",
+         * so a need of 0 is overwritten by the next job with waiting tasks.
+         */
         double smallestWaitingTask() {
             return smallestWaitingTask;
         }
--- a/src/main/java/org/gullway/coordination/quota/QuotaHeadroom.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaHeadroom.java
@@ -12,9 +12,9 @@
 import org.gullway.protocol.Settings;
 
 /**
- * The CPUs that waiting tasks could still use within the quotas: the unused CPUs of the job's quota partition, plus the
- * CPUs of its team's quota that are not allocated to any partition. Each admitted task reduces the headroom of later
- * calls.
+ * The CPUs that the quotas still allow for waiting tasks. The headroom of a job is the sum of the unused CPUs that its
+ * quota partition allocates to its team and the CPUs of the team's quota that no partition allocates. Each admitted
+ * task reduces the headroom for later calls. GPU quotas are not considered.
  */
 public final class QuotaHeadroom {
     private final ClusterState clusterState;
@@ -45,7 +45,7 @@
         JobRequest request = job.request();
         String partition = StoreKeys.quotaPartitionOf(job);
         String key = partition + '\n' + request.team();
-        double unused = unusedByPartitionAndTeam.computeIfAbsent(key, k -> unusedOf(partition, request.team()));
+        double unused = unusedByPartitionAndTeam.computeIfAbsent(key, k -> unusedIn(partition, request.team()));
         double unallocated = unallocatedByTeam.getOrDefault(request.team(), 0.0);
         int admitted = (int) Math.min(tasks, (unused + unallocated) / request.cpus() + EPSILON);
         double cpus = admitted * request.cpus();
@@ -54,7 +54,7 @@
         return admitted;
     }
 
-    private double unusedOf(String partition, String team) {
+    private double unusedIn(String partition, String team) {
         double allocated = clusterState
                 .quotaPartitions()
                 .getOrDefault(partition, QuotaPartition.EMPTY)
--- a/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
@@ -20,9 +20,10 @@
 import org.gullway.protocol.Settings;
 
 /**
- * Adjusts the quota partitions that this controller holds to the demand of its jobs. Each team's quota is split into one
- * partition for the leader, which places reserved jobs, and one for each controller, which places the best-effort jobs it
- * owns. Only the holder of a partition changes it, except that the partition of a lost member is reassigned.
+ * Adjusts the quota partitions that this controller holds to the demand of its jobs. A partition allocates a part of
+ * every team's quota to its holder. Each controller holds one partition, for the best-effort jobs that it owns, and the
+ * leader holds another one, for reserved jobs. Only the holder of a partition changes it, with one exception: {@link
+ * LostMemberQuota} reduces the partition of a lost member and increases those of the new owners of its jobs.
  *
  * <p>A transaction that changes a partition requires that all other partitions are unchanged, so the sum of the
  * partitions never exceeds the quota. Every controller has the records of all jobs, so it knows the demand on the other
@@ -30,15 +31,21 @@
  */
 public final class QuotaPartitioner implements PlanningStep {
     /**
-     * A partition may exceed its demand by up to this fraction of the quota, if the other partitions do not need it. The
-     * spare amount makes increases rare.
+     * An increase may exceed the demand by up to this fraction of the quota, and by at most half of the amount that no
+     * partition needs. With this spare amount a partition has to be increased less often.
      */
     private static final double MAX_SPARE_FRACTION = 0.1;
-    /** Reductions by less than this fraction of the quota are skipped, since each one costs a write to the state store. */
+    /**
+     * Reductions by less than this fraction of the quota are skipped, because each one costs a write to the state
+     * store. A reduction to 0 is never skipped.
+     */
     private static final double MIN_REDUCTION_FRACTION = 0.02;
 
     private static final Duration REDUCTION_INTERVAL = Duration.ofSeconds(2);
-    /** Used while the store has spare write capacity, because tasks of other partitions wait for the released quota. */
+    /**
+     * The interval while the state store has spare write capacity. The released quota then reaches the waiting tasks of
+     * other partitions sooner.
+     */
     private static final Duration FAST_REDUCTION_INTERVAL = Duration.ofMillis(50);
 
     private final ClusterState clusterState;
@@ -49,22 +56,26 @@
     private final Map<String, List<String>> othersByPartition = new TreeMap<>();
 
     private final UnusedAllocationTracker unusedAllocations = new UnusedAllocationTracker();
-    private Instant reducedAt = Instant.MIN;
+    private Instant reductionIntervalStart = Instant.MIN;
 
     /**
      * The input for adjusting partitions in one scheduling cycle.
      *
-     * @param mayReduce whether the interval since the last reduction has elapsed
+     * @param mayReduce whether the reduction interval has elapsed; any change made while this is true restarts the
+     *     interval
      */
     private record Adjustment(Transaction transaction, QuotaDemand demand, boolean mayReduce, Instant now) {}
 
-    /** The amount of one resource that the adjusted partition holds, the used part of it, and the demand of its jobs. */
+    /**
+     * The amount of one resource that the partition being adjusted allocates to the team, the used part of it, and the
+     * demand of the team's jobs.
+     */
     private record Allocation(double amount, double used, QuotaDemand.ResourceDemand demand) {
         /**
-         * Returns whether the partition is large enough for the largest task of its stalled jobs, but must keep its unused
-         * part until running tasks complete and release enough for that task.
+         * Returns whether the unused amount is held back for a stalled job: the amount would suffice for the largest
+         * task of the stalled jobs, but running tasks have to complete before that task fits.
          */
-        boolean isAccumulating() {
+        boolean holdsForStalledTask() {
             double largestTask = demand.largestStalledTask();
             return largestTask > 0 && amount >= largestTask && amount - used < largestTask;
         }
@@ -77,7 +88,7 @@
     /**
      * The state of the other partitions for one resource.
      *
-     * @param unallocated the part of the quota that is allocated neither to the adjusted partition nor to another one
+     * @param unallocated the part of the quota that is not allocated to any partition
      * @param shortage the sum of the demand of each other partition beyond the amount that it holds
      * @param demand the total demand of the other partitions
      */
@@ -105,7 +116,7 @@
         List<String> heldPartitions =
                 context.leader() ? List.of(StoreKeys.LEADER_QUOTA, ownPartition) : List.of(ownPartition);
         Duration reductionInterval = context.hasSpareWriteCapacity() ? FAST_REDUCTION_INTERVAL : REDUCTION_INTERVAL;
-        boolean mayReduce = !reducedAt.plus(reductionInterval).isAfter(now);
+        boolean mayReduce = !reductionIntervalStart.plus(reductionInterval).isAfter(now);
         Adjustment adjustment = new Adjustment(transaction, demand, mayReduce, now);
         for (String partition : heldPartitions) {
             QuotaPartition before = transaction.quotaPartition(partition);
@@ -114,7 +125,7 @@
                 transaction.put(partition, after);
                 othersByPartition.get(partition).forEach(transaction::requireUnchanged);
                 if (mayReduce) {
-                    reducedAt = now;
+                    reductionIntervalStart = now;
                 }
             }
         }
@@ -153,10 +164,10 @@
     private double targetAmount(Adjustment adjustment, String partition, TeamResource resource) {
         Allocation own = new Allocation(
                 resource.allocatedTo(partition, adjustment.transaction()),
-                resource.usedOf(partition, adjustment.transaction()),
+                resource.usedIn(partition, adjustment.transaction()),
                 adjustment.demand().of(partition, resource));
         OtherPartitions others = others(adjustment, partition, resource, own.amount());
-        boolean neededElsewhere = others.haveUnmetDemand() && own.amount() > own.used() && !own.isAccumulating();
+        boolean neededElsewhere = others.haveUnmetDemand() && own.amount() > own.used() && !own.holdsForStalledTask();
         boolean yields =
                 unusedAllocations.mustYield(partition, resource, own.used(), neededElsewhere, adjustment.now());
         if (own.demand().total() > own.amount() && !yields) {
@@ -194,9 +205,10 @@
     }
 
     /**
-     * Returns the amount after a reduction to the partition's own demand or, if the total demand exceeds the quota, to its
-     * fair share. The partition keeps at least the used amount and what the largest task of its stalled jobs needs.
-     * Returns the current amount if the reduction is too small to be worth a write to the state store.
+     * Returns the amount after a reduction to the partition's own demand or, if the total demand exceeds the quota, to
+     * its fair share. The partition keeps at least the used amount and what the largest task of its stalled jobs needs.
+     * Returns the current amount if the reduction is too small to be worth a write to the state store, unless it
+     * releases the whole amount.
      */
     private double reducedAmount(
             Adjustment adjustment, String partition, TeamResource resource, Allocation own, OtherPartitions others) {
--- a/src/main/java/org/gullway/coordination/quota/TeamResource.java
+++ b/src/main/java/org/gullway/coordination/quota/TeamResource.java
@@ -16,7 +16,7 @@
     }
 
     /** Returns the amount of the partition that tasks use, including changes in the transaction. */
-    double usedOf(String partition, Transaction transaction) {
+    double usedIn(String partition, Transaction transaction) {
         return resource.usedBy(team.name(), partition, transaction);
     }
 }
--- a/src/main/java/org/gullway/coordination/quota/UnusedAllocationTracker.java
+++ b/src/main/java/org/gullway/coordination/quota/UnusedAllocationTracker.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * Detects allocations that stay unused while other partitions need them. The holder of such an allocation must yield the
- * unused part to the other partitions for as long as it was unused. Otherwise two holders could deadlock: each would keep
- * an amount that is too small for its next task.
+ * Detects allocations that stay unused while other partitions need them. After {@link #MAX_UNUSED} without a change of
+ * the used amount, the holder must yield the unused part to the other partitions for another {@link #MAX_UNUSED}.
+ * Otherwise two holders could deadlock: each would keep an amount that is too small for its next task.
  */
 final class UnusedAllocationTracker {
-    /** The time for which an allocation may stay unused, and for which the holder then yields it. */
+    /** The time for which an allocation may stay unused, and for which the holder then yields the unused part. */
     private static final Duration MAX_UNUSED = Duration.ofSeconds(3);
 
     private final Map<String, Observation> observations = new HashMap<>();
--- a/src/main/java/org/gullway/coordination/quota/package-info.java
+++ b/src/main/java/org/gullway/coordination/quota/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Team quotas: the guaranteed quota of each team, and the partitions of the quotas, on which the controllers place tasks
- * independently of each other.
+ * Team quotas: the guaranteed quota of each team, and the quota partitions, within which each controller places tasks
+ * without coordination with the other controllers.
  */
 package org.gullway.coordination.quota;
--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortPlacement.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortPlacement.java
@@ -20,9 +20,9 @@
  *
  * <ol>
  *   <li>one task of each stalled job
- *   <li>jobs that can still meet their deadline and are covered by the guaranteed quota of their team
- *   <li>all jobs that can still meet their deadline
- *   <li>jobs that will miss their deadline
+ *   <li>jobs that are not deferred as late and are covered by the guaranteed quota of their team
+ *   <li>all jobs that are not deferred as late
+ *   <li>jobs that are deferred as late, see {@link DeadlinePolicy#isDeferredAsLate}
  *   <li>jobs of the scavenger class
  * </ol>
  */
@@ -78,15 +78,15 @@
     }
 
     /**
-     * Places jobs in three passes. The later passes include the jobs of the earlier ones, which is harmless: none of their
-     * remaining tasks fits any more.
+     * Places jobs in three passes. The later passes include the jobs of the earlier ones, which is harmless: none of
+     * their remaining tasks fits any more.
      */
     private void placeByDeadline(Transaction transaction, Collection<MachineRecord> machines, List<JobRecord> jobs) {
         GuaranteedQuota guaranteedQuota = GuaranteedQuota.of(clusterState, quotas);
         List<JobRecord> onTime = new ArrayList<>();
         List<JobRecord> guaranteedOnTime = new ArrayList<>();
         for (JobRecord job : jobs) {
-            if (!deadlines.willMissDeadline(job, transaction.timeOfDay())) {
+            if (!deadlines.isDeferredAsLate(job, transaction.timeOfDay())) {
                 onTime.add(job);
                 if (guaranteedQuota.covers(job)) {
                     guaranteedOnTime.add(job);
--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
@@ -19,9 +19,9 @@
 import org.gullway.protocol.ResourceOffer;
 
 /**
- * This controller's queue of best-effort jobs. Tasks are placed on free resources of the machines whose agents report to
- * this controller and of machines that peers have offered. Free resources that no task in this queue can use are offered
- * to a random peer.
+ * Schedules this controller's queue of best-effort jobs, that is the best-effort jobs that it owns. Tasks are placed on
+ * free resources of the machines whose agents report to this controller and of machines that peers have offered. While
+ * jobs of other controllers wait, free resources that remain are offered to random peers.
  */
 public final class BestEffortQueue implements PlanningStep {
     private final ClusterState clusterState;
@@ -37,7 +37,7 @@
     public record OutgoingOffers(String peer, List<ResourceOffer> offers) {}
 
     /**
-     * The best-effort jobs with waiting tasks that are not backed off.
+     * The best-effort jobs that have waiting tasks and are not backed off.
      *
      * @param ownJobs the jobs in this controller's queue
      * @param peersHaveWaitingJobs whether there are such jobs in the queues of other controllers
@@ -103,7 +103,8 @@
         if (offersOwnMachines) {
             peerOffers.markSent(now);
         } else {
-            // Offers from peers are forwarded without delay, because the controller that made them limits their rate.
+            // Offers without asked peers are those of this controller's machines, which are not offered now. Offers
+            // from peers are forwarded without delay, because the controller that made them limits their rate.
             offerByMachine.values().removeIf(offer -> offer.askedPeers().isEmpty());
         }
         return waiting.peersHaveWaitingJobs() ? peerOffers.outgoing(offerByMachine, transaction) : List.of();
--- a/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
@@ -18,13 +18,14 @@
 import org.gullway.protocol.MachineType;
 
 /**
- * Chooses the machines to cordon. Some are cordoned for waiting reserved jobs, so that no best-effort task starts there;
- * others for the large tasks of stalled best-effort jobs, which would starve if small tasks took all released resources.
+ * Chooses the machines to cordon. On a cordoned machine only tasks of reserved jobs and of stalled best-effort jobs
+ * start. Some machines are cordoned for waiting reserved jobs; others are cordoned for the large tasks of stalled
+ * best-effort jobs, which would starve if small tasks took all released resources.
  */
 final class CordonPlanner {
     /**
-     * The minimum time between changes in a large fleet. The choice would otherwise change in almost every cycle, and the
-     * state store allows only few changes per second.
+     * The minimum time between changes in a large fleet. The choice would otherwise change in almost every cycle, and
+     * the state store allows only a few changes per second.
      */
     private static final Duration CHANGE_INTERVAL = Duration.ofSeconds(2);
 
@@ -49,8 +50,9 @@
     }
 
     /**
-     * Returns whether the set of cordoned machines may change now: always if it is empty or the fleet is small, otherwise
-     * once the minimum time since the last change has elapsed. Callers skip the scan of all machines while this is false.
+     * Returns whether the set of cordoned machines may change now: always if it is empty or the fleet is small,
+     * otherwise once the minimum time since the last change has elapsed. Callers skip the scan of all machines while
+     * this is false.
      */
     boolean mayChange(Transaction transaction) {
         return clusterState.cordonedMachines().isEmpty()
@@ -59,8 +61,11 @@
     }
 
     /**
-     * Replaces the set of cordoned machines by the given machines for reserved jobs and one machine for each of the first
-     * stalled best-effort jobs.
+     * Replaces the set of cordoned machines by the given machines and one machine for each of the first {@link
+     * #MAX_STALLED_JOBS} stalled best-effort jobs. Does nothing if the set stays the same, the transaction has no
+     * capacity left, or the set may not change yet; an empty set is written without waiting for {@link #mayChange}.
+     *
+     * @param forReserved names of the machines to cordon for reserved jobs
      */
     void cordon(Transaction transaction, Set<String> forReserved) {
         Set<String> newCordons = new LinkedHashSet<>(forReserved);
@@ -73,8 +78,11 @@
     }
 
     /**
-     * Returns machines that together fit all waiting tasks of the given jobs once no other tasks run there, choosing the
-     * machines with the most free CPUs first. The result is limited to the maximum number of cordoned machines.
+     * Chooses machines until their CPUs and memory together suffice for all waiting tasks of the given jobs once no
+     * other tasks run there, or until no suitable machine is left. Machines with the most free CPUs are chosen first. A
+     * machine must have enough GPUs for one task, but GPUs are not counted for further tasks.
+     *
+     * @return the names of at most {@link CordonedMachines#MAX_MACHINES} machines
      */
     Set<String> machinesFor(List<JobRecord> jobs, List<MachineRecord> machines, Transaction transaction) {
         Set<String> chosen = new LinkedHashSet<>();
@@ -116,7 +124,10 @@
         return candidates;
     }
 
-    /** Returns one machine for each of the first stalled best-effort jobs. Only the job's owner starts tasks there. */
+    /**
+     * Returns the names of one machine for each of the first {@link #MAX_STALLED_JOBS} stalled best-effort jobs, in
+     * {@link JobRecord#STALLED_ORDER}.
+     */
     private Set<String> machinesForStalledJobs(Transaction transaction) {
         List<JobRecord> stalled = clusterState.jobs().stream()
                 .filter(job -> !job.isReserved() && job.isStalledAt(transaction.timeOfDay()))
@@ -134,8 +145,8 @@
     }
 
     /**
-     * Orders machines by free CPUs, best candidate last. Among equals, machines that are already cordoned are better, so
-     * that the choice is stable.
+     * Orders machines by free CPUs, best candidate last. Among equals, machines that are already cordoned are better,
+     * so that the choice is stable.
      */
     private Comparator<MachineRecord> byFreeCpusThenCordoned(Transaction transaction) {
         return Comparator.<MachineRecord>comparingDouble(machine -> constraints.freeCpus(machine, transaction))
--- a/src/main/java/org/gullway/coordination/scheduling/DeadlinePolicy.java
+++ b/src/main/java/org/gullway/coordination/scheduling/DeadlinePolicy.java
@@ -16,16 +16,18 @@
     /** The kind of objective that limits the time from submission to completion, as written in the settings. */
     private static final String COMPLETION_OBJECTIVE = "finished";
     /**
-     * Run time estimates are often too high, so a deadline counts as missed only if even this fraction of the estimate no
-     * longer fits before it.
+     * Run time estimates are often too high, so a deadline counts as missed only if even this fraction of the estimate
+     * no longer fits before it.
      */
     private static final double MIN_FRACTION_OF_ESTIMATE = 0.7;
     /**
-     * A late job is placed after the jobs that are on time only until it is overdue by this much. From then on it is ordered
-     * by its due time again, so that it does not starve.
+     * A late job is deferred, that is placed after the jobs that are on time, only until it is overdue by this much.
+     * From then on it is ordered by its due time again, so that it does not starve.
      */
     private static final Duration MAX_DEFERRAL = Duration.ofMinutes(10);
-    /** The time limit by which jobs without a deadline and without an objective are ordered among the other jobs. */
+    /**
+     * The assumed time limit of a job that has neither a deadline nor an objective. It affects only the order of jobs.
+     */
     private static final Duration DEFAULT_TIME_LIMIT = Duration.ofMinutes(5);
 
     private final Map<String, Duration> timeLimitByJobClass = new HashMap<>();
@@ -46,8 +48,8 @@
     }
 
     /**
-     * Returns the time from submission within which the job should complete, or null if it has neither a deadline nor an
-     * objective.
+     * Returns the time from submission within which the job should complete, or null if it has neither a deadline nor
+     * an objective.
      */
     private Duration timeLimit(JobRecord job) {
         Duration deadline = job.request().deadline();
@@ -59,8 +61,8 @@
     }
 
     /**
-     * Returns the time of day at which the job is due. A job without a time limit is due after a default limit, which only
-     * orders it among the other jobs.
+     * Returns the time of day at which the job is due. For a job that has neither a deadline nor an objective, the
+     * default time limit is assumed.
      */
     public Instant dueAt(JobRecord job) {
         Duration timeLimit = timeLimit(job);
@@ -68,11 +70,15 @@
     }
 
     /**
-     * Returns whether a task started now would end after the job is due. Such jobs are placed after the jobs that can still
-     * complete in time: in an overload, an order by due time alone would put late jobs first and so make all others late
-     * too.
+     * Returns whether the job is placed after the jobs that can still complete in time. This is the case if a task
+     * started now would end after the job is due, even if it ran for only {@link #MIN_FRACTION_OF_ESTIMATE} of the
+     * estimated time. It is never the case for a job that has neither a deadline nor an objective, or that is overdue
+     * by {@link #MAX_DEFERRAL} or more.
+     *
+     * <p>Without the deferral, an order by due time alone would put late jobs first in an overload, and so make all
+     * other jobs late too.
      */
-    public boolean willMissDeadline(JobRecord job, Instant timeOfDay) {
+    public boolean isDeferredAsLate(JobRecord job, Instant timeOfDay) {
         if (timeLimit(job) == null) {
             return false;
         }
--- a/src/main/java/org/gullway/coordination/scheduling/JobBackoff.java
+++ b/src/main/java/org/gullway/coordination/scheduling/JobBackoff.java
@@ -8,9 +8,9 @@
 import org.gullway.coordination.model.JobRecord;
 
 /**
- * Exponential back-off for jobs whose attempts fail repeatedly, so that a job that fails on every machine does not occupy
- * the fleet. The number of consecutive errors is part of the job's record; the end of the delay is kept only in the memory
- * of this controller.
+ * Exponential back-off for jobs whose attempts fail repeatedly, so that a job that fails on every machine does not
+ * occupy the fleet. The number of consecutive errors is part of the job's record; the end of the delay is kept only in
+ * the memory of this controller, so after a restart or on another controller the delay starts anew.
  */
 public final class JobBackoff {
     private static final int ERRORS_WITHOUT_DELAY = 3;
@@ -21,7 +21,10 @@
 
     private record Delay(int errors, Instant until) {}
 
-    /** Returns whether the job must wait before its next start, because several consecutive attempts ended in errors. */
+    /**
+     * Returns whether no task of the job may start now, because several consecutive attempts ended in errors. The delay
+     * starts with the first call after the number of errors has changed.
+     */
     public boolean isBackedOff(JobRecord job, Instant now) {
         String id = job.request().id();
         if (job.consecutiveErrors() <= ERRORS_WITHOUT_DELAY) {
--- a/src/main/java/org/gullway/coordination/scheduling/JobPlacementPlan.java
+++ b/src/main/java/org/gullway/coordination/scheduling/JobPlacementPlan.java
@@ -38,7 +38,7 @@
      *
      * @return false if no task remains, the quota or the transaction does not allow another one, or none fits
      */
-    boolean placeOneTask() {
+    boolean planOneTask() {
         Transaction transaction = context.transaction();
         if (remainingTasks == 0
                 || (planned.isEmpty() && transaction.placeableTasks(job) == 0)
--- a/src/main/java/org/gullway/coordination/scheduling/MachineWindow.java
+++ b/src/main/java/org/gullway/coordination/scheduling/MachineWindow.java
@@ -5,8 +5,8 @@
 import org.gullway.coordination.model.MachineRecord;
 
 /**
- * Sliding window over the machines of a large fleet. Each call returns the machines that follow the previous window,
- * because planning over every task of all machines at once would take seconds.
+ * Sliding window over the machines of a large fleet. Planning over the tasks of all machines at once would take
+ * seconds, so each planning run considers only one window, and the next run continues after it.
  */
 final class MachineWindow {
     /** The size of the window. A fleet with more machines counts as large. */
--- a/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
@@ -17,7 +17,10 @@
 
 /** Keeps the resource offers received from peers and creates the offers to be sent to peers. */
 final class PeerOffers {
-    /** The minimum time between two rounds of offers for this controller's machines. One message offers many machines. */
+    /**
+     * The minimum time between two rounds of offers for this controller's machines. In one round each peer gets at most
+     * one message, which offers many machines.
+     */
     private static final Duration SEND_INTERVAL = Duration.ofMillis(500);
 
     private static final double MIN_OFFERED_CPUS = 1;
@@ -57,8 +60,8 @@
     }
 
     /**
-     * Moves the received offers into the given map and drops those that are no longer valid: expired offers, and offers of
-     * machines that are gone, do not accept tasks, or have an agent of another epoch.
+     * Moves the received offers into the given map and drops those that are no longer valid: expired offers, and offers
+     * of machines that are gone, do not accept tasks, or have an agent of another epoch.
      */
     void drainTo(Map<MachineRecord, ResourceOffer> offerByMachine, Instant now) {
         for (ReceivedOffer received : receivedByMachine.values()) {
@@ -83,7 +86,10 @@
         sentAt = now;
     }
 
-    /** Offers each machine that still has enough free CPUs to a random peer that has not been offered it yet. */
+    /**
+     * Offers each machine that still has enough free CPUs to a random peer that has not been offered it yet. Each peer
+     * gets at most {@link ResourceOffer#MAX_PER_MESSAGE} offers; further machines are not offered to it in this round.
+     */
     List<OutgoingOffers> outgoing(Map<MachineRecord, ResourceOffer> offerByMachine, Transaction transaction) {
         Map<String, List<ResourceOffer>> offersByPeer = new TreeMap<>();
         offerByMachine.forEach((machine, offer) -> {
--- a/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
@@ -20,11 +20,11 @@
 import org.gullway.protocol.MachineType;
 
 /**
- * Plans the preemption of tasks on a set of machines, so that waiting tasks fit there. Resources of tasks that are already
- * stopping count as free, so that repeated planning does not preempt again for the same waiting task.
+ * Plans the preemption of tasks on a set of machines, so that waiting tasks fit there. Resources of tasks that are
+ * already stopping count as free, so that repeated planning does not preempt again for the same waiting task.
  */
 final class PreemptionPlanner {
-    /** Weight of the work of a job that will miss its deadline anyway, compared with a job that can complete in time. */
+    /** The weight of the work of a job that is deferred as late, compared with 1 for the work of other jobs. */
     private static final double LATE_JOB_WEIGHT = 0.3;
 
     private final ClusterState clusterState;
@@ -90,7 +90,7 @@
      *
      * @param tasks the number of tasks that need resources
      * @param preemptible selects the jobs whose tasks may be preempted
-     * @return whether resources were found for all of the tasks
+     * @return false if the resources or the capacity of the transaction did not suffice for all of the tasks
      */
     boolean preemptFor(JobRecord job, int tasks, Predicate<JobRecord> preemptible) {
         if (tasks == 0) {
@@ -134,8 +134,8 @@
     }
 
     /**
-     * Adds an option for one more task on this machine, if it can fit there. Victims are taken in order of increasing loss
-     * until the task fits.
+     * Adds an option for one more task on this machine, if it can fit there. Victims are taken in order of increasing
+     * loss until the task fits.
      */
     private void addOption(
             JobRecord job,
@@ -175,8 +175,9 @@
     }
 
     /**
-     * Returns the weighted CPU seconds of work that preemption would lose: the run time since the placement, or for jobs
-     * with checkpoints at most the time that saving a checkpoint takes.
+     * Returns the weighted CPU seconds that preemption would lose. The lost time is the time since the placement; for
+     * jobs with checkpoints it is at most the time that saving a checkpoint takes. One second is added, so that the
+     * loss of a task that has just started is not zero and still depends on its CPUs.
      */
     private double loss(JobRecord job, Placement placement) {
         Duration runTime = Duration.between(placement.placedAt(), transaction.timeOfDay());
@@ -184,7 +185,7 @@
         if (job.request().hasCheckpoints()) {
             seconds = Math.min(seconds, job.request().checkpointTime().toMillis() / 1000.0);
         }
-        double weight = deadlines.willMissDeadline(job, transaction.timeOfDay()) ? LATE_JOB_WEIGHT : 1;
+        double weight = deadlines.isDeferredAsLate(job, transaction.timeOfDay()) ? LATE_JOB_WEIGHT : 1;
         return (1 + seconds) * job.request().cpus() * weight;
     }
 }
--- a/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
@@ -27,11 +27,14 @@
  * cordons machines.
  */
 public final class ReservedScheduler implements PlanningStep {
-    /** The minimum time between preemptions in a large fleet, where planning them considers thousands of tasks. */
+    /**
+     * The minimum time between two runs of preemption and cordon planning in a large fleet, where a run considers
+     * thousands of tasks.
+     */
     private static final Duration PREEMPTION_INTERVAL = Duration.ofMillis(500);
     /**
-     * The number of jobs that preemption may fail for in one cycle. After that, no preemption is attempted for the remaining
-     * jobs; machines are cordoned for them instead.
+     * The number of jobs that preemption may fail for in one cycle. After that, no preemption is attempted for the
+     * remaining jobs; machines are cordoned for them instead.
      */
     private static final int MAX_UNSATISFIED_JOBS = 8;
 
@@ -194,6 +197,10 @@
                 other -> !other.isReserved() && other.request().priority().compareTo(priority) > 0);
     }
 
+    /**
+     * Returns whether tasks are still stopping on the machine. Its cordon is kept until they have ended, so that
+     * best-effort tasks do not take the released resources.
+     */
     private boolean hasStoppingTasks(String machine) {
         return clusterState.placementsOn(machine).values().stream().anyMatch(Placement::stopping);
     }
--- a/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
@@ -18,13 +18,17 @@
 import org.gullway.protocol.Settings;
 
 /**
- * Restricts jobs of the scavenger class (the lowest priority) to leftover resources. Their tasks start only while no best-effort job of higher
- * priority waits, leave a reserve of free CPUs for reserved jobs, and are preempted when a best-effort job of higher
- * priority waits.
+ * Restricts jobs of the scavenger class ({@link Priority#IDLE}) to leftover resources: limits the CPUs that their tasks
+ * may use, and preempts their tasks for best-effort jobs of higher priority. Scavenger tasks start only while no
+ * best-effort job of higher priority waits, and they leave a reserve of free CPUs for reserved jobs. The exception is a
+ * stalled scavenger job, which gets one task like any other stalled job. {@link BestEffortPlacement} places the tasks.
  */
 public final class ScavengerScheduler implements PlanningStep {
     private static final Duration PREEMPTION_INTERVAL = Duration.ofSeconds(1);
-    /** A job has to wait this long before tasks are preempted for it; most jobs are placed earlier without preemption. */
+    /**
+     * A best-effort job of higher priority has to wait this long before it holds back scavenger tasks and before
+     * scavenger tasks are preempted for it. Most jobs are placed earlier without preemption.
+     */
     private static final Duration MIN_WAIT = Duration.ofSeconds(2);
 
     private static final int MAX_JOBS_PER_CYCLE = 8;
@@ -38,7 +42,7 @@
     private final MachineWindow window = new MachineWindow();
     private Instant preemptedAt = Instant.MIN;
 
-    /** @param reserveFraction the CPUs to keep free for reserved jobs, as a fraction of the CPUs that these jobs now use */
+    /** @param reserveFraction the CPUs to keep free for reserved jobs, as a fraction of the CPUs that these jobs use */
     public ScavengerScheduler(SchedulingContext context, double reserveFraction) {
         this.clusterState = context.clusterState();
         this.constraints = context.constraints();
@@ -53,8 +57,9 @@
     }
 
     /**
-     * Returns the number of free CPUs that scavenger tasks may use now, which is 0 while a best-effort job of higher
-     * priority waits.
+     * Returns the number of free CPUs that scavenger tasks may use now. The result is 0 while a best-effort job of
+     * higher priority has waited longer than {@link #MIN_WAIT}, although it is not backed off and its quota allows more
+     * tasks.
      */
     double availableCpus(Transaction transaction, Instant now) {
         if (!waitingJobsOfHigherPriority(transaction, now).isEmpty()) {
@@ -72,8 +77,8 @@
     }
 
     /**
-     * Preempts as many scavenger tasks as the waiting best-effort jobs of higher priority can use. Only the leader calls this
-     * method.
+     * Preempts as many scavenger tasks as the waiting best-effort jobs of higher priority can use. Only the leader
+     * calls this method.
      */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
@@ -104,8 +109,8 @@
     }
 
     /**
-     * Returns the best-effort jobs outside the scavenger class that have waited for some time although their quota allows
-     * more tasks, the oldest first.
+     * Returns the best-effort jobs outside the scavenger class that have waited longer than {@link #MIN_WAIT}, although
+     * they are not backed off and their quota allows more tasks. The oldest job comes first.
      */
     private List<JobRecord> waitingJobsOfHigherPriority(Transaction transaction, Instant now) {
         List<JobRecord> waiting = new ArrayList<>();
--- a/src/main/java/org/gullway/coordination/scheduling/StalledJobPlacement.java
+++ b/src/main/java/org/gullway/coordination/scheduling/StalledJobPlacement.java
@@ -15,8 +15,8 @@
 import org.gullway.coordination.quota.TeamQuotas;
 
 /**
- * Places one task of each stalled job before any other task. A job is stalled if it was accepted long ago and none of its
- * tasks is placed. Without this step small tasks of other jobs would take every released resource, and a job with large
+ * Places one task of each stalled job before any other task. See {@link JobRecord#isStalledAt} for the jobs that count
+ * as stalled. Without this step small tasks of other jobs would take every released resource, and a job with large
  * tasks would starve.
  */
 final class StalledJobPlacement {
@@ -33,12 +33,14 @@
     }
 
     /**
-     * Places one task of each stalled job on the given machines or on cordoned ones.
+     * Places one task of each stalled job on the given machines or on cordoned ones. Further stalled jobs of a team
+     * that has become blocked are skipped.
      *
      * @param stalledJobs the stalled jobs in {@link JobRecord#STALLED_ORDER}, which puts jobs without a
      *     completed task first, then large tasks before small ones
-     * @return the teams whose other jobs must not start tasks now: the team's quota partition is large enough for a task of
-     *     a stalled job, but too much of it is in use, and further small tasks would keep it in use
+     * @return the blocked teams: teams that have enough allocated quota for a task of a stalled job, but too little of
+     *     it unused. Tasks of other jobs of such a team, except scavenger jobs, must not start now, because they would
+     *     delay the stalled job further.
      */
     Set<String> place(Transaction transaction, Collection<MachineRecord> machines, List<JobRecord> stalledJobs) {
         Set<String> blockedTeams = new HashSet<>();
@@ -60,8 +62,8 @@
     }
 
     /**
-     * Adds the cordoned machines, whichever controller commands their agents: the leader chooses machines for stalled jobs
-     * from the whole fleet.
+     * Adds the cordoned machines, whichever controller commands their agents: the leader chooses machines for stalled
+     * jobs from the whole fleet.
      */
     private List<MachineRecord> withCordoned(Collection<MachineRecord> machines) {
         List<MachineRecord> all = new ArrayList<>(machines);
--- a/src/main/java/org/gullway/coordination/scheduling/TeamRoundRobin.java
+++ b/src/main/java/org/gullway/coordination/scheduling/TeamRoundRobin.java
@@ -17,8 +17,8 @@
 import org.gullway.coordination.quota.TeamQuotas;
 
 /**
- * Places tasks of waiting jobs round-robin across teams, one task per turn, until no further task fits. The order of the
- * teams carries over from one pass to the next, so that all teams get the same number of turns.
+ * Places tasks of waiting jobs round-robin across teams, one task per turn, until no further task fits. The order of
+ * the teams carries over from one pass to the next, so that all teams get the same number of turns.
  */
 final class TeamRoundRobin {
     private final TeamQuotas quotas;
@@ -56,7 +56,7 @@
         while (placedAny) {
             placedAny = false;
             for (String team : List.copyOf(teams)) {
-                if (pass.placeOneTaskOf(team)) {
+                if (pass.planOneTaskOf(team)) {
                     placedAny = true;
                     teams.remove(team);
                     teams.add(team);
@@ -96,17 +96,18 @@
         }
 
         /**
-         * Takes one turn of the team: places one task of the team's first job that has a task which fits.
+         * Takes one turn of the team: plans one task of the team's first job that can still get one. Jobs that cannot
+         * get another task are removed, and their planned placements are recorded in the transaction.
          *
-         * @return false if no task of the team fits
+         * @return false if no further task of the team can be placed in this pass
          */
-        boolean placeOneTaskOf(String team) {
+        boolean planOneTaskOf(String team) {
             Deque<JobRecord> jobs = waitingByTeam.get(team);
             while (jobs != null && !jobs.isEmpty()) {
                 JobRecord job = jobs.peek();
                 JobPlacementPlan plan = planByJob.computeIfAbsent(
                         job.request().id(), id -> new JobPlacementPlan(job, context, quotas, bestFit, maxTasksPerJob));
-                if (job.request().cpus() <= remainingCpus && plan.placeOneTask()) {
+                if (job.request().cpus() <= remainingCpus && plan.planOneTask()) {
                     remainingCpus -= job.request().cpus();
                     return true;
                 }
--- a/src/test/java/org/gullway/coordination/placement/InfeasibleRequestsTest.java
+++ b/src/test/java/org/gullway/coordination/placement/InfeasibleRequestsTest.java
@@ -78,11 +78,11 @@
     }
 
     /**
-     * Guards against false positives: a request that is reported as infeasible although a machine fits it would leave its
+     * Guards against false positives: reporting a request as infeasible although it fits on a machine would leave its
      * job waiting although resources are free.
      */
     @Property(tries = 1000, seed = "21")
-    void onlyRequestsThatFitNoMachineAreKnownInfeasible(
+    void knownInfeasibleRequestsFitOnNoMachine(
             @ForAll("machines") List<Machine> machines,
             @ForAll List<@From("requests") JobRequest> others,
             @ForAll("requests") JobRequest request) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** A request with zone constraints is not recorded, because it may still fit later in the same cycle. */
+    /** A request with zone constraints is not recorded, because the same request of another job may still fit. */
     @Property(tries = 200, seed = "22")
     void theSameRequestIsKnownInfeasibleUnlessItConstrainsZones(@ForAll("requests") JobRequest request) {
         InfeasibleRequests infeasibleRequests = new InfeasibleRequests();
--- a/src/test/java/org/gullway/coordination/quota/TeamQuotasTest.java
+++ b/src/test/java/org/gullway/coordination/quota/UnlimitedQuotaTest.java
@@ -18,18 +18,18 @@
 import org.gullway.protocol.Settings;
 import org.junit.jupiter.api.Test;
 
-class TeamQuotasTest {
+class UnlimitedQuotaTest {
     private final MachineTypeCatalog machineTypes = new MachineTypeCatalog();
     private final TeamQuotas quotas = new TeamQuotas(
             Map.of("red", new Settings.Team("red", 16, 32, 0, 0), "guest", new Settings.Team("guest", 0, 0, 0, 0)));
 
-    TeamQuotasTest() {
+    UnlimitedQuotaTest() {
         machineTypes.update(List.of(TestFixtures.type("small", 16), TestFixtures.type("large", 32)));
     }
 
     /** A quota of 0 in the settings means no limit; it must not be read as a limit of zero, which rejects every job. */
     @Test
-    void jobsOfATeamWithoutQuotaAreFeasibleIfATaskFitsAMachineType() {
+    void jobsWithUnlimitedQuotaAreFeasibleIfATaskFitsOnAMachineType() {
         assertThat(new JobFeasibility(machineTypes, quotas)
                         .isFeasible(TestFixtures.request("run-000001", "guest", Priority.IDLE, 25_000, 32)))
                 .isTrue();
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aTeamWithoutQuotaGetsPartitionsForItsDemand() {
+    void teamWithUnlimitedQuotaGetsPartitionsForItsDemand() {
         ClusterState clusterState = new ClusterState();
         clusterState.put(StoreKeys.member(TestFixtures.SELF.node()), TestFixtures.SELF, 1);
         clusterState.put(StoreKeys.member(TestFixtures.PEER.node()), TestFixtures.PEER, 2);
--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -48,6 +48,7 @@
         TestFixtures.put(clusterState, machine, 10);
     }
 
+    /** Accepts a job, which is due at an age of 80 s and stalled above 100 s if none of its tasks is placed. */
     private void accept(String id, String team, String owner, int tasks, long ageSeconds, long version) {
         clusterState.put(
                 StoreKeys.job(id),
@@ -79,7 +80,7 @@
     }
 
     @Test
-    void teamWithinItsGuaranteedQuotaIsServedFirst() {
+    void teamWithinItsGuaranteedQuotaIsPlacedFirst() {
         accept("run-000001", "red", "perch-0", 9, 9, 11);
         accept("run-000002", "blue", "perch-0", 4, 1, 12);
         Transaction transaction = schedule();
@@ -88,7 +89,7 @@
     }
 
     @Test
-    void jobsInTimeAreServedBeforeLateJobs() {
+    void jobsOnTimeArePlacedBeforeLateJobs() {
         JobRecord lateJob = TestFixtures.placed(
                 JobRecord.accepted(
                         TestFixtures.request("run-000001", "red", Priority.NORMAL, 5, 4),
@@ -116,7 +117,7 @@
         assertThat(transaction.job("run-000002").livePlacements()).hasSize(3);
     }
 
-    /** The owner of a stalled job uses the machine that the leader cordoned for it, even if a peer commands its agent. */
+    /** The owner of a stalled job uses the machine that the leader cordoned for it, even one of a peer. */
     @Test
     void aStalledJobUsesTheMachineCordonedForIt() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.PEER), 11);
--- a/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void takesTheFullestMachineThatFits() {
+    void prefersTheFullestMachine() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "small", TestFixtures.PEER), 11);
         accept("run-000001", "red", Priority.HIGH, 1, 4, 12);
@@ -88,7 +88,7 @@
         assertThat(transaction.changes()).containsEntry(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-1")));
     }
 
-    /** Guards against starvation: small tasks would otherwise take all released resources before a large task could start. */
+    /** Guards against starvation: small tasks would otherwise take all released resources before a large task. */
     @Test
     void cordonsAMachineForTheLargeTaskOfAStalledBestEffortJob() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "small", TestFixtures.SELF), 10);
@@ -104,7 +104,7 @@
         assertThat(transaction.changes()).containsEntry(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-2")));
     }
 
-    /** Guards against a transaction that both ends a job and places its tasks, which would run after the final state. */
+    /** Guards against a transaction that both ends a job and places tasks, which would run after the job ended. */
     @Test
     void doesNotPlaceAJobThatTheSameTransactionCancels() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
