--- a/src/main/java/org/gullway/coordination/cycle/CycleSteps.java
+++ b/src/main/java/org/gullway/coordination/cycle/CycleSteps.java
@@ -45,7 +45,10 @@
             boolean isLast = completed + 1 == steps.size();
             if (!isLast && clock.instant().isAfter(deadline)) {
                 nextStep = (nextStep + completed + 1) % steps.size();
-                LOG.debug("scheduling cycle exceeded its time budget last_step={}", step.name());
+                LOG.debug(
+                        "scheduling cycle exceeded its time budget last_step={} budget_ms={}",
+                        step.name(),
+                        budget.toMillis());
                 return;
             }
         }
