--- a/src/main/java/org/gullway/coordination/scheduling/DeadlinePolicy.java
+++ b/src/main/java/org/gullway/coordination/scheduling/DeadlinePolicy.java
@@ -35,8 +35,8 @@
         for (Settings.Objective objective : objectives) {
             if (objective.kind().equals(COMPLETION_OBJECTIVE)
                     && objective.jobClass() != null
-                    && objective.within() != null) {
-                timeLimitByJobClass.merge(objective.jobClass(), objective.within(), DeadlinePolicy::shorter);
+                    && objective.timeLimit() != null) {
+                timeLimitByJobClass.merge(objective.jobClass(), objective.timeLimit(), DeadlinePolicy::shorter);
             }
         }
     }
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -61,8 +61,8 @@
         }
     }
 
-    /** A service-level objective for one class of jobs; {@code within} is null where it has none. */
-    public record Objective(String kind, String jobClass, Duration within) {}
+    /** A service-level objective for one class of jobs; {@code timeLimit} is null where it has none. */
+    public record Objective(String kind, String jobClass, Duration timeLimit) {}
 
     /**
      * Reads the TOML file of the platform.
--- a/src/test/java/org/gullway/protocol/GoldenSettingsTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenSettingsTest.java
@@ -46,7 +46,7 @@
                         team.gpusLimit())));
         read.objectives()
                 .forEach(objective ->
-                        lines.add(GoldenFile.line(objective.kind(), objective.jobClass(), objective.within())));
+                        lines.add(GoldenFile.line(objective.kind(), objective.jobClass(), objective.timeLimit())));
         GOLDEN.checkText("settings.read", String.join("\n", lines));
     }
 
