--- a/src/main/java/org/gullway/controller/AgentComponents.java
+++ b/src/main/java/org/gullway/controller/AgentComponents.java
@@ -38,7 +38,7 @@
                 environment.self(),
                 cancellationEnforcer,
                 settings.cancellationLimit(),
-                settings.workerLease());
+                settings.agentLease());
         CancellationWatermark cancellationWatermark = new CancellationWatermark(clusterState, zoneByPeer.keySet());
         return new AgentComponents(
                 reconciler, completionBuffer, cancellationEnforcer, cancellationWatermark, leaseRenewal);
--- a/src/main/java/org/gullway/controller/ReplicatedStateFactory.java
+++ b/src/main/java/org/gullway/controller/ReplicatedStateFactory.java
@@ -37,7 +37,7 @@
 
     private static Duration watchWait(Settings settings) {
         Duration wait =
-                settings.cancellationLimit().minus(settings.workerLease()).dividedBy(WATCHES_PER_RENEWAL_WINDOW);
+                settings.cancellationLimit().minus(settings.agentLease()).dividedBy(WATCHES_PER_RENEWAL_WINDOW);
         if (wait.compareTo(MAX_WATCH_WAIT) > 0) {
             return MAX_WATCH_WAIT;
         }
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -27,7 +27,7 @@
         Map<String, Team> teams,
         List<Objective> objectives,
         Duration heartbeatInterval,
-        Duration workerLease,
+        Duration agentLease,
         Duration cancellationLimit,
         double stateRequestsPerSecond,
         double stateChangesPerSecond,
--- a/src/test/java/org/gullway/protocol/FormatsTest.java
+++ b/src/test/java/org/gullway/protocol/FormatsTest.java
@@ -264,7 +264,7 @@
     @Test
     void settingsAreRead() throws Exception {
         Settings read = settings(SETTINGS);
-        assertThat(read.workerLease()).isEqualTo(Duration.ofSeconds(32));
+        assertThat(read.agentLease()).isEqualTo(Duration.ofSeconds(32));
         assertThat(read.peers()).containsExactly(new Settings.Peer("perch-1", "a", "10.0.0.2:8081"));
         assertThat(read.teams()).containsKey("red");
     }
--- a/src/test/java/org/gullway/protocol/GoldenSettingsTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenSettingsTest.java
@@ -24,7 +24,7 @@
                 read.cloudAddress(),
                 read.stateAddress(),
                 read.heartbeatInterval(),
-                read.workerLease(),
+                read.agentLease(),
                 read.cancellationLimit(),
                 read.stateRequestsPerSecond(),
                 read.stateChangesPerSecond(),
