--- a/src/main/java/org/gullway/protocol/MessageFields.java
+++ b/src/main/java/org/gullway/protocol/MessageFields.java
@@ -143,7 +143,7 @@
     }
 
     /** The fields of a map within this one; errors name the path to them. */
-    public MessageFields inner(String name) throws MalformedMessageException {
+    public MessageFields nested(String name) throws MalformedMessageException {
         JsonNode node = required(name);
         if (!node.isObject()) {
             throw wrong(name, "a map");
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -86,13 +86,13 @@
     static Settings of(JsonNode tree) throws MalformedMessageException {
         MessageFields top = MessageFields.of(tree);
         List<Peer> peers = peers(top);
-        MessageFields external = top.inner("external");
-        MessageFields facts = top.inner("facts");
+        MessageFields external = top.nested("external");
+        MessageFields facts = top.nested("facts");
         Map<String, Team> teams = teams(facts);
         List<Objective> objectives = objectives(facts);
-        MessageFields workers = facts.inner("workers");
-        MessageFields state = facts.inner("state");
-        MessageFields cloud = facts.inner("cloud");
+        MessageFields workers = facts.nested("workers");
+        MessageFields state = facts.nested("state");
+        MessageFields cloud = facts.nested("cloud");
         return new Settings(
                 top.text("node_name"),
                 top.text("site"),
@@ -112,7 +112,7 @@
                 atLeastOne(state, "txn_ops"),
                 cloud.positive("rps"),
                 cloud.seconds("list_lag_s"),
-                atLeastOne(facts.inner("quota"), "sockets"));
+                atLeastOne(facts.nested("quota"), "sockets"));
     }
 
     private static List<Peer> peers(MessageFields top) throws MalformedMessageException {
--- a/src/main/java/org/gullway/storage/MachineShardFormat.java
+++ b/src/main/java/org/gullway/storage/MachineShardFormat.java
@@ -57,7 +57,7 @@
     @Override
     public MachineShard decode(String id, JsonNode value) throws MalformedMessageException {
         MessageFields fields = MessageFields.of(value);
-        Incarnation controller = IncarnationFormat.fromFields(fields.inner("controller"));
+        Incarnation controller = IncarnationFormat.fromFields(fields.nested("controller"));
         long fencingToken = fields.count("epoch");
         List<MachineRecord> machines = new ArrayList<>();
         for (JsonNode machine : value.path("machines")) {
