--- a/src/main/java/org/gullway/api/LinearizableResponses.java
+++ b/src/main/java/org/gullway/api/LinearizableResponses.java
@@ -115,7 +115,7 @@
     private String describe(JobLookupResult result, UserRequest request) {
         ReadFreshness freshness = result.freshness();
         Instant now = loop.now();
-        String state = result instanceof Found found ? found.status().state().wire() : "not_found";
+        String state = result instanceof Found found ? found.status().state().wireName() : "not_found";
         String age = freshness.source() == ReadFreshness.Source.FINAL_STATE
                 ? ""
                 : " revision=" + freshness.revision() + " state_age_ms=" + millis(freshness.validFrom(), now);
--- a/src/main/java/org/gullway/api/UserResponses.java
+++ b/src/main/java/org/gullway/api/UserResponses.java
@@ -18,7 +18,7 @@
     static byte[] encodeState(JobStatus status) {
         return Cbor.encode(Cbor.map()
                 .put("name_id", status.id())
-                .put("tide", status.state().wire()));
+                .put("tide", status.state().wireName()));
     }
 
     /** The reason of a rejection. */
--- a/src/main/java/org/gullway/protocol/JobRequest.java
+++ b/src/main/java/org/gullway/protocol/JobRequest.java
@@ -50,8 +50,8 @@
         /** Tasks that run until the job is cancelled. */
         SERVICE;
 
-        static Shape of(String wire) throws MalformedMessageException {
-            return switch (wire) {
+        static Shape of(String wireName) throws MalformedMessageException {
+            return switch (wireName) {
                 case "array" -> ARRAY;
                 case "gang" -> GANG;
                 case "service" -> SERVICE;
@@ -59,7 +59,7 @@
             };
         }
 
-        String wire() {
+        String wireName() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
@@ -142,8 +142,8 @@
         node.put("name_id", id)
                 .put("herd", jobClass)
                 .put("crew", team)
-                .put("shape", shape.wire())
-                .put("rank", priority.wire())
+                .put("shape", shape.wireName())
+                .put("rank", priority.wireName())
                 .put("legs", tasks)
                 .put("cpus", cpus)
                 .put("cards", gpus)
--- a/src/main/java/org/gullway/protocol/JobState.java
+++ b/src/main/java/org/gullway/protocol/JobState.java
@@ -7,14 +7,14 @@
     DONE("done"),
     CANCELLED("aborted");
 
-    private final String wire;
+    private final String wireName;
 
-    JobState(String wire) {
-        this.wire = wire;
+    JobState(String wireName) {
+        this.wireName = wireName;
     }
 
-    public String wire() {
-        return wire;
+    public String wireName() {
+        return wireName;
     }
 
     public boolean isFinal() {
@@ -22,12 +22,12 @@
     }
 
     /** The state with this name in the protocol. */
-    public static JobState of(String wire) throws MalformedMessageException {
+    public static JobState of(String wireName) throws MalformedMessageException {
         for (JobState state : values()) {
-            if (state.wire.equals(wire)) {
+            if (state.wireName.equals(wireName)) {
                 return state;
             }
         }
-        throw new MalformedMessageException("unknown job state " + wire);
+        throw new MalformedMessageException("unknown job state " + wireName);
     }
 }
--- a/src/main/java/org/gullway/protocol/JobStatus.java
+++ b/src/main/java/org/gullway/protocol/JobStatus.java
@@ -8,7 +8,7 @@
     public ObjectNode toNode() {
         return Cbor.map()
                 .put("name_id", id)
-                .put("tide", state.wire())
+                .put("tide", state.wireName())
                 .put("done", done)
                 .put("running", running);
     }
--- a/src/main/java/org/gullway/protocol/Priority.java
+++ b/src/main/java/org/gullway/protocol/Priority.java
@@ -9,8 +9,8 @@
     NORMAL,
     IDLE;
 
-    static Priority of(String wire) throws MalformedMessageException {
-        return switch (wire) {
+    static Priority of(String wireName) throws MalformedMessageException {
+        return switch (wireName) {
             case "prod" -> PROD;
             case "high" -> HIGH;
             case "normal" -> NORMAL;
@@ -19,7 +19,7 @@
         };
     }
 
-    String wire() {
+    String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/org/gullway/protocol/TaskStatus.java
+++ b/src/main/java/org/gullway/protocol/TaskStatus.java
@@ -9,8 +9,8 @@
         SAVING,
         ENDED;
 
-        static Phase of(String wire) {
-            return switch (wire) {
+        static Phase of(String wireName) {
+            return switch (wireName) {
                 case "fetching", "gathering" -> FETCHING;
                 case "saving" -> SAVING;
                 case "ended" -> ENDED;
@@ -30,8 +30,8 @@
         UNKNOWN_JOB,
         OTHER;
 
-        static Cause of(String wire) {
-            return switch (wire) {
+        static Cause of(String wireName) {
+            return switch (wireName) {
                 case "done" -> DONE;
                 case "halted" -> STOPPED;
                 case "error" -> ERROR;
--- a/src/main/java/org/gullway/storage/FinalStateFormat.java
+++ b/src/main/java/org/gullway/storage/FinalStateFormat.java
@@ -14,7 +14,7 @@
     @Override
     public ObjectNode encode(FinalState finalState) {
         return Cbor.map()
-                .put("state", finalState.state().wire())
+                .put("state", finalState.state().wireName())
                 .put("tasks", finalState.tasks())
                 .put("done", finalState.done());
     }
--- a/src/test/java/org/gullway/api/GoldenResponsesTest.java
+++ b/src/test/java/org/gullway/api/GoldenResponsesTest.java
@@ -12,7 +12,8 @@
     @Test
     void responseBodiesAreUnchanged() {
         for (JobState state : JobState.values()) {
-            GOLDEN.check("state-" + state.wire(), UserResponses.encodeState(new JobStatus("run-000412", state, 3, 2)));
+            GOLDEN.check(
+                    "state-" + state.wireName(), UserResponses.encodeState(new JobStatus("run-000412", state, 3, 2)));
         }
         GOLDEN.check("error", UserResponses.encodeError("herd is missing"));
     }
--- a/src/test/java/org/gullway/api/JobLookupTest.java
+++ b/src/test/java/org/gullway/api/JobLookupTest.java
@@ -54,7 +54,7 @@
 
     private static String describe(JobLookupResult result) {
         return result instanceof JobLookupResult.Found found
-                ? found.status().state().wire()
+                ? found.status().state().wireName()
                 : "not found";
     }
 
--- a/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -61,8 +61,8 @@
     @Test
     void statesKeepTheirBytes() throws MalformedMessageException {
         for (JobState state : JobState.values()) {
-            GOLDEN.check("status-" + state.wire(), Cbor.encode(new JobStatus("run-000412", state, 3, 2).toNode()));
-            assertThat(JobState.of(state.wire())).isEqualTo(state);
+            GOLDEN.check("status-" + state.wireName(), Cbor.encode(new JobStatus("run-000412", state, 3, 2).toNode()));
+            assertThat(JobState.of(state.wireName())).isEqualTo(state);
         }
     }
 
--- a/src/test/java/org/gullway/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenRecordsTest.java
@@ -138,7 +138,7 @@
         samples.add(new Sample("closed-empty", StoreKeys.CORDONED, new CordonedMachines(new LinkedHashSet<>())));
         for (JobState state : JobState.values()) {
             samples.add(new Sample(
-                    "ended-" + state.wire(), StoreKeys.finalState("run-000412"), new FinalState(state, 300, 17)));
+                    "ended-" + state.wireName(), StoreKeys.finalState("run-000412"), new FinalState(state, 300, 17)));
         }
         return samples.stream();
     }
