--- a/src/main/java/org/gullway/peer/CancellationExchange.java
+++ b/src/main/java/org/gullway/peer/CancellationExchange.java
@@ -38,7 +38,7 @@
 
     /** Responds with the known cancellations that the request does not name. */
     void respond(HttpExchange exchange) throws MalformedMessageException {
-        Set<String> knownToPeer = PeerCancellations.decodeKnown(exchange.body());
+        Set<String> knownToPeer = PeerCancellations.decodeKnownJobs(exchange.body());
         List<PeerCancellations.CancelledJob> unknownToPeer = cancellationEnforcer.knownCancellations().stream()
                 .filter(job -> !knownToPeer.contains(job.id()))
                 .toList();
@@ -47,7 +47,7 @@
 
     /** Asks all peers for cancellations that are not known here. */
     void poll(Instant now) {
-        byte[] known = PeerCancellations.encodeKnown(cancellationEnforcer.knownCancellations().stream()
+        byte[] known = PeerCancellations.encodeKnownJobs(cancellationEnforcer.knownCancellations().stream()
                 .map(PeerCancellations.CancelledJob::id)
                 .toList());
         client.queryCancellations(known, (peer, response) -> onResponse(peer, now, response));
@@ -64,7 +64,7 @@
             cancellations.jobs().forEach(job -> cancellationEnforcer.merge(job, loop.now()));
             if (cancellations.complete()) {
                 cancellationWatermark.advance(
-                        new Incarnation(cancellations.node(), cancellations.number()), requestedAt);
+                        new Incarnation(cancellations.node(), cancellations.incarnationNumber()), requestedAt);
             }
         } catch (MalformedMessageException e) {
             LOG.info("malformed cancellations of a peer controller={} error={}", peer, e.getMessage());
--- a/src/main/java/org/gullway/protocol/PeerCancellations.java
+++ b/src/main/java/org/gullway/protocol/PeerCancellations.java
@@ -16,10 +16,10 @@
  * The peer names the jobs that it knows already.
  *
  * @param node the controller that answers
- * @param number the number of its incarnation
+ * @param incarnationNumber the number of its incarnation
  * @param complete whether nothing was left out for its size
  */
-public record PeerCancellations(String node, long number, boolean complete, List<CancelledJob> jobs) {
+public record PeerCancellations(String node, long incarnationNumber, boolean complete, List<CancelledJob> jobs) {
     private static final int VERSION = 1;
     private static final int MAX_KNOWN_JOBS = 4000;
     private static final int MAX_BYTES = 40 * 1024;
@@ -41,7 +41,7 @@
     public record CancelledAttempt(int task, long attempt, String machine, long agentEpoch) {}
 
     /** Encodes a request: the names of the cancelled jobs that the asker knows, {@link #MAX_KNOWN_JOBS} at most. */
-    public static byte[] encodeKnown(Collection<String> jobs) {
+    public static byte[] encodeKnownJobs(Collection<String> jobs) {
         return PeerMessages.encode(VERSION, EXPECTED_NAME_BYTES * jobs.size(), out -> {
             out.writeShort(Math.min(jobs.size(), MAX_KNOWN_JOBS));
             int left = MAX_KNOWN_JOBS;
@@ -53,8 +53,8 @@
         });
     }
 
-    /** Reads the names that {@link #encodeKnown} wrote. */
-    public static Set<String> decodeKnown(byte[] body) throws MalformedMessageException {
+    /** Reads the names that {@link #encodeKnownJobs} wrote. */
+    public static Set<String> decodeKnownJobs(byte[] body) throws MalformedMessageException {
         return PeerMessages.decode(body, VERSION, KNOWN_CONTENT, PeerCancellations::readNames);
     }
 
@@ -68,7 +68,7 @@
     }
 
     /** Encodes as many of the jobs as fit into one message. */
-    public static byte[] encode(String node, long number, Collection<CancelledJob> jobs) {
+    public static byte[] encode(String node, long incarnationNumber, Collection<CancelledJob> jobs) {
         ByteArrayOutputStream content = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(content)) {
             int written = 0;
@@ -79,17 +79,17 @@
                 write(job, out);
                 written++;
             }
-            return withHeader(node, number, written == jobs.size(), written, content);
+            return withHeader(node, incarnationNumber, written == jobs.size(), written, content);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     private static byte[] withHeader(
-            String node, long number, boolean complete, int count, ByteArrayOutputStream content) {
+            String node, long incarnationNumber, boolean complete, int count, ByteArrayOutputStream content) {
         return PeerMessages.encode(VERSION, content.size() + HEADER_BYTES, out -> {
             out.writeUTF(node);
-            out.writeLong(number);
+            out.writeLong(incarnationNumber);
             out.writeBoolean(complete);
             out.writeShort(count);
             content.writeTo(out);
@@ -119,14 +119,14 @@
 
     private static PeerCancellations read(DataInputStream in) throws IOException, MalformedMessageException {
         String node = in.readUTF();
-        long number = in.readLong();
+        long incarnationNumber = in.readLong();
         boolean complete = in.readBoolean();
         int count = in.readUnsignedShort();
         List<CancelledJob> jobs = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             jobs.add(readJob(in));
         }
-        return new PeerCancellations(node, number, complete, List.copyOf(jobs));
+        return new PeerCancellations(node, incarnationNumber, complete, List.copyOf(jobs));
     }
 
     private static CancelledJob readJob(DataInputStream in) throws IOException, MalformedMessageException {
--- a/src/test/java/org/gullway/protocol/FormatsTest.java
+++ b/src/test/java/org/gullway/protocol/FormatsTest.java
@@ -196,10 +196,10 @@
         assertThat(bytes.length).isLessThan(48 * 1024);
         PeerCancellations read = PeerCancellations.decode(bytes);
         assertThat(read.node()).isEqualTo("perch-1");
-        assertThat(read.number()).isEqualTo(attempt);
+        assertThat(read.incarnationNumber()).isEqualTo(attempt);
         assertThat(read.jobs()).isEqualTo(list.subList(0, read.jobs().size()));
         assertThat(read.complete()).isEqualTo(read.jobs().size() == jobs);
-        assertThat(PeerCancellations.decodeKnown(PeerCancellations.encodeKnown(List.of("run-1", "run-2"))))
+        assertThat(PeerCancellations.decodeKnownJobs(PeerCancellations.encodeKnownJobs(List.of("run-1", "run-2"))))
                 .containsExactlyInAnyOrder("run-1", "run-2");
         for (int cut = 0; cut < bytes.length; cut += 1 + bytes.length / 200) {
             byte[] part = Arrays.copyOf(bytes, cut);
--- a/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -270,8 +270,8 @@
     @Test
     void cancellationsKeepTheirBytes() throws MalformedMessageException {
         List<String> known = List.of("run-000412", "run-000001");
-        GOLDEN.check("cancellations-known", PeerCancellations.encodeKnown(known));
-        assertThat(PeerCancellations.decodeKnown(GOLDEN.bytes("cancellations-known")))
+        GOLDEN.check("cancellations-known", PeerCancellations.encodeKnownJobs(known));
+        assertThat(PeerCancellations.decodeKnownJobs(GOLDEN.bytes("cancellations-known")))
                 .isEqualTo(new LinkedHashSet<>(known));
         List<PeerCancellations.CancelledJob> jobs = List.of(
                 new PeerCancellations.CancelledJob("run-000412", 1_763_618_400_123L, List.of()),
@@ -284,7 +284,7 @@
         GOLDEN.check("cancellations", PeerCancellations.encode("perch-2", 7_654_321_098_765L, jobs));
         PeerCancellations read = PeerCancellations.decode(GOLDEN.bytes("cancellations"));
         assertThat(read).isEqualTo(new PeerCancellations("perch-2", 7_654_321_098_765L, true, jobs));
-        assertThat(PeerCancellations.encode(read.node(), read.number(), read.jobs()))
+        assertThat(PeerCancellations.encode(read.node(), read.incarnationNumber(), read.jobs()))
                 .isEqualTo(GOLDEN.bytes("cancellations"));
     }
 }
