--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
@@ -104,7 +104,7 @@
             peerOffers.markSent(now);
         } else {
             // Offers from peers are forwarded without delay, because the controller that made them limits their rate.
-            offerByMachine.values().removeIf(offer -> offer.askedPeers().isEmpty());
+            offerByMachine.values().removeIf(offer -> offer.declinedBy().isEmpty());
         }
         return waiting.peersHaveWaitingJobs() ? peerOffers.outgoing(offerByMachine, transaction) : List.of();
     }
--- a/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
@@ -88,7 +88,7 @@
         Map<String, List<ResourceOffer>> offersByPeer = new TreeMap<>();
         offerByMachine.forEach((machine, offer) -> {
             if (constraints.freeCpus(machine, transaction) >= MIN_OFFERED_CPUS) {
-                addOffer(machine, offer.askedPeers(), offersByPeer);
+                addOffer(machine, offer.declinedBy(), offersByPeer);
             }
         });
         List<OutgoingOffers> outgoing = new ArrayList<>();
--- a/src/main/java/org/gullway/protocol/ResourceOffer.java
+++ b/src/main/java/org/gullway/protocol/ResourceOffer.java
@@ -10,12 +10,12 @@
  * Free resources of a machine that fit nothing in one controller's queue, offered to a peer.
  *
  * @param agentEpoch the epoch of the machine's agent in which the offer is valid
- * @param askedPeers controllers whose queues had no use for them
+ * @param declinedBy controllers whose queues had no use for them
  */
-public record ResourceOffer(String machine, long agentEpoch, List<String> askedPeers) {
+public record ResourceOffer(String machine, long agentEpoch, List<String> declinedBy) {
     public static final int MAX_PER_MESSAGE = 128;
     private static final int VERSION = 2;
-    private static final int MAX_ASKED_PEERS = 64;
+    private static final int MAX_DECLINED_BY = 64;
     private static final int EXPECTED_BYTES = 64;
     private static final String CONTENT = "resource offers";
 
@@ -32,8 +32,8 @@
     private void writeTo(DataOutputStream out) throws IOException {
         out.writeUTF(machine);
         out.writeLong(agentEpoch);
-        out.writeByte(askedPeers.size());
-        for (String name : askedPeers) {
+        out.writeByte(declinedBy.size());
+        for (String name : declinedBy) {
             out.writeUTF(name);
         }
     }
@@ -59,12 +59,12 @@
     private static ResourceOffer read(DataInputStream in) throws IOException, MalformedMessageException {
         String machine = in.readUTF();
         long agentEpoch = in.readLong();
-        int asked = in.readUnsignedByte();
-        if (asked > MAX_ASKED_PEERS) {
-            throw new MalformedMessageException("an offer that was passed on more than " + MAX_ASKED_PEERS + " times");
+        int count = in.readUnsignedByte();
+        if (count > MAX_DECLINED_BY) {
+            throw new MalformedMessageException("an offer that was passed on more than " + MAX_DECLINED_BY + " times");
         }
-        List<String> names = new ArrayList<>(asked);
-        for (int i = 0; i < asked; i++) {
+        List<String> names = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
             names.add(in.readUTF());
         }
         return new ResourceOffer(machine, agentEpoch, List.copyOf(names));
