--- a/src/main/java/org/gullway/controller/FleetComponents.java
+++ b/src/main/java/org/gullway/controller/FleetComponents.java
@@ -17,7 +17,7 @@
                 placement.constraints(),
                 placement.quotas(),
                 new ScalingPolicy(
-                        operator.spareCapacityShare(), operator.scaleInDelay(), operator.bootTimeoutFactor()));
+                        operator.spareCapacityFraction(), operator.scaleInDelay(), operator.bootTimeoutFactor()));
         CloudClient cloudClient = new CloudClient(
                 environment.loop(),
                 environment.httpClient(),
--- a/src/main/java/org/gullway/controller/SchedulingComponents.java
+++ b/src/main/java/org/gullway/controller/SchedulingComponents.java
@@ -48,7 +48,7 @@
                 new JobBackoff(),
                 new DeadlinePolicy(settings.objectives()));
         ScavengerScheduler scavengerScheduler =
-                new ScavengerScheduler(context, environment.operatorSettings().spareCapacityShare());
+                new ScavengerScheduler(context, environment.operatorSettings().spareCapacityFraction());
         BestEffortQueue bestEffortQueue = new BestEffortQueue(
                 context,
                 scavengerScheduler,
--- a/src/main/java/org/gullway/protocol/OperatorSettings.java
+++ b/src/main/java/org/gullway/protocol/OperatorSettings.java
@@ -13,14 +13,14 @@
  * Operators' own settings, beyond the platform's file. All have defaults.
  *
  * @param membershipLease how long a controller stays a member without renewing its lease
- * @param spareCapacityShare resources kept free for urgent work, as a fraction of what urgent work uses now
+ * @param spareCapacityFraction resources kept free for urgent work, as a fraction of what urgent work uses now
  * @param scaleInDelay how long a machine stays without tasks before it is released
  * @param bootTimeoutFactor how many times its usual boot time a machine may take
  * @param logInterval pause between two lines of metrics in the log
  */
 public record OperatorSettings(
         Duration membershipLease,
-        double spareCapacityShare,
+        double spareCapacityFraction,
         Duration scaleInDelay,
         int bootTimeoutFactor,
         Duration logInterval) {
@@ -32,7 +32,7 @@
                 || membershipLease.compareTo(Duration.ofMinutes(10)) > 0) {
             throw new IllegalArgumentException("membership-lease-s is not from 1 to 600");
         }
-        if (!(spareCapacityShare >= 0 && spareCapacityShare <= 100)) {
+        if (!(spareCapacityFraction >= 0 && spareCapacityFraction <= 100)) {
             throw new IllegalArgumentException("spare-share is not from 0 to 100");
         }
         if (bootTimeoutFactor < 1 || bootTimeoutFactor > 100) {
@@ -81,15 +81,15 @@
         Duration span = Double.isFinite(value) ? Duration.ofMillis(Math.round(value * 1000)) : Duration.ZERO;
         return switch (name) {
             case "membership-lease-s" -> new OperatorSettings(
-                    span, spareCapacityShare, scaleInDelay, bootTimeoutFactor, logInterval);
+                    span, spareCapacityFraction, scaleInDelay, bootTimeoutFactor, logInterval);
             case "spare-share" -> new OperatorSettings(
                     membershipLease, value, scaleInDelay, bootTimeoutFactor, logInterval);
             case "idle-return-s" -> new OperatorSettings(
-                    membershipLease, spareCapacityShare, span, bootTimeoutFactor, logInterval);
+                    membershipLease, spareCapacityFraction, span, bootTimeoutFactor, logInterval);
             case "boot-patience" -> new OperatorSettings(
-                    membershipLease, spareCapacityShare, scaleInDelay, (int) value, logInterval);
+                    membershipLease, spareCapacityFraction, scaleInDelay, (int) value, logInterval);
             case "log-interval-s" -> new OperatorSettings(
-                    membershipLease, spareCapacityShare, scaleInDelay, bootTimeoutFactor, span);
+                    membershipLease, spareCapacityFraction, scaleInDelay, bootTimeoutFactor, span);
             default -> throw new MalformedMessageException("operator setting " + name + " is unknown");
         };
     }
--- a/src/test/java/org/gullway/protocol/FormatsTest.java
+++ b/src/test/java/org/gullway/protocol/FormatsTest.java
@@ -290,7 +290,7 @@
     void operatorsSettingsAreReadAndChecked() throws Exception {
         XmlMapper xml = new XmlMapper();
         OperatorSettings read = OperatorSettings.of(xml.readTree("<gullway><spare-share>2</spare-share></gullway>"));
-        assertThat(read.spareCapacityShare()).isEqualTo(2);
+        assertThat(read.spareCapacityFraction()).isEqualTo(2);
         assertThat(read.scaleInDelay()).isEqualTo(OperatorSettings.DEFAULTS.scaleInDelay());
         for (String invalid : List.of(
                 "<spare-share>-1</spare-share>",
--- a/src/test/java/org/gullway/protocol/GoldenSettingsTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenSettingsTest.java
@@ -53,7 +53,7 @@
     private static String text(OperatorSettings read) {
         return GoldenFile.line(
                 read.membershipLease(),
-                read.spareCapacityShare(),
+                read.spareCapacityFraction(),
                 read.scaleInDelay(),
                 read.bootTimeoutFactor(),
                 read.logInterval());
