--- a/src/main/java/org/gullway/protocol/MachineType.java
+++ b/src/main/java/org/gullway/protocol/MachineType.java
@@ -10,7 +10,7 @@
         double gpus,
         double memoryGb,
         double cacheGb,
-        double fetchGbPerSecond,
+        double imagePullGbPerSecond,
         double price,
         double spotPrice,
         Duration bootTime,
--- a/src/test/java/org/gullway/fake/FakeCloud.java
+++ b/src/test/java/org/gullway/fake/FakeCloud.java
@@ -122,7 +122,7 @@
                     .put("cards", type.gpus())
                     .put("mem_gb", type.memoryGb())
                     .put("local_gb", type.cacheGb())
-                    .put("pull_gb_per_s", type.fetchGbPerSecond())
+                    .put("pull_gb_per_s", type.imagePullGbPerSecond())
                     .put("price", type.price())
                     .put("low_price", type.spotPrice())
                     .put("startup_s", type.bootTime().toMillis() / 1000.0);
--- a/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -195,7 +195,7 @@
                     type.gpus(),
                     type.memoryGb(),
                     type.cacheGb(),
-                    type.fetchGbPerSecond(),
+                    type.imagePullGbPerSecond(),
                     type.price(),
                     type.spotPrice(),
                     type.bootTime(),
