--- a/src/main/java/org/gullway/protocol/AgentCommand.java
+++ b/src/main/java/org/gullway/protocol/AgentCommand.java
@@ -7,7 +7,7 @@
 
 /** A command to the agent on a machine about one attempt of a task. */
 public record AgentCommand(Kind kind, TaskId task, long attempt, Duration grace) {
-    /** What the agent is to do: start the attempt, stop it, or forget an attempt that has ended. */
+    /** The action: start the attempt, stop it, or forget an ended attempt, which later heartbeats then omit. */
     public enum Kind {
         START,
         STOP,
@@ -26,7 +26,7 @@
         return new AgentCommand(Kind.FORGET, task, attempt, Duration.ZERO);
     }
 
-    private void writeTo(ArrayNode list) {
+    private void appendTo(ArrayNode list) {
         ObjectNode node = list.addObject();
         node.put(
                 "call",
@@ -37,7 +37,7 @@
                 });
         node.put("leg", task.toString()).put("launch", attempt);
         if (kind == Kind.STOP) {
-            node.put("slack_s", JobRequest.seconds(grace));
+            node.put("slack_s", JobRequest.toSeconds(grace));
         }
     }
 
@@ -45,24 +45,24 @@
     public static byte[] encodeResponse(long fencingToken, List<AgentCommand> commands) {
         ObjectNode node = Cbor.map().put("baton", fencingToken);
         ArrayNode list = node.putArray("calls");
-        commands.forEach(c -> c.writeTo(list));
+        commands.forEach(command -> command.appendTo(list));
         return Cbor.encode(node);
     }
 
-    /** Encodes commands that are sent to the agent directly. */
+    /** Encodes commands that the controller sends to the agent in a request of its own, not in a heartbeat response. */
     public static byte[] encodeDirect(long fencingToken, long agentEpoch, List<AgentCommand> commands) {
         ObjectNode node = Cbor.map().put("baton", fencingToken).put("flight", agentEpoch);
         ArrayNode list = node.putArray("calls");
-        commands.forEach(c -> c.writeTo(list));
+        commands.forEach(command -> command.appendTo(list));
         return Cbor.encode(node);
     }
 
-    /** Encodes a redirect of the agent to another controller, which it tries next. */
+    /** Encodes a redirect that names the controller to which the agent sends its next heartbeat. */
     public static byte[] encodeRedirect(String controller) {
         return Cbor.encode(Cbor.map().put("roost", controller));
     }
 
-    /** Encodes a redirect of the agent to any other controller. */
+    /** Encodes a redirect that names no controller: the agent chooses another one itself. */
     public static byte[] encodeRedirectToAny() {
         return Cbor.encode(Cbor.map());
     }
--- a/src/main/java/org/gullway/protocol/AttemptCompletion.java
+++ b/src/main/java/org/gullway/protocol/AttemptCompletion.java
@@ -6,20 +6,21 @@
 import java.util.List;
 
 /**
- * An attempt that has certainly ended, reported by the controller of its machine to the record writer of its job. Such an
- * end stays true for ever, so the message may come late and more than once.
+ * The confirmed end of an attempt, reported by the controller that commands the attempt's machine to the controller
+ * that writes the job's record. The end of an attempt is final, so the message is still correct if it is delayed or
+ * delivered more than once.
  *
- * @param outcome how it ended, as the code that {@code JobRecord.AttemptOutcome} has among its constants
+ * @param outcome how the attempt ended, as the code of a {@code JobRecord.AttemptOutcome} constant
  */
 public record AttemptCompletion(TaskId task, long attempt, byte outcome) {
     public static final int MAX_PER_MESSAGE = 500;
     private static final int VERSION = 1;
-    private static final int EXPECTED_BYTES = 32;
+    private static final int EXPECTED_COMPLETION_BYTES = 32;
     private static final String CONTENT = "attempt completions";
 
-    /** Encodes a message to a peer. The caller sees to it that there are at most {@link #MAX_PER_MESSAGE}. */
+    /** Encodes a message to a peer. The caller must not pass more than {@link #MAX_PER_MESSAGE} completions. */
     public static byte[] encode(List<AttemptCompletion> completions) {
-        return PeerMessages.encode(VERSION, EXPECTED_BYTES * completions.size(), out -> {
+        return PeerMessages.encode(VERSION, EXPECTED_COMPLETION_BYTES * completions.size(), out -> {
             out.writeShort(completions.size());
             for (AttemptCompletion completion : completions) {
                 out.writeUTF(completion.task.job());
@@ -31,9 +32,9 @@
     }
 
     /**
-     * Reads what {@link #encode} wrote.
+     * Decodes a message of {@link #encode}.
      *
-     * @throws MalformedMessageException if it is truncated, too long, or of another version
+     * @throws MalformedMessageException if the message is truncated, too long, or of another version
      */
     public static List<AttemptCompletion> decode(byte[] body) throws MalformedMessageException {
         return PeerMessages.decode(body, VERSION, CONTENT, AttemptCompletion::readAll);
--- a/src/main/java/org/gullway/protocol/Cbor.java
+++ b/src/main/java/org/gullway/protocol/Cbor.java
@@ -10,10 +10,10 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Bodies on the wire: CBOR maps with text keys. */
+/** Encodes and decodes message bodies, which are CBOR maps with text keys. */
 public final class Cbor {
     private static final CBORFactory FACTORY = new CBORFactory();
-    private static final int USUAL_BYTES = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
     private Cbor() {}
 
@@ -21,9 +21,9 @@
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** The CBOR form of the node. */
+    /** Encodes the node as CBOR. */
     public static byte[] encode(JsonNode node) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_BYTES);
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (JsonGenerator generator = FACTORY.createGenerator(bytes)) {
             JsonTrees.write(node, generator);
         } catch (IOException e) {
@@ -32,12 +32,12 @@
         return bytes.toByteArray();
     }
 
-    /** Reads a body piece by piece. */
+    /** Returns a streaming parser for the body. */
     static JsonParser parser(byte[] body) throws IOException {
         return FACTORY.createParser(body);
     }
 
-    /** Reads a body that has to be exactly one map. */
+    /** Decodes a body that consists of exactly one map. */
     public static ObjectNode decode(byte[] body) throws MalformedMessageException {
         JsonNode node;
         try (JsonParser parser = parser(body)) {
--- a/src/main/java/org/gullway/protocol/CloudMessages.java
+++ b/src/main/java/org/gullway/protocol/CloudMessages.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Requests to the cloud provider and its responses. */
+/** Encodes requests to the cloud provider and decodes its responses. */
 public final class CloudMessages {
     public static final int MAX_PROVISIONED_PER_CALL = 50;
     public static final int MAX_RELEASED_PER_CALL = 100;
@@ -15,7 +15,7 @@
 
     private CloudMessages() {}
 
-    /** A machine as the provider's list shows it, which lags behind. */
+    /** A machine in the cloud provider's machine list, which shows changes with a delay. */
     public record ListedMachine(
             String name,
             String address,
@@ -29,9 +29,7 @@
     /** One page of the machine list. */
     public record Page(List<ListedMachine> machines, boolean more) {}
 
-    /**
-     * Reads the machine types that the provider offers; one that names no zones is offered in none.
-     */
+    /** Decodes the machine types that the provider offers. A type that lists no zones is offered in no zone. */
     public static List<MachineType> decodeTypes(byte[] body) throws MalformedMessageException {
         List<MachineType> types = new ArrayList<>();
         for (MessageFields type : MessageFields.of(Cbor.decode(body)).list("breeds")) {
@@ -54,17 +52,18 @@
     /**
      * Encodes a request for machines.
      *
-     * @param request its name: the provider carries out requests of one name only once
+     * @param requestId the provider carries out requests with the same id only once, so a repeated request is safe
      */
-    public static byte[] encodeProvisionRequest(String request, String type, String zone, boolean spot, int count) {
+    public static byte[] encodeProvisionRequest(String requestId, String type, String zone, boolean spot, int count) {
         return Cbor.encode(Cbor.map()
-                .put("charter", request)
+                .put("charter", requestId)
                 .put("breed", type)
                 .put("shore", zone)
                 .put("driftwood", spot)
                 .put("count", count));
     }
 
+    /** Decodes the names of the machines that a request provisioned. */
     public static List<String> decodeProvisioned(byte[] body) throws MalformedMessageException {
         List<String> names = MessageFields.of(Cbor.decode(body)).textsOrNull("perches");
         return names == null ? List.of() : names;
@@ -78,7 +77,7 @@
         return Cbor.encode(node);
     }
 
-    /** Reads one page of the list of provisioned machines. */
+    /** Decodes one page of the list of provisioned machines. */
     public static Page decodePage(byte[] body) throws MalformedMessageException {
         JsonNode map = Cbor.decode(body);
         List<ListedMachine> machines = new ArrayList<>();
--- a/src/main/java/org/gullway/protocol/Heartbeat.java
+++ b/src/main/java/org/gullway/protocol/Heartbeat.java
@@ -5,12 +5,12 @@
 import java.util.function.Function;
 
 /**
- * An agent's status: its tasks, its epoch and the fencing token that it has confirmed. It comes as a heartbeat, or as the response
- * to a direct command.
+ * An agent's status: its tasks, its epoch and the fencing token that it has confirmed. The agent sends its status as a
+ * heartbeat and as the response to a direct command.
  *
- * @param address where the agent takes commands
- * @param sequence rises with each message of the agent
- * @param spotNotice time until the cloud provider takes the machine back; null if none was announced
+ * @param address the address at which the agent accepts commands
+ * @param sequence number of this status, which increases with each status that the agent sends
+ * @param spotNotice time until the cloud provider reclaims the spot machine; null if no reclaim is announced
  */
 public record Heartbeat(
         String machine,
@@ -25,17 +25,17 @@
         List<TaskStatus> tasks) {
 
     /**
-     * Reads a status from its CBOR form.
+     * Decodes a heartbeat from CBOR.
      *
-     * @param lastMessages the last message of the machine with a name, or null if none is known; what has not changed
-     *     since then is shared with it
+     * @param lastHeartbeats returns the last heartbeat of the machine with the given name, or null if none is known;
+     *     the decoded heartbeat shares the objects of values that have not changed since then
      */
-    public static Heartbeat parse(byte[] body, Function<String, Heartbeat> lastMessages)
+    public static Heartbeat parse(byte[] body, Function<String, Heartbeat> lastHeartbeats)
             throws MalformedMessageException {
-        return HeartbeatReader.read(body, lastMessages);
+        return HeartbeatReader.read(body, lastHeartbeats);
     }
 
-    /** Whether it is newer in the order of the agent's own messages. */
+    /** Whether the agent sent this heartbeat after the one with the given agent epoch and sequence number. */
     public boolean isNewerThan(long otherAgentEpoch, long otherSequence) {
         return agentEpoch > otherAgentEpoch || (agentEpoch == otherAgentEpoch && sequence > otherSequence);
     }
--- a/src/main/java/org/gullway/protocol/HeartbeatReader.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatReader.java
@@ -10,18 +10,18 @@
 import java.util.function.Function;
 
 /**
- * Reads an agent's status from its CBOR form in one pass. Values that equal those of the agent's last message are
- * taken from there, so a heartbeat in which only counters have changed allocates little, however many tasks it lists.
+ * Decodes a heartbeat from CBOR in one pass. Values that equal those of the agent's last heartbeat are reused from it, so
+ * a heartbeat in which only counters have changed allocates little, however many tasks it lists.
  */
 final class HeartbeatReader {
     private static final BigInteger MAX_COUNT = BigInteger.valueOf(Long.MAX_VALUE);
 
-    private static final String TEXT = "a text of 1 to " + MessageFields.MAX_TEXT_LENGTH + " characters";
+    private static final String EXPECTED_TEXT = "a text of 1 to " + MessageFields.MAX_TEXT_CHARACTERS + " characters";
 
     private final JsonParser parser;
-    private final Function<String, Heartbeat> lastMessages;
-    /** The last message of the agent that this one names; null if there is none or the name is still to come. */
-    private Heartbeat last;
+    private final Function<String, Heartbeat> lastHeartbeats;
+    /** The last heartbeat of the same machine; null if none is known or the machine's name has not been read yet. */
+    private Heartbeat lastHeartbeat;
 
     private String machine;
     private String address;
@@ -31,21 +31,21 @@
     private long agentEpoch = -1;
     private long sequence = -1;
     private long fencingToken = -1;
-    private Duration notice;
+    private Duration spotNotice;
     private List<TaskStatus> tasks = List.of();
 
-    private HeartbeatReader(JsonParser parser, Function<String, Heartbeat> lastMessages) {
+    private HeartbeatReader(JsonParser parser, Function<String, Heartbeat> lastHeartbeats) {
         this.parser = parser;
-        this.lastMessages = lastMessages;
+        this.lastHeartbeats = lastHeartbeats;
     }
 
-    /** @param lastMessages the last message of the machine with a name, or null if none is known */
-    static Heartbeat read(byte[] body, Function<String, Heartbeat> lastMessages) throws MalformedMessageException {
+    /** @param lastHeartbeats returns the last heartbeat of the machine with the given name, or null if none is known */
+    static Heartbeat read(byte[] body, Function<String, Heartbeat> lastHeartbeats) throws MalformedMessageException {
         try (JsonParser parser = Cbor.parser(body)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new MalformedMessageException("not a map");
             }
-            Heartbeat heartbeat = new HeartbeatReader(parser, lastMessages).readMap();
+            Heartbeat heartbeat = new HeartbeatReader(parser, lastHeartbeats).readMap();
             if (parser.nextToken() != null) {
                 throw new MalformedMessageException("bytes after the map");
             }
@@ -63,17 +63,17 @@
             switch (name) {
                 case "perch" -> {
                     machine = text(name, null);
-                    last = lastMessages.apply(machine);
-                    machine = last == null ? machine : last.machine();
+                    lastHeartbeat = lastHeartbeats.apply(machine);
+                    machine = lastHeartbeat == null ? machine : lastHeartbeat.machine();
                 }
-                case "endpoint" -> address = text(name, last == null ? null : last.address());
-                case "breed" -> type = text(name, last == null ? null : last.type());
-                case "shore" -> zone = text(name, last == null ? null : last.zone());
+                case "endpoint" -> address = text(name, lastHeartbeat == null ? null : lastHeartbeat.address());
+                case "breed" -> type = text(name, lastHeartbeat == null ? null : lastHeartbeat.type());
+                case "shore" -> zone = text(name, lastHeartbeat == null ? null : lastHeartbeat.zone());
                 case "driftwood" -> spot = flag(name);
                 case "flight" -> agentEpoch = count(name);
                 case "tally" -> sequence = count(name);
                 case "baton" -> fencingToken = count(name);
-                case "warning_s" -> notice = seconds(name);
+                case "warning_s" -> spotNotice = seconds(name);
                 case "legs" -> tasks = readTasks();
                 default -> skip();
             }
@@ -87,57 +87,61 @@
         requirePresent(agentEpoch >= 0, "flight");
         requirePresent(sequence >= 0, "tally");
         requirePresent(fencingToken >= 0, "baton");
-        return new Heartbeat(machine, address, type, zone, spot, agentEpoch, sequence, fencingToken, notice, tasks);
+        return new Heartbeat(machine, address, type, zone, spot, agentEpoch, sequence, fencingToken, spotNotice, tasks);
     }
 
-    /** The list of the last message itself if nothing in it has changed. */
+    /** Reads the list of tasks. Returns the list of the last heartbeat itself if no task has changed. */
     @SuppressWarnings("ReferenceEquality")
     private List<TaskStatus> readTasks() throws IOException, MalformedMessageException {
         if (parser.currentToken() != JsonToken.START_ARRAY) {
-            throw wrong("legs", "a list");
+            throw invalid("legs", "a list");
         }
-        List<TaskStatus> before = last == null ? List.of() : last.tasks();
-        List<TaskStatus> changed = null;
-        int read = 0;
+        List<TaskStatus> lastTasks = lastHeartbeat == null ? List.of() : lastHeartbeat.tasks();
+        List<TaskStatus> newTasks = null;
+        int count = 0;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (parser.currentToken() != JsonToken.START_OBJECT) {
-                throw wrong("legs", "a list of maps");
+                throw invalid("legs", "a list of maps");
             }
-            TaskStatus known = read < before.size() ? before.get(read) : null;
-            TaskStatus task = readTask(known);
-            if (changed == null && task != known) {
-                changed = new ArrayList<>(before.subList(0, read));
+            TaskStatus lastStatus = count < lastTasks.size() ? lastTasks.get(count) : null;
+            TaskStatus task = readTask(lastStatus);
+            if (newTasks == null && task != lastStatus) {
+                newTasks = new ArrayList<>(lastTasks.subList(0, count));
             }
-            if (changed != null) {
-                changed.add(task);
+            if (newTasks != null) {
+                newTasks.add(task);
             }
-            read++;
+            count++;
         }
-        if (changed != null) {
-            return List.copyOf(changed);
+        if (newTasks != null) {
+            return List.copyOf(newTasks);
         }
-        return read == before.size() ? before : List.copyOf(before.subList(0, read));
+        return count == lastTasks.size() ? lastTasks : List.copyOf(lastTasks.subList(0, count));
     }
 
-    /** The status of the task at the same place of the last message, if it is the same. */
+    /**
+     * Reads the status of one task. Returns {@code lastStatus} itself if it is equal.
+     *
+     * @param lastStatus the task at the same position in the last heartbeat; null if there is none
+     */
     @SuppressWarnings("ReferenceEquality")
-    private TaskStatus readTask(TaskStatus known) throws IOException, MalformedMessageException {
+    private TaskStatus readTask(TaskStatus lastStatus) throws IOException, MalformedMessageException {
         TaskId task = null;
         long attempt = -1;
         TaskStatus.Phase phase = null;
         TaskStatus.Cause cause = null;
         boolean causeIsText = true;
-        boolean saved = false;
+        boolean checkpointed = false;
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
             if (parser.nextToken() == JsonToken.VALUE_NULL) {
                 continue;
             }
             switch (name) {
-                case "leg" -> task = taskId(known == null ? null : known.task());
+                case "leg" -> task = taskId(lastStatus == null ? null : lastStatus.task());
                 case "launch" -> attempt = count("legs[].launch");
                 case "tide" -> phase = TaskStatus.Phase.of(text("legs[].tide", "running"));
                 case "cause" -> {
-                    // Only a task that has ended needs one.
+                    // Checked by causeOf once all fields are read: a task that has not ended needs no valid cause.
                     causeIsText = isText();
                     if (causeIsText) {
                         cause = TaskStatus.Cause.of(text("legs[].cause", "done"));
@@ -145,7 +149,7 @@
                         skip();
                     }
                 }
-                case "stored" -> saved = flag("legs[].stored");
+                case "stored" -> checkpointed = flag("legs[].stored");
                 default -> skip();
             }
         }
@@ -154,39 +158,39 @@
         requirePresent(attempt >= 0, "legs[].launch");
         requirePresent(phase != null, "legs[].tide");
         cause = causeOf(phase, cause, causeIsText);
-        if (known != null
-                && known.task() == task
-                && known.attempt() == attempt
-                && known.phase() == phase
-                && known.cause() == cause
-                && known.checkpointed() == saved) {
-            return known;
+        if (lastStatus != null
+                && lastStatus.task() == task
+                && lastStatus.attempt() == attempt
+                && lastStatus.phase() == phase
+                && lastStatus.cause() == cause
+                && lastStatus.checkpointed() == checkpointed) {
+            return lastStatus;
         }
-        return new TaskStatus(task, attempt, phase, cause, saved);
+        return new TaskStatus(task, attempt, phase, cause, checkpointed);
     }
 
-    /** Only a task that has ended has a cause, {@code OTHER} if the message names none. */
+    /** Returns null for a task that has not ended, and {@code OTHER} for an ended task without a stated cause. */
     private static TaskStatus.Cause causeOf(TaskStatus.Phase phase, TaskStatus.Cause cause, boolean causeIsText)
             throws MalformedMessageException {
         if (phase != TaskStatus.Phase.ENDED) {
             return null;
         }
         if (!causeIsText) {
-            throw wrong("legs[].cause", TEXT);
+            throw invalid("legs[].cause", EXPECTED_TEXT);
         }
         return cause == null ? TaskStatus.Cause.OTHER : cause;
     }
 
-    private TaskId taskId(TaskId known) throws IOException, MalformedMessageException {
+    private TaskId taskId(TaskId lastId) throws IOException, MalformedMessageException {
         requireText("legs[].leg");
-        if (known != null
-                && known.isWrittenAs(parser.getTextCharacters(), parser.getTextOffset(), parser.getTextLength())) {
-            return known;
+        if (lastId != null
+                && lastId.matches(parser.getTextCharacters(), parser.getTextOffset(), parser.getTextLength())) {
+            return lastId;
         }
         return TaskId.parse(parser.getText());
     }
 
-    /** The expected text itself if the value equals it. */
+    /** Reads a text. Returns {@code expected} itself if the text equals it. */
     private String text(String name, String expected) throws IOException, MalformedMessageException {
         requireText(name);
         return expected != null && equalsText(expected) ? expected : parser.getText();
@@ -194,14 +198,14 @@
 
     private void requireText(String name) throws IOException, MalformedMessageException {
         if (!isText()) {
-            throw wrong(name, TEXT);
+            throw invalid(name, EXPECTED_TEXT);
         }
     }
 
     private boolean isText() throws IOException {
         return parser.currentToken() == JsonToken.VALUE_STRING
                 && parser.getTextLength() > 0
-                && parser.getTextLength() <= MessageFields.MAX_TEXT_LENGTH;
+                && parser.getTextLength() <= MessageFields.MAX_TEXT_CHARACTERS;
     }
 
     private boolean equalsText(String expected) throws IOException {
@@ -231,13 +235,13 @@
                 return parser.getBigIntegerValue().longValue();
             }
         }
-        throw wrong(name, "a count");
+        throw invalid(name, "a count");
     }
 
     private boolean flag(String name) throws MalformedMessageException {
         JsonToken value = parser.currentToken();
         if (value != JsonToken.VALUE_TRUE && value != JsonToken.VALUE_FALSE) {
-            throw wrong(name, "true or false");
+            throw invalid(name, "true or false");
         }
         return value == JsonToken.VALUE_TRUE;
     }
@@ -246,12 +250,12 @@
         JsonToken token = parser.currentToken();
         double value = token != null && token.isNumeric() ? parser.getDoubleValue() : Double.NaN;
         if (!MessageFields.isAmount(value)) {
-            throw wrong(name, "an amount from 0 to 1e9");
+            throw invalid(name, "an amount from 0 to 1e9");
         }
         return MessageFields.toDuration(value);
     }
 
-    /** Passes over a value of no interest; it is still checked to be well-formed. */
+    /** Skips an unused value, but still checks that it is well-formed. */
     private void skip() throws IOException {
         parser.skipChildren();
         if (parser.currentToken() == JsonToken.VALUE_STRING) {
@@ -271,7 +275,7 @@
         }
     }
 
-    private static MalformedMessageException wrong(String name, String expected) {
+    private static MalformedMessageException invalid(String name, String expected) {
         return new MalformedMessageException(name + " is not " + expected);
     }
 }
--- a/src/main/java/org/gullway/protocol/HeartbeatResponseEncoder.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatResponseEncoder.java
@@ -2,20 +2,23 @@
 
 import java.util.List;
 
-/** Encodes responses to heartbeats; the one without commands, by far the most frequent, is encoded once for each token. */
+/**
+ * Encodes responses to heartbeats. Most responses contain no commands; such a response is encoded once for each fencing
+ * token and then reused.
+ */
 public final class HeartbeatResponseEncoder {
-    private long fencingToken = -1;
-    private byte[] withoutCommands;
+    private long cachedToken = -1;
+    private byte[] cachedResponse;
 
-    /** The response to a heartbeat; its bytes are shared and must not be changed. */
-    public byte[] encode(long responseToken, List<AgentCommand> commands) {
+    /** Encodes the response to a heartbeat. The caller must not change the returned array, which is reused. */
+    public byte[] encode(long fencingToken, List<AgentCommand> commands) {
         if (!commands.isEmpty()) {
-            return AgentCommand.encodeResponse(responseToken, commands);
+            return AgentCommand.encodeResponse(fencingToken, commands);
         }
-        if (fencingToken != responseToken) {
-            fencingToken = responseToken;
-            withoutCommands = AgentCommand.encodeResponse(responseToken, commands);
+        if (cachedToken != fencingToken) {
+            cachedToken = fencingToken;
+            cachedResponse = AgentCommand.encodeResponse(fencingToken, commands);
         }
-        return withoutCommands;
+        return cachedResponse;
     }
 }
--- a/src/main/java/org/gullway/protocol/JobRequest.java
+++ b/src/main/java/org/gullway/protocol/JobRequest.java
@@ -11,13 +11,13 @@
 /**
  * A job as its user submits it.
  *
- * @param machineTypes the only types on which its tasks may run; null if all are allowed
- * @param zone the only zone in which its tasks may run; null if all are allowed
- * @param singleZone whether all tasks have to be in the same zone
- * @param spreadAcrossZones whether no zone may have more than half of the tasks
- * @param checkpointInterval zero if the tasks save nothing
- * @param checkpointTime how long saving takes
- * @param deadline time after the submission; null if there is none
+ * @param machineTypes the machine types on which the tasks may run; null if all are allowed
+ * @param zone the only zone in which the tasks may run; null if all are allowed
+ * @param singleZone whether all tasks must run in the same zone
+ * @param spreadAcrossZones whether at most half of the tasks may run in one zone
+ * @param checkpointInterval time between two checkpoints of a task; zero if the tasks save no checkpoints
+ * @param checkpointTime how long a task takes to save a checkpoint
+ * @param deadline time from the submission to the deadline of the job; null if it has none
  */
 public record JobRequest(
         String id,
@@ -41,11 +41,11 @@
         Duration checkpointTime,
         Duration deadline) {
 
-    /** How a job's tasks belong together. */
+    /** How the tasks of a job depend on each other. */
     public enum Shape {
-        /** Independent tasks, each runs to completion. */
+        /** Independent tasks, each of which runs to completion. */
         ARRAY,
-        /** Tasks that run only all together. */
+        /** Tasks that run only if all of them run at the same time. */
         GANG,
         /** Tasks that run until the job is cancelled. */
         SERVICE;
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Reads a submission.
+     * Decodes a submission.
      *
-     * @throws MalformedMessageException naming the first field that is missing or not allowed
+     * @throws MalformedMessageException if a field is missing or invalid; its message names the first such field
      */
     public static JobRequest parse(JsonNode map) throws MalformedMessageException {
         MessageFields fields = MessageFields.of(map);
@@ -111,7 +111,7 @@
                 fields.secondsOrNull("landfall_s"));
     }
 
-    /** This request with other allowed machine types. */
+    /** Returns a copy of this request that allows the given machine types. */
     public JobRequest withMachineTypes(List<String> types) {
         return new JobRequest(
                 id,
@@ -136,7 +136,7 @@
                 deadline);
     }
 
-    /** The form that {@link #parse} reads. */
+    /** Encodes this request as the map that {@link #parse} decodes. */
     public ObjectNode toNode() {
         ObjectNode node = Cbor.map();
         node.put("name_id", id)
@@ -160,21 +160,21 @@
         node.put("same_place", singleZone)
                 .put("spread", spreadAcrossZones)
                 .put("driftwood", spotAllowed)
-                .put("reckon_s", seconds(estimatedRunTime))
-                .put("waypoint_s", seconds(checkpointInterval))
-                .put("stow_s", seconds(checkpointTime));
+                .put("reckon_s", toSeconds(estimatedRunTime))
+                .put("waypoint_s", toSeconds(checkpointInterval))
+                .put("stow_s", toSeconds(checkpointTime));
         if (deadline != null) {
-            node.put("landfall_s", seconds(deadline));
+            node.put("landfall_s", toSeconds(deadline));
         }
         return node;
     }
 
-    /** Whether a task that is stopped keeps its progress. */
+    /** Whether tasks save checkpoints, so that a stopped task keeps its progress. */
     public boolean hasCheckpoints() {
         return !checkpointInterval.isZero();
     }
 
-    static double seconds(Duration span) {
-        return span.toNanos() / 1e9;
+    static double toSeconds(Duration duration) {
+        return duration.toNanos() / 1e9;
     }
 }
--- a/src/main/java/org/gullway/protocol/JobState.java
+++ b/src/main/java/org/gullway/protocol/JobState.java
@@ -1,6 +1,6 @@
 package org.gullway.protocol;
 
-/** State of a job as its user sees it. */
+/** The state of a job in responses to users. */
 public enum JobState {
     PENDING("pending"),
     RUNNING("running"),
@@ -21,7 +21,7 @@
         return this == DONE || this == CANCELLED;
     }
 
-    /** The state with this name in the protocol. */
+    /** Returns the state with this name in the protocol. */
     public static JobState of(String wireName) throws MalformedMessageException {
         for (JobState state : values()) {
             if (state.wireName.equals(wireName)) {
--- a/src/main/java/org/gullway/protocol/JobStatus.java
+++ b/src/main/java/org/gullway/protocol/JobStatus.java
@@ -4,7 +4,7 @@
 
 /** The status of a job as users see it: its state, and how many of its tasks are done and running. */
 public record JobStatus(String id, JobState state, int done, int running) {
-    /** The form in which a query is answered. */
+    /** Encodes this status as the response to a status query. */
     public ObjectNode toNode() {
         return Cbor.map()
                 .put("name_id", id)
--- a/src/main/java/org/gullway/protocol/JsonTrees.java
+++ b/src/main/java/org/gullway/protocol/JsonTrees.java
@@ -11,58 +11,58 @@
 import java.util.Map;
 
 /**
- * Reads and writes trees token by token. Jackson's {@code ObjectMapper} does the same, but setting it up (dates, types,
- * annotations) costs a controller processor time in its start.
+ * Reads and writes JSON trees token by token. Jackson's {@code ObjectMapper} does the same, but its initialization
+ * (dates, types, annotations) costs CPU time when a controller starts.
  */
 final class JsonTrees {
-    private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
+    private static final JsonNodeFactory NODE_FACTORY = JsonNodeFactory.instance;
 
     private JsonTrees() {}
 
-    /** Reads the next value with all that is in it; null if the input has ended. */
+    /** Reads the next value with everything nested in it. Returns null at the end of the input. */
     static JsonNode readNext(JsonParser parser) throws IOException {
         return parser.nextToken() == null ? null : read(parser);
     }
 
-    /** Reads the value at whose first token the parser is; it ends at the last one. */
+    /** Reads the value that starts at the parser's current token. The parser is then at the value's last token. */
     private static JsonNode read(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case START_OBJECT -> readMap(parser);
             case START_ARRAY -> readList(parser);
-            case VALUE_STRING -> NODES.textNode(parser.getText());
+            case VALUE_STRING -> NODE_FACTORY.textNode(parser.getText());
             case VALUE_NUMBER_INT -> readInteger(parser);
             case VALUE_NUMBER_FLOAT -> readDecimal(parser);
-            case VALUE_TRUE -> NODES.booleanNode(true);
-            case VALUE_FALSE -> NODES.booleanNode(false);
-            case VALUE_NULL -> NODES.nullNode();
+            case VALUE_TRUE -> NODE_FACTORY.booleanNode(true);
+            case VALUE_FALSE -> NODE_FACTORY.booleanNode(false);
+            case VALUE_NULL -> NODE_FACTORY.nullNode();
             case VALUE_EMBEDDED_OBJECT -> readEmbedded(parser.getEmbeddedObject());
             default -> throw new IOException("unexpected " + parser.currentToken());
         };
     }
 
     private static ObjectNode readMap(JsonParser parser) throws IOException {
-        ObjectNode map = NODES.objectNode();
+        ObjectNode map = NODE_FACTORY.objectNode();
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
-            map.set(name, readInside(parser));
+            map.set(name, readNextRequired(parser));
         }
         requireToken(parser, JsonToken.END_OBJECT);
         return map;
     }
 
     private static ArrayNode readList(JsonParser parser) throws IOException {
-        ArrayNode list = NODES.arrayNode();
+        ArrayNode list = NODE_FACTORY.arrayNode();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            list.add(readStarted(parser));
+            list.add(readRequired(parser));
         }
         return list;
     }
 
-    private static JsonNode readInside(JsonParser parser) throws IOException {
+    private static JsonNode readNextRequired(JsonParser parser) throws IOException {
         parser.nextToken();
-        return readStarted(parser);
+        return readRequired(parser);
     }
 
-    private static JsonNode readStarted(JsonParser parser) throws IOException {
+    private static JsonNode readRequired(JsonParser parser) throws IOException {
         if (parser.currentToken() == null) {
             throw new IOException("the input ends too early");
         }
@@ -77,28 +77,28 @@
 
     private static JsonNode readInteger(JsonParser parser) throws IOException {
         return switch (parser.getNumberType()) {
-            case INT -> NODES.numberNode(parser.getIntValue());
-            case LONG -> NODES.numberNode(parser.getLongValue());
-            default -> NODES.numberNode(parser.getBigIntegerValue());
+            case INT -> NODE_FACTORY.numberNode(parser.getIntValue());
+            case LONG -> NODE_FACTORY.numberNode(parser.getLongValue());
+            default -> NODE_FACTORY.numberNode(parser.getBigIntegerValue());
         };
     }
 
     private static JsonNode readDecimal(JsonParser parser) throws IOException {
         return switch (parser.getNumberType()) {
-            case FLOAT -> NODES.numberNode(parser.getFloatValue());
-            case BIG_DECIMAL -> NODES.numberNode(parser.getDecimalValue());
-            default -> NODES.numberNode(parser.getDoubleValue());
+            case FLOAT -> NODE_FACTORY.numberNode(parser.getFloatValue());
+            case BIG_DECIMAL -> NODE_FACTORY.numberNode(parser.getDecimalValue());
+            default -> NODE_FACTORY.numberNode(parser.getDoubleValue());
         };
     }
 
     private static JsonNode readEmbedded(Object value) {
         if (value == null) {
-            return NODES.nullNode();
+            return NODE_FACTORY.nullNode();
         }
-        return value instanceof byte[] bytes ? NODES.binaryNode(bytes) : NODES.pojoNode(value);
+        return value instanceof byte[] bytes ? NODE_FACTORY.binaryNode(bytes) : NODE_FACTORY.pojoNode(value);
     }
 
-    /** Writes the node with all that is in it. */
+    /** Writes the node with everything nested in it. */
     static void write(JsonNode node, JsonGenerator generator) throws IOException {
         switch (node.getNodeType()) {
             case OBJECT -> {
--- a/src/main/java/org/gullway/protocol/MalformedMessageException.java
+++ b/src/main/java/org/gullway/protocol/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package org.gullway.protocol;
 
-/** A message or a settings file does not have the stated form; the text names the field. */
+/** Thrown if a message or a settings file is malformed. The message of an error in a field names that field. */
 public final class MalformedMessageException extends Exception {
     public MalformedMessageException(String message) {
         super(message);
@@ -10,8 +10,8 @@
         super(message, cause);
     }
 
-    /** A parser's message without line breaks, since every error is one line. */
-    static String inOneLine(String message) {
+    /** Joins the lines of a parser's message, since each error is reported in one line. */
+    static String toSingleLine(String message) {
         return message.replaceAll("\\s*\\R\\s*", " ");
     }
 }
--- a/src/main/java/org/gullway/protocol/MessageFields.java
+++ b/src/main/java/org/gullway/protocol/MessageFields.java
@@ -6,18 +6,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checked access to the fields of a map; every error names the field. */
+/** Reads the fields of a decoded map and checks their types and limits. Each error names the field with its path. */
 public final class MessageFields {
     private static final double MAX_AMOUNT = 1e9;
-    /** In characters. */
-    static final int MAX_TEXT_LENGTH = 200;
+    static final int MAX_TEXT_CHARACTERS = 200;
 
     private final JsonNode map;
-    private final String where;
+    private final String pathPrefix;
 
-    private MessageFields(JsonNode map, String where) {
+    private MessageFields(JsonNode map, String pathPrefix) {
         this.map = map;
-        this.where = where;
+        this.pathPrefix = pathPrefix;
     }
 
     public static MessageFields of(JsonNode map) {
@@ -31,20 +30,20 @@
 
     private JsonNode required(String name) throws MalformedMessageException {
         if (!has(name)) {
-            throw new MalformedMessageException(where + name + " is missing");
+            throw new MalformedMessageException(pathPrefix + name + " is missing");
         }
         return map.get(name);
     }
 
-    private MalformedMessageException wrong(String name, String expected) {
-        return new MalformedMessageException(where + name + " is not " + expected);
+    private MalformedMessageException invalid(String name, String expected) {
+        return new MalformedMessageException(pathPrefix + name + " is not " + expected);
     }
 
-    /** A text that is not empty and not longer than the protocol allows. */
+    /** Reads a text that is not empty and has at most {@link #MAX_TEXT_CHARACTERS} characters. */
     public String text(String name) throws MalformedMessageException {
         JsonNode node = required(name);
-        if (!node.isTextual() || node.textValue().isEmpty() || node.textValue().length() > MAX_TEXT_LENGTH) {
-            throw wrong(name, "a text of 1 to " + MAX_TEXT_LENGTH + " characters");
+        if (!node.isTextual() || node.textValue().isEmpty() || node.textValue().length() > MAX_TEXT_CHARACTERS) {
+            throw invalid(name, "a text of 1 to " + MAX_TEXT_CHARACTERS + " characters");
         }
         return node.textValue();
     }
@@ -53,17 +52,17 @@
         return has(name) ? text(name) : null;
     }
 
-    /** A finite amount of zero or more. */
+    /** Reads a number from 0 to 1e9. */
     public double amount(String name) throws MalformedMessageException {
         JsonNode node = required(name);
         double value = node.isNumber() ? node.doubleValue() : Double.NaN;
         if (!isAmount(value)) {
-            throw wrong(name, "an amount from 0 to 1e9");
+            throw invalid(name, "an amount from 0 to 1e9");
         }
         return value;
     }
 
-    /** Whether the number is finite, zero or more, and not absurdly large. */
+    /** Whether the number is from 0 to {@link #MAX_AMOUNT}, which excludes NaN and infinity. */
     static boolean isAmount(double value) {
         return value >= 0 && value <= MAX_AMOUNT;
     }
@@ -72,11 +71,11 @@
         return Duration.ofNanos(Math.round(seconds * 1e9));
     }
 
-    /** A finite amount above zero. */
+    /** Reads a number that is above 0 and at most 1e9. */
     public double positive(String name) throws MalformedMessageException {
         double value = amount(name);
         if (value <= 0) {
-            throw wrong(name, "an amount above 0");
+            throw invalid(name, "an amount above 0");
         }
         return value;
     }
@@ -93,7 +92,7 @@
         return Duration.ofNanos(Math.round(amount(name) * 1e6));
     }
 
-    /** An integer from 0; whole numbers written as decimals are taken too. */
+    /** Reads an integer from 0 to {@link Long#MAX_VALUE}. A floating-point number is an error even if it is whole. */
     public long count(String name) throws MalformedMessageException {
         JsonNode node = required(name);
         if (node.isIntegralNumber()) {
@@ -102,70 +101,70 @@
                 return value.longValue();
             }
         }
-        throw wrong(name, "a count");
+        throw invalid(name, "a count");
     }
 
-    /** An integer from 0 to {@code most}. */
-    public int countUpTo(String name, int most) throws MalformedMessageException {
+    /** Reads an integer from 0 to {@code max}. */
+    public int countUpTo(String name, int max) throws MalformedMessageException {
         long value = count(name);
-        if (value > most) {
-            throw wrong(name, "a count up to " + most);
+        if (value > max) {
+            throw invalid(name, "a count up to " + max);
         }
         return (int) value;
     }
 
-    /** True or false; a field that is missing is an error. */
+    /** Reads a boolean. A missing field is an error and does not count as false. */
     public boolean flag(String name) throws MalformedMessageException {
         JsonNode node = required(name);
         if (!node.isBoolean()) {
-            throw wrong(name, "true or false");
+            throw invalid(name, "true or false");
         }
         return node.booleanValue();
     }
 
-    /** A list of texts, which may be empty, or null if there is no such field. */
+    /** Reads a list of texts, which may be empty. Returns null if the field is missing. */
     public List<String> textsOrNull(String name) throws MalformedMessageException {
         if (!has(name)) {
             return null;
         }
         JsonNode node = map.get(name);
         if (!node.isArray()) {
-            throw wrong(name, "a list of texts");
+            throw invalid(name, "a list of texts");
         }
         List<String> texts = new ArrayList<>(node.size());
         for (JsonNode item : node) {
             if (!item.isTextual()) {
-                throw wrong(name, "a list of texts");
+                throw invalid(name, "a list of texts");
             }
             texts.add(item.textValue());
         }
         return List.copyOf(texts);
     }
 
-    /** The fields of a map within this one; errors name the path to them. */
+    /** Returns the fields of the map in the given field. Errors name its fields with their full path. */
     public MessageFields nested(String name) throws MalformedMessageException {
         JsonNode node = required(name);
         if (!node.isObject()) {
-            throw wrong(name, "a map");
+            throw invalid(name, "a map");
         }
-        return new MessageFields(node, where + name + ".");
+        return new MessageFields(node, pathPrefix + name + ".");
     }
 
-    /** A list of maps; it is empty if there is no such field. */
+    /** Reads a list of maps. Returns an empty list if the field is missing. */
     public List<MessageFields> list(String name) throws MalformedMessageException {
         if (!has(name)) {
             return List.of();
         }
         JsonNode node = map.get(name);
         if (!node.isArray()) {
-            throw wrong(name, "a list");
+            throw invalid(name, "a list");
         }
         List<MessageFields> items = new ArrayList<>(node.size());
         for (JsonNode item : node) {
             if (!item.isObject()) {
-                throw wrong(name, "a list of maps");
+                throw invalid(name, "a list of maps");
             }
-            items.add(new MessageFields(item, where + name + "[" + items.size() + "]."));
+            items.add(new MessageFields(item, pathPrefix + name + "[" + items.size() + "]."));
         }
         return items;
     }
--- a/src/main/java/org/gullway/protocol/OperatorSettings.java
+++ b/src/main/java/org/gullway/protocol/OperatorSettings.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 
 /**
- * Operators' own settings, beyond the platform's file. All have defaults.
+ * Settings that operators choose, in a file separate from the platform's settings file. All have defaults.
  *
  * @param membershipLease how long a controller stays a member without renewing its lease
- * @param spareCapacityFraction resources kept free for urgent work, as a fraction of what urgent work uses now
- * @param scaleInDelay how long a machine stays without tasks before it is released
- * @param bootTimeoutFactor how many times its usual boot time a machine may take
- * @param logInterval pause between two lines of metrics in the log
+ * @param spareCapacityFraction capacity kept free for urgent work, as a fraction of what urgent work uses now
+ * @param scaleInDelay how long a machine must be without tasks before it is released
+ * @param bootTimeoutFactor how long a machine may take to boot, as a multiple of its type's usual boot time
+ * @param logInterval time between two log lines with metrics
  */
 public record OperatorSettings(
         Duration membershipLease,
@@ -44,26 +44,26 @@
     }
 
     /**
-     * Reads the XML file; settings that it does not name have their defaults.
+     * Reads the XML file. Settings that are not in the file have their defaults.
      *
-     * @throws MalformedMessageException with one line for the operator, if the file cannot be read or a value is not allowed
+     * @throws MalformedMessageException if the file cannot be read or a value is not allowed; its message is one line
      */
     public static OperatorSettings read(Path file) throws MalformedMessageException {
-        JsonNode tree;
+        JsonNode root;
         try (var in = Files.newInputStream(file)) {
-            tree = new XmlMapper().readTree(in);
+            root = new XmlMapper().readTree(in);
         } catch (JacksonException e) {
             throw new MalformedMessageException(
-                    file + " is not XML: " + MalformedMessageException.inOneLine(e.getOriginalMessage()), e);
+                    file + " is not XML: " + MalformedMessageException.toSingleLine(e.getOriginalMessage()), e);
         } catch (IOException e) {
             throw new MalformedMessageException("cannot read " + file + ": " + e.getMessage(), e);
         }
-        return of(tree);
+        return of(root);
     }
 
-    static OperatorSettings of(JsonNode tree) throws MalformedMessageException {
+    static OperatorSettings of(JsonNode root) throws MalformedMessageException {
         OperatorSettings settings = DEFAULTS;
-        for (Map.Entry<String, JsonNode> entry : tree.properties()) {
+        for (Map.Entry<String, JsonNode> entry : root.properties()) {
             String name = entry.getKey();
             try {
                 settings = settings.with(
@@ -78,18 +78,18 @@
     }
 
     private OperatorSettings with(String name, double value) throws MalformedMessageException {
-        Duration span = Double.isFinite(value) ? Duration.ofMillis(Math.round(value * 1000)) : Duration.ZERO;
+        Duration duration = Double.isFinite(value) ? Duration.ofMillis(Math.round(value * 1000)) : Duration.ZERO;
         return switch (name) {
             case "membership-lease-s" -> new OperatorSettings(
-                    span, spareCapacityFraction, scaleInDelay, bootTimeoutFactor, logInterval);
+                    duration, spareCapacityFraction, scaleInDelay, bootTimeoutFactor, logInterval);
             case "spare-share" -> new OperatorSettings(
                     membershipLease, value, scaleInDelay, bootTimeoutFactor, logInterval);
             case "idle-return-s" -> new OperatorSettings(
-                    membershipLease, spareCapacityFraction, span, bootTimeoutFactor, logInterval);
+                    membershipLease, spareCapacityFraction, duration, bootTimeoutFactor, logInterval);
             case "boot-patience" -> new OperatorSettings(
                     membershipLease, spareCapacityFraction, scaleInDelay, (int) value, logInterval);
             case "log-interval-s" -> new OperatorSettings(
-                    membershipLease, spareCapacityFraction, scaleInDelay, bootTimeoutFactor, span);
+                    membershipLease, spareCapacityFraction, scaleInDelay, bootTimeoutFactor, duration);
             default -> throw new MalformedMessageException("operator setting " + name + " is unknown");
         };
     }
--- a/src/main/java/org/gullway/protocol/PeerCancellations.java
+++ b/src/main/java/org/gullway/protocol/PeerCancellations.java
@@ -12,19 +12,20 @@
 import java.util.Set;
 
 /**
- * The cancelled jobs known to a controller whose tasks may still be on machines, for a peer that cannot reach the state store.
- * The peer names the jobs that it knows already.
+ * A controller's response to a peer that cannot reach the state store: the cancelled jobs that the controller knows and
+ * whose tasks may still be on machines. The peer's request lists the cancelled jobs that the peer knows already; the
+ * response leaves them out.
  *
- * @param node the controller that answers
- * @param incarnationNumber the number of its incarnation
- * @param complete whether nothing was left out for its size
+ * @param node the name of the responding controller
+ * @param incarnationNumber the number of the responding controller's incarnation
+ * @param complete whether the response has all these jobs; false if some did not fit into the size of a message
  */
 public record PeerCancellations(String node, long incarnationNumber, boolean complete, List<CancelledJob> jobs) {
     private static final int VERSION = 1;
     private static final int MAX_KNOWN_JOBS = 4000;
     private static final int MAX_BYTES = 40 * 1024;
     private static final int HEADER_BYTES = 64;
-    private static final int EXPECTED_NAME_BYTES = 16;
+    private static final int EXPECTED_JOB_ID_BYTES = 16;
     private static final int MAX_ATTEMPTS = 10_000;
     private static final String CONTENT = "cancellations";
     private static final String KNOWN_CONTENT = "names of cancelled jobs";
@@ -32,33 +33,36 @@
     /**
      * A cancelled job.
      *
-     * @param cancelledAt wall-clock time in milliseconds
-     * @param attempts those that may still be live
+     * @param cancelledAt wall-clock time of the cancellation in milliseconds since the epoch of 1970
+     * @param attempts the attempts that may still run
      */
     public record CancelledJob(String id, long cancelledAt, List<CancelledAttempt> attempts) {}
 
-    /** One attempt of a task, in an epoch of its machine's agent. */
+    /** One attempt of a task, on a machine in the given epoch of its agent. */
     public record CancelledAttempt(int task, long attempt, String machine, long agentEpoch) {}
 
-    /** Encodes a request: the names of the cancelled jobs that the asker knows, {@link #MAX_KNOWN_JOBS} at most. */
+    /**
+     * Encodes a request, which lists the cancelled jobs that the requesting controller knows already. Jobs beyond
+     * {@link #MAX_KNOWN_JOBS} are left out.
+     */
     public static byte[] encodeKnownJobs(Collection<String> jobs) {
-        return PeerMessages.encode(VERSION, EXPECTED_NAME_BYTES * jobs.size(), out -> {
+        return PeerMessages.encode(VERSION, EXPECTED_JOB_ID_BYTES * jobs.size(), out -> {
             out.writeShort(Math.min(jobs.size(), MAX_KNOWN_JOBS));
-            int left = MAX_KNOWN_JOBS;
+            int remaining = MAX_KNOWN_JOBS;
             for (String job : jobs) {
-                if (left-- > 0) {
+                if (remaining-- > 0) {
                     out.writeUTF(job);
                 }
             }
         });
     }
 
-    /** Reads the names that {@link #encodeKnownJobs} wrote. */
+    /** Decodes the job ids in a request of {@link #encodeKnownJobs}. */
     public static Set<String> decodeKnownJobs(byte[] body) throws MalformedMessageException {
-        return PeerMessages.decode(body, VERSION, KNOWN_CONTENT, PeerCancellations::readNames);
+        return PeerMessages.decode(body, VERSION, KNOWN_CONTENT, PeerCancellations::readJobIds);
     }
 
-    private static Set<String> readNames(DataInputStream in) throws IOException {
+    private static Set<String> readJobIds(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
         Set<String> jobs = new HashSet<>();
         for (int i = 0; i < count; i++) {
@@ -67,7 +71,7 @@
         return jobs;
     }
 
-    /** Encodes as many of the jobs as fit into one message. */
+    /** Encodes a response with as many of the jobs as fit into one message. */
     public static byte[] encode(String node, long incarnationNumber, Collection<CancelledJob> jobs) {
         ByteArrayOutputStream content = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(content)) {
@@ -76,16 +80,16 @@
                 if (content.size() > MAX_BYTES) {
                     break;
                 }
-                write(job, out);
+                writeJob(job, out);
                 written++;
             }
-            return withHeader(node, incarnationNumber, written == jobs.size(), written, content);
+            return encodeWithHeader(node, incarnationNumber, written == jobs.size(), written, content);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static byte[] withHeader(
+    private static byte[] encodeWithHeader(
             String node, long incarnationNumber, boolean complete, int count, ByteArrayOutputStream content) {
         return PeerMessages.encode(VERSION, content.size() + HEADER_BYTES, out -> {
             out.writeUTF(node);
@@ -96,7 +100,7 @@
         });
     }
 
-    private static void write(CancelledJob job, DataOutputStream out) throws IOException {
+    private static void writeJob(CancelledJob job, DataOutputStream out) throws IOException {
         out.writeUTF(job.id);
         out.writeLong(job.cancelledAt);
         out.writeInt(job.attempts.size());
@@ -109,15 +113,15 @@
     }
 
     /**
-     * Reads what {@link #encode} wrote.
+     * Decodes a response of {@link #encode}.
      *
-     * @throws MalformedMessageException if it is truncated, has bytes left over, or is of another version
+     * @throws MalformedMessageException if the response is truncated, has bytes left over, or is of another version
      */
     public static PeerCancellations decode(byte[] body) throws MalformedMessageException {
-        return PeerMessages.decode(body, VERSION, CONTENT, PeerCancellations::read);
+        return PeerMessages.decode(body, VERSION, CONTENT, PeerCancellations::readResponse);
     }
 
-    private static PeerCancellations read(DataInputStream in) throws IOException, MalformedMessageException {
+    private static PeerCancellations readResponse(DataInputStream in) throws IOException, MalformedMessageException {
         String node = in.readUTF();
         long incarnationNumber = in.readLong();
         boolean complete = in.readBoolean();
--- a/src/main/java/org/gullway/protocol/PeerMessages.java
+++ b/src/main/java/org/gullway/protocol/PeerMessages.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** What the messages between controllers have in common: a version byte, the content, and nothing after it. */
+/** The common format of messages between controllers: a version byte, then the content, with no bytes after it. */
 final class PeerMessages {
     private PeerMessages() {}
 
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Reads a message of the expected version, to its end.
+     * Decodes a message, which must have the given version and no bytes after its content.
      *
-     * @param content what the message holds, for errors
+     * @param content the name of the content in error messages
      */
     static <T> T decode(byte[] body, int version, String content, ContentReader<T> reader)
             throws MalformedMessageException {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Reads the number of items and checks it. */
+    /** Reads the number of items and checks it against the limit. */
     static int readCount(DataInputStream in, int max, String content) throws IOException, MalformedMessageException {
         int count = in.readUnsignedShort();
         if (count > max) {
--- a/src/main/java/org/gullway/protocol/Priority.java
+++ b/src/main/java/org/gullway/protocol/Priority.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Priority of a job, highest first. */
+/** The priority of a job; the constants are in descending order. */
 public enum Priority {
     PROD,
     HIGH,
--- a/src/main/java/org/gullway/protocol/ResourceOffer.java
+++ b/src/main/java/org/gullway/protocol/ResourceOffer.java
@@ -7,21 +7,21 @@
 import java.util.List;
 
 /**
- * Free resources of a machine that fit nothing in one controller's queue, offered to a peer.
+ * An offer of a machine's free resources to a peer, made because no task in the offering controller's queue fits them.
  *
  * @param agentEpoch the epoch of the machine's agent in which the offer is valid
- * @param declinedBy controllers whose queues had no use for them
+ * @param declinedBy controllers that could not use the resources, among them the one that made the offer
  */
 public record ResourceOffer(String machine, long agentEpoch, List<String> declinedBy) {
     public static final int MAX_PER_MESSAGE = 128;
     private static final int VERSION = 2;
-    private static final int MAX_DECLINED_BY = 64;
-    private static final int EXPECTED_BYTES = 64;
+    private static final int MAX_DECLINES = 64;
+    private static final int EXPECTED_OFFER_BYTES = 64;
     private static final String CONTENT = "resource offers";
 
-    /** Encodes a message to a peer. The caller sees to it that there are at most {@link #MAX_PER_MESSAGE}. */
+    /** Encodes a message to a peer. The caller must not pass more than {@link #MAX_PER_MESSAGE} offers. */
     public static byte[] encode(List<ResourceOffer> offers) {
-        return PeerMessages.encode(VERSION, EXPECTED_BYTES * offers.size(), out -> {
+        return PeerMessages.encode(VERSION, EXPECTED_OFFER_BYTES * offers.size(), out -> {
             out.writeShort(offers.size());
             for (ResourceOffer offer : offers) {
                 offer.writeTo(out);
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Reads what {@link #encode} wrote.
+     * Decodes a message of {@link #encode}.
      *
-     * @throws MalformedMessageException if it is truncated, too long, or of another version
+     * @throws MalformedMessageException if the message is truncated, too long, or of another version
      */
     public static List<ResourceOffer> decode(byte[] body) throws MalformedMessageException {
         return PeerMessages.decode(body, VERSION, CONTENT, ResourceOffer::readAll);
@@ -60,8 +60,8 @@
         String machine = in.readUTF();
         long agentEpoch = in.readLong();
         int count = in.readUnsignedByte();
-        if (count > MAX_DECLINED_BY) {
-            throw new MalformedMessageException("an offer that was passed on more than " + MAX_DECLINED_BY + " times");
+        if (count > MAX_DECLINES) {
+            throw new MalformedMessageException("an offer that was passed on more than " + MAX_DECLINES + " times");
         }
         List<String> names = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** The settings file that the platform hands over. */
+/** A controller's settings, read from the TOML file that the platform provides. */
 public record Settings(
         String nodeName,
         String zone,
@@ -43,13 +43,14 @@
     public record Peer(String name, String zone, String address) {}
 
     /**
-     * A team with its guaranteed quota and its limit; 0 means none: a team may be without a guarantee, and without a limit.
+     * A team with its guaranteed quota and its limit, each for CPUs and GPUs. A guarantee of 0 means
+     * that nothing is guaranteed, a limit of 0 that there is no limit.
      *
-     * @param cpus guaranteed processors
-     * @param cpusMax processors at most
+     * @param cpus the guaranteed number of CPUs
+     * @param cpusMax the limit on the number of CPUs
      */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-        /** More than any fleet has, and small enough that sums of quota partitions stay exact enough. */
+        /** Larger than any fleet, but small enough that rounding errors in sums of quota partitions do not matter. */
         private static final double UNLIMITED = 1e7;
 
         public double cpusLimit() {
@@ -61,63 +62,63 @@
         }
     }
 
-    /** A service-level objective for one class of jobs; {@code timeLimit} is null where it has none. */
+    /** A service-level objective for one class of jobs; {@code timeLimit} is null if it has none. */
     public record Objective(String kind, String jobClass, Duration timeLimit) {}
 
     /**
-     * Reads the TOML file of the platform.
+     * Reads the TOML file that the platform provides.
      *
-     * @throws MalformedMessageException with one line for the operator, if the file cannot be read or a field is wrong
+     * @throws MalformedMessageException if the file cannot be read or a field is invalid; its message is one line
      */
     public static Settings read(Path file) throws MalformedMessageException {
-        JsonNode tree;
+        JsonNode root;
         try (InputStream in = Files.newInputStream(file);
                 JsonParser parser = new TomlFactory().createParser(in)) {
-            tree = JsonTrees.readNext(parser);
+            root = JsonTrees.readNext(parser);
         } catch (JacksonException e) {
             throw new MalformedMessageException(
-                    file + " is not TOML: " + MalformedMessageException.inOneLine(e.getOriginalMessage()), e);
+                    file + " is not TOML: " + MalformedMessageException.toSingleLine(e.getOriginalMessage()), e);
         } catch (IOException e) {
             throw new MalformedMessageException("cannot read " + file + ": " + e.getMessage(), e);
         }
-        return of(tree);
+        return of(root);
     }
 
-    static Settings of(JsonNode tree) throws MalformedMessageException {
-        MessageFields top = MessageFields.of(tree);
-        List<Peer> peers = peers(top);
-        MessageFields external = top.nested("external");
-        MessageFields facts = top.nested("facts");
+    static Settings of(JsonNode root) throws MalformedMessageException {
+        MessageFields fields = MessageFields.of(root);
+        List<Peer> peers = peers(fields);
+        MessageFields external = fields.nested("external");
+        MessageFields facts = fields.nested("facts");
         Map<String, Team> teams = teams(facts);
         List<Objective> objectives = objectives(facts);
         MessageFields workers = facts.nested("workers");
         MessageFields state = facts.nested("state");
         MessageFields cloud = facts.nested("cloud");
         return new Settings(
-                top.text("node_name"),
-                top.text("site"),
-                address(top, "public_addr"),
-                address(top, "mesh_addr"),
+                fields.text("node_name"),
+                fields.text("site"),
+                address(fields, "public_addr"),
+                address(fields, "mesh_addr"),
                 peers,
                 address(external, "cloud"),
                 address(external, "state"),
                 teams,
                 objectives,
-                span(workers, "report_s"),
-                span(workers, "lease_s"),
-                span(workers, "cancel_s"),
+                positiveDuration(workers, "report_s"),
+                positiveDuration(workers, "lease_s"),
+                positiveDuration(workers, "cancel_s"),
                 state.positive("rps"),
                 state.positive("write_rps"),
                 (int) (state.positive("value_kb") * 1024),
-                atLeastOne(state, "txn_ops"),
+                positiveCount(state, "txn_ops"),
                 cloud.positive("rps"),
                 cloud.seconds("list_lag_s"),
-                atLeastOne(facts.nested("quota"), "sockets"));
+                positiveCount(facts.nested("quota"), "sockets"));
     }
 
-    private static List<Peer> peers(MessageFields top) throws MalformedMessageException {
+    private static List<Peer> peers(MessageFields fields) throws MalformedMessageException {
         List<Peer> peers = new ArrayList<>();
-        for (MessageFields seed : top.list("seeds")) {
+        for (MessageFields seed : fields.list("seeds")) {
             peers.add(new Peer(seed.text("node_name"), seed.text("site"), address(seed, "addr")));
         }
         return List.copyOf(peers);
@@ -142,7 +143,7 @@
     private static List<Objective> objectives(MessageFields facts) throws MalformedMessageException {
         List<Objective> objectives = new ArrayList<>();
         for (MessageFields fields : facts.list("objectives")) {
-            // Objectives of kinds that are not known yet, or of another form, must not keep a controller from starting.
+            // An objective of an unknown kind or of another form must not keep a controller from starting.
             if (fields.has("kind") && fields.has("class")) {
                 objectives.add(
                         new Objective(fields.text("kind"), fields.text("class"), fields.secondsOrNull("within_s")));
@@ -159,15 +160,15 @@
         return text;
     }
 
-    private static Duration span(MessageFields fields, String name) throws MalformedMessageException {
-        Duration span = fields.seconds(name);
-        if (span.isZero()) {
+    private static Duration positiveDuration(MessageFields fields, String name) throws MalformedMessageException {
+        Duration duration = fields.seconds(name);
+        if (duration.isZero()) {
             throw new MalformedMessageException(name + " is 0");
         }
-        return span;
+        return duration;
     }
 
-    private static int atLeastOne(MessageFields fields, String name) throws MalformedMessageException {
+    private static int positiveCount(MessageFields fields, String name) throws MalformedMessageException {
         int count = fields.countUpTo(name, 1_000_000);
         if (count < 1) {
             throw new MalformedMessageException(name + " is below 1");
--- a/src/main/java/org/gullway/protocol/TaskId.java
+++ b/src/main/java/org/gullway/protocol/TaskId.java
@@ -2,22 +2,22 @@
 
 /** One task of a job. */
 public record TaskId(String job, int index) {
-    /** Reads the form of the protocol, {@code job/index} with an index from 0. */
-    public static TaskId parse(String wire) throws MalformedMessageException {
-        int slash = wire.lastIndexOf('/');
+    /** Parses the form that the protocol uses: {@code job/index}, with an index from 0. */
+    public static TaskId parse(String text) throws MalformedMessageException {
+        int slash = text.lastIndexOf('/');
         try {
-            int index = Integer.parseInt(wire, slash + 1, wire.length(), 10);
+            int index = Integer.parseInt(text, slash + 1, text.length(), 10);
             if (slash > 0 && index >= 0) {
-                return new TaskId(wire.substring(0, slash), index);
+                return new TaskId(text.substring(0, slash), index);
             }
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
-            // reported below
+            // Reported by the exception below.
         }
         throw new MalformedMessageException("leg is not of the form run-000412/3");
     }
 
-    /** Whether these characters are this id as it is written on the wire. */
-    boolean isWrittenAs(char[] characters, int offset, int length) {
+    /** Whether these characters are the protocol form of this id. */
+    boolean matches(char[] characters, int offset, int length) {
         int slash = job.length();
         if (length <= slash + 1 || characters[offset + slash] != '/') {
             return false;
--- a/src/main/java/org/gullway/protocol/TaskStatus.java
+++ b/src/main/java/org/gullway/protocol/TaskStatus.java
@@ -1,8 +1,8 @@
 package org.gullway.protocol;
 
-/** One attempt of a task as its agent sees it; {@code cause} is null until the attempt has ended. */
+/** The status of one attempt of a task, as its agent reports it; {@code cause} is null until the attempt has ended. */
 public record TaskStatus(TaskId task, long attempt, Phase phase, Cause cause, boolean checkpointed) {
-    /** How far the attempt has come; in all phases but {@code ENDED} it uses its resources. */
+    /** The phase of the attempt, which uses its resources in every phase except {@code ENDED}. */
     public enum Phase {
         FETCHING,
         RUNNING,
@@ -14,13 +14,14 @@
                 case "fetching", "gathering" -> FETCHING;
                 case "saving" -> SAVING;
                 case "ended" -> ENDED;
-                    // A live state of a later protocol uses resources like a running task.
+                    // A phase added by a later protocol version is not an end, so the task uses resources like a
+                    // running one.
                 default -> RUNNING;
             };
         }
     }
 
-    /** Why the attempt ended; causes of later protocols are {@code OTHER}. */
+    /** Why the attempt ended. A cause added by a later protocol version is read as {@code OTHER}. */
     public enum Cause {
         DONE,
         STOPPED,
--- a/src/main/java/org/gullway/protocol/package-info.java
+++ b/src/main/java/org/gullway/protocol/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Messages of users, agents, the cloud and the other controllers, with their names on the wire and their limits. Bodies
- * that are not of the stated form are reported as {@link org.gullway.protocol.MalformedMessageException}.
+ * Settings, and the messages exchanged with users, agents, the cloud provider and peers, with their field names and
+ * limits. A malformed message causes a {@link org.gullway.protocol.MalformedMessageException}.
  */
 package org.gullway.protocol;
