--- a/src/main/java/org/gullway/protocol/Cbor.java
+++ b/src/main/java/org/gullway/protocol/Cbor.java
@@ -43,13 +43,13 @@
         try (JsonParser parser = parser(body)) {
             node = JsonTrees.readNext(parser);
             if (parser.nextToken() != null) {
-                throw new MalformedMessageException("bytes after the map");
+                throw new MalformedMessageException("unexpected bytes after the CBOR map");
             }
         } catch (IOException | StackOverflowError e) {
-            throw new MalformedMessageException("not CBOR", e);
+            throw new MalformedMessageException("not valid CBOR", e);
         }
         if (!(node instanceof ObjectNode map)) {
-            throw new MalformedMessageException("not a map");
+            throw new MalformedMessageException("not a CBOR map");
         }
         return map;
     }
--- a/src/main/java/org/gullway/protocol/HeartbeatReader.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatReader.java
@@ -10,8 +10,8 @@
 import java.util.function.Function;
 
 /**
- * Decodes a heartbeat from CBOR in one pass. Values that equal those of the agent's last heartbeat are reused from it, so
- * a heartbeat in which only counters have changed allocates little, however many tasks it lists.
+ * Decodes a heartbeat from CBOR in one pass. Values that equal those of the agent's last heartbeat are reused from it,
+ * so a heartbeat in which only counters have changed allocates little, however many tasks it lists.
  */
 final class HeartbeatReader {
     private static final BigInteger MAX_COUNT = BigInteger.valueOf(Long.MAX_VALUE);
@@ -43,15 +43,15 @@
     static Heartbeat read(byte[] body, Function<String, Heartbeat> lastHeartbeats) throws MalformedMessageException {
         try (JsonParser parser = Cbor.parser(body)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new MalformedMessageException("not a map");
+                throw new MalformedMessageException("not a CBOR map");
             }
             Heartbeat heartbeat = new HeartbeatReader(parser, lastHeartbeats).readMap();
             if (parser.nextToken() != null) {
-                throw new MalformedMessageException("bytes after the map");
+                throw new MalformedMessageException("unexpected bytes after the CBOR map");
             }
             return heartbeat;
         } catch (IOException e) {
-            throw new MalformedMessageException("not CBOR", e);
+            throw new MalformedMessageException("not valid CBOR", e);
         }
     }
 
@@ -265,7 +265,7 @@
 
     private void requireEnd() throws MalformedMessageException {
         if (parser.currentToken() != JsonToken.END_OBJECT) {
-            throw new MalformedMessageException("not CBOR");
+            throw new MalformedMessageException("not valid CBOR");
         }
     }
 
--- a/src/main/java/org/gullway/protocol/JsonTrees.java
+++ b/src/main/java/org/gullway/protocol/JsonTrees.java
@@ -36,7 +36,7 @@
             case VALUE_FALSE -> NODE_FACTORY.booleanNode(false);
             case VALUE_NULL -> NODE_FACTORY.nullNode();
             case VALUE_EMBEDDED_OBJECT -> readEmbedded(parser.getEmbeddedObject());
-            default -> throw new IOException("unexpected " + parser.currentToken());
+            default -> throw new IOException("unexpected token " + parser.currentToken());
         };
     }
 
@@ -64,14 +64,14 @@
 
     private static JsonNode readRequired(JsonParser parser) throws IOException {
         if (parser.currentToken() == null) {
-            throw new IOException("the input ends too early");
+            throw new IOException("unexpected end of input");
         }
         return read(parser);
     }
 
     private static void requireToken(JsonParser parser, JsonToken expected) throws IOException {
         if (parser.currentToken() != expected) {
-            throw new IOException("expected " + expected + ", found " + parser.currentToken());
+            throw new IOException("expected token " + expected + ", got " + parser.currentToken());
         }
     }
 
--- a/src/main/java/org/gullway/protocol/PeerCancellations.java
+++ b/src/main/java/org/gullway/protocol/PeerCancellations.java
@@ -28,7 +28,7 @@
     private static final int EXPECTED_JOB_ID_BYTES = 16;
     private static final int MAX_ATTEMPTS = 10_000;
     private static final String CONTENT = "cancellations";
-    private static final String KNOWN_CONTENT = "names of cancelled jobs";
+    private static final String KNOWN_CONTENT = "ids of cancelled jobs";
 
     /**
      * A cancelled job.
@@ -138,7 +138,8 @@
         long cancelledAt = in.readLong();
         int count = in.readInt();
         if (count < 0 || count > MAX_ATTEMPTS) {
-            throw new MalformedMessageException("too many attempts of " + id);
+            throw new MalformedMessageException(
+                    "invalid number of attempts " + count + " of " + id + ", the limit is " + MAX_ATTEMPTS);
         }
         List<CancelledAttempt> attempts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/src/main/java/org/gullway/protocol/PeerMessages.java
+++ b/src/main/java/org/gullway/protocol/PeerMessages.java
@@ -41,15 +41,15 @@
             throws MalformedMessageException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
             if (in.readUnsignedByte() != version) {
-                throw new MalformedMessageException("unknown version of " + content);
+                throw new MalformedMessageException("unknown version of " + content + ", expected " + version);
             }
             T message = reader.read(in);
             if (in.read() >= 0) {
-                throw new MalformedMessageException("bytes after " + content);
+                throw new MalformedMessageException("unexpected bytes after " + content);
             }
             return message;
         } catch (IOException e) {
-            throw new MalformedMessageException("truncated " + content, e);
+            throw new MalformedMessageException("truncated or malformed " + content, e);
         }
     }
 
@@ -57,7 +57,7 @@
     static int readCount(DataInputStream in, int max, String content) throws IOException, MalformedMessageException {
         int count = in.readUnsignedShort();
         if (count > max) {
-            throw new MalformedMessageException("more than " + max + " " + content);
+            throw new MalformedMessageException("got " + count + " " + content + ", the limit is " + max);
         }
         return count;
     }
--- a/src/main/java/org/gullway/protocol/ResourceOffer.java
+++ b/src/main/java/org/gullway/protocol/ResourceOffer.java
@@ -61,7 +61,8 @@
         long agentEpoch = in.readLong();
         int count = in.readUnsignedByte();
         if (count > MAX_DECLINES) {
-            throw new MalformedMessageException("an offer that was passed on more than " + MAX_DECLINES + " times");
+            throw new MalformedMessageException(
+                    "resource offer declined by " + count + " controllers, the limit is " + MAX_DECLINES);
         }
         List<String> names = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
