--- a/src/test/java/org/gullway/golden/GoldenFile.java
+++ b/src/test/java/org/gullway/golden/GoldenFile.java
@@ -15,8 +15,9 @@
 import java.util.stream.Stream;
 
 /**
- * Bytes that an earlier version wrote, by name, one line each in hexadecimal. With the system property
- * {@code golden.record} a missing entry is added instead of failing; an entry that is there is never changed.
+ * A file of expected encodings that an earlier version of the code recorded. Each line is an entry: its name, and its
+ * bytes in hexadecimal. A missing entry fails the test, or is added if the system property {@code golden.record} is true.
+ * An existing entry is never changed.
  */
 public final class GoldenFile {
     private static final Path DIRECTORY = Path.of("src/test/resources/golden");
@@ -28,7 +29,7 @@
         this.path = path;
     }
 
-    /** The file of this name among the test resources. */
+    /** Reads the golden file with this name, without its extension, from the test resources. */
     public static GoldenFile of(String name) {
         GoldenFile file = new GoldenFile(DIRECTORY.resolve(name + ".txt"));
         file.read();
@@ -49,23 +50,23 @@
         }
     }
 
-    /** One line of text for an entry: the values, separated by bars. */
+    /** Joins the values to one line of text, separated by vertical bars. */
     public static String line(Object... values) {
         return Stream.of(values).map(String::valueOf).collect(Collectors.joining("|"));
     }
 
-    /** The position of a constant in its enum, for names that stay when the constant is renamed. */
+    /** Returns the position of a constant in its enum, so that no entry depends on the name of a constant. */
     public static <E extends Enum<E>> int position(E constant) {
         return List.of(constant.getDeclaringClass().getEnumConstants()).indexOf(constant);
     }
 
-    /** The golden bytes of this name. */
+    /** Returns the bytes of the entry with this name. */
     public byte[] bytes(String name) {
         assertThat(entries).as("golden entries").containsKey(name);
         return entries.get(name).clone();
     }
 
-    /** Fails unless these are the golden bytes of this name. */
+    /** Fails unless these bytes equal the entry with this name. */
     public void check(String name, byte[] actual) {
         if (Boolean.getBoolean("golden.record") && !entries.containsKey(name)) {
             entries.put(name, actual);
@@ -76,7 +77,7 @@
                 .isEqualTo(HexFormat.of().formatHex(bytes(name)));
     }
 
-    /** Fails unless this text is the golden entry of this name. */
+    /** Fails unless this text, encoded as UTF-8, equals the entry with this name. */
     public void checkText(String name, String actual) {
         check(name, actual.getBytes(StandardCharsets.UTF_8));
     }
--- a/src/test/java/org/gullway/protocol/FormatsTest.java
+++ b/src/test/java/org/gullway/protocol/FormatsTest.java
@@ -24,18 +24,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Messages and settings survive their encoding, and invalid ones are rejected with the name of the field. */
+/**
+ * Messages that are encoded and decoded again are unchanged. Invalid messages and settings are rejected with an error
+ * that names the field.
+ */
 class FormatsTest {
     @Provide
     Arbitrary<JobRequest> requests() {
         Arbitrary<Double> amounts = Arbitraries.doubles().between(0.5, 64).ofScale(2);
-        Arbitrary<Duration> spans = Arbitraries.longs().between(0, 3_600_000).map(Duration::ofMillis);
+        Arbitrary<Duration> durations =
+                Arbitraries.longs().between(0, 3_600_000).map(Duration::ofMillis);
         return Combinators.combine(
                         Arbitraries.integers().between(1, 999_999),
                         Arbitraries.of(Priority.values()),
                         Arbitraries.integers().between(1, JobRequest.MAX_TASKS),
                         amounts,
-                        spans,
+                        durations,
                         Arbitraries.of(JobRequest.Shape.values()),
                         Arbitraries.of(true, false),
                         Arbitraries.strings()
@@ -45,7 +49,7 @@
                                 .list()
                                 .ofMaxSize(3)
                                 .injectNull(0.3))
-                .as((id, priority, tasks, amount, span, shape, flag, types) -> new JobRequest(
+                .as((id, priority, tasks, amount, duration, shape, flag, types) -> new JobRequest(
                         String.format("run-%06d", id),
                         "render",
                         "red",
@@ -62,19 +66,19 @@
                         flag,
                         !flag,
                         flag,
-                        span,
-                        span,
-                        span,
-                        flag ? span : null));
+                        duration,
+                        duration,
+                        duration,
+                        flag ? duration : null));
     }
 
     @Property(tries = 300, seed = "1")
-    void requestsSurviveTheWire(@ForAll("requests") JobRequest request) throws MalformedMessageException {
+    void jobRequestsRoundTrip(@ForAll("requests") JobRequest request) throws MalformedMessageException {
         assertThat(JobRequest.parse(Cbor.decode(Cbor.encode(request.toNode())))).isEqualTo(request);
     }
 
     @Property(tries = 2000, seed = "2")
-    void corruptedBodiesAreRejected(@ForAll("requests") JobRequest request, @ForAll long seed) {
+    void corruptedSubmissionsAreRejectedOrStillValid(@ForAll("requests") JobRequest request, @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] body = Cbor.encode(request.toNode());
         for (int i = 1 + random.nextInt(4); i > 0; i--) {
@@ -92,27 +96,28 @@
     @ParameterizedTest
     @CsvSource({"name_id,job-1", "name_id,run-", "herd,", "rank,urgent", "shape,swarm", "crew,"})
     void invalidTextsAreRejected(String field, String value) {
-        ObjectNode node = valid();
+        ObjectNode node = validSubmission();
         node.put(field, value == null ? "" : value);
         assertThatThrownBy(() -> JobRequest.parse(node)).isInstanceOf(MalformedMessageException.class);
     }
 
     @ParameterizedTest
     @CsvSource({"legs,0", "legs,-1", "legs,100001", "cpus,0", "cpus,-4", "mem_gb,-1", "cards,1e300", "reckon_s,-1"})
-    void invalidNumbersAreRejectedByName(String field, double value) {
-        ObjectNode node = valid();
+    void invalidNumbersAreRejectedWithTheFieldName(String field, double value) {
+        ObjectNode node = validSubmission();
         if (field.equals("legs")) {
             node.put(field, (long) value);
         } else {
             node.put(field, value);
         }
         assertThatThrownBy(() -> JobRequest.parse(node)).hasMessageContaining(field);
-        assertThatThrownBy(() -> JobRequest.parse(valid().put(field, Double.NaN)))
+        assertThatThrownBy(() -> JobRequest.parse(validSubmission().put(field, Double.NaN)))
+                .hasMessageContaining(field);
+        assertThatThrownBy(() -> JobRequest.parse(validSubmission().put(field, "4")))
                 .hasMessageContaining(field);
-        assertThatThrownBy(() -> JobRequest.parse(valid().put(field, "4"))).hasMessageContaining(field);
     }
 
-    private static ObjectNode valid() {
+    private static ObjectNode validSubmission() {
         return new JobRequest(
                         "run-000001",
                         "render",
@@ -138,24 +143,26 @@
     }
 
     @Test
-    void onlyASingleMapIsABody() {
+    void bodiesOtherThanASingleMapAreRejected() {
         assertThatThrownBy(() -> Cbor.decode(new byte[0])).isInstanceOf(MalformedMessageException.class);
         assertThatThrownBy(() -> Cbor.decode(new byte[] {0x01})).isInstanceOf(MalformedMessageException.class);
-        byte[] twice = new byte[] {(byte) 0xa0, (byte) 0xa0};
-        assertThatThrownBy(() -> Cbor.decode(twice)).isInstanceOf(MalformedMessageException.class);
-        byte[] deep = new byte[60_000];
-        Arrays.fill(deep, (byte) 0x81);
-        assertThatThrownBy(() -> Cbor.decode(deep)).isInstanceOf(MalformedMessageException.class);
+        byte[] twoMaps = new byte[] {(byte) 0xa0, (byte) 0xa0};
+        assertThatThrownBy(() -> Cbor.decode(twoMaps)).isInstanceOf(MalformedMessageException.class);
+        byte[] nestedLists = new byte[60_000];
+        Arrays.fill(nestedLists, (byte) 0x81);
+        assertThatThrownBy(() -> Cbor.decode(nestedLists)).isInstanceOf(MalformedMessageException.class);
     }
 
     @Property(tries = 300, seed = "3")
-    void offersSurviveTheirEncoding(
-            @ForAll @IntRange(min = 0) int machine, @ForAll long agentEpoch, @ForAll @Size(max = 5) List<String> asked)
+    void resourceOffersRoundTripAndTruncatedOnesAreRejected(
+            @ForAll @IntRange(min = 0) int machine,
+            @ForAll long agentEpoch,
+            @ForAll @Size(max = 5) List<String> declinedBy)
             throws MalformedMessageException {
-        List<String> names = new ArrayList<>();
-        asked.forEach(name -> names.add("perch-" + Math.abs(name.hashCode() % 100)));
-        List<ResourceOffer> offers =
-                List.of(new ResourceOffer("vm-" + machine, agentEpoch, names), new ResourceOffer("vm-1", 1, List.of()));
+        List<String> controllers = new ArrayList<>();
+        declinedBy.forEach(name -> controllers.add("perch-" + Math.abs(name.hashCode() % 100)));
+        List<ResourceOffer> offers = List.of(
+                new ResourceOffer("vm-" + machine, agentEpoch, controllers), new ResourceOffer("vm-1", 1, List.of()));
         byte[] bytes = ResourceOffer.encode(offers);
         assertThat(ResourceOffer.decode(bytes)).isEqualTo(offers);
         for (int cut = 0; cut < bytes.length; cut++) {
@@ -165,11 +172,11 @@
     }
 
     @Property(tries = 50, seed = "8")
-    void completionsSurviveTheirEncodingAndTruncatedOnesAreRejected(
-            @ForAll @IntRange(min = 0, max = 99_999) int task, @ForAll long attempt, @ForAll byte end)
+    void attemptCompletionsRoundTripAndTruncatedOnesAreRejected(
+            @ForAll @IntRange(min = 0, max = 99_999) int task, @ForAll long attempt, @ForAll byte outcome)
             throws MalformedMessageException {
         List<AttemptCompletion> completions = List.of(
-                new AttemptCompletion(new TaskId("run-000001", task), attempt, end),
+                new AttemptCompletion(new TaskId("run-000001", task), attempt, outcome),
                 new AttemptCompletion(new TaskId("run-000002", 0), 1, (byte) 0));
         byte[] bytes = AttemptCompletion.encode(completions);
         assertThat(AttemptCompletion.decode(bytes)).isEqualTo(completions);
@@ -180,24 +187,24 @@
     }
 
     @Property(tries = 50, seed = "9")
-    void cancellationsSurviveTheirEncodingAndTruncatedOnesAreRejected(
+    void cancellationsRoundTripAndTruncatedOnesAreRejected(
             @ForAll @IntRange(min = 0, max = 99_999) int task,
             @ForAll long attempt,
             @ForAll @IntRange(max = 60) int jobs)
             throws MalformedMessageException {
-        List<PeerCancellations.CancelledJob> list = new ArrayList<>();
+        List<PeerCancellations.CancelledJob> cancelledJobs = new ArrayList<>();
         for (int i = 0; i < jobs; i++) {
-            list.add(new PeerCancellations.CancelledJob(
+            cancelledJobs.add(new PeerCancellations.CancelledJob(
                     "run-" + i,
                     1_700_000_000_000L + i,
                     Collections.nCopies(i, new PeerCancellations.CancelledAttempt(task, attempt, "vm-" + i, 3))));
         }
-        byte[] bytes = PeerCancellations.encode("perch-1", attempt, list);
+        byte[] bytes = PeerCancellations.encode("perch-1", attempt, cancelledJobs);
         assertThat(bytes.length).isLessThan(48 * 1024);
         PeerCancellations read = PeerCancellations.decode(bytes);
         assertThat(read.node()).isEqualTo("perch-1");
         assertThat(read.incarnationNumber()).isEqualTo(attempt);
-        assertThat(read.jobs()).isEqualTo(list.subList(0, read.jobs().size()));
+        assertThat(read.jobs()).isEqualTo(cancelledJobs.subList(0, read.jobs().size()));
         assertThat(read.complete()).isEqualTo(read.jobs().size() == jobs);
         assertThat(PeerCancellations.decodeKnownJobs(PeerCancellations.encodeKnownJobs(List.of("run-1", "run-2"))))
                 .containsExactlyInAnyOrder("run-1", "run-2");
@@ -209,16 +216,16 @@
 
     @Test
     void cancellationsBeyondOneMessageAreMarkedIncomplete() throws MalformedMessageException {
-        List<PeerCancellations.CancelledJob> list = Collections.nCopies(
+        List<PeerCancellations.CancelledJob> cancelledJobs = Collections.nCopies(
                 20,
                 new PeerCancellations.CancelledJob(
                         "run-1",
                         1,
                         Collections.nCopies(200, new PeerCancellations.CancelledAttempt(1, 2, "vm-000001", 3))));
-        assertThat(PeerCancellations.decode(PeerCancellations.encode("perch-1", 1, list))
+        assertThat(PeerCancellations.decode(PeerCancellations.encode("perch-1", 1, cancelledJobs))
                         .complete())
                 .isFalse();
-        assertThat(PeerCancellations.decode(PeerCancellations.encode("perch-1", 1, list.subList(0, 3)))
+        assertThat(PeerCancellations.decode(PeerCancellations.encode("perch-1", 1, cancelledJobs.subList(0, 3)))
                         .complete())
                 .isTrue();
     }
@@ -279,7 +286,7 @@
         "state = \"10.2.0.1:2379\",,state",
         "sockets = 3000,,sockets"
     })
-    void faultySettingsNameTheField(String original, String replacement, String field) {
+    void errorsInSettingsNameTheField(String original, String replacement, String field) {
         String text = SETTINGS.replace(original, replacement == null ? "" : replacement);
         assertThatThrownBy(() -> settings(text))
                 .isInstanceOf(MalformedMessageException.class)
@@ -287,7 +294,7 @@
     }
 
     @Test
-    void operatorsSettingsAreReadAndChecked() throws Exception {
+    void operatorSettingsAreReadAndChecked() throws Exception {
         XmlMapper xml = new XmlMapper();
         OperatorSettings read = OperatorSettings.of(xml.readTree("<gullway><spare-share>2</spare-share></gullway>"));
         assertThat(read.spareCapacityFraction()).isEqualTo(2);
--- a/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -11,13 +11,16 @@
 import org.gullway.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
-/** Messages of users, agents, the cloud and peers are read and written as before. */
+/**
+ * Messages of users, agents, the cloud provider and peers have the encoding that the golden file records, and a recorded
+ * message is decoded to the recorded values.
+ */
 class GoldenMessagesTest {
     private static final GoldenFile GOLDEN = GoldenFile.of("messages");
 
-    // Users
+    // Messages of users
 
-    private static JobRequest request(JobRequest.Shape shape, Priority priority, boolean optional) {
+    private static JobRequest request(JobRequest.Shape shape, Priority priority, boolean withOptionalFields) {
         return new JobRequest(
                 "run-000412",
                 "render",
@@ -26,29 +29,29 @@
                 priority,
                 300,
                 1.5,
-                optional ? 2 : 0,
+                withOptionalFields ? 2 : 0,
                 6.25,
                 "img-1",
                 0.5,
-                optional ? List.of("small", "large") : null,
-                optional ? "b" : null,
-                !optional,
-                optional,
-                optional,
+                withOptionalFields ? List.of("small", "large") : null,
+                withOptionalFields ? "b" : null,
+                !withOptionalFields,
+                withOptionalFields,
+                withOptionalFields,
                 Duration.ofMillis(12_500),
-                optional ? Duration.ofSeconds(20) : Duration.ZERO,
-                optional ? Duration.ofMillis(1500) : Duration.ZERO,
-                optional ? Duration.ofMinutes(2) : null);
+                withOptionalFields ? Duration.ofSeconds(20) : Duration.ZERO,
+                withOptionalFields ? Duration.ofMillis(1500) : Duration.ZERO,
+                withOptionalFields ? Duration.ofMinutes(2) : null);
     }
 
     @Test
-    void submissionsKeepTheirBytes() throws MalformedMessageException {
+    void submissionEncodingIsUnchanged() throws MalformedMessageException {
         for (JobRequest.Shape shape : JobRequest.Shape.values()) {
             for (Priority priority : Priority.values()) {
-                for (boolean optional : new boolean[] {false, true}) {
+                for (boolean withOptionalFields : new boolean[] {false, true}) {
                     String name = "submission-" + GoldenFile.position(shape) + "-" + GoldenFile.position(priority)
-                            + (optional ? "-all" : "-least");
-                    JobRequest request = request(shape, priority, optional);
+                            + (withOptionalFields ? "-all" : "-least");
+                    JobRequest request = request(shape, priority, withOptionalFields);
                     GOLDEN.check(name, Cbor.encode(request.toNode()));
                     JobRequest read = JobRequest.parse(Cbor.decode(GOLDEN.bytes(name)));
                     assertThat(read).isEqualTo(request);
@@ -59,14 +62,14 @@
     }
 
     @Test
-    void statesKeepTheirBytes() throws MalformedMessageException {
+    void jobStatusEncodingIsUnchanged() throws MalformedMessageException {
         for (JobState state : JobState.values()) {
             GOLDEN.check("status-" + state.wireName(), Cbor.encode(new JobStatus("run-000412", state, 3, 2).toNode()));
             assertThat(JobState.of(state.wireName())).isEqualTo(state);
         }
     }
 
-    // Agents
+    // Messages of agents
 
     private static ObjectNode heartbeat(Long warningSeconds) {
         ObjectNode node = Cbor.map()
@@ -86,7 +89,7 @@
         return node;
     }
 
-    private static void leg(ArrayNode legs, String state, String cause, Boolean stored) {
+    private static void addTask(ArrayNode legs, String state, String cause, Boolean stored) {
         ObjectNode leg = legs.addObject()
                 .put("leg", "run-000412/" + legs.size())
                 .put("launch", 30 + legs.size())
@@ -99,7 +102,7 @@
         }
     }
 
-    private static String text(Heartbeat read) {
+    private static String toText(Heartbeat read) {
         List<String> lines = new ArrayList<>();
         lines.add(GoldenFile.line(
                 read.machine(),
@@ -125,27 +128,27 @@
     }
 
     @Test
-    void heartbeatsAreReadAsBefore() throws MalformedMessageException {
+    void heartbeatDecodingIsUnchanged() throws MalformedMessageException {
         ObjectNode full = heartbeat(30L);
         ArrayNode legs = full.putArray("legs");
         for (String state : List.of("fetching", "gathering", "running", "saving", "later")) {
-            leg(legs, state, null, null);
+            addTask(legs, state, null, null);
         }
         for (String cause : List.of("done", "halted", "error", "full", "busy", "no_such", "later")) {
-            leg(legs, "ended", cause, true);
+            addTask(legs, "ended", cause, true);
         }
-        leg(legs, "ended", null, false);
+        addTask(legs, "ended", null, false);
         checkHeartbeat("report-full", full);
         checkHeartbeat("report-without-tasks", heartbeat(null));
     }
 
     private static void checkHeartbeat(String name, ObjectNode node) throws MalformedMessageException {
         GOLDEN.check(name, Cbor.encode(node));
-        GOLDEN.checkText(name + ".read", text(Heartbeat.parse(GOLDEN.bytes(name), machine -> null)));
+        GOLDEN.checkText(name + ".read", toText(Heartbeat.parse(GOLDEN.bytes(name), machine -> null)));
     }
 
     @Test
-    void commandsKeepTheirBytes() {
+    void commandEncodingIsUnchanged() {
         TaskId task = new TaskId("run-000412", 3);
         List<AgentCommand> commands = List.of(
                 AgentCommand.start(task, 31),
@@ -160,16 +163,16 @@
         GOLDEN.check("redirect-anywhere", AgentCommand.encodeRedirectToAny());
     }
 
-    // Cloud
+    // Messages of the cloud provider
 
     @Test
-    void requestsToTheCloudKeepTheirBytes() {
+    void cloudRequestEncodingIsUnchanged() {
         GOLDEN.check("rental", CloudMessages.encodeProvisionRequest("perch-0-1z-4", "small", "a", true, 17));
         GOLDEN.check("return", CloudMessages.encodeRelease(List.of("vm-000001", "vm-000002")));
     }
 
     @Test
-    void responsesOfTheCloudAreReadAsBefore() throws MalformedMessageException {
+    void cloudResponseDecodingIsUnchanged() throws MalformedMessageException {
         ObjectNode types = Cbor.map();
         ArrayNode breeds = types.putArray("breeds");
         ObjectNode full = breeds.addObject()
@@ -209,7 +212,7 @@
     }
 
     @Test
-    void pagesOfMachinesAreReadAsBefore() throws MalformedMessageException {
+    void machinePageDecodingIsUnchanged() throws MalformedMessageException {
         ObjectNode page = Cbor.map();
         ArrayNode perches = page.putArray("perches");
         for (String state : List.of("booting", "up", "failed")) {
@@ -241,10 +244,10 @@
         GOLDEN.checkText("page.read", String.join("\n", lines));
     }
 
-    // Peers
+    // Messages between controllers
 
     @Test
-    void offersKeepTheirBytes() throws MalformedMessageException {
+    void resourceOfferEncodingIsUnchanged() throws MalformedMessageException {
         List<ResourceOffer> offers = List.of(
                 new ResourceOffer("vm-000001", 3, List.of()),
                 new ResourceOffer("vm-000002", 4, List.of("perch-0", "perch-2")));
@@ -256,7 +259,7 @@
     }
 
     @Test
-    void completionsKeepTheirBytes() throws MalformedMessageException {
+    void attemptCompletionEncodingIsUnchanged() throws MalformedMessageException {
         List<AttemptCompletion> completions = List.of(
                 new AttemptCompletion(new TaskId("run-000412", 3), 31, (byte) 0),
                 new AttemptCompletion(new TaskId("run-000412", 299), 4_294_967_300L, (byte) 1),
@@ -268,7 +271,7 @@
     }
 
     @Test
-    void cancellationsKeepTheirBytes() throws MalformedMessageException {
+    void cancellationEncodingIsUnchanged() throws MalformedMessageException {
         List<String> known = List.of("run-000412", "run-000001");
         GOLDEN.check("cancellations-known", PeerCancellations.encodeKnownJobs(known));
         assertThat(PeerCancellations.decodeKnownJobs(GOLDEN.bytes("cancellations-known")))
--- a/src/test/java/org/gullway/protocol/GoldenSettingsTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenSettingsTest.java
@@ -7,13 +7,13 @@
 import org.gullway.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
-/** The settings files of the platform and of operators are read as before. */
+/** The settings files of the platform and of operators are decoded to the values that the golden file records. */
 class GoldenSettingsTest {
     private static final GoldenFile GOLDEN = GoldenFile.of("messages");
     private static final Path RESOURCES = Path.of("src/test/resources/golden");
 
     @Test
-    void thePlatformsSettingsAreReadAsBefore() throws MalformedMessageException {
+    void platformSettingsDecodingIsUnchanged() throws MalformedMessageException {
         Settings read = Settings.read(RESOURCES.resolve("settings.toml"));
         List<String> lines = new ArrayList<>();
         lines.add(GoldenFile.line(
@@ -50,7 +50,7 @@
         GOLDEN.checkText("settings.read", String.join("\n", lines));
     }
 
-    private static String text(OperatorSettings read) {
+    private static String toText(OperatorSettings read) {
         return GoldenFile.line(
                 read.membershipLease(),
                 read.spareCapacityFraction(),
@@ -60,8 +60,8 @@
     }
 
     @Test
-    void operatorsSettingsAreReadAsBefore() throws MalformedMessageException {
-        GOLDEN.checkText("operator.read", text(OperatorSettings.read(RESOURCES.resolve("operator.xml"))));
-        GOLDEN.checkText("operator-defaults.read", text(OperatorSettings.DEFAULTS));
+    void operatorSettingsDecodingIsUnchanged() throws MalformedMessageException {
+        GOLDEN.checkText("operator.read", toText(OperatorSettings.read(RESOURCES.resolve("operator.xml"))));
+        GOLDEN.checkText("operator-defaults.read", toText(OperatorSettings.DEFAULTS));
     }
 }
--- a/src/test/java/org/gullway/protocol/HeartbeatTest.java
+++ b/src/test/java/org/gullway/protocol/HeartbeatTest.java
@@ -15,7 +15,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Heartbeats are read field by field like any message, with little allocation. */
+/**
+ * {@link HeartbeatReader} accepts and rejects the same heartbeats as the slower {@link MessageFields}, with the same
+ * result, and allocates little.
+ */
 class HeartbeatTest {
     private static final int TASKS = 8;
 
@@ -51,7 +54,7 @@
         return Heartbeat.parse(body, machine -> last.machine().equals(machine) ? last : null);
     }
 
-    /** Reads the fields from a tree, which is slower; the reader has to agree with it. */
+    /** Decodes the heartbeat with {@link MessageFields}; {@link HeartbeatReader} must return the same. */
     private static Heartbeat expected(byte[] body) throws MalformedMessageException {
         MessageFields fields = MessageFields.of(Cbor.decode(body));
         List<TaskStatus> tasks = new ArrayList<>();
@@ -93,8 +96,8 @@
     }
 
     @Test
-    void agreesWithTheRulesForEveryInvalidOrMissingValue() {
-        List<JsonNode> values = List.of(
+    void agreesWithMessageFieldsOnInvalidAndMissingValues() {
+        List<JsonNode> testedValues = List.of(
                 Cbor.map(),
                 Cbor.map().putArray("x"),
                 Cbor.map().put("x", -1).path("x"),
@@ -115,13 +118,13 @@
         for (String phase : List.of("running", "ended")) {
             ObjectNode sample = heartbeat(88, 2, phase);
             sample.fieldNames().forEachRemaining(name -> {
-                for (JsonNode value : values) {
+                for (JsonNode value : testedValues) {
                     assertAgrees(Cbor.encode(sample.deepCopy().set(name, value)));
                 }
                 assertAgrees(Cbor.encode(sample.deepCopy().without(name)));
             });
             for (String name : List.of("leg", "launch", "tide", "cause", "stored", "other")) {
-                for (JsonNode value : values) {
+                for (JsonNode value : testedValues) {
                     ObjectNode changed = sample.deepCopy();
                     ((ObjectNode) changed.path("legs").get(1)).set(name, value);
                     assertAgrees(Cbor.encode(changed));
@@ -145,14 +148,14 @@
     }
 
     @Test
-    void alteredBytesCauseNoOtherException() {
+    void corruptedHeartbeatsCauseOnlyMalformedMessageExceptions() {
         SplittableRandom random = new SplittableRandom(7);
         byte[] whole = Cbor.encode(heartbeat(88, 4, "ended"));
         for (int i = 0; i < 20_000; i++) {
-            byte[] altered = whole.clone();
-            altered[random.nextInt(altered.length)] = (byte) random.nextInt(256);
+            byte[] corrupted = whole.clone();
+            corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(256);
             try {
-                read(altered);
+                read(corrupted);
             } catch (MalformedMessageException e) {
                 assertThat(e.getMessage()).isNotEmpty();
             }
@@ -174,7 +177,7 @@
     }
 
     @Test
-    void isCorrectWhateverTheLastHeartbeatWas() throws MalformedMessageException {
+    void resultDoesNotDependOnTheLastHeartbeat() throws MalformedMessageException {
         List<ObjectNode> messages = new ArrayList<>();
         for (int tasks : List.of(0, 1, 3, TASKS)) {
             for (String phase : List.of("fetching", "running", "ended")) {
@@ -195,7 +198,7 @@
         }
     }
 
-    /** The library allocates a string for each task's id and state; nothing else is allocated for a task. */
+    /** Jackson allocates a string for the id and the phase of each task; the reader allocates nothing else for a task. */
     @Test
     void anUnchangedHeartbeatAllocatesLittle() throws MalformedMessageException {
         long withoutTasks = allocatedPerHeartbeat(0);
--- a/src/test/java/org/gullway/protocol/JsonTreesTest.java
+++ b/src/test/java/org/gullway/protocol/JsonTreesTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Trees are read and written with the same result as by Jackson's own mapper. */
+/** {@link JsonTrees} encodes and decodes the same as Jackson's {@code ObjectMapper}. */
 class JsonTreesTest {
     private static final ObjectMapper MAPPER = new CBORMapper(new CBORFactory());
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -62,17 +62,17 @@
     }
 
     @Property(tries = 300, seed = "11")
-    void bytesAreThoseOfTheMapper(@ForAll("trees") JsonNode tree) throws IOException {
+    void encodesLikeTheObjectMapper(@ForAll("trees") JsonNode tree) throws IOException {
         assertThat(Cbor.encode(tree)).isEqualTo(MAPPER.writeValueAsBytes(tree));
     }
 
     @Property(tries = 300, seed = "12")
-    void treesAreThoseOfTheMapper(@ForAll("maps") ObjectNode tree) throws IOException, MalformedMessageException {
+    void decodesLikeTheObjectMapper(@ForAll("maps") ObjectNode tree) throws IOException, MalformedMessageException {
         byte[] bytes = MAPPER.writeValueAsBytes(tree);
         assertThat(Cbor.decode(bytes)).isEqualTo(MAPPER.readTree(bytes));
     }
 
-    /** A body of which only a part arrived is rejected, wherever it was cut. */
+    /** A truncated body is rejected, whatever its length. */
     @Property(tries = 200, seed = "13")
     void truncatedBodiesAreRejected(@ForAll("maps") ObjectNode tree, @ForAll int cut) {
         byte[] whole = Cbor.encode(tree);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void depthHasALimit() {
+    void deeplyNestedListsAreRejected() {
         byte[] lists = new byte[100_000];
         Arrays.fill(lists, (byte) 0x81);
         assertThatThrownBy(() -> Cbor.decode(lists)).isInstanceOf(MalformedMessageException.class);
