--- a/src/main/java/org/gullway/protocol/JobState.java
+++ b/src/main/java/org/gullway/protocol/JobState.java
@@ -1,6 +1,6 @@
 package org.gullway.protocol;
 
-/** The state of a job in responses to users. */
+/** The state of a job as users see it. */
 public enum JobState {
     PENDING("pending"),
     RUNNING("running"),
--- a/src/main/java/org/gullway/protocol/PeerCancellations.java
+++ b/src/main/java/org/gullway/protocol/PeerCancellations.java
@@ -33,7 +33,7 @@
     /**
      * A cancelled job.
      *
-     * @param cancelledAt wall-clock time of the cancellation in milliseconds since the epoch of 1970
+     * @param cancelledAt wall-clock time of the cancellation in milliseconds since 1970-01-01 UTC
      * @param attempts the attempts that may still run
      */
     public record CancelledJob(String id, long cancelledAt, List<CancelledAttempt> attempts) {}
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -39,12 +39,12 @@
 
     private static final Pattern ADDRESS = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}");
 
-    /** Another controller: its name, its zone, and the address at which it takes requests of its peers. */
+    /** Another controller: its name, its zone, and the address at which it accepts requests from its peers. */
     public record Peer(String name, String zone, String address) {}
 
     /**
-     * A team with its guaranteed quota and its limit, each for CPUs and GPUs. A guarantee of 0 means
-     * that nothing is guaranteed, a limit of 0 that there is no limit.
+     * A team with its guaranteed quota and its limit, each for CPUs and GPUs. A guarantee of 0 means that nothing is
+     * guaranteed, and a limit of 0 means that there is no limit.
      *
      * @param cpus the guaranteed number of CPUs
      * @param cpusMax the limit on the number of CPUs
--- a/src/main/java/org/gullway/protocol/TaskStatus.java
+++ b/src/main/java/org/gullway/protocol/TaskStatus.java
@@ -2,7 +2,7 @@
 
 /** The status of one attempt of a task, as its agent reports it; {@code cause} is null until the attempt has ended. */
 public record TaskStatus(TaskId task, long attempt, Phase phase, Cause cause, boolean checkpointed) {
-    /** The phase of the attempt, which uses its resources in every phase except {@code ENDED}. */
+    /** The phase of an attempt. The attempt uses resources of its machine in every phase except {@code ENDED}. */
     public enum Phase {
         FETCHING,
         RUNNING,
--- a/src/test/java/org/gullway/golden/GoldenFile.java
+++ b/src/test/java/org/gullway/golden/GoldenFile.java
@@ -16,8 +16,8 @@
 
 /**
  * A file of expected encodings that an earlier version of the code recorded. Each line is an entry: its name, and its
- * bytes in hexadecimal. A missing entry fails the test, or is added if the system property {@code golden.record} is true.
- * An existing entry is never changed.
+ * bytes in hexadecimal. A missing entry fails the test, or is added if the system property {@code golden.record} is
+ * true. An existing entry is never changed.
  */
 public final class GoldenFile {
     private static final Path DIRECTORY = Path.of("src/test/resources/golden");
--- a/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Messages of users, agents, the cloud provider and peers have the encoding that the golden file records, and a recorded
- * message is decoded to the recorded values.
+ * Messages of users, agents, the cloud provider and peers have the encoding that the golden file records, and a
+ * recorded message is decoded to the recorded values.
  */
 class GoldenMessagesTest {
     private static final GoldenFile GOLDEN = GoldenFile.of("messages");
--- a/src/test/java/org/gullway/protocol/HeartbeatTest.java
+++ b/src/test/java/org/gullway/protocol/HeartbeatTest.java
@@ -198,7 +198,7 @@
         }
     }
 
-    /** Jackson allocates a string for the id and the phase of each task; the reader allocates nothing else for a task. */
+    /** Jackson allocates a string for each task's id and phase; the reader allocates nothing else for a task. */
     @Test
     void anUnchangedHeartbeatAllocatesLittle() throws MalformedMessageException {
         long withoutTasks = allocatedPerHeartbeat(0);
