--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
@@ -103,9 +103,10 @@
         if (offersOwnMachines) {
             peerOffers.markSent(now);
         } else {
-            // Offers without asked peers are those of this controller's machines, which are not offered now. Offers
+            // Offers that no peer has declined are those of this controller's machines, which are not offered now.
+            // Offers
             // from peers are forwarded without delay, because the controller that made them limits their rate.
-            offerByMachine.values().removeIf(offer -> offer.askedPeers().isEmpty());
+            offerByMachine.values().removeIf(offer -> offer.declinedBy().isEmpty());
         }
         return waiting.peersHaveWaitingJobs() ? peerOffers.outgoing(offerByMachine, transaction) : List.of();
     }
--- a/src/main/java/org/gullway/protocol/JobState.java
+++ b/src/main/java/org/gullway/protocol/JobState.java
@@ -1,33 +1,33 @@
 package org.gullway.protocol;
 
-/** State of a job as its user sees it. */
+/** The state of a job as users see it. */
 public enum JobState {
     PENDING("pending"),
     RUNNING("running"),
     DONE("done"),
     CANCELLED("aborted");
 
-    private final String wire;
+    private final String wireName;
 
-    JobState(String wire) {
-        this.wire = wire;
+    JobState(String wireName) {
+        this.wireName = wireName;
     }
 
-    public String wire() {
-        return wire;
+    public String wireName() {
+        return wireName;
     }
 
     public boolean isFinal() {
         return this == DONE || this == CANCELLED;
     }
 
-    /** The state with this name in the protocol. */
-    public static JobState of(String wire) throws MalformedMessageException {
+    /** Returns the state with this name in the protocol. */
+    public static JobState of(String wireName) throws MalformedMessageException {
         for (JobState state : values()) {
-            if (state.wire.equals(wire)) {
+            if (state.wireName.equals(wireName)) {
                 return state;
             }
         }
-        throw new MalformedMessageException("unknown job state " + wire);
+        throw new MalformedMessageException("unknown job state " + wireName);
     }
 }
--- a/src/main/java/org/gullway/protocol/PeerCancellations.java
+++ b/src/main/java/org/gullway/protocol/PeerCancellations.java
@@ -12,53 +12,57 @@
 import java.util.Set;
 
 /**
- * The cancelled jobs known to a controller whose tasks may still be on machines, for a peer that cannot reach the state store.
- * The peer names the jobs that it knows already.
+ * A controller's response to a peer that cannot reach the state store: the cancelled jobs that the controller knows and
+ * whose tasks may still be on machines. The peer's request lists the cancelled jobs that the peer knows already; the
+ * response leaves them out.
  *
- * @param node the controller that answers
- * @param number the number of its incarnation
- * @param complete whether nothing was left out for its size
+ * @param node the name of the responding controller
+ * @param incarnationNumber the number of the responding controller's incarnation
+ * @param complete whether the response has all these jobs; false if some did not fit into the size of a message
  */
-public record PeerCancellations(String node, long number, boolean complete, List<CancelledJob> jobs) {
+public record PeerCancellations(String node, long incarnationNumber, boolean complete, List<CancelledJob> jobs) {
     private static final int VERSION = 1;
     private static final int MAX_KNOWN_JOBS = 4000;
     private static final int MAX_BYTES = 40 * 1024;
     private static final int HEADER_BYTES = 64;
-    private static final int EXPECTED_NAME_BYTES = 16;
+    private static final int EXPECTED_JOB_ID_BYTES = 16;
     private static final int MAX_ATTEMPTS = 10_000;
     private static final String CONTENT = "cancellations";
-    private static final String KNOWN_CONTENT = "names of cancelled jobs";
+    private static final String KNOWN_CONTENT = "ids of cancelled jobs";
 
     /**
      * A cancelled job.
      *
-     * @param cancelledAt wall-clock time in milliseconds
-     * @param attempts those that may still be live
+     * @param cancelledAt wall-clock time of the cancellation in milliseconds since 1970-01-01 UTC
+     * @param attempts the attempts that may still run
      */
     public record CancelledJob(String id, long cancelledAt, List<CancelledAttempt> attempts) {}
 
-    /** One attempt of a task, in an epoch of its machine's agent. */
+    /** One attempt of a task, on a machine in the given epoch of its agent. */
     public record CancelledAttempt(int task, long attempt, String machine, long agentEpoch) {}
 
-    /** Encodes a request: the names of the cancelled jobs that the asker knows, {@link #MAX_KNOWN_JOBS} at most. */
-    public static byte[] encodeKnown(Collection<String> jobs) {
-        return PeerMessages.encode(VERSION, EXPECTED_NAME_BYTES * jobs.size(), out -> {
+    /**
+     * Encodes a request, which lists the cancelled jobs that the requesting controller knows already. Jobs beyond
+     * {@link #MAX_KNOWN_JOBS} are left out.
+     */
+    public static byte[] encodeKnownJobs(Collection<String> jobs) {
+        return PeerMessages.encode(VERSION, EXPECTED_JOB_ID_BYTES * jobs.size(), out -> {
             out.writeShort(Math.min(jobs.size(), MAX_KNOWN_JOBS));
-            int left = MAX_KNOWN_JOBS;
+            int remaining = MAX_KNOWN_JOBS;
             for (String job : jobs) {
-                if (left-- > 0) {
+                if (remaining-- > 0) {
                     out.writeUTF(job);
                 }
             }
         });
     }
 
-    /** Reads the names that {@link #encodeKnown} wrote. */
-    public static Set<String> decodeKnown(byte[] body) throws MalformedMessageException {
-        return PeerMessages.decode(body, VERSION, KNOWN_CONTENT, PeerCancellations::readNames);
+    /** Decodes the job ids in a request of {@link #encodeKnownJobs}. */
+    public static Set<String> decodeKnownJobs(byte[] body) throws MalformedMessageException {
+        return PeerMessages.decode(body, VERSION, KNOWN_CONTENT, PeerCancellations::readJobIds);
     }
 
-    private static Set<String> readNames(DataInputStream in) throws IOException {
+    private static Set<String> readJobIds(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
         Set<String> jobs = new HashSet<>();
         for (int i = 0; i < count; i++) {
@@ -67,8 +71,8 @@
         return jobs;
     }
 
-    /** Encodes as many of the jobs as fit into one message. */
-    public static byte[] encode(String node, long number, Collection<CancelledJob> jobs) {
+    /** Encodes a response with as many of the jobs as fit into one message. */
+    public static byte[] encode(String node, long incarnationNumber, Collection<CancelledJob> jobs) {
         ByteArrayOutputStream content = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(content)) {
             int written = 0;
@@ -76,27 +80,27 @@
                 if (content.size() > MAX_BYTES) {
                     break;
                 }
-                write(job, out);
+                writeJob(job, out);
                 written++;
             }
-            return withHeader(node, number, written == jobs.size(), written, content);
+            return encodeWithHeader(node, incarnationNumber, written == jobs.size(), written, content);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static byte[] withHeader(
-            String node, long number, boolean complete, int count, ByteArrayOutputStream content) {
+    private static byte[] encodeWithHeader(
+            String node, long incarnationNumber, boolean complete, int count, ByteArrayOutputStream content) {
         return PeerMessages.encode(VERSION, content.size() + HEADER_BYTES, out -> {
             out.writeUTF(node);
-            out.writeLong(number);
+            out.writeLong(incarnationNumber);
             out.writeBoolean(complete);
             out.writeShort(count);
             content.writeTo(out);
         });
     }
 
-    private static void write(CancelledJob job, DataOutputStream out) throws IOException {
+    private static void writeJob(CancelledJob job, DataOutputStream out) throws IOException {
         out.writeUTF(job.id);
         out.writeLong(job.cancelledAt);
         out.writeInt(job.attempts.size());
@@ -109,24 +113,24 @@
     }
 
     /**
-     * Reads what {@link #encode} wrote.
+     * Decodes a response of {@link #encode}.
      *
-     * @throws MalformedMessageException if it is truncated, has bytes left over, or is of another version
+     * @throws MalformedMessageException if the response is truncated, has bytes left over, or is of another version
      */
     public static PeerCancellations decode(byte[] body) throws MalformedMessageException {
-        return PeerMessages.decode(body, VERSION, CONTENT, PeerCancellations::read);
+        return PeerMessages.decode(body, VERSION, CONTENT, PeerCancellations::readResponse);
     }
 
-    private static PeerCancellations read(DataInputStream in) throws IOException, MalformedMessageException {
+    private static PeerCancellations readResponse(DataInputStream in) throws IOException, MalformedMessageException {
         String node = in.readUTF();
-        long number = in.readLong();
+        long incarnationNumber = in.readLong();
         boolean complete = in.readBoolean();
         int count = in.readUnsignedShort();
         List<CancelledJob> jobs = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             jobs.add(readJob(in));
         }
-        return new PeerCancellations(node, number, complete, List.copyOf(jobs));
+        return new PeerCancellations(node, incarnationNumber, complete, List.copyOf(jobs));
     }
 
     private static CancelledJob readJob(DataInputStream in) throws IOException, MalformedMessageException {
@@ -134,7 +138,8 @@
         long cancelledAt = in.readLong();
         int count = in.readInt();
         if (count < 0 || count > MAX_ATTEMPTS) {
-            throw new MalformedMessageException("too many attempts of " + id);
+            throw new MalformedMessageException(
+                    "invalid number of attempts " + count + " of " + id + ", the limit is " + MAX_ATTEMPTS);
         }
         List<CancelledAttempt> attempts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/src/main/java/org/gullway/protocol/Priority.java
+++ b/src/main/java/org/gullway/protocol/Priority.java
@@ -2,15 +2,15 @@
 
 import java.util.Locale;
 
-/** Priority of a job, highest first. */
+/** The priority of a job; the constants are in descending order. */
 public enum Priority {
     PROD,
     HIGH,
     NORMAL,
     IDLE;
 
-    static Priority of(String wire) throws MalformedMessageException {
-        return switch (wire) {
+    static Priority of(String wireName) throws MalformedMessageException {
+        return switch (wireName) {
             case "prod" -> PROD;
             case "high" -> HIGH;
             case "normal" -> NORMAL;
@@ -19,7 +19,7 @@
         };
     }
 
-    String wire() {
+    String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/org/gullway/protocol/ResourceOffer.java
+++ b/src/main/java/org/gullway/protocol/ResourceOffer.java
@@ -7,21 +7,21 @@
 import java.util.List;
 
 /**
- * Free resources of a machine that fit nothing in one controller's queue, offered to a peer.
+ * An offer of a machine's free resources to a peer, made because no task in the offering controller's queue fits them.
  *
  * @param agentEpoch the epoch of the machine's agent in which the offer is valid
- * @param askedPeers controllers whose queues had no use for them
+ * @param declinedBy controllers that could not use the resources, among them the one that made the offer
  */
-public record ResourceOffer(String machine, long agentEpoch, List<String> askedPeers) {
+public record ResourceOffer(String machine, long agentEpoch, List<String> declinedBy) {
     public static final int MAX_PER_MESSAGE = 128;
     private static final int VERSION = 2;
-    private static final int MAX_ASKED_PEERS = 64;
-    private static final int EXPECTED_BYTES = 64;
+    private static final int MAX_DECLINES = 64;
+    private static final int EXPECTED_OFFER_BYTES = 64;
     private static final String CONTENT = "resource offers";
 
-    /** Encodes a message to a peer. The caller sees to it that there are at most {@link #MAX_PER_MESSAGE}. */
+    /** Encodes a message to a peer. The caller must not pass more than {@link #MAX_PER_MESSAGE} offers. */
     public static byte[] encode(List<ResourceOffer> offers) {
-        return PeerMessages.encode(VERSION, EXPECTED_BYTES * offers.size(), out -> {
+        return PeerMessages.encode(VERSION, EXPECTED_OFFER_BYTES * offers.size(), out -> {
             out.writeShort(offers.size());
             for (ResourceOffer offer : offers) {
                 offer.writeTo(out);
@@ -32,16 +32,16 @@
     private void writeTo(DataOutputStream out) throws IOException {
         out.writeUTF(machine);
         out.writeLong(agentEpoch);
-        out.writeByte(askedPeers.size());
-        for (String name : askedPeers) {
+        out.writeByte(declinedBy.size());
+        for (String name : declinedBy) {
             out.writeUTF(name);
         }
     }
 
     /**
-     * Reads what {@link #encode} wrote.
+     * Decodes a message of {@link #encode}.
      *
-     * @throws MalformedMessageException if it is truncated, too long, or of another version
+     * @throws MalformedMessageException if the message is truncated, too long, or of another version
      */
     public static List<ResourceOffer> decode(byte[] body) throws MalformedMessageException {
         return PeerMessages.decode(body, VERSION, CONTENT, ResourceOffer::readAll);
@@ -59,12 +59,13 @@
     private static ResourceOffer read(DataInputStream in) throws IOException, MalformedMessageException {
         String machine = in.readUTF();
         long agentEpoch = in.readLong();
-        int asked = in.readUnsignedByte();
-        if (asked > MAX_ASKED_PEERS) {
-            throw new MalformedMessageException("an offer that was passed on more than " + MAX_ASKED_PEERS + " times");
+        int count = in.readUnsignedByte();
+        if (count > MAX_DECLINES) {
+            throw new MalformedMessageException(
+                    "resource offer declined by " + count + " controllers, the limit is " + MAX_DECLINES);
         }
-        List<String> names = new ArrayList<>(asked);
-        for (int i = 0; i < asked; i++) {
+        List<String> names = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
             names.add(in.readUTF());
         }
         return new ResourceOffer(machine, agentEpoch, List.copyOf(names));
