--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -101,7 +101,7 @@
     private void respond(HttpExchange exchange, HeartbeatResponse response) {
         if (response instanceof HeartbeatResponse.Accepted accepted) {
             exchange.respond(HttpStatus.OK, responses.encode(accepted.fencingToken(), accepted.commands()));
-            if (accepted.changed()) {
+            if (accepted.mayRequireCycle()) {
                 requestCycle.run();
             }
         } else if (response instanceof HeartbeatResponse.Redirect redirect) {
--- a/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
@@ -60,8 +60,8 @@
         return onOwnHeartbeat(heartbeat, record, now);
     }
 
-    private HeartbeatResponse accepted(List<AgentCommand> commands, boolean changed) {
-        return new HeartbeatResponse.Accepted(clusterState.fencingToken(), commands, changed);
+    private HeartbeatResponse accepted(List<AgentCommand> commands, boolean mayRequireCycle) {
+        return new HeartbeatResponse.Accepted(clusterState.fencingToken(), commands, mayRequireCycle);
     }
 
     private HeartbeatResponse onReroutedHeartbeat(
@@ -78,15 +78,15 @@
 
     private HeartbeatResponse onOwnHeartbeat(Heartbeat heartbeat, MachineRecord record, Instant now) {
         AgentState agent = agents.getOrCreate(heartbeat.machine(), now);
-        boolean changed = agent.onHeartbeat(heartbeat, now) && agent.isDue(now);
+        boolean mayRequireCycle = agent.onHeartbeat(heartbeat, now) && agent.isDue(now);
         agents.updateRecordChangeCandidates(heartbeat.machine(), agent);
-        changed |= agentEpochs.observe(record, heartbeat);
+        mayRequireCycle |= agentEpochs.observe(record, heartbeat);
         agent.reroute().end();
         List<AgentCommand> commands = new ArrayList<>(cancellationEnforcer.stopCommands(heartbeat));
         if (agents.isInContact(record, agent) && agent.isFenced(record)) {
             commands.addAll(planner.forgetCommands(record, agent));
         }
-        return accepted(commands, changed);
+        return accepted(commands, mayRequireCycle);
     }
 
     /** Handles the agent's response to a command batch. */
--- a/src/main/java/org/gullway/coordination/agents/HeartbeatResponse.java
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatResponse.java
@@ -8,9 +8,10 @@
     /**
      * The heartbeat is accepted, and the agent's lease is renewed.
      *
-     * @param changed whether the heartbeat may require an action of this controller
+     * @param mayRequireCycle whether the heartbeat may require a scheduling cycle
      */
-    record Accepted(long fencingToken, List<AgentCommand> commands, boolean changed) implements HeartbeatResponse {}
+    record Accepted(long fencingToken, List<AgentCommand> commands, boolean mayRequireCycle)
+            implements HeartbeatResponse {}
 
     /** The agent is told to send its heartbeats to the named controller. */
     record Redirect(String controller) implements HeartbeatResponse {}
