--- a/src/main/java/org/gullway/agent/CommandSender.java
+++ b/src/main/java/org/gullway/agent/CommandSender.java
@@ -131,7 +131,7 @@
 
     private void parse(CommandBatch batch, HttpResponse response, Consumer<Heartbeat> onResponse) {
         try {
-            onResponse.accept(Heartbeat.parse(response.body(), agentReconciler::lastHeartbeat));
+            onResponse.accept(Heartbeat.parse(response.body(), agentReconciler::lastMessage));
         } catch (MalformedMessageException e) {
             LOG.info("ignored a malformed command response machine={} error={}", batch.machine(), e.getMessage());
         }
--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -86,7 +86,7 @@
         if (exchange.body() == null) {
             throw new MalformedMessageException("the body is larger than allowed");
         }
-        return Heartbeat.parse(exchange.body(), agentReconciler::lastHeartbeat);
+        return Heartbeat.parse(exchange.body(), agentReconciler::lastMessage);
     }
 
     private void respondDuringOutage(HttpExchange exchange, Heartbeat heartbeat) {
--- a/src/main/java/org/gullway/coordination/agents/AgentEpochRecorder.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentEpochRecorder.java
@@ -36,7 +36,7 @@
         for (String name : outdated) {
             MachineRecord record = transaction.machine(name);
             if (record != null && transaction.canPutMachine(name)) {
-                Heartbeat heartbeat = agents.find(name).lastHeartbeat();
+                Heartbeat heartbeat = agents.find(name).lastMessage();
                 transaction.putMachine(record.withAgentEpoch(heartbeat.agentEpoch(), heartbeat.address()));
             }
         }
@@ -46,9 +46,9 @@
         AgentState agent = agents.find(name);
         MachineRecord record = clusterState.machine(name);
         return agent == null
-                || agent.lastHeartbeat() == null
+                || agent.lastMessage() == null
                 || record == null
                 || !self.equals(record.controller())
-                || record.agentEpoch() >= agent.lastHeartbeat().agentEpoch();
+                || record.agentEpoch() >= agent.lastMessage().agentEpoch();
     }
 }
--- a/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
@@ -72,9 +72,9 @@
     }
 
     /** Returns the newest message from the machine's agent, or null if none is known. */
-    public Heartbeat lastHeartbeat(String machine) {
+    public Heartbeat lastMessage(String machine) {
         AgentState agent = agents.find(machine);
-        return agent == null ? null : agent.lastHeartbeat();
+        return agent == null ? null : agent.lastMessage();
     }
 
     /** Handles a heartbeat. Its machine may be commanded by another controller or may not be on record. */
--- a/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
@@ -85,8 +85,8 @@
     boolean isInContact(MachineRecord record, AgentState agent) {
         return isCommandedHere(record)
                 && agent != null
-                && agent.lastHeartbeat() != null
-                && agent.lastHeartbeat().agentEpoch() == record.agentEpoch();
+                && agent.lastMessage() != null
+                && agent.lastMessage().agentEpoch() == record.agentEpoch();
     }
 
     /** Removes agents whose machines are gone or commanded by another controller. */
--- a/src/main/java/org/gullway/coordination/agents/AgentState.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentState.java
@@ -24,7 +24,7 @@
     private final RerouteState reroute = new RerouteState();
     private final Consumer<Instant> wakeups;
 
-    private Heartbeat lastHeartbeat;
+    private Heartbeat lastMessage;
     private Map<AttemptId, TaskStatus> tasks = Map.of();
     /**
      * For each attempt that ended without completing: the fencing token that the agent reported when this controller
@@ -73,7 +73,7 @@
 
     /** Handles a heartbeat. Returns false and changes nothing if a newer message is known. */
     boolean onHeartbeat(Heartbeat heartbeat, Instant now) {
-        outboundPartitioned &= lastHeartbeat != null && !isNewer(heartbeat);
+        outboundPartitioned &= lastMessage != null && !isNewer(heartbeat);
         return accept(heartbeat, now);
     }
 
@@ -83,7 +83,7 @@
      * when the next lease expires.
      */
     void onCommandResponse(Heartbeat response, Instant now) {
-        outboundPartitioned |= lastHeartbeat != null && response.agentEpoch() > lastHeartbeat.agentEpoch();
+        outboundPartitioned |= lastMessage != null && response.agentEpoch() > lastMessage.agentEpoch();
         accept(response, now);
     }
 
@@ -93,23 +93,23 @@
     }
 
     private boolean isNewer(Heartbeat heartbeat) {
-        return heartbeat.isNewerThan(lastHeartbeat.agentEpoch(), lastHeartbeat.sequence());
+        return heartbeat.isNewerThan(lastMessage.agentEpoch(), lastMessage.sequence());
     }
 
     private boolean accept(Heartbeat heartbeat, Instant now) {
-        if (lastHeartbeat != null && !isNewer(heartbeat)) {
+        if (lastMessage != null && !isNewer(heartbeat)) {
             return false;
         }
-        if (lastHeartbeat != null && lastHeartbeat.agentEpoch() != heartbeat.agentEpoch()) {
+        if (lastMessage != null && lastMessage.agentEpoch() != heartbeat.agentEpoch()) {
             endedAtToken.clear();
             completionReports.clear();
             spotTerminationAt = null;
         }
-        boolean unchanged = lastHeartbeat != null
-                && lastHeartbeat.agentEpoch() == heartbeat.agentEpoch()
-                && lastHeartbeat.fencingToken() == heartbeat.fencingToken()
-                && lastHeartbeat.tasks().equals(heartbeat.tasks());
-        lastHeartbeat = heartbeat;
+        boolean unchanged = lastMessage != null
+                && lastMessage.agentEpoch() == heartbeat.agentEpoch()
+                && lastMessage.fencingToken() == heartbeat.fencingToken()
+                && lastMessage.tasks().equals(heartbeat.tasks());
+        lastMessage = heartbeat;
         lastContact = now;
         lastMessageAt = now;
         if (!unchanged) {
@@ -159,8 +159,8 @@
     }
 
     /** Returns the agent's newest message, or null if there is none yet. */
-    Heartbeat lastHeartbeat() {
-        return lastHeartbeat;
+    Heartbeat lastMessage() {
+        return lastMessage;
     }
 
     Map<AttemptId, TaskStatus> tasks() {
@@ -198,9 +198,9 @@
      * still arrive.
      */
     boolean isFenced(MachineRecord record) {
-        return lastHeartbeat != null
-                && lastHeartbeat.fencingToken() >= record.fencingToken()
-                && lastHeartbeat.fencingToken() > unresolvedStartToken;
+        return lastMessage != null
+                && lastMessage.fencingToken() >= record.fencingToken()
+                && lastMessage.fencingToken() > unresolvedStartToken;
     }
 
     /** Returns the highest fencing token under which a start with unknown outcome was sent, or 0 if there is none. */
@@ -220,7 +220,7 @@
      */
     boolean mayForget(AttemptId id, TaskStatus task) {
         return task.cause() == TaskStatus.Cause.DONE
-                || lastHeartbeat.fencingToken() > endedAtToken.getOrDefault(id, Long.MAX_VALUE);
+                || lastMessage.fencingToken() > endedAtToken.getOrDefault(id, Long.MAX_VALUE);
     }
 
     /**
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -130,7 +130,7 @@
     }
 
     private boolean needsProbe(MachineRecord record, AgentState agent, boolean inContact, boolean fenced) {
-        Heartbeat last = agent.lastHeartbeat();
+        Heartbeat last = agent.lastMessage();
         boolean epochUnknown = last == null || last.agentEpoch() < record.agentEpoch();
         return epochUnknown || (inContact && !fenced && last.fencingToken() < clusterState.fencingToken());
     }
