--- a/src/main/java/org/gullway/api/JobReader.java
+++ b/src/main/java/org/gullway/api/JobReader.java
@@ -104,7 +104,7 @@
         try {
             JobRecord job = (JobRecord) RecordCodec.decode(StoreKeys.job(id), value);
             // Its user gets a response about the cancellation before the watch has delivered it here.
-            cancellationEnforcer.merge(job, loop.now());
+            cancellationEnforcer.add(job, loop.now());
             return job.status();
         } catch (MalformedMessageException e) {
             LOG.error("could not decode a job record error=\"{}\"", e.getMessage());
--- a/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
@@ -38,13 +38,13 @@
     }
 
     /** Adds a cancelled job from a peer's list. */
-    public void merge(PeerCancellations.CancelledJob job, Instant now) {
-        cancellations.merge(job, now);
+    public void add(PeerCancellations.CancelledJob job, Instant now) {
+        cancellations.add(job, now);
     }
 
     /** Adds the job of a record that was read from the state store by key, if the job is cancelled. */
-    public void merge(JobRecord record, Instant now) {
-        cancellations.merge(record, now);
+    public void add(JobRecord record, Instant now) {
+        cancellations.add(record, now);
     }
 
     /** Returns all cancelled jobs known to this controller whose tasks may still be on machines. */
--- a/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
+++ b/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
@@ -34,16 +34,16 @@
     }
 
     /** Adds a cancelled job from a peer's list. */
-    void merge(CancelledJob job, Instant now) {
+    void add(CancelledJob job, Instant now) {
         if (!clusterState.isCancelled(job.id())) {
             received.putIfAbsent(job.id(), new ReceivedCancellation(job, now));
         }
     }
 
     /** Adds the job of a record that was read from the state store by key, if the job is cancelled. */
-    void merge(JobRecord record, Instant now) {
+    void add(JobRecord record, Instant now) {
         if (record.isCancelled()) {
-            merge(toCancelledJob(record), now);
+            add(toCancelledJob(record), now);
         }
     }
 
--- a/src/main/java/org/gullway/peer/CancellationExchange.java
+++ b/src/main/java/org/gullway/peer/CancellationExchange.java
@@ -61,7 +61,7 @@
         leaseRenewal.onExternalContact(loop.now());
         try {
             PeerCancellations cancellations = PeerCancellations.decode(response.body());
-            cancellations.jobs().forEach(job -> cancellationEnforcer.merge(job, loop.now()));
+            cancellations.jobs().forEach(job -> cancellationEnforcer.add(job, loop.now()));
             if (cancellations.complete()) {
                 cancellationWatermark.advance(
                         new Incarnation(cancellations.node(), cancellations.number()), requestedAt);
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
@@ -142,7 +142,7 @@
                 TestFixtures.TIME_OF_DAY.toEpochMilli(),
                 List.of(new PeerCancellations.CancelledAttempt(0, 1, "vm-2", 1)));
         assertThat(cancellationEnforcer.knownCancellations()).isEmpty();
-        cancellationEnforcer.merge(job, now);
+        cancellationEnforcer.add(job, now);
         assertThat(cancellationEnforcer.knownCancellations()).containsExactly(job);
         assertThat(cancellationEnforcer.stopCommands(heartbeat(1, taskIn(Phase.RUNNING))))
                 .hasSize(1);
@@ -164,11 +164,11 @@
 
     @Test
     void listsCancellationsOfTheClusterStateAndOfRecordsReadByKey() {
-        cancellationEnforcer.merge(placed, now);
+        cancellationEnforcer.add(placed, now);
         assertThat(cancellationEnforcer.knownCancellations())
                 .as("the job is not cancelled")
                 .isEmpty();
-        cancellationEnforcer.merge(placed.withCancellation(TestFixtures.TIME_OF_DAY), now);
+        cancellationEnforcer.add(placed.withCancellation(TestFixtures.TIME_OF_DAY), now);
         assertThat(cancellationEnforcer.knownCancellations()).hasSize(1);
         cancel();
         assertThat(cancellationEnforcer.knownCancellations())
