--- a/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
@@ -37,17 +37,17 @@
                         .toList(),
                 now);
         agents.recordChangeCandidates().removeIf(name -> !mayNeedRecordChange(name));
-        boolean startUnresolved = false;
+        boolean unknownStart = false;
         for (String name : agents.recordChangeCandidates()) {
             AgentState agent = agents.find(name);
             MachineRecord record = transaction.machine(name);
-            if (agents.isInContact(record, agent)) {
-                startUnresolved |= agent.unresolvedStartToken() >= transaction.fencingToken();
+            if (agents.isInEpochOnRecord(record, agent)) {
+                unknownStart |= agent.highestUnknownStartToken() >= transaction.fencingToken();
                 spotNotices.plan(transaction, record, agent, now);
                 drainIfFaultyOrTerminating(transaction, record, agent, now);
             }
         }
-        if (startUnresolved) {
+        if (unknownStart) {
             raiseFencingToken(transaction, now);
         }
     }
--- a/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
@@ -54,7 +54,7 @@
     }
 
     /** Adds the machine to the record change candidates if its agent's state may require a change of records. */
-    void updateRecordChangeCandidates(String machine, AgentState agent) {
+    void addIfRecordChangeCandidate(String machine, AgentState agent) {
         if (agent.mayNeedRecordChange()) {
             recordChangeCandidates.add(machine);
         }
@@ -74,7 +74,7 @@
      * Returns whether the machine is assigned to this controller and the watch has delivered all changes up to the
      * machine's record.
      */
-    boolean isCommandedHere(MachineRecord record) {
+    boolean isAssignedAndCaughtUp(MachineRecord record) {
         return isAssignedHere(record) && clusterState.watchedRevision() >= clusterState.machineVersion(record.name());
     }
 
@@ -82,8 +82,8 @@
      * Returns whether this controller commands the machine and the newest message of its agent has the agent epoch on
      * record.
      */
-    boolean isInContact(MachineRecord record, AgentState agent) {
-        return isCommandedHere(record)
+    boolean isInEpochOnRecord(MachineRecord record, AgentState agent) {
+        return isAssignedAndCaughtUp(record)
                 && agent != null
                 && agent.lastMessage() != null
                 && agent.lastMessage().agentEpoch() == record.agentEpoch();
--- a/src/main/java/org/gullway/coordination/agents/AgentState.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentState.java
@@ -22,7 +22,7 @@
     private final CompletionReports completionReports = new CompletionReports();
     private final TaskFailures failures = new TaskFailures();
     private final RerouteState reroute = new RerouteState();
-    private final Consumer<Instant> wakeups;
+    private final Consumer<Instant> addWakeup;
 
     private Heartbeat lastMessage;
     private Map<AttemptId, TaskStatus> tasks = Map.of();
@@ -30,9 +30,9 @@
      * For each attempt that ended without completing: the fencing token that the agent reported when this controller
      * first saw the end.
      */
-    private final Map<AttemptId, Long> endedAtToken = new HashMap<>();
+    private final Map<AttemptId, Long> fencingTokenAtEnd = new HashMap<>();
 
-    private Instant lastContact;
+    private Instant contactTimeoutStart;
     private Instant lastMessageAt = Instant.MIN;
     private boolean outboundPartitioned;
     private Instant spotTerminationAt;
@@ -41,18 +41,18 @@
      * The highest fencing token under which a start with unknown outcome was sent, or 0. Only when the agent confirms
      * a higher token is it certain that the start can no longer arrive.
      */
-    private long unresolvedStartToken;
+    private long highestUnknownStartToken;
 
     private Instant nextWakeup = Instant.MIN;
 
     /**
      * @param contactExpectedSince when this controller began to expect messages from the agent
-     * @param wakeups receives each time at which the agent must be reconciled, beginning with an immediate one
+     * @param addWakeup receives each time at which the agent must be reconciled, beginning with an immediate one
      */
-    AgentState(Instant contactExpectedSince, Consumer<Instant> wakeups) {
-        this.lastContact = contactExpectedSince;
-        this.wakeups = wakeups;
-        wakeups.accept(nextWakeup);
+    AgentState(Instant contactExpectedSince, Consumer<Instant> addWakeup) {
+        this.contactTimeoutStart = contactExpectedSince;
+        this.addWakeup = addWakeup;
+        addWakeup.accept(nextWakeup);
     }
 
     CommandChannel commands() {
@@ -101,7 +101,7 @@
             return false;
         }
         if (lastMessage != null && lastMessage.agentEpoch() != heartbeat.agentEpoch()) {
-            endedAtToken.clear();
+            fencingTokenAtEnd.clear();
             completionReports.clear();
             spotTerminationAt = null;
         }
@@ -110,7 +110,7 @@
                 && lastMessage.fencingToken() == heartbeat.fencingToken()
                 && lastMessage.tasks().equals(heartbeat.tasks());
         lastMessage = heartbeat;
-        lastContact = now;
+        contactTimeoutStart = now;
         lastMessageAt = now;
         if (!unchanged) {
             updateTasks(heartbeat);
@@ -129,10 +129,10 @@
                 logPhaseChange(tasks.get(id), task, heartbeat.machine());
             }
             if (task.isEnded() && task.cause() != TaskStatus.Cause.DONE) {
-                endedAtToken.putIfAbsent(id, heartbeat.fencingToken());
+                fencingTokenAtEnd.putIfAbsent(id, heartbeat.fencingToken());
             }
         }
-        endedAtToken.keySet().retainAll(next.keySet());
+        fencingTokenAtEnd.keySet().retainAll(next.keySet());
         completionReports.retainAll(next.keySet());
         tasks = next;
     }
@@ -170,8 +170,8 @@
     /**
      * Returns when the agent's last message came or when this controller began to expect messages, whichever is later.
      */
-    Instant lastContact() {
-        return lastContact;
+    Instant contactTimeoutStart() {
+        return contactTimeoutStart;
     }
 
     /** Returns when the agent's last message came. */
@@ -185,7 +185,9 @@
      */
     Instant unreachableSince() {
         Instant unansweredSince = commands.unansweredSince();
-        return unansweredSince == null || lastContact.isBefore(unansweredSince) ? lastContact : unansweredSince;
+        return unansweredSince == null || contactTimeoutStart.isBefore(unansweredSince)
+                ? contactTimeoutStart
+                : unansweredSince;
     }
 
     /** Returns when the cloud provider terminates the machine, or null without a spot notice. */
@@ -197,20 +199,20 @@
      * Returns whether the agent has confirmed a fencing token that makes it refuse every earlier command that may
      * still arrive.
      */
-    boolean isFenced(MachineRecord record) {
+    boolean hasConfirmedFencingToken(MachineRecord record) {
         return lastMessage != null
                 && lastMessage.fencingToken() >= record.fencingToken()
-                && lastMessage.fencingToken() > unresolvedStartToken;
+                && lastMessage.fencingToken() > highestUnknownStartToken;
     }
 
     /** Returns the highest fencing token under which a start with unknown outcome was sent, or 0 if there is none. */
-    long unresolvedStartToken() {
-        return unresolvedStartToken;
+    long highestUnknownStartToken() {
+        return highestUnknownStartToken;
     }
 
     /** Records that the outcome of a start sent under this fencing token will never be known. */
     void onUnknownStartOutcome(long fencingToken) {
-        unresolvedStartToken = Math.max(unresolvedStartToken, fencingToken);
+        highestUnknownStartToken = Math.max(highestUnknownStartToken, fencingToken);
     }
 
     /**
@@ -220,7 +222,7 @@
      */
     boolean mayForget(AttemptId id, TaskStatus task) {
         return task.cause() == TaskStatus.Cause.DONE
-                || lastMessage.fencingToken() > endedAtToken.getOrDefault(id, Long.MAX_VALUE);
+                || lastMessage.fencingToken() > fencingTokenAtEnd.getOrDefault(id, Long.MAX_VALUE);
     }
 
     /**
@@ -231,21 +233,21 @@
     void onFencingTokenOnRecord(long fencingToken, Instant now) {
         if (fencingToken != fencingTokenOnRecord) {
             fencingTokenOnRecord = fencingToken;
-            lastContact = now;
+            contactTimeoutStart = now;
             commands.clearUnanswered();
         }
     }
 
     /** Returns whether an unresolved start, a spot notice or failed tasks may require a change of records. */
     boolean mayNeedRecordChange() {
-        return unresolvedStartToken != 0 || spotTerminationAt != null || !failures.isEmpty();
+        return highestUnknownStartToken != 0 || spotTerminationAt != null || !failures.isEmpty();
     }
 
     /** Schedules a reconciliation at this time, unless an earlier one is scheduled. */
     void wakeAt(Instant at) {
         if (at.isBefore(nextWakeup)) {
             nextWakeup = at;
-            wakeups.accept(at);
+            addWakeup.accept(at);
         }
     }
 
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -80,17 +80,17 @@
     }
 
     private Optional<CommandBatch> reconcile(MachineRecord record, AgentState agent, Instant now) {
-        if (!agents.isCommandedHere(record)) {
+        if (!agents.isAssignedAndCaughtUp(record)) {
             if (agents.isAssignedHere(record)) {
                 agent.wakeAt(now.plus(WATCH_DELAY));
             }
             return Optional.empty();
         }
-        if (agents.isInContact(record, agent)) {
+        if (agents.isInEpochOnRecord(record, agent)) {
             completionReporter.observe(record, agent, now);
-            agents.updateRecordChangeCandidates(record.name(), agent);
+            agents.addIfRecordChangeCandidate(record.name(), agent);
         }
-        if (agent.lastContact().isBefore(now.minus(timing.contactTimeout()))) {
+        if (agent.contactTimeoutStart().isBefore(now.minus(timing.contactTimeout()))) {
             // The agent is most likely unreachable. A heartbeat with a changed state wakes it at once.
             agent.wakeAt(now.plus(timing.interval()));
             return Optional.empty();
@@ -107,11 +107,11 @@
     }
 
     private Optional<CommandBatch> nextBatch(MachineRecord record, AgentState agent, Instant now) {
-        boolean inContact = agents.isInContact(record, agent);
-        boolean fenced = inContact && agent.isFenced(record);
-        List<AgentCommand> commands = fenced ? planner.startsAndStops(record, agent) : List.of();
+        boolean inEpochOnRecord = agents.isInEpochOnRecord(record, agent);
+        boolean tokenConfirmed = inEpochOnRecord && agent.hasConfirmedFencingToken(record);
+        List<AgentCommand> commands = tokenConfirmed ? planner.startsAndStops(record, agent) : List.of();
         // A probe is a batch without commands. The response confirms the fencing token and lists the agent's tasks.
-        boolean probe = needsProbe(record, agent, inContact, fenced);
+        boolean probe = needsProbe(record, agent, inEpochOnRecord, tokenConfirmed);
         if (probe
                 && (window.inFlight() >= MAX_IN_FLIGHT_FOR_PROBES
                         || !agent.commands().tryProbe(now))) {
@@ -129,10 +129,12 @@
                 record.name(), record.address(), clusterState.fencingToken(), record.agentEpoch(), commands, now));
     }
 
-    private boolean needsProbe(MachineRecord record, AgentState agent, boolean inContact, boolean fenced) {
+    private boolean needsProbe(
+            MachineRecord record, AgentState agent, boolean inEpochOnRecord, boolean tokenConfirmed) {
         Heartbeat last = agent.lastMessage();
         boolean epochUnknown = last == null || last.agentEpoch() < record.agentEpoch();
-        return epochUnknown || (inContact && !fenced && last.fencingToken() < clusterState.fencingToken());
+        return epochUnknown
+                || (inEpochOnRecord && !tokenConfirmed && last.fencingToken() < clusterState.fencingToken());
     }
 
     /** Handles the outcome of a batch. */
@@ -144,7 +146,7 @@
         }
         if (outcome == CommandOutcome.UNKNOWN && batch.hasStarts()) {
             agent.onUnknownStartOutcome(batch.fencingToken());
-            agents.updateRecordChangeCandidates(batch.machine(), agent);
+            agents.addIfRecordChangeCandidate(batch.machine(), agent);
         }
         Instant retryAt = now.plus(RETRY_DELAY);
         switch (outcome) {
--- a/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
@@ -42,26 +42,26 @@
 
     /** Reports the attempts on the machine that have certainly ended. */
     void observe(MachineRecord record, AgentState agent, Instant now) {
-        boolean fenced = agent.isFenced(record);
+        boolean tokenConfirmed = agent.hasConfirmedFencingToken(record);
         clusterState.placementsOn(record.name()).forEach((id, placement) -> {
             if (placement.agentEpoch() == record.agentEpoch()) {
-                observe(id, placement, agent, fenced, now);
+                observe(id, placement, agent, tokenConfirmed, now);
             }
         });
     }
 
-    private void observe(AttemptId id, Placement placement, AgentState agent, boolean fenced, Instant now) {
+    private void observe(AttemptId id, Placement placement, AgentState agent, boolean tokenConfirmed, Instant now) {
         JobRecord job = clusterState.job(id.task().job());
         TaskStatus task = agent.tasks().get(id);
         if (task == null) {
             boolean stopped = placement.stopping() || job.isCancelled();
-            if (fenced && !agent.commands().isInFlight() && stopped) {
+            if (tokenConfirmed && !agent.commands().isInFlight() && stopped) {
                 report(job, id, AttemptOutcome.STOPPED, agent, now);
             }
         } else if (task.isEnded() && task.cause() == TaskStatus.Cause.DONE) {
             agent.failures().onSucceeded();
             report(job, id, AttemptOutcome.DONE, agent, now);
-        } else if (task.isEnded() && fenced) {
+        } else if (task.isEnded() && tokenConfirmed) {
             AttemptOutcome outcome = outcomeOf(task.cause());
             if (outcome == AttemptOutcome.FAILED) {
                 agent.failures().onFailed(job.request().id(), now);
--- a/src/main/java/org/gullway/coordination/agents/FailureDetector.java
+++ b/src/main/java/org/gullway/coordination/agents/FailureDetector.java
@@ -103,7 +103,8 @@
             MachineRecord record = clusterState.machine(entry.getKey());
             if (agents.isAssignedHere(record)) {
                 boolean responsive = isResponsive(agent, overdueLimit);
-                if (record.lifecycle() == MachineLifecycle.ACTIVE && isUnresponsive(agent, overdueLimit, now)) {
+                if (record.lifecycle() == MachineLifecycle.ACTIVE
+                        && exceedsUnresponsiveLimit(agent, overdueLimit, now)) {
                     changeLifecycle(transaction, record, MachineLifecycle.UNRESPONSIVE);
                 } else if (record.lifecycle() == MachineLifecycle.UNRESPONSIVE && responsive) {
                     changeLifecycle(transaction, record, MachineLifecycle.ACTIVE);
@@ -125,7 +126,7 @@
                 && !agent.lastMessageAt().isBefore(overdueLimit);
     }
 
-    private static boolean isUnresponsive(AgentState agent, Instant overdueLimit, Instant now) {
+    private static boolean exceedsUnresponsiveLimit(AgentState agent, Instant overdueLimit, Instant now) {
         Instant limit = agent.commands().isUnanswered() ? now.minus(UNANSWERED_LIMIT) : overdueLimit;
         return agent.isOutboundPartitioned() || agent.unreachableSince().isBefore(limit);
     }
--- a/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
@@ -57,7 +57,7 @@
                 return onReroutedHeartbeat(heartbeat, record, responsible, now);
             }
         }
-        return onOwnHeartbeat(heartbeat, record, now);
+        return onExpectedHeartbeat(heartbeat, record, now);
     }
 
     private HeartbeatResponse accepted(List<AgentCommand> commands, boolean mayRequireCycle) {
@@ -76,14 +76,14 @@
                 : new HeartbeatResponse.RedirectToAny();
     }
 
-    private HeartbeatResponse onOwnHeartbeat(Heartbeat heartbeat, MachineRecord record, Instant now) {
+    private HeartbeatResponse onExpectedHeartbeat(Heartbeat heartbeat, MachineRecord record, Instant now) {
         AgentState agent = agents.getOrCreate(heartbeat.machine(), now);
         boolean mayRequireCycle = agent.onHeartbeat(heartbeat, now) && agent.isDue(now);
-        agents.updateRecordChangeCandidates(heartbeat.machine(), agent);
+        agents.addIfRecordChangeCandidate(heartbeat.machine(), agent);
         mayRequireCycle |= agentEpochs.observe(record, heartbeat);
         agent.reroute().end();
         List<AgentCommand> commands = new ArrayList<>(cancellationEnforcer.stopCommands(heartbeat));
-        if (agents.isInContact(record, agent) && agent.isFenced(record)) {
+        if (agents.isInEpochOnRecord(record, agent) && agent.hasConfirmedFencingToken(record)) {
             commands.addAll(planner.forgetCommands(record, agent));
         }
         return accepted(commands, mayRequireCycle);
@@ -95,7 +95,7 @@
         MachineRecord record = clusterState.machine(response.machine());
         if (agent != null && record != null) {
             agent.onCommandResponse(response, now);
-            agents.updateRecordChangeCandidates(response.machine(), agent);
+            agents.addIfRecordChangeCandidate(response.machine(), agent);
             agentEpochs.observe(record, response);
         }
     }
--- a/src/main/java/org/gullway/coordination/agents/JobFailureTracker.java
+++ b/src/main/java/org/gullway/coordination/agents/JobFailureTracker.java
@@ -27,7 +27,7 @@
 
     private final ClusterState clusterState;
     /** Jobs that have recently failed on machines of this controller, and whether each job fails on every machine. */
-    private final Map<String, Boolean> failsEverywhere = new HashMap<>();
+    private final Map<String, Boolean> jobsAtFault = new HashMap<>();
 
     JobFailureTracker(ClusterState clusterState) {
         this.clusterState = clusterState;
@@ -46,13 +46,13 @@
         }
         // The classification is kept while any agent's recent failures include the job. The job's record may be
         // removed earlier.
-        failsEverywhere.keySet().retainAll(machineCounts.keySet());
+        jobsAtFault.keySet().retainAll(machineCounts.keySet());
         machineCounts.forEach((id, machines) -> {
             JobRecord job = clusterState.job(id);
             if (job != null) {
-                boolean everywhere = machines >= FAILING_JOB_MIN_MACHINES
+                boolean atFault = machines >= FAILING_JOB_MIN_MACHINES
                         && job.completedTasks().size() == 0;
-                failsEverywhere.put(id, everywhere);
+                jobsAtFault.put(id, atFault);
             }
         });
     }
@@ -60,7 +60,7 @@
     /** Returns whether the failures on this agent's machine are caused by the machine itself. */
     boolean isFaulty(AgentState agent, Instant now) {
         long jobs = agent.failures().recentlyFailedJobs(now, FAILURE_WINDOW).stream()
-                .filter(job -> !failsEverywhere.getOrDefault(job, false))
+                .filter(job -> !jobsAtFault.getOrDefault(job, false))
                 .count();
         return jobs >= FAULTY_MACHINE_MIN_JOBS;
     }
--- a/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
@@ -41,20 +41,20 @@
         for (JobRecord job : clusterState.jobs()) {
             if (cancellationEnforcer.isOverdue(job, transaction.timeOfDay())) {
                 for (Placement placement : job.livePlacements()) {
-                    declareLostUnlessConfirmedGone(transaction, job, placement);
+                    declareLostUnlessConfirmedEnded(transaction, job, placement);
                 }
             }
         }
     }
 
-    private void declareLostUnlessConfirmedGone(Transaction transaction, JobRecord job, Placement placement) {
+    private void declareLostUnlessConfirmedEnded(Transaction transaction, JobRecord job, Placement placement) {
         MachineRecord record = transaction.machine(placement.machine());
         if (record != null
                 && self.equals(record.controller())
                 && record.agentEpoch() == placement.agentEpoch()
                 && record.lifecycle() != MachineLifecycle.LOST
                 && transaction.canPutMachine(record.name())
-                && !isConfirmedGone(record, AttemptId.of(job, placement))) {
+                && !isConfirmedEnded(record, AttemptId.of(job, placement))) {
             LOG.info(
                     "machine declared lost: cancelled tasks not confirmed as ended in time machine={} job={}",
                     record.name(),
@@ -64,10 +64,10 @@
     }
 
     /** Returns whether the attempt has ended and no command that may still arrive can start it. */
-    private boolean isConfirmedGone(MachineRecord record, AttemptId id) {
+    private boolean isConfirmedEnded(MachineRecord record, AttemptId id) {
         AgentState agent = agents.find(record.name());
-        if (!agents.isInContact(record, agent)
-                || !agent.isFenced(record)
+        if (!agents.isInEpochOnRecord(record, agent)
+                || !agent.hasConfirmedFencingToken(record)
                 || agent.commands().isInFlight()) {
             return false;
         }
--- a/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
+++ b/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
@@ -20,7 +20,7 @@
      * A rerouted heartbeat that comes more than this many heartbeat intervals after the first one counts as a first
      * one.
      */
-    private static final int REROUTE_INTERVALS = 10;
+    private static final int REROUTE_WINDOW_INTERVALS = 10;
 
     private final ClusterState clusterState;
     private final HeartbeatTiming timing;
@@ -51,7 +51,7 @@
      */
     boolean tryAccept(MachineRecord record, Instant now) {
         RerouteState reroute = agents.getOrCreate(record.name(), now).reroute();
-        if (!reroute.isStartedWithin(timing.intervals(REROUTE_INTERVALS), now)) {
+        if (!reroute.isStartedWithin(timing.intervals(REROUTE_WINDOW_INTERVALS), now)) {
             reroute.start(now);
             return false;
         }
--- a/src/main/java/org/gullway/coordination/agents/SchedulableMachines.java
+++ b/src/main/java/org/gullway/coordination/agents/SchedulableMachines.java
@@ -26,9 +26,9 @@
             MachineRecord record = clusterState.machine(entry.getKey());
             AgentState agent = entry.getValue();
             if (isReachable(agent, contactLimit)
-                    && agents.isInContact(record, agent)
+                    && agents.isInEpochOnRecord(record, agent)
                     && record.isSchedulable()
-                    && agent.isFenced(record)) {
+                    && agent.hasConfirmedFencingToken(record)) {
                 schedulable.add(record);
             }
         }
@@ -38,6 +38,6 @@
     private static boolean isReachable(AgentState agent, Instant contactLimit) {
         return !agent.commands().isUnanswered()
                 && !agent.isOutboundPartitioned()
-                && agent.lastContact().isAfter(contactLimit);
+                && agent.contactTimeoutStart().isAfter(contactLimit);
     }
 }
--- a/src/main/java/org/gullway/coordination/agents/WakeupQueue.java
+++ b/src/main/java/org/gullway/coordination/agents/WakeupQueue.java
@@ -10,19 +10,19 @@
  * not to the number of all machines.
  */
 final class WakeupQueue {
-    private record Wakeup(Instant at, long order, String machine) implements Comparable<Wakeup> {
+    private record Wakeup(Instant at, long sequence, String machine) implements Comparable<Wakeup> {
         @Override
         public int compareTo(Wakeup other) {
             int byTime = at.compareTo(other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Wakeup> queue = new PriorityQueue<>();
-    private long nextOrder;
+    private long nextSequence;
 
     void add(String machine, Instant at) {
-        queue.add(new Wakeup(at, nextOrder++, machine));
+        queue.add(new Wakeup(at, nextSequence++, machine));
     }
 
     /**
--- a/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
@@ -78,7 +78,7 @@
      * Returns whether a cancelled task on record for the machine is missing from the heartbeat, so that its start may
      * still arrive.
      */
-    boolean mayReceiveCancelledStart(MachineRecord machine, Heartbeat heartbeat) {
+    boolean mayStillStartCancelledTask(MachineRecord machine, Heartbeat heartbeat) {
         Set<AttemptId> listed = new HashSet<>();
         for (TaskStatus task : heartbeat.tasks()) {
             listed.add(new AttemptId(task.task(), task.attempt()));
@@ -131,7 +131,7 @@
     public Set<String> machinesToRelease(Instant timeOfDay) {
         Set<String> machines = new HashSet<>();
         for (RemainingAttempt attempt : cancellations.remainingAttempts()) {
-            if (!directStops.isConfirmedGone(attempt.id()) && isOverdue(attempt.cancelledAt(), timeOfDay)) {
+            if (!directStops.isReportedGone(attempt.id()) && isOverdue(attempt.cancelledAt(), timeOfDay)) {
                 machines.add(attempt.machine());
             }
         }
--- a/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
+++ b/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
@@ -27,7 +27,7 @@
     private static final int MAX_IN_FLIGHT = 32;
 
     private final ClusterState clusterState;
-    private final Set<AttemptId> confirmedGone = new HashSet<>();
+    private final Set<AttemptId> reportedGone = new HashSet<>();
     /** The earliest time of the next batch, by machine; {@link Instant#MAX} while a batch is in flight. */
     private final Map<String, Instant> nextBatchAt = new HashMap<>();
 
@@ -39,12 +39,12 @@
 
     /** Discards what responses have shown. Batches in flight still count until they end. */
     void reset() {
-        confirmedGone.clear();
+        reportedGone.clear();
         nextBatchAt.clear();
     }
 
-    boolean isConfirmedGone(AttemptId attempt) {
-        return confirmedGone.contains(attempt);
+    boolean isReportedGone(AttemptId attempt) {
+        return reportedGone.contains(attempt);
     }
 
     /** Returns the batches to be sent now, whichever controller commands the machines. */
@@ -65,7 +65,7 @@
     private Map<String, List<AgentCommand>> stopsByMachine(List<RemainingAttempt> remaining) {
         Map<String, List<AgentCommand>> stops = new LinkedHashMap<>();
         for (RemainingAttempt attempt : remaining) {
-            if (!isConfirmedGone(attempt.id())) {
+            if (!isReportedGone(attempt.id())) {
                 AttemptId id = attempt.id();
                 stops.computeIfAbsent(attempt.machine(), name -> new ArrayList<>())
                         .add(AgentCommand.stop(id.task(), id.attempt(), Duration.ZERO));
@@ -96,7 +96,7 @@
             if (attempt.machine().equals(response.machine()) && isGone(attempt, response.agentEpoch(), live)) {
                 // If a start arrives later, its task ends when the agent's lease expires: no controller renews the
                 // lease while the start may still arrive.
-                confirmedGone.add(attempt.id());
+                reportedGone.add(attempt.id());
             }
         }
     }
--- a/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
+++ b/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
@@ -60,7 +60,7 @@
                 jobs.add(toCancelledJob(job));
             }
         }
-        jobs.addAll(notYetReplicated());
+        jobs.addAll(notYetDelivered());
         return jobs;
     }
 
@@ -70,7 +70,7 @@
         for (JobRecord job : clusterState.jobs()) {
             if (job.isCancelled()) {
                 for (Placement placement : job.livePlacements()) {
-                    addIfOnRecord(
+                    addIfInCurrentEpoch(
                             remaining,
                             new RemainingAttempt(
                                     AttemptId.of(job, placement),
@@ -80,11 +80,11 @@
                 }
             }
         }
-        for (CancelledJob job : notYetReplicated()) {
+        for (CancelledJob job : notYetDelivered()) {
             Instant cancelledAt = Instant.ofEpochMilli(job.cancelledAt());
             for (CancelledAttempt attempt : job.attempts()) {
                 AttemptId id = new AttemptId(new TaskId(job.id(), attempt.task()), attempt.attempt());
-                addIfOnRecord(
+                addIfInCurrentEpoch(
                         remaining, new RemainingAttempt(id, attempt.machine(), attempt.agentEpoch(), cancelledAt));
             }
         }
@@ -95,14 +95,14 @@
      * Adds the attempt unless its machine was released or is in a newer agent epoch, which ends all earlier attempts
      * on it.
      */
-    private void addIfOnRecord(List<RemainingAttempt> remaining, RemainingAttempt attempt) {
+    private void addIfInCurrentEpoch(List<RemainingAttempt> remaining, RemainingAttempt attempt) {
         MachineRecord machine = clusterState.machine(attempt.machine());
         if (machine != null && machine.agentEpoch() == attempt.agentEpoch()) {
             remaining.add(attempt);
         }
     }
 
-    private List<CancelledJob> notYetReplicated() {
+    private List<CancelledJob> notYetDelivered() {
         List<CancelledJob> jobs = new ArrayList<>();
         received.forEach((id, cancellation) -> {
             if (!clusterState.isCancelled(id)) {
--- a/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -52,20 +52,20 @@
 
     /**
      * @param cancelLimit how long after its cancellation a job may still have tasks
-     * @param workerLease how long an agent's lease lasts after a renewal
+     * @param agentLease how long an agent's lease lasts after a renewal
      */
     public LeaseRenewalPolicy(
             ClusterState clusterState,
             Incarnation self,
             CancellationEnforcer cancellationEnforcer,
             Duration cancelLimit,
-            Duration workerLease) {
+            Duration agentLease) {
         this.clusterState = clusterState;
         this.self = self;
         this.cancellationEnforcer = cancellationEnforcer;
         this.renewalWindow = cancelLimit
                 .minus(cancelLimit.dividedBy(DRIFT_DIVISOR))
-                .minus(workerLease)
+                .minus(agentLease)
                 .minus(CLOCK_SLACK);
     }
 
@@ -98,7 +98,7 @@
         return machine.agentEpoch() == heartbeat.agentEpoch()
                 && machine.lifecycle() != MachineRecord.MachineLifecycle.LOST
                 && heartbeat.fencingToken() <= clusterState.fencingToken()
-                && !cancellationEnforcer.mayReceiveCancelledStart(machine, heartbeat);
+                && !cancellationEnforcer.mayStillStartCancelledTask(machine, heartbeat);
     }
 
     /**
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -129,7 +129,7 @@
      * arrived.
      */
     @Test
-    void aMachineWithoutAHeartbeatSinceItsTakeoverIsNotResponsive() {
+    void aMachineTakenOverWithoutAHeartbeatDoesNotMakeItsZoneResponsive() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "b");
         advanceSeconds(8, "vm-1");
@@ -169,7 +169,7 @@
 
     /** A controller without a valid lease refuses heartbeats, so it must first wait for new ones. */
     @Test
-    void heartbeatsMissingBeforeTheLeaseIsValidAreIgnored() {
+    void heartbeatsRefusedWithoutAValidLeaseDoNotCountAsMissing() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
         detector.onLeaseStatus(false, now);
--- a/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void redirectsAReroutedAgentOnceAndThenTakesOverItsShardUnderAHigherFencingToken() {
+    void redirectsEveryOtherReroutedHeartbeatAndTakesOverTheShardUnderAHigherFencingToken() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 10);
         assertThat(reconciler.onHeartbeat(heartbeat(1, 1, null), now))
                 .isEqualTo(new HeartbeatResponse.Redirect("perch-1"));
--- a/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
+++ b/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
@@ -99,7 +99,7 @@
      * A change of the controller restarts failure detection, but it does not extend the cancellation limit of a job.
      */
     @Test
-    void aFailoverDoesNotExtendTheCancellationLimit() {
+    void losingTheLeaseDoesNotExtendTheCancellationLimit() {
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         place(request, "vm-1");
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
@@ -146,9 +146,9 @@
         assertThat(cancellationEnforcer.knownCancellations()).containsExactly(job);
         assertThat(cancellationEnforcer.stopCommands(heartbeat(1, taskIn(Phase.RUNNING))))
                 .hasSize(1);
-        assertThat(cancellationEnforcer.mayReceiveCancelledStart(clusterState.machine("vm-2"), heartbeat(1)))
+        assertThat(cancellationEnforcer.mayStillStartCancelledTask(clusterState.machine("vm-2"), heartbeat(1)))
                 .isTrue();
-        assertThat(cancellationEnforcer.mayReceiveCancelledStart(
+        assertThat(cancellationEnforcer.mayStillStartCancelledTask(
                         clusterState.machine("vm-2"), heartbeat(1, taskIn(Phase.ENDED))))
                 .isFalse();
         assertThat(directStopsAfter(1)).hasSize(1);
