--- a/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
@@ -8,13 +8,13 @@
 import org.gullway.coordination.model.Transaction;
 
 /**
- * Changes records according to the state of single agents. A start with unknown outcome requires a higher fencing
+ * Changes records according to the state of individual agents. A start with unknown outcome requires a higher fencing
  * token, and a machine that is faulty or has a spot notice is drained.
  */
 final class AgentConditionPlanner {
     /**
-     * Minimum time between two new fencing tokens. Each new token costs one more message from every agent, so unknown
-     * starts are resolved together.
+     * Minimum time between two new fencing tokens. Every agent sends one more message after each new token, so one
+     * token resolves all starts whose outcomes became unknown in that time.
      */
     private static final Duration FENCING_TOKEN_INTERVAL = Duration.ofSeconds(1);
 
--- a/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
@@ -21,8 +21,8 @@
 
 /**
  * Reconciles the machines that this controller commands with the records. The placements on record are the desired
- * state, and an agent's newest message is the actual state. The difference becomes commands. Completed attempts are
- * reported to the controllers that write the records of their jobs.
+ * state, and an agent's newest message is the actual state. The difference becomes commands. The completions of ended
+ * attempts are reported to the controllers that write the records of their jobs.
  *
  * <p>This class is the entry point of the package. It wires the other classes together and delegates to them.
  */
@@ -66,7 +66,10 @@
         return agent != null && agent.reroute().isActive();
     }
 
-    /** Must be called in every scheduling cycle, since heartbeats are accepted only while the lease is valid. */
+    /**
+     * Reports whether this controller holds a valid lease. Must be called in every scheduling cycle: heartbeats are
+     * refused without a valid lease, and failure detection must not count them as missing.
+     */
     public void onLeaseStatus(boolean holdsValidLease, Instant now) {
         failureDetector.onLeaseStatus(holdsValidLease, now);
     }
@@ -93,8 +96,8 @@
     }
 
     /**
-     * Returns all commands that are due now, in one batch for each machine. Completions that it observes are
-     * buffered here or queued for {@link #drainCompletions}.
+     * Returns all commands that are due now, in one batch for each machine. Also observes which attempts have ended,
+     * and adds their completions to the completion buffer or to those that {@link #drainCompletions} returns.
      */
     public List<CommandBatch> commandsDue(Instant now) {
         return commandDispatcher.commandsDue(now);
@@ -105,7 +108,10 @@
         return commandDispatcher.reconciliations();
     }
 
-    /** Returns the queued completions by the controller that writes the job's record, and clears the queue. */
+    /**
+     * Returns the queued completions, grouped by the controller that writes the record of their job, and clears the
+     * queue.
+     */
     public Map<String, List<AttemptCompletion>> drainCompletions() {
         return completionReporter.drainCompletions();
     }
--- a/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
@@ -14,8 +14,8 @@
 /** Holds, by machine, the agents that have sent messages to this controller or whose machines it commands. */
 final class AgentRegistry {
     /**
-     * Time between two evictions. Until then, agents whose machines are gone or commanded by another controller do no
-     * harm.
+     * Time between two evictions of stale agents, whose machines are gone or commanded by another controller. They do
+     * no harm in the meantime.
      */
     private static final Duration EVICTION_INTERVAL = Duration.ofSeconds(2);
 
@@ -48,19 +48,22 @@
         return agents.entrySet();
     }
 
-    /** Returns the machines whose agents' wake-up times have come; see {@link WakeupQueue#pollDue}. */
+    /** Returns the machines whose agents may be due for reconciliation; see {@link WakeupQueue#pollDue}. */
     List<String> pollDue(Instant now) {
         return wakeups.pollDue(now);
     }
 
-    /** Adds the machine to the record change candidates if its agent's state may require a change of records. */
+    /** Adds the machine to the candidates for a record change if its agent's state may require one. */
     void addIfRecordChangeCandidate(String machine, AgentState agent) {
         if (agent.mayNeedRecordChange()) {
             recordChangeCandidates.add(machine);
         }
     }
 
-    /** Returns the machines whose agents' state may require a change of records, or did so earlier. */
+    /**
+     * Returns the machines whose agents' state requires, or once required, a change of records. This is the live set,
+     * from which the caller removes machines.
+     */
     Set<String> recordChangeCandidates() {
         return recordChangeCandidates;
     }
@@ -72,15 +75,16 @@
 
     /**
      * Returns whether the machine is assigned to this controller and the watch has delivered all changes up to the
-     * machine's record.
+     * machine's record. Only then does the cluster state contain all placements that were recorded before the machine
+     * was assigned.
      */
     boolean isAssignedAndCaughtUp(MachineRecord record) {
         return isAssignedHere(record) && clusterState.watchedRevision() >= clusterState.machineVersion(record.name());
     }
 
     /**
-     * Returns whether this controller commands the machine and the newest message of its agent has the agent epoch on
-     * record.
+     * Returns whether the machine is assigned to this controller and its agent's newest message, however old, has the
+     * agent epoch on record.
      */
     boolean isInEpochOnRecord(MachineRecord record, AgentState agent) {
         return isAssignedAndCaughtUp(record)
--- a/src/main/java/org/gullway/coordination/agents/AgentState.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentState.java
@@ -27,7 +27,7 @@
     private Heartbeat lastMessage;
     private Map<AttemptId, TaskStatus> tasks = Map.of();
     /**
-     * For each attempt that ended without completing: the fencing token that the agent reported when this controller
+     * For each attempt that ended without success: the fencing token that the agent reported when this controller
      * first saw the end.
      */
     private final Map<AttemptId, Long> fencingTokenAtEnd = new HashMap<>();
@@ -38,8 +38,8 @@
     private Instant spotTerminationAt;
     private long fencingTokenOnRecord;
     /**
-     * The highest fencing token under which a start with unknown outcome was sent, or 0. Only when the agent confirms
-     * a higher token is it certain that the start can no longer arrive.
+     * The highest fencing token under which a start with unknown outcome was sent, or 0; never reset. Only when the
+     * agent confirms a higher token is it certain that the start can no longer arrive.
      */
     private long highestUnknownStartToken;
 
@@ -47,7 +47,7 @@
 
     /**
      * @param contactExpectedSince when this controller began to expect messages from the agent
-     * @param addWakeup receives each time at which the agent must be reconciled, beginning with an immediate one
+     * @param addWakeup called with each time at which the agent must be reconciled, first with {@link Instant#MIN}
      */
     AgentState(Instant contactExpectedSince, Consumer<Instant> addWakeup) {
         this.contactTimeoutStart = contactExpectedSince;
@@ -71,23 +71,26 @@
         return reroute;
     }
 
-    /** Handles a heartbeat. Returns false and changes nothing if a newer message is known. */
+    /**
+     * Handles a heartbeat. Returns false and changes nothing if this message or a newer one has been handled before.
+     */
     boolean onHeartbeat(Heartbeat heartbeat, Instant now) {
         outboundPartitioned &= lastMessage != null && !isNewer(heartbeat);
         return accept(heartbeat, now);
     }
 
     /**
-     * Handles the response to a command batch. If the response has a newer agent epoch, the agent's lease has expired
-     * although commands reach the agent. Its heartbeats then reach no controller, and tasks placed there would end
-     * when the next lease expires.
+     * Handles the response to a command batch. A newer agent epoch in the response means that the agent's lease
+     * expired although commands reach the agent, so its heartbeats reach no controller. The agent then counts as
+     * outbound-partitioned until a newer heartbeat arrives, since tasks placed on its machine would end when the new
+     * lease expires, too.
      */
     void onCommandResponse(Heartbeat response, Instant now) {
         outboundPartitioned |= lastMessage != null && response.agentEpoch() > lastMessage.agentEpoch();
         accept(response, now);
     }
 
-    /** Returns whether a lease has expired since the last heartbeat while the agent answered commands. */
+    /** Returns whether a lease of the agent has expired since its last heartbeat while the agent answered commands. */
     boolean isOutboundPartitioned() {
         return outboundPartitioned;
     }
@@ -168,7 +171,8 @@
     }
 
     /**
-     * Returns when the agent's last message came or when this controller began to expect messages, whichever is later.
+     * Returns the start of the contact timeout: the time of the agent's last message or, if later, the time at which
+     * this controller began to expect messages.
      */
     Instant contactTimeoutStart() {
         return contactTimeoutStart;
@@ -180,8 +184,8 @@
     }
 
     /**
-     * Returns since when the agent may be unreachable: since the last contact, or since the first unanswered command
-     * if that was sent earlier.
+     * Returns since when the agent may be unreachable: the start of the contact timeout, or the first unanswered
+     * command if that was sent earlier.
      */
     Instant unreachableSince() {
         Instant unansweredSince = commands.unansweredSince();
@@ -205,7 +209,7 @@
                 && lastMessage.fencingToken() > highestUnknownStartToken;
     }
 
-    /** Returns the highest fencing token under which a start with unknown outcome was sent, or 0 if there is none. */
+    /** Returns the highest fencing token under which a start with unknown outcome was sent, or 0 if there was none. */
     long highestUnknownStartToken() {
         return highestUnknownStartToken;
     }
@@ -216,9 +220,9 @@
     }
 
     /**
-     * Returns whether the agent may forget an ended attempt. An attempt that did not complete is kept until the agent
-     * refuses commands from the time of the attempt's start. Otherwise a duplicate start that arrives later would run
-     * the forgotten attempt again.
+     * Returns whether the agent may forget an ended attempt. An attempt that did not succeed is kept until the agent
+     * has confirmed a higher fencing token than it had when the end was first seen. Until then, a duplicate start
+     * could still arrive and run the forgotten attempt again.
      */
     boolean mayForget(AttemptId id, TaskStatus task) {
         return task.cause() == TaskStatus.Cause.DONE
@@ -226,9 +230,9 @@
     }
 
     /**
-     * Called when this controller commands the machine under this fencing token. A new token resets the contact time:
-     * before the failover the agent had no reason to send messages to this controller, so missing messages say nothing
-     * about the agent.
+     * Called when this controller commands the machine under this fencing token. A new token restarts the contact
+     * timeout: before the failover the agent had no reason to send messages to this controller, so missing messages
+     * say nothing about the agent.
      */
     void onFencingTokenOnRecord(long fencingToken, Instant now) {
         if (fencingToken != fencingTokenOnRecord) {
@@ -238,12 +242,12 @@
         }
     }
 
-    /** Returns whether an unresolved start, a spot notice or failed tasks may require a change of records. */
+    /** Returns whether a start with unknown outcome, a spot notice or failed tasks may require a change of records. */
     boolean mayNeedRecordChange() {
         return highestUnknownStartToken != 0 || spotTerminationAt != null || !failures.isEmpty();
     }
 
-    /** Schedules a reconciliation at this time, unless an earlier one is scheduled. */
+    /** Makes the agent due for reconciliation at this time, unless it is due earlier. */
     void wakeAt(Instant at) {
         if (at.isBefore(nextWakeup)) {
             nextWakeup = at;
--- a/src/main/java/org/gullway/coordination/agents/CommandChannel.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandChannel.java
@@ -9,7 +9,10 @@
 
     private boolean inFlight;
     private Instant notBefore = Instant.MIN;
-    /** When the first unanswered command batch was sent; null if the last one was answered. */
+    /**
+     * When the first batch that failed since the last response was sent or attempted; null if the last batch was
+     * answered.
+     */
     private Instant unansweredSince;
 
     private Instant probedAt = Instant.MIN;
@@ -43,27 +46,33 @@
         notBefore = retryAt;
     }
 
-    /** Returns whether commands go unanswered. Heartbeats alone do not show that the agent receives anything. */
+    /**
+     * Returns whether commands go unanswered. A heartbeat does not change this, since it does not show that the agent
+     * receives anything.
+     */
     boolean isUnanswered() {
         return unansweredSince != null;
     }
 
-    /** Returns when the first unanswered command batch was sent, or null if the last one was answered. */
+    /**
+     * Returns when the first batch that failed since the last response was sent or attempted, or null if the last
+     * batch was answered.
+     */
     Instant unansweredSince() {
         return unansweredSince;
     }
 
     /**
-     * Discards unanswered commands at a failover. Commands of an earlier period do not show whether the agent answers
-     * now.
+     * Discards unanswered commands at a failover. Commands sent under an earlier fencing token do not show whether the
+     * agent answers now.
      */
     void clearUnanswered() {
         unansweredSince = null;
     }
 
     /**
-     * Returns whether a batch without commands (a probe) may be sent now, and if so counts it as sent. This limits the
-     * rate of probes to an unresponsive agent.
+     * Returns whether a probe, that is, a batch without commands, may be sent now, and if so counts it as sent. This
+     * limits the rate of probes. It does not limit the retries while commands go unanswered.
      */
     boolean tryProbe(Instant now) {
         if (probedAt.plus(PROBE_INTERVAL).isAfter(now)) {
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -91,12 +91,12 @@
             agents.addIfRecordChangeCandidate(record.name(), agent);
         }
         if (agent.contactTimeoutStart().isBefore(now.minus(timing.contactTimeout()))) {
-            // The agent is most likely unreachable. A heartbeat with a changed state wakes it at once.
+            // The agent is most likely unreachable. A heartbeat with a changed state makes it due at once.
             agent.wakeAt(now.plus(timing.interval()));
             return Optional.empty();
         }
         if (agent.commands().isInFlight()) {
-            // The outcome of the batch in flight wakes the agent.
+            // The outcome of the batch in flight makes the agent due again.
             return Optional.empty();
         }
         if (!agent.commands().maySend(now) || window.isFull()) {
@@ -111,12 +111,13 @@
         boolean tokenConfirmed = inEpochOnRecord && agent.hasConfirmedFencingToken(record);
         List<AgentCommand> commands = tokenConfirmed ? planner.startsAndStops(record, agent) : List.of();
         // A probe is a batch without commands. The response confirms the fencing token and lists the agent's tasks.
+        // While commands go unanswered, a batch is sent whether or not the probe is deferred.
         boolean probe = needsProbe(record, agent, inEpochOnRecord, tokenConfirmed);
         if (probe
                 && (window.inFlight() >= MAX_IN_FLIGHT_FOR_PROBES
                         || !agent.commands().tryProbe(now))) {
-            // The agent's next heartbeat most likely carries the same information. After a failover, hundreds of
-            // agents need a probe at once.
+            // Defers the probe, since the agent's next heartbeat most likely carries the same information. This
+            // matters after a failover, when hundreds of agents need a probe at once.
             probe = false;
             agent.wakeAt(now.plus(RETRY_DELAY));
         }
--- a/src/main/java/org/gullway/coordination/agents/CommandPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandPlanner.java
@@ -78,7 +78,10 @@
         }
     }
 
-    /** Returns the time that an attempt of the job gets to save a checkpoint when it is stopped. */
+    /**
+     * Returns the time that an attempt of the job gets to save a checkpoint when it is stopped: twice the declared
+     * checkpoint time plus a margin, or none if the job is cancelled or has no checkpoints.
+     */
     static Duration grace(JobRecord job) {
         JobRequest request = job.request();
         return job.isCancelled() || !request.hasCheckpoints()
--- a/src/main/java/org/gullway/coordination/agents/CommandWindow.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandWindow.java
@@ -20,7 +20,8 @@
     private double size = MAX_SIZE;
     private int inFlight;
     /**
-     * Responses to commands sent before the last decrease are ignored: they do not reflect the current window size.
+     * When the window was last decreased. Slow responses to batches that were sent earlier do not decrease it again,
+     * since they do not reflect the current size.
      */
     private Instant decreasedAt = Instant.MIN;
 
--- a/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
@@ -17,12 +17,17 @@
 import org.gullway.coordination.model.Transaction;
 
 /**
- * Buffers attempts that have certainly ended until their completions are on record. The record of a reserved job is
- * written by the leader, and the record of any other job by the job's owner. This record writer records the
- * completions of all tasks of the job, so that each record has a single writer and one change holds many completions.
+ * Buffers attempts that have certainly ended until their completions are on record. A completion is the end of an
+ * attempt with any outcome. Normally one controller, the record writer, records all completions of a job: the leader
+ * for a reserved job, otherwise the job's owner. So a record has one writer, and one change holds many completions. If
+ * the record writer takes too long, the controller that observed the completion records it, see {@link
+ * CompletionReporter}.
  */
 public final class CompletionBuffer implements PlanningStep {
-    /** Completions of an unfinished job are recorded after this delay, or earlier together with its next placement. */
+    /**
+     * Time after which the completions of an unfinished job are recorded even without spare capacity. They are
+     * recorded earlier if the job's record changes anyway, for example with its next placement.
+     */
     private static final Duration MAX_DELAY = Duration.ofSeconds(8);
 
     private final ClusterState clusterState;
@@ -77,13 +82,16 @@
         });
     }
 
-    /** Returns whether the attempt has certainly ended and its completion is not on record yet. */
+    /** Returns whether the attempt's completion is in this buffer. */
     public boolean contains(AttemptId attempt) {
         PendingCompletions pending = pendingByJob.get(attempt.task().job());
         return pending != null && pending.outcomes.containsKey(attempt);
     }
 
-    /** Records completions that finish their job, since users wait for them, and completions of cancelled jobs. */
+    /**
+     * Records the completions of cancelled jobs, and of jobs that may be finished once their buffered completions are
+     * recorded. Users wait for these jobs.
+     */
     public void planFinishedJobs(Transaction transaction) {
         plan(
                 transaction,
@@ -106,8 +114,9 @@
                         surplusChanges || pending.firstAddedAt.plus(MAX_DELAY).isBefore(now));
     }
 
-    // An unchanged record is the same instance in the cluster state and in the transaction. Comparing the values would
-    // cost as much as recording the change.
+    // An entry is removed only if the committed record, not one that this transaction changes, lists none of its
+    // attempts as live. An unchanged record is the same instance in the cluster state and in the transaction.
+    // Comparing the values would cost as much as recording the change.
     @SuppressWarnings("ReferenceEquality")
     private void plan(Transaction transaction, BiPredicate<JobRecord, PendingCompletions> due) {
         Iterator<Map.Entry<String, PendingCompletions>> entries =
--- a/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionReporter.java
@@ -101,7 +101,10 @@
         return leader == null ? null : leader.node();
     }
 
-    /** Returns the queued completions by the controller that writes the job's record, and clears the queue. */
+    /**
+     * Returns the queued completions, grouped by the controller that writes the record of their job, and clears the
+     * queue.
+     */
     Map<String, List<AttemptCompletion>> drainCompletions() {
         Map<String, List<AttemptCompletion>> drained = new TreeMap<>(pendingByWriter);
         pendingByWriter.clear();
--- a/src/main/java/org/gullway/coordination/agents/FailureDetector.java
+++ b/src/main/java/org/gullway/coordination/agents/FailureDetector.java
@@ -19,8 +19,8 @@
  * unanswered commands.
  *
  * <p>A machine is unresponsive if a heartbeat is overdue, if a lease expired while commands were answered, or if
- * commands go unanswered. No tasks are placed on it until it is responsive again, since a reserved task placed there
- * would wait until the machine is declared lost. A machine that stays unreachable is declared lost.
+ * commands go unanswered. No tasks are placed on it until it is responsive again: in particular, a reserved task
+ * placed there would wait until the machine is declared lost. A machine that stays unreachable is declared lost.
  */
 final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
@@ -79,7 +79,7 @@
 
     /**
      * Returns how long a machine must be unreachable before it is declared lost, if at least one machine is
-     * responsive.
+     * responsive: two heartbeat intervals plus the time after which an agent gives up waiting for a response.
      */
     private Duration lostAfter() {
         return timing.intervals(2).plus(RESPONSE_TIMEOUT);
@@ -92,8 +92,8 @@
         checkedAt = now;
         Instant overdueLimit = now.minus(timing.longestInterval()).minus(HEARTBEAT_MARGIN);
         if (!acceptingHeartbeatsSince.isBefore(overdueLimit)) {
-            // Heartbeats have not been accepted for long enough. During an outage of the state store, the heartbeats
-            // of all agents are refused.
+            // This controller has accepted heartbeats for less than the overdue limit, so missing ones may have been
+            // refused. During an outage of the state store, the heartbeats of all agents are refused.
             return;
         }
         Instant lostLimit = now.minus(lostAfter());
@@ -186,7 +186,8 @@
 
     /**
      * Returns whether declaring the machine lost is deferred because its zone is or was recently partitioned. When the
-     * partition ends, the agent has the usual time to send a heartbeat.
+     * partition ends, the agent has {@link #lostAfter} to send a heartbeat. A machine is not deferred for longer than
+     * the cancellation limit, and not at all if cancelled tasks are placed on it.
      */
     private boolean isLossDeferredByPartition(MachineRecord record, Instant unreachableSince, Instant now) {
         Instant partitionedAt = zonePartitionedAt.getOrDefault(record.zone(), Instant.MIN);
--- a/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
@@ -47,8 +47,8 @@
         }
         MachineRecord record = clusterState.machine(heartbeat.machine());
         if (record == null) {
-            // A machine is put on record only by a response or listing of the cloud provider, since a heartbeat may be
-            // an old duplicate.
+            // The heartbeat is accepted, which renews the lease, but it puts no machine on record, since it may be an
+            // old duplicate. Only responses and listings of the cloud provider put machines on record.
             return accepted(cancellationEnforcer.stopCommands(heartbeat), false);
         }
         if (!self.equals(record.controller())) {
@@ -67,8 +67,8 @@
     private HeartbeatResponse onReroutedHeartbeat(
             Heartbeat heartbeat, MachineRecord record, Optional<String> responsible, Instant now) {
         if (reroutes.tryAccept(record, now)) {
-            // This renews the agent's lease until the machine's shard is taken over. The agent cannot reach the
-            // machine's controller, so a redirect there would fail.
+            // Accepting keeps the agent's lease alive while the takeover of the machine's shard is pending. A redirect
+            // to the machine's controller would fail, since the agent cannot reach it.
             return accepted(cancellationEnforcer.stopCommands(heartbeat), true);
         }
         return responsible.isPresent()
--- a/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
@@ -63,7 +63,10 @@
         }
     }
 
-    /** Returns whether the attempt has ended and no command that may still arrive can start it. */
+    /**
+     * Returns whether the attempt has ended or is unknown to its agent, and no command that may still arrive can start
+     * it.
+     */
     private boolean isConfirmedEnded(MachineRecord record, AttemptId id) {
         AgentState agent = agents.find(record.name());
         if (!agents.isInEpochOnRecord(record, agent)
--- a/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
+++ b/src/main/java/org/gullway/coordination/agents/RerouteAdmission.java
@@ -16,10 +16,7 @@
      * interval plus this margin. An agent that received no response takes far longer to come back.
      */
     private static final Duration REROUTE_MARGIN = Duration.ofSeconds(1);
-    /**
-     * A rerouted heartbeat that comes more than this many heartbeat intervals after the first one counts as a first
-     * one.
-     */
+    /** After this many heartbeat intervals, a sequence of rerouted heartbeats begins again, with a redirect. */
     private static final int REROUTE_WINDOW_INTERVALS = 10;
 
     private final ClusterState clusterState;
@@ -46,8 +43,9 @@
     }
 
     /**
-     * Returns whether a rerouted heartbeat is accepted. The first one is redirected. An agent that comes back could
-     * not reach the controller that commands its machine, so every other one of its next heartbeats is accepted.
+     * Returns whether a rerouted heartbeat is accepted. Redirects the first one of a sequence, then accepts every
+     * other one (see {@link RerouteState#tryAccept}). Accepts none if the machine's controller is not a member. May
+     * also make the machine's shard a candidate for takeover.
      */
     boolean tryAccept(MachineRecord record, Instant now) {
         RerouteState reroute = agents.getOrCreate(record.name(), now).reroute();
@@ -58,9 +56,10 @@
         if (!clusterState.isMember(record.controller())) {
             return false;
         }
-        // An agent that receives no responses also tries one controller after another. Taking over its shard would not
-        // help: the shard would change controllers again and again, and each change would restart failure detection.
-        // So the shard is taken over only if the agent has come back soon after an accepted heartbeat.
+        // An agent that receives no responses also sends its heartbeats to one controller after another. If its
+        // machine's shard were taken over, the shard would change controllers again and again, and each change would
+        // restart failure detection. So the shard becomes a candidate for takeover only if the agent has come back
+        // soon after an accepted heartbeat, which shows that it receives responses.
         if (reroute.wasAcceptedWithin(timing.longestInterval().plus(REROUTE_MARGIN), now)) {
             shardFailover.onRerouted(clusterState.shardOf(record.name()));
         }
--- a/src/main/java/org/gullway/coordination/agents/RerouteState.java
+++ b/src/main/java/org/gullway/coordination/agents/RerouteState.java
@@ -10,7 +10,7 @@
 final class RerouteState {
     private static final Duration RETENTION = Duration.ofMinutes(1);
 
-    /** When the first rerouted heartbeat came; null if this controller commands the machine. */
+    /** When the current sequence of rerouted heartbeats began; null if there is none. */
     private Instant startedAt;
 
     private boolean acceptedLast;
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Accepts every other heartbeat. An agent that cannot reach the controller of its machine, but can reach others,
-     * must not stay with a controller that does not command the machine.
+     * Accepts every other heartbeat. An agent that cannot reach the controller of its machine must not stay with a
+     * controller that does not command the machine.
      */
     boolean tryAccept(Instant now) {
         acceptedLast = !acceptedLast;
--- a/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
+++ b/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
@@ -56,7 +56,7 @@
                 && !placement.stopping();
     }
 
-    /** Returns the revision of the job record on which the command is based. */
+    /** Returns the current revision of the record of the command's job. */
     public long revision(AgentCommand command) {
         return clusterState.version(StoreKeys.job(command.task().job()));
     }
--- a/src/main/java/org/gullway/coordination/agents/WakeupQueue.java
+++ b/src/main/java/org/gullway/coordination/agents/WakeupQueue.java
@@ -6,8 +6,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Schedules when machines are reconciled. Finding the machines that are due takes time in proportion to their number,
- * not to the number of all machines.
+ * Schedules when machines are reconciled. Polling the due machines takes time in proportion to the number of due
+ * machines (times a logarithm), not to the number of all machines.
  */
 final class WakeupQueue {
     private record Wakeup(Instant at, long sequence, String machine) implements Comparable<Wakeup> {
--- a/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Returns whether a cancelled task on record for the machine is missing from the heartbeat, so that its start may
-     * still arrive.
+     * Returns whether the machine may still start a cancelled task: one is on record for the machine but missing from
+     * the heartbeat, so its start may still arrive.
      */
     boolean mayStillStartCancelledTask(MachineRecord machine, Heartbeat heartbeat) {
         Set<AttemptId> listed = new HashSet<>();
@@ -94,6 +94,8 @@
     /**
      * Returns whether the job's tasks should have ended by now, so that the machines on which they may run must be
      * released instead.
+     *
+     * @param timeOfDay the present wall-clock time
      */
     public boolean isOverdue(JobRecord job, Instant timeOfDay) {
         return job.isCancelled() && isOverdue(job.cancelledAt(), timeOfDay);
@@ -104,8 +106,8 @@
     }
 
     /**
-     * Returns direct stops that are due for all machines on which cancelled tasks may run, whichever controller
-     * commands them.
+     * Returns the direct stops that are due for all machines on which cancelled tasks may run, whichever controller
+     * commands them. Each batch counts as in flight until {@link #onDirectStopEnded} is called for it.
      */
     public List<CommandBatch> directStopsDue(Instant now) {
         return directStops.takeDueBatches(cancellations.remainingAttempts(), now);
@@ -117,16 +119,18 @@
     }
 
     /**
-     * Handles the response to a direct stop. Heartbeats must not be passed to this method, since they may be old
-     * duplicates.
+     * Handles the response to a direct stop. Messages that arrived as heartbeats must not be passed to this method,
+     * since they may be old duplicates.
      */
     public void onDirectStopResponse(Heartbeat response) {
         directStops.onResponse(response, cancellations.remainingAttempts());
     }
 
     /**
-     * Returns the machines that must be released now because their cancelled tasks were not confirmed to be gone in
-     * time.
+     * Returns the machines that must be released now because no response has shown in time that their cancelled tasks
+     * are gone.
+     *
+     * @param timeOfDay the present wall-clock time
      */
     public Set<String> machinesToRelease(Instant timeOfDay) {
         Set<String> machines = new HashSet<>();
--- a/src/main/java/org/gullway/coordination/cancellation/CancellationWatermark.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationWatermark.java
@@ -9,15 +9,20 @@
 import org.gullway.coordination.model.Incarnation;
 
 /**
- * The time up to which this controller certainly knows every confirmed cancellation.
+ * The time up to which this controller certainly knows every confirmed cancellation. It follows from two sources:
  *
- * <p>The state store proves this for everything that was committed before the last answered watch was sent. During an
- * outage of the store, each peer proves it for what the peer itself has confirmed, by listing all cancelled jobs that
- * it knows. The list covers every process of the peer's node if the process that answers is a member in the cluster
- * state: earlier processes ended before it joined, so their commits are in the cluster state, and no later process
- * exists while this one lives. The time at which the request was sent counts, so a delayed response is safe. A peer
- * does not advance the watermark if it is unreachable, or if it has restarted and is not yet a member in this
- * controller's cluster state.
+ * <ul>
+ * <li>The state store: when it answers a watch request, this controller knows everything that was committed before the
+ * request was sent.
+ * <li>The peers, during an outage of the state store: when a peer answers a request for its list of cancelled jobs,
+ * this controller knows every cancellation that the peer confirmed before the request was sent.
+ * </ul>
+ *
+ * <p>A peer's list counts only if the process that answers is a member in this controller's cluster state. Then the
+ * list also covers the other processes of the peer's node: earlier processes ended before the answering process
+ * joined, so the cluster state contains their commits, and no later process exists while the answering one lives.
+ * Therefore a peer does not advance the watermark if it is unreachable, or if it has restarted and is not yet a member
+ * in this controller's cluster state. The time at which the request was sent counts, so a delayed response is safe.
  */
 public final class CancellationWatermark {
     private final ClusterState clusterState;
@@ -31,7 +36,8 @@
     }
 
     /**
-     * Records that a peer has listed all cancellations that it knows.
+     * Records that a peer has listed all cancellations that it knows. Has no effect if the peer's process is not a
+     * member in the cluster state, or if a later request has been recorded.
      *
      * @param requestedAt when the request for the list was sent
      */
--- a/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
+++ b/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
@@ -20,7 +20,8 @@
 /**
  * Stop commands that a controller without a valid lease sends directly to the agents, and the attempts that the
  * responses show to be gone, that is, no longer live on their machines. A stop is repeated until a response shows that
- * the attempt is gone. Each machine has at most one batch in flight.
+ * the attempt is gone. Each machine has at most one batch in flight, unless {@link #reset} is called before the batch
+ * ends.
  */
 final class DirectStops {
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
@@ -94,8 +95,9 @@
         }
         for (RemainingAttempt attempt : remaining) {
             if (attempt.machine().equals(response.machine()) && isGone(attempt, response.agentEpoch(), live)) {
-                // If a start arrives later, its task ends when the agent's lease expires: no controller renews the
-                // lease while the start may still arrive.
+                // A start that arrives later does not keep the task running. Without a valid lease, a controller does
+                // not renew the agent's lease while the start may still arrive. Every response that does renew the
+                // lease stops the cancelled tasks that the heartbeat lists.
                 reportedGone.add(attempt.id());
             }
         }
--- a/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
+++ b/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
@@ -20,7 +20,10 @@
  */
 final class KnownCancellations {
     private final ClusterState clusterState;
-    /** By job. An entry stays after the watch has delivered the job's record, and is ignored from then on. */
+    /**
+     * By job. After the watch has delivered the job's record, {@link #jobs} and {@link #remainingAttempts} ignore the
+     * entry. {@link #discardReceivedBefore} removes it.
+     */
     private final Map<String, ReceivedCancellation> received = new LinkedHashMap<>();
 
     private record ReceivedCancellation(CancelledJob job, Instant receivedAt) {}
--- a/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -12,19 +12,25 @@
 /**
  * Decides whether the lease of an agent may be renewed. A successful heartbeat response renews it.
  *
- * <p><b>The bound on every renewal.</b> A cancellation that this controller does not know was confirmed after the
- * cancellation watermark (see {@link CancellationWatermark}). So no controller, with or without a valid lease of its
- * own, renews an agent's lease later than the watermark plus the cancellation limit minus the duration of the agent's
- * lease. When the lease expires, the agent itself ends every task of such a job within the limit, whichever
- * controllers crash and whatever messages are lost.
+ * <p><b>The bound on every renewal.</b> Every cancellation that is unknown to this controller was confirmed by another
+ * one after the cancellation watermark (see {@link CancellationWatermark}). So no controller, with or without a valid
+ * lease of its own, renews an agent's lease later than the watermark plus the cancellation limit minus the duration of
+ * the agent's lease. Then the lease expires within the limit, and the agent itself ends every task of such a job,
+ * whichever controllers crash and whatever messages are lost.
  *
  * <p><b>Without a valid lease</b> (in a partitioned zone, or while the state store is unavailable to all controllers),
  * leases are renewed under the same bound, so that running tasks continue. Nothing is started. A lease is renewed only
  * if its agent seems to reach no other controller: the agent returns after this controller rejected it, or another
- * controller commands its machine, or this controller has no external contact at all. Two kinds of agents are
- * rejected: an agent that knows a higher fencing token, since another controller commands its machine by now, and an
- * agent on whose machine the start of a cancelled task may still arrive. Cancelled tasks that a heartbeat lists are
- * stopped by the response that renews the lease.
+ * controller commands its machine, or this controller has no external contact at all.
+ *
+ * <p>Without a valid lease, these agents are rejected in any case:
+ *
+ * <ul>
+ * <li>an agent that has confirmed a higher fencing token than this controller knows, since another controller most likely commands its machine by now, and the agent would drop the response;
+ * <li>an agent on whose machine the start of a cancelled task may still arrive; cancelled tasks that the heartbeat
+ * lists are no obstacle, since the response that renews the lease stops them;
+ * <li>an agent whose machine is not on record, is declared lost, or is in another agent epoch.
+ * </ul>
  */
 public final class LeaseRenewalPolicy {
     /** Health checks arrive about once a second. After a gap of this length, this controller counts as isolated. */
@@ -34,8 +40,8 @@
     private static final Duration RETURN_WINDOW = Duration.ofSeconds(25);
 
     /**
-     * The cancellation limit divided by this number is reserved for clock drift. The monotonic clocks of the
-     * controller and the agent, and the steps of their timers, drift by up to 0.05% each.
+     * The cancellation limit divided by this number is reserved for clock errors. The monotonic clocks of the
+     * controller and of the agent, and the timers of both, drift by up to 0.05% each, which adds up to 0.2%.
      */
     private static final long DRIFT_DIVISOR = 500;
 
@@ -79,8 +85,9 @@
     }
 
     /**
-     * Returns whether this agent's lease is renewed although this controller holds no valid lease, provided that
-     * {@link #mayRenew} allows any renewal.
+     * Returns whether this agent's lease may be renewed although this controller holds no valid lease. The caller must
+     * also check {@link #mayRenew}. A call for a lease that is safe to renew counts as a request of the agent, which
+     * later calls take into account.
      */
     public boolean mayRenewDuringOutage(Heartbeat heartbeat, Instant now) {
         MachineRecord machine = clusterState.machine(heartbeat.machine());
@@ -103,7 +110,7 @@
 
     /**
      * Returns whether this controller has had no external contact lately. Its zone is then most likely partitioned,
-     * and agents there do not have the time to try the other controllers in vain first.
+     * and an agent there does not have enough time to try the other controllers before it is renewed.
      */
     private boolean isIsolated(Instant now) {
         return lastExternalContact.plus(EXTERNAL_CONTACT_TIMEOUT).isBefore(now);
--- a/src/main/java/org/gullway/coordination/cancellation/RemainingAttempt.java
+++ b/src/main/java/org/gullway/coordination/cancellation/RemainingAttempt.java
@@ -6,6 +6,6 @@
 /**
  * An attempt of a cancelled job that may still exist: its machine is on record in the same agent epoch.
  *
- * @param cancelledAt the time of day at which the job was cancelled
+ * @param cancelledAt the wall-clock time at which the job was cancelled
  */
 record RemainingAttempt(AttemptId id, String machine, long agentEpoch, Instant cancelledAt) {}
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Shards of the partitioned controller are taken over at the same time, before any heartbeat of their machines has
-     * arrived.
+     * While a zone is partitioned, shards of its controller are taken over. Their machines, which have not sent a
+     * heartbeat to the new controller yet, must not make the zone count as responsive.
      */
     @Test
     void aMachineTakenOverWithoutAHeartbeatDoesNotMakeItsZoneResponsive() {
@@ -167,7 +167,10 @@
         assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** A controller without a valid lease refuses heartbeats, so it must first wait for new ones. */
+    /**
+     * A controller without a valid lease refuses heartbeats. After it has regained the lease, it must wait for new
+     * heartbeats before it calls a machine unresponsive.
+     */
     @Test
     void heartbeatsRefusedWithoutAValidLeaseDoNotCountAsMissing() {
         addMachine("vm-1", "a");
--- a/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * A heartbeat of a machine that is not on record may be an old duplicate. Only responses of the cloud provider put
-     * a machine on record.
+     * A heartbeat of a machine that is not on record may be an old duplicate. Only responses and listings of the cloud
+     * provider put a machine on record.
      */
     @Test
     void aHeartbeatAloneDoesNotPutAMachineOnRecord() {
--- a/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
+++ b/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
@@ -95,9 +95,7 @@
         assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /**
-     * A change of the controller restarts failure detection, but it does not extend the cancellation limit of a job.
-     */
+    /** Failure detection restarts when a lost lease is regained, but the cancellation limit of a job runs on. */
     @Test
     void losingTheLeaseDoesNotExtendTheCancellationLimit() {
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
