--- a/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -26,7 +26,8 @@
  * <p>Without a valid lease, these agents are rejected in any case:
  *
  * <ul>
- * <li>an agent that has confirmed a higher fencing token than this controller knows, since another controller most likely commands its machine by now, and the agent would drop the response;
+ * <li>an agent that has confirmed a higher fencing token than this controller knows, since another controller most
+ * likely commands its machine by now, and the agent would drop the response;
  * <li>an agent on whose machine the start of a cancelled task may still arrive; cancelled tasks that the heartbeat
  * lists are no obstacle, since the response that renews the lease stops them;
  * <li>an agent whose machine is not on record, is declared lost, or is in another agent epoch.
