--- a/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
@@ -56,9 +56,11 @@
                 && transaction.canPutMachine(record.name())
                 && !isConfirmedEnded(record, AttemptId.of(job, placement))) {
             LOG.info(
-                    "machine declared lost: cancelled tasks not confirmed as ended in time machine={} job={}",
+                    "machine declared lost: a cancelled task was not confirmed as ended in time machine={} job={} task={} attempt={}",
                     record.name(),
-                    job.request().id());
+                    job.request().id(),
+                    AttemptId.of(job, placement).task(),
+                    placement.attempt());
             transaction.putMachine(record.withLifecycle(MachineLifecycle.LOST));
         }
     }
--- a/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
+++ b/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
@@ -28,13 +28,14 @@
     public Optional<String> denialReason(CommandBatch batch, AgentCommand start) {
         MachineRecord machine = clusterState.machine(batch.machine());
         if (machine == null || !machine.isUp() || !self.equals(machine.controller())) {
-            return Optional.of("this controller does not command the machine");
+            return Optional.of("the machine is not on record, has no agent yet, or is commanded by another controller");
         }
         if (batch.agentEpoch() != machine.agentEpoch()) {
-            return Optional.of("the agent epoch on record is " + machine.agentEpoch());
+            return Optional.of("the batch's agent epoch differs from the one on record: " + machine.agentEpoch());
         }
         if (batch.fencingToken() != clusterState.fencingToken()) {
-            return Optional.of("the current fencing token is " + clusterState.fencingToken());
+            return Optional.of(
+                    "the batch's fencing token differs from the current one: " + clusterState.fencingToken());
         }
         JobRecord job = clusterState.job(start.task().job());
         if (job == null) {
