--- a/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
@@ -56,7 +56,7 @@
                 && transaction.canPutMachine(record.name())
                 && !isConfirmedEnded(record, AttemptId.of(job, placement))) {
             LOG.info(
-                    "machine declared lost: a cancelled task was not confirmed as ended in time machine={} job={} task={} attempt={}",
+                    "machine declared lost: overdue cancelled task may still run machine={} job={} task={} attempt={}",
                     record.name(),
                     job.request().id(),
                     AttemptId.of(job, placement).task(),
