--- a/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
@@ -106,12 +106,12 @@
      */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
-        boolean surplusChanges = context.hasSpareWriteCapacity();
+        boolean spareWriteCapacity = context.hasSpareWriteCapacity();
         Instant now = context.now();
         plan(
                 transaction,
-                (job, pending) ->
-                        surplusChanges || pending.firstAddedAt.plus(MAX_DELAY).isBefore(now));
+                (job, pending) -> spareWriteCapacity
+                        || pending.firstAddedAt.plus(MAX_DELAY).isBefore(now));
     }
 
     // An entry is removed only if the committed record, not one that this transaction changes, lists none of its
