--- a/src/main/java/org/gullway/coordination/agents/AgentState.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentState.java
@@ -22,37 +22,37 @@
     private final CompletionReports completionReports = new CompletionReports();
     private final TaskFailures failures = new TaskFailures();
     private final RerouteState reroute = new RerouteState();
-    private final Consumer<Instant> wakeups;
+    private final Consumer<Instant> addWakeup;
 
-    private Heartbeat lastHeartbeat;
+    private Heartbeat lastMessage;
     private Map<AttemptId, TaskStatus> tasks = Map.of();
     /**
-     * For each attempt that ended without completing: the fencing token that the agent reported when this controller
+     * For each attempt that ended without success: the fencing token that the agent reported when this controller
      * first saw the end.
      */
-    private final Map<AttemptId, Long> endedAtToken = new HashMap<>();
+    private final Map<AttemptId, Long> fencingTokenAtEnd = new HashMap<>();
 
-    private Instant lastContact;
+    private Instant contactTimeoutStart;
     private Instant lastMessageAt = Instant.MIN;
     private boolean outboundPartitioned;
     private Instant spotTerminationAt;
     private long fencingTokenOnRecord;
     /**
-     * The highest fencing token under which a start with unknown outcome was sent, or 0. Only when the agent confirms
-     * a higher token is it certain that the start can no longer arrive.
+     * The highest fencing token under which a start with unknown outcome was sent, or 0; never reset. Only when the
+     * agent confirms a higher token is it certain that the start can no longer arrive.
      */
-    private long unresolvedStartToken;
+    private long highestUnknownStartToken;
 
     private Instant nextWakeup = Instant.MIN;
 
     /**
      * @param contactExpectedSince when this controller began to expect messages from the agent
-     * @param wakeups receives each time at which the agent must be reconciled, beginning with an immediate one
+     * @param addWakeup called with each time at which the agent must be reconciled, first with {@link Instant#MIN}
      */
-    AgentState(Instant contactExpectedSince, Consumer<Instant> wakeups) {
-        this.lastContact = contactExpectedSince;
-        this.wakeups = wakeups;
-        wakeups.accept(nextWakeup);
+    AgentState(Instant contactExpectedSince, Consumer<Instant> addWakeup) {
+        this.contactTimeoutStart = contactExpectedSince;
+        this.addWakeup = addWakeup;
+        addWakeup.accept(nextWakeup);
     }
 
     CommandChannel commands() {
@@ -71,46 +71,49 @@
         return reroute;
     }
 
-    /** Handles a heartbeat. Returns false and changes nothing if a newer message is known. */
+    /**
+     * Handles a heartbeat. Returns false and changes nothing if this message or a newer one has been handled before.
+     */
     boolean onHeartbeat(Heartbeat heartbeat, Instant now) {
-        outboundPartitioned &= lastHeartbeat != null && !isNewer(heartbeat);
+        outboundPartitioned &= lastMessage != null && !isNewer(heartbeat);
         return accept(heartbeat, now);
     }
 
     /**
-     * Handles the response to a command batch. If the response has a newer agent epoch, the agent's lease has expired
-     * although commands reach the agent. Its heartbeats then reach no controller, and tasks placed there would end
-     * when the next lease expires.
+     * Handles the response to a command batch. A newer agent epoch in the response means that the agent's lease
+     * expired although commands reach the agent, so its heartbeats reach no controller. The agent then counts as
+     * outbound-partitioned until a newer heartbeat arrives, since tasks placed on its machine would end when the new
+     * lease expires, too.
      */
     void onCommandResponse(Heartbeat response, Instant now) {
-        outboundPartitioned |= lastHeartbeat != null && response.agentEpoch() > lastHeartbeat.agentEpoch();
+        outboundPartitioned |= lastMessage != null && response.agentEpoch() > lastMessage.agentEpoch();
         accept(response, now);
     }
 
-    /** Returns whether a lease has expired since the last heartbeat while the agent answered commands. */
+    /** Returns whether a lease of the agent has expired since its last heartbeat while the agent answered commands. */
     boolean isOutboundPartitioned() {
         return outboundPartitioned;
     }
 
     private boolean isNewer(Heartbeat heartbeat) {
-        return heartbeat.isNewerThan(lastHeartbeat.agentEpoch(), lastHeartbeat.sequence());
+        return heartbeat.isNewerThan(lastMessage.agentEpoch(), lastMessage.sequence());
     }
 
     private boolean accept(Heartbeat heartbeat, Instant now) {
-        if (lastHeartbeat != null && !isNewer(heartbeat)) {
+        if (lastMessage != null && !isNewer(heartbeat)) {
             return false;
         }
-        if (lastHeartbeat != null && lastHeartbeat.agentEpoch() != heartbeat.agentEpoch()) {
-            endedAtToken.clear();
+        if (lastMessage != null && lastMessage.agentEpoch() != heartbeat.agentEpoch()) {
+            fencingTokenAtEnd.clear();
             completionReports.clear();
             spotTerminationAt = null;
         }
-        boolean unchanged = lastHeartbeat != null
-                && lastHeartbeat.agentEpoch() == heartbeat.agentEpoch()
-                && lastHeartbeat.fencingToken() == heartbeat.fencingToken()
-                && lastHeartbeat.tasks().equals(heartbeat.tasks());
-        lastHeartbeat = heartbeat;
-        lastContact = now;
+        boolean unchanged = lastMessage != null
+                && lastMessage.agentEpoch() == heartbeat.agentEpoch()
+                && lastMessage.fencingToken() == heartbeat.fencingToken()
+                && lastMessage.tasks().equals(heartbeat.tasks());
+        lastMessage = heartbeat;
+        contactTimeoutStart = now;
         lastMessageAt = now;
         if (!unchanged) {
             updateTasks(heartbeat);
@@ -129,10 +132,10 @@
                 logPhaseChange(tasks.get(id), task, heartbeat.machine());
             }
             if (task.isEnded() && task.cause() != TaskStatus.Cause.DONE) {
-                endedAtToken.putIfAbsent(id, heartbeat.fencingToken());
+                fencingTokenAtEnd.putIfAbsent(id, heartbeat.fencingToken());
             }
         }
-        endedAtToken.keySet().retainAll(next.keySet());
+        fencingTokenAtEnd.keySet().retainAll(next.keySet());
         completionReports.retainAll(next.keySet());
         tasks = next;
     }
@@ -159,8 +162,8 @@
     }
 
     /** Returns the agent's newest message, or null if there is none yet. */
-    Heartbeat lastHeartbeat() {
-        return lastHeartbeat;
+    Heartbeat lastMessage() {
+        return lastMessage;
     }
 
     Map<AttemptId, TaskStatus> tasks() {
@@ -168,10 +171,11 @@
     }
 
     /**
-     * Returns when the agent's last message came or when this controller began to expect messages, whichever is later.
+     * Returns the start of the contact timeout: the time of the agent's last message or, if later, the time at which
+     * this controller began to expect messages.
      */
-    Instant lastContact() {
-        return lastContact;
+    Instant contactTimeoutStart() {
+        return contactTimeoutStart;
     }
 
     /** Returns when the agent's last message came. */
@@ -180,12 +184,14 @@
     }
 
     /**
-     * Returns since when the agent may be unreachable: since the last contact, or since the first unanswered command
-     * if that was sent earlier.
+     * Returns since when the agent may be unreachable: the start of the contact timeout, or the first unanswered
+     * command if that was sent earlier.
      */
     Instant unreachableSince() {
         Instant unansweredSince = commands.unansweredSince();
-        return unansweredSince == null || lastContact.isBefore(unansweredSince) ? lastContact : unansweredSince;
+        return unansweredSince == null || contactTimeoutStart.isBefore(unansweredSince)
+                ? contactTimeoutStart
+                : unansweredSince;
     }
 
     /** Returns when the cloud provider terminates the machine, or null without a spot notice. */
@@ -197,55 +203,55 @@
      * Returns whether the agent has confirmed a fencing token that makes it refuse every earlier command that may
      * still arrive.
      */
-    boolean isFenced(MachineRecord record) {
-        return lastHeartbeat != null
-                && lastHeartbeat.fencingToken() >= record.fencingToken()
-                && lastHeartbeat.fencingToken() > unresolvedStartToken;
+    boolean hasConfirmedFencingToken(MachineRecord record) {
+        return lastMessage != null
+                && lastMessage.fencingToken() >= record.fencingToken()
+                && lastMessage.fencingToken() > highestUnknownStartToken;
     }
 
-    /** Returns the highest fencing token under which a start with unknown outcome was sent, or 0 if there is none. */
-    long unresolvedStartToken() {
-        return unresolvedStartToken;
+    /** Returns the highest fencing token under which a start with unknown outcome was sent, or 0 if there was none. */
+    long highestUnknownStartToken() {
+        return highestUnknownStartToken;
     }
 
     /** Records that the outcome of a start sent under this fencing token will never be known. */
     void onUnknownStartOutcome(long fencingToken) {
-        unresolvedStartToken = Math.max(unresolvedStartToken, fencingToken);
+        highestUnknownStartToken = Math.max(highestUnknownStartToken, fencingToken);
     }
 
     /**
-     * Returns whether the agent may forget an ended attempt. An attempt that did not complete is kept until the agent
-     * refuses commands from the time of the attempt's start. Otherwise a duplicate start that arrives later would run
-     * the forgotten attempt again.
+     * Returns whether the agent may forget an ended attempt. An attempt that did not succeed is kept until the agent
+     * has confirmed a higher fencing token than it had when the end was first seen. Until then, a duplicate start
+     * could still arrive and run the forgotten attempt again.
      */
     boolean mayForget(AttemptId id, TaskStatus task) {
         return task.cause() == TaskStatus.Cause.DONE
-                || lastHeartbeat.fencingToken() > endedAtToken.getOrDefault(id, Long.MAX_VALUE);
+                || lastMessage.fencingToken() > fencingTokenAtEnd.getOrDefault(id, Long.MAX_VALUE);
     }
 
     /**
-     * Called when this controller commands the machine under this fencing token. A new token resets the contact time:
-     * before the failover the agent had no reason to send messages to this controller, so missing messages say nothing
-     * about the agent.
+     * Called when this controller commands the machine under this fencing token. A new token restarts the contact
+     * timeout: before the failover the agent had no reason to send messages to this controller, so missing messages
+     * say nothing about the agent.
      */
     void onFencingTokenOnRecord(long fencingToken, Instant now) {
         if (fencingToken != fencingTokenOnRecord) {
             fencingTokenOnRecord = fencingToken;
-            lastContact = now;
+            contactTimeoutStart = now;
             commands.clearUnanswered();
         }
     }
 
-    /** Returns whether an unresolved start, a spot notice or failed tasks may require a change of records. */
+    /** Returns whether a start with unknown outcome, a spot notice or failed tasks may require a change of records. */
     boolean mayNeedRecordChange() {
-        return unresolvedStartToken != 0 || spotTerminationAt != null || !failures.isEmpty();
+        return highestUnknownStartToken != 0 || spotTerminationAt != null || !failures.isEmpty();
     }
 
-    /** Schedules a reconciliation at this time, unless an earlier one is scheduled. */
+    /** Makes the agent due for reconciliation at this time, unless it is due earlier. */
     void wakeAt(Instant at) {
         if (at.isBefore(nextWakeup)) {
             nextWakeup = at;
-            wakeups.accept(at);
+            addWakeup.accept(at);
         }
     }
 
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -80,23 +80,23 @@
     }
 
     private Optional<CommandBatch> reconcile(MachineRecord record, AgentState agent, Instant now) {
-        if (!agents.isCommandedHere(record)) {
+        if (!agents.isAssignedAndCaughtUp(record)) {
             if (agents.isAssignedHere(record)) {
                 agent.wakeAt(now.plus(WATCH_DELAY));
             }
             return Optional.empty();
         }
-        if (agents.isInContact(record, agent)) {
+        if (agents.isInEpochOnRecord(record, agent)) {
             completionReporter.observe(record, agent, now);
-            agents.updateRecordChangeCandidates(record.name(), agent);
+            agents.addIfRecordChangeCandidate(record.name(), agent);
         }
-        if (agent.lastContact().isBefore(now.minus(timing.contactTimeout()))) {
-            // The agent is most likely unreachable. A heartbeat with a changed state wakes it at once.
+        if (agent.contactTimeoutStart().isBefore(now.minus(timing.contactTimeout()))) {
+            // The agent is most likely unreachable. A heartbeat with a changed state makes it due at once.
             agent.wakeAt(now.plus(timing.interval()));
             return Optional.empty();
         }
         if (agent.commands().isInFlight()) {
-            // The outcome of the batch in flight wakes the agent.
+            // The outcome of the batch in flight makes the agent due again.
             return Optional.empty();
         }
         if (!agent.commands().maySend(now) || window.isFull()) {
@@ -107,16 +107,17 @@
     }
 
     private Optional<CommandBatch> nextBatch(MachineRecord record, AgentState agent, Instant now) {
-        boolean inContact = agents.isInContact(record, agent);
-        boolean fenced = inContact && agent.isFenced(record);
-        List<AgentCommand> commands = fenced ? planner.startsAndStops(record, agent) : List.of();
+        boolean inEpochOnRecord = agents.isInEpochOnRecord(record, agent);
+        boolean tokenConfirmed = inEpochOnRecord && agent.hasConfirmedFencingToken(record);
+        List<AgentCommand> commands = tokenConfirmed ? planner.startsAndStops(record, agent) : List.of();
         // A probe is a batch without commands. The response confirms the fencing token and lists the agent's tasks.
-        boolean probe = needsProbe(record, agent, inContact, fenced);
+        // While commands go unanswered, a batch is sent whether or not the probe is deferred.
+        boolean probe = needsProbe(record, agent, inEpochOnRecord, tokenConfirmed);
         if (probe
                 && (window.inFlight() >= MAX_IN_FLIGHT_FOR_PROBES
                         || !agent.commands().tryProbe(now))) {
-            // The agent's next heartbeat most likely carries the same information. After a failover, hundreds of
-            // agents need a probe at once.
+            // Defers the probe, since the agent's next heartbeat most likely carries the same information. This
+            // matters after a failover, when hundreds of agents need a probe at once.
             probe = false;
             agent.wakeAt(now.plus(RETRY_DELAY));
         }
@@ -129,10 +130,12 @@
                 record.name(), record.address(), clusterState.fencingToken(), record.agentEpoch(), commands, now));
     }
 
-    private boolean needsProbe(MachineRecord record, AgentState agent, boolean inContact, boolean fenced) {
-        Heartbeat last = agent.lastHeartbeat();
+    private boolean needsProbe(
+            MachineRecord record, AgentState agent, boolean inEpochOnRecord, boolean tokenConfirmed) {
+        Heartbeat last = agent.lastMessage();
         boolean epochUnknown = last == null || last.agentEpoch() < record.agentEpoch();
-        return epochUnknown || (inContact && !fenced && last.fencingToken() < clusterState.fencingToken());
+        return epochUnknown
+                || (inEpochOnRecord && !tokenConfirmed && last.fencingToken() < clusterState.fencingToken());
     }
 
     /** Handles the outcome of a batch. */
@@ -144,7 +147,7 @@
         }
         if (outcome == CommandOutcome.UNKNOWN && batch.hasStarts()) {
             agent.onUnknownStartOutcome(batch.fencingToken());
-            agents.updateRecordChangeCandidates(batch.machine(), agent);
+            agents.addIfRecordChangeCandidate(batch.machine(), agent);
         }
         Instant retryAt = now.plus(RETRY_DELAY);
         switch (outcome) {
--- a/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
@@ -47,8 +47,8 @@
         }
         MachineRecord record = clusterState.machine(heartbeat.machine());
         if (record == null) {
-            // A machine is put on record only by a response or listing of the cloud provider, since a heartbeat may be
-            // an old duplicate.
+            // The heartbeat is accepted, which renews the lease, but it puts no machine on record, since it may be an
+            // old duplicate. Only responses and listings of the cloud provider put machines on record.
             return accepted(cancellationEnforcer.stopCommands(heartbeat), false);
         }
         if (!self.equals(record.controller())) {
@@ -57,18 +57,18 @@
                 return onReroutedHeartbeat(heartbeat, record, responsible, now);
             }
         }
-        return onOwnHeartbeat(heartbeat, record, now);
+        return onExpectedHeartbeat(heartbeat, record, now);
     }
 
-    private HeartbeatResponse accepted(List<AgentCommand> commands, boolean changed) {
-        return new HeartbeatResponse.Accepted(clusterState.fencingToken(), commands, changed);
+    private HeartbeatResponse accepted(List<AgentCommand> commands, boolean mayRequireCycle) {
+        return new HeartbeatResponse.Accepted(clusterState.fencingToken(), commands, mayRequireCycle);
     }
 
     private HeartbeatResponse onReroutedHeartbeat(
             Heartbeat heartbeat, MachineRecord record, Optional<String> responsible, Instant now) {
         if (reroutes.tryAccept(record, now)) {
-            // This renews the agent's lease until the machine's shard is taken over. The agent cannot reach the
-            // machine's controller, so a redirect there would fail.
+            // Accepting keeps the agent's lease alive while the takeover of the machine's shard is pending. A redirect
+            // to the machine's controller would fail, since the agent cannot reach it.
             return accepted(cancellationEnforcer.stopCommands(heartbeat), true);
         }
         return responsible.isPresent()
@@ -76,17 +76,17 @@
                 : new HeartbeatResponse.RedirectToAny();
     }
 
-    private HeartbeatResponse onOwnHeartbeat(Heartbeat heartbeat, MachineRecord record, Instant now) {
+    private HeartbeatResponse onExpectedHeartbeat(Heartbeat heartbeat, MachineRecord record, Instant now) {
         AgentState agent = agents.getOrCreate(heartbeat.machine(), now);
-        boolean changed = agent.onHeartbeat(heartbeat, now) && agent.isDue(now);
-        agents.updateRecordChangeCandidates(heartbeat.machine(), agent);
-        changed |= agentEpochs.observe(record, heartbeat);
+        boolean mayRequireCycle = agent.onHeartbeat(heartbeat, now) && agent.isDue(now);
+        agents.addIfRecordChangeCandidate(heartbeat.machine(), agent);
+        mayRequireCycle |= agentEpochs.observe(record, heartbeat);
         agent.reroute().end();
         List<AgentCommand> commands = new ArrayList<>(cancellationEnforcer.stopCommands(heartbeat));
-        if (agents.isInContact(record, agent) && agent.isFenced(record)) {
+        if (agents.isInEpochOnRecord(record, agent) && agent.hasConfirmedFencingToken(record)) {
             commands.addAll(planner.forgetCommands(record, agent));
         }
-        return accepted(commands, changed);
+        return accepted(commands, mayRequireCycle);
     }
 
     /** Handles the agent's response to a command batch. */
@@ -95,7 +95,7 @@
         MachineRecord record = clusterState.machine(response.machine());
         if (agent != null && record != null) {
             agent.onCommandResponse(response, now);
-            agents.updateRecordChangeCandidates(response.machine(), agent);
+            agents.addIfRecordChangeCandidate(response.machine(), agent);
             agentEpochs.observe(record, response);
         }
     }
--- a/src/main/java/org/gullway/coordination/agents/WakeupQueue.java
+++ b/src/main/java/org/gullway/coordination/agents/WakeupQueue.java
@@ -6,23 +6,23 @@
 import java.util.PriorityQueue;
 
 /**
- * Schedules when machines are reconciled. Finding the machines that are due takes time in proportion to their number,
- * not to the number of all machines.
+ * Schedules when machines are reconciled. Polling the due machines takes time in proportion to the number of due
+ * machines (times a logarithm), not to the number of all machines.
  */
 final class WakeupQueue {
-    private record Wakeup(Instant at, long order, String machine) implements Comparable<Wakeup> {
+    private record Wakeup(Instant at, long sequence, String machine) implements Comparable<Wakeup> {
         @Override
         public int compareTo(Wakeup other) {
             int byTime = at.compareTo(other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Wakeup> queue = new PriorityQueue<>();
-    private long nextOrder;
+    private long nextSequence;
 
     void add(String machine, Instant at) {
-        queue.add(new Wakeup(at, nextOrder++, machine));
+        queue.add(new Wakeup(at, nextSequence++, machine));
     }
 
     /**
--- a/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
+++ b/src/main/java/org/gullway/coordination/cancellation/DirectStops.java
@@ -20,14 +20,15 @@
 /**
  * Stop commands that a controller without a valid lease sends directly to the agents, and the attempts that the
  * responses show to be gone, that is, no longer live on their machines. A stop is repeated until a response shows that
- * the attempt is gone. Each machine has at most one batch in flight.
+ * the attempt is gone. Each machine has at most one batch in flight, unless {@link #reset} is called before the batch
+ * ends.
  */
 final class DirectStops {
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
     private static final int MAX_IN_FLIGHT = 32;
 
     private final ClusterState clusterState;
-    private final Set<AttemptId> confirmedGone = new HashSet<>();
+    private final Set<AttemptId> reportedGone = new HashSet<>();
     /** The earliest time of the next batch, by machine; {@link Instant#MAX} while a batch is in flight. */
     private final Map<String, Instant> nextBatchAt = new HashMap<>();
 
@@ -39,12 +40,12 @@
 
     /** Discards what responses have shown. Batches in flight still count until they end. */
     void reset() {
-        confirmedGone.clear();
+        reportedGone.clear();
         nextBatchAt.clear();
     }
 
-    boolean isConfirmedGone(AttemptId attempt) {
-        return confirmedGone.contains(attempt);
+    boolean isReportedGone(AttemptId attempt) {
+        return reportedGone.contains(attempt);
     }
 
     /** Returns the batches to be sent now, whichever controller commands the machines. */
@@ -65,7 +66,7 @@
     private Map<String, List<AgentCommand>> stopsByMachine(List<RemainingAttempt> remaining) {
         Map<String, List<AgentCommand>> stops = new LinkedHashMap<>();
         for (RemainingAttempt attempt : remaining) {
-            if (!isConfirmedGone(attempt.id())) {
+            if (!isReportedGone(attempt.id())) {
                 AttemptId id = attempt.id();
                 stops.computeIfAbsent(attempt.machine(), name -> new ArrayList<>())
                         .add(AgentCommand.stop(id.task(), id.attempt(), Duration.ZERO));
@@ -94,9 +95,10 @@
         }
         for (RemainingAttempt attempt : remaining) {
             if (attempt.machine().equals(response.machine()) && isGone(attempt, response.agentEpoch(), live)) {
-                // If a start arrives later, its task ends when the agent's lease expires: no controller renews the
-                // lease while the start may still arrive.
-                confirmedGone.add(attempt.id());
+                // A start that arrives later does not keep the task running. Without a valid lease, a controller does
+                // not renew the agent's lease while the start may still arrive. Every response that does renew the
+                // lease stops the cancelled tasks that the heartbeat lists.
+                reportedGone.add(attempt.id());
             }
         }
     }
--- a/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
+++ b/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
@@ -20,7 +20,10 @@
  */
 final class KnownCancellations {
     private final ClusterState clusterState;
-    /** By job. An entry stays after the watch has delivered the job's record, and is ignored from then on. */
+    /**
+     * By job. After the watch has delivered the job's record, {@link #jobs} and {@link #remainingAttempts} ignore the
+     * entry. {@link #discardReceivedBefore} removes it.
+     */
     private final Map<String, ReceivedCancellation> received = new LinkedHashMap<>();
 
     private record ReceivedCancellation(CancelledJob job, Instant receivedAt) {}
@@ -34,16 +37,16 @@
     }
 
     /** Adds a cancelled job from a peer's list. */
-    void merge(CancelledJob job, Instant now) {
+    void add(CancelledJob job, Instant now) {
         if (!clusterState.isCancelled(job.id())) {
             received.putIfAbsent(job.id(), new ReceivedCancellation(job, now));
         }
     }
 
     /** Adds the job of a record that was read from the state store by key, if the job is cancelled. */
-    void merge(JobRecord record, Instant now) {
+    void add(JobRecord record, Instant now) {
         if (record.isCancelled()) {
-            merge(toCancelledJob(record), now);
+            add(toCancelledJob(record), now);
         }
     }
 
@@ -60,7 +63,7 @@
                 jobs.add(toCancelledJob(job));
             }
         }
-        jobs.addAll(notYetReplicated());
+        jobs.addAll(notYetDelivered());
         return jobs;
     }
 
@@ -70,7 +73,7 @@
         for (JobRecord job : clusterState.jobs()) {
             if (job.isCancelled()) {
                 for (Placement placement : job.livePlacements()) {
-                    addIfOnRecord(
+                    addIfInCurrentEpoch(
                             remaining,
                             new RemainingAttempt(
                                     AttemptId.of(job, placement),
@@ -80,11 +83,11 @@
                 }
             }
         }
-        for (CancelledJob job : notYetReplicated()) {
+        for (CancelledJob job : notYetDelivered()) {
             Instant cancelledAt = Instant.ofEpochMilli(job.cancelledAt());
             for (CancelledAttempt attempt : job.attempts()) {
                 AttemptId id = new AttemptId(new TaskId(job.id(), attempt.task()), attempt.attempt());
-                addIfOnRecord(
+                addIfInCurrentEpoch(
                         remaining, new RemainingAttempt(id, attempt.machine(), attempt.agentEpoch(), cancelledAt));
             }
         }
@@ -95,14 +98,14 @@
      * Adds the attempt unless its machine was released or is in a newer agent epoch, which ends all earlier attempts
      * on it.
      */
-    private void addIfOnRecord(List<RemainingAttempt> remaining, RemainingAttempt attempt) {
+    private void addIfInCurrentEpoch(List<RemainingAttempt> remaining, RemainingAttempt attempt) {
         MachineRecord machine = clusterState.machine(attempt.machine());
         if (machine != null && machine.agentEpoch() == attempt.agentEpoch()) {
             remaining.add(attempt);
         }
     }
 
-    private List<CancelledJob> notYetReplicated() {
+    private List<CancelledJob> notYetDelivered() {
         List<CancelledJob> jobs = new ArrayList<>();
         received.forEach((id, cancellation) -> {
             if (!clusterState.isCancelled(id)) {
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -125,11 +125,11 @@
     }
 
     /**
-     * Shards of the partitioned controller are taken over at the same time, before any heartbeat of their machines has
-     * arrived.
+     * While a zone is partitioned, shards of its controller are taken over. Their machines, which have not sent a
+     * heartbeat to the new controller yet, must not make the zone count as responsive.
      */
     @Test
-    void aMachineWithoutAHeartbeatSinceItsTakeoverIsNotResponsive() {
+    void aMachineTakenOverWithoutAHeartbeatDoesNotMakeItsZoneResponsive() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "b");
         advanceSeconds(8, "vm-1");
@@ -167,9 +167,12 @@
         assertThat(lifecycle("vm-3")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /** A controller without a valid lease refuses heartbeats, so it must first wait for new ones. */
+    /**
+     * A controller without a valid lease refuses heartbeats. After it has regained the lease, it must wait for new
+     * heartbeats before it calls a machine unresponsive.
+     */
     @Test
-    void heartbeatsMissingBeforeTheLeaseIsValidAreIgnored() {
+    void heartbeatsRefusedWithoutAValidLeaseDoNotCountAsMissing() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "a");
         detector.onLeaseStatus(false, now);
--- a/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * A heartbeat of a machine that is not on record may be an old duplicate. Only responses of the cloud provider put
-     * a machine on record.
+     * A heartbeat of a machine that is not on record may be an old duplicate. Only responses and listings of the cloud
+     * provider put a machine on record.
      */
     @Test
     void aHeartbeatAloneDoesNotPutAMachineOnRecord() {
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void redirectsAReroutedAgentOnceAndThenTakesOverItsShardUnderAHigherFencingToken() {
+    void redirectsEveryOtherReroutedHeartbeatAndTakesOverTheShardUnderAHigherFencingToken() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 10);
         assertThat(reconciler.onHeartbeat(heartbeat(1, 1, null), now))
                 .isEqualTo(new HeartbeatResponse.Redirect("perch-1"));
--- a/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
+++ b/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
@@ -95,11 +95,9 @@
         assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.LOST);
     }
 
-    /**
-     * A change of the controller restarts failure detection, but it does not extend the cancellation limit of a job.
-     */
+    /** Failure detection restarts when a lost lease is regained, but the cancellation limit of a job runs on. */
     @Test
-    void aFailoverDoesNotExtendTheCancellationLimit() {
+    void losingTheLeaseDoesNotExtendTheCancellationLimit() {
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         place(request, "vm-1");
