--- a/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
@@ -67,7 +67,7 @@
 
     /** Returns whether the machine runs an agent and its record assigns it to this controller. */
     boolean isAssignedHere(MachineRecord record) {
-        return record != null && record.isUp() && self.equals(record.controller());
+        return record != null && record.hasBooted() && self.equals(record.controller());
     }
 
     /**
--- a/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
+++ b/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
@@ -27,7 +27,7 @@
     /** Returns why the start must not be sent, or empty if it may be sent. */
     public Optional<String> denialReason(CommandBatch batch, AgentCommand start) {
         MachineRecord machine = clusterState.machine(batch.machine());
-        if (machine == null || !machine.isUp() || !self.equals(machine.controller())) {
+        if (machine == null || !machine.hasBooted() || !self.equals(machine.controller())) {
             return Optional.of("this controller does not command the machine");
         }
         if (batch.agentEpoch() != machine.agentEpoch()) {
--- a/src/main/java/org/gullway/coordination/failover/ShardFailover.java
+++ b/src/main/java/org/gullway/coordination/failover/ShardFailover.java
@@ -112,10 +112,10 @@
     }
 
     private boolean isMostlyRerouted(MachineShard shard) {
-        long up = shard.machines().stream().filter(MachineRecord::isUp).count();
+        long booted = shard.machines().stream().filter(MachineRecord::hasBooted).count();
         long rerouted = shard.machines().stream()
                 .filter(machine -> isReroutedHere.test(machine.name()))
                 .count();
-        return 2 * rerouted >= up;
+        return 2 * rerouted >= booted;
     }
 }
--- a/src/main/java/org/gullway/coordination/model/MachineRecord.java
+++ b/src/main/java/org/gullway/coordination/model/MachineRecord.java
@@ -55,13 +55,13 @@
     }
 
     /** Whether the machine's agent has sent its first heartbeat. */
-    public boolean isUp() {
+    public boolean hasBooted() {
         return agentEpoch > 0;
     }
 
     /** Whether tasks may be placed on the machine. */
     public boolean isSchedulable() {
-        return isUp() && lifecycle == MachineLifecycle.ACTIVE;
+        return hasBooted() && lifecycle == MachineLifecycle.ACTIVE;
     }
 
     /** This machine, commanded by another controller. */
--- a/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
@@ -58,7 +58,7 @@
                 continue;
             }
             MachineType type = constraints.typeOf(machine);
-            if (!machine.isUp()) {
+            if (!machine.hasBooted()) {
                 declareLostIfOverdue(transaction, machine, type);
                 continue;
             }
@@ -119,7 +119,7 @@
     }
 
     private boolean isCandidate(Transaction transaction, MachineRecord machine, MachineType type) {
-        return !machine.isUp()
+        return !machine.hasBooted()
                 || clusterState.usageOn(machine.name()).tasks == 0
                 || (type.cpus() <= excessCapacity.cpusToDrain() && constraints.freeCpus(machine, transaction) > 0);
     }
