--- a/src/main/java/org/gullway/coordination/failover/ShardFailover.java
+++ b/src/main/java/org/gullway/coordination/failover/ShardFailover.java
@@ -17,15 +17,15 @@
  * that at least half of the shard's agents cannot reach.
  */
 public final class ShardFailover {
-    private static final long NO_VERSION = -1;
+    private static final long NEVER = -1;
 
     private final ClusterState clusterState;
     private final Incarnation self;
     private final Predicate<String> isReroutedHere;
     /** Ids of shards of other members with agents that repeatedly send their heartbeats here. */
     private final Set<String> reroutedShards = new HashSet<>();
-    /** Value of {@code shardsAndMembersVersion} when all shards last had members as their controllers. */
-    private long fullyAssignedVersion = NO_VERSION;
+    /** Value of {@code shardAndMemberChanges} when all shards last had members as their controllers. */
+    private long fullyAssignedAt = NEVER;
 
     /**
      * Creates the failover decisions of one controller.
@@ -62,7 +62,7 @@
     /** Adds to the transaction the claims of all shards that this controller takes over. */
     public void plan(Transaction transaction) {
         reroutedShards.removeIf(this::isRemovedOrOwn);
-        if (reroutedShards.isEmpty() && fullyAssignedVersion == clusterState.shardsAndMembersVersion()) {
+        if (reroutedShards.isEmpty() && fullyAssignedAt == clusterState.shardAndMemberChanges()) {
             return;
         }
         boolean fullyAssigned = true;
@@ -79,7 +79,7 @@
                 claim(transaction, shard, transaction.nextFencingToken());
             }
         }
-        fullyAssignedVersion = fullyAssigned ? clusterState.shardsAndMembersVersion() : NO_VERSION;
+        fullyAssignedAt = fullyAssigned ? clusterState.shardAndMemberChanges() : NEVER;
     }
 
     private boolean isRemovedOrOwn(String id) {
--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -36,7 +36,7 @@
 
     private final Map<String, QuotaPartition> quotaPartitions = new TreeMap<>();
     private final MemberIndex members = new MemberIndex();
-    private long shardsAndMembersVersion;
+    private long shardAndMemberChanges;
     private Incarnation leader;
     private long fencingToken;
     private Set<String> cordonedMachines = Set.of();
@@ -50,7 +50,7 @@
         uncheckedJobs.clear();
         quotaPartitions.clear();
         members.clear();
-        shardsAndMembersVersion++;
+        shardAndMemberChanges++;
         leader = null;
         fencingToken = 0;
         cordonedMachines = Set.of();
@@ -82,7 +82,7 @@
             leader = incarnation;
             return;
         }
-        shardsAndMembersVersion++;
+        shardAndMemberChanges++;
         members.put(key.substring(StoreKeys.MEMBERS.length()), incarnation, version);
     }
 
@@ -98,7 +98,7 @@
         } else if (key.startsWith(StoreKeys.QUOTA_PARTITIONS)) {
             quotaPartitions.remove(key);
         } else if (key.startsWith(StoreKeys.MEMBERS)) {
-            shardsAndMembersVersion++;
+            shardAndMemberChanges++;
             members.remove(key.substring(StoreKeys.MEMBERS.length()), revision);
         } else if (key.equals(StoreKeys.LEADER)) {
             leader = null;
@@ -120,7 +120,7 @@
     }
 
     private void replaceShard(String id, MachineShard next, long version) {
-        shardsAndMembersVersion++;
+        shardAndMemberChanges++;
         MachineShard previous = machineIndex.replace(id, next, version);
         if (previous != null) {
             for (MachineRecord machine : previous.machines()) {
@@ -244,8 +244,8 @@
     }
 
     /** A local counter that increases with every change of a shard or a member. */
-    public long shardsAndMembersVersion() {
-        return shardsAndMembersVersion;
+    public long shardAndMemberChanges() {
+        return shardAndMemberChanges;
     }
 
     /** Whether this incarnation of a controller holds a member key; false for null. */
