--- a/src/main/java/org/gullway/coordination/model/ChangeSet.java
+++ b/src/main/java/org/gullway/coordination/model/ChangeSet.java
@@ -66,6 +66,6 @@
     }
 
     boolean hasFreeBytes() {
-        return bytes < Transaction.Limits.MAX_BYTES;
+        return bytes < Transaction.Limits.SOFT_MAX_BYTES;
     }
 }
--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -23,7 +23,7 @@
     private final MachineIndex machineIndex = new MachineIndex(changedMachines);
     private final PlacementIndex placementIndex = new PlacementIndex(changedMachines);
     private final Map<String, JobRecord> jobs = new TreeMap<>();
-    /** Ids of jobs whose placements must be checked: the record of the job or of one of its machines has changed. */
+    /** Ids of jobs to check: the record has changed, or a machine was removed or entered a later agent epoch. */
     private final Set<String> uncheckedJobs = new HashSet<>();
 
     /** Ids of cancelled jobs, kept across full reads and after the job's end, since cancellation is final. */
@@ -243,7 +243,7 @@
         return members.byName();
     }
 
-    /** A local counter that increases with every change of a shard or a member. */
+    /** Local count of the changes of shards and members, by which callers notice that there was a change. */
     public long shardAndMemberChanges() {
         return shardAndMemberChanges;
     }
@@ -263,7 +263,7 @@
         return fencingToken;
     }
 
-    /** Names of machines on which no best-effort task starts while reserved jobs wait. */
+    /** Names of the machines that are cordoned, as described for {@link CordonedMachines}. */
     public Set<String> cordonedMachines() {
         return cordonedMachines;
     }
@@ -278,7 +278,7 @@
         return placementIndex.quotaUsage(partition, team);
     }
 
-    /** Whether the machine has fetched the image for an earlier task, as far as the records show. */
+    /** Whether a task with the image is known to have been placed on the machine, which then probably has the image. */
     public boolean hasImage(String machine, String image) {
         return placementIndex.hasImage(machine, image);
     }
--- a/src/main/java/org/gullway/coordination/model/Incarnation.java
+++ b/src/main/java/org/gullway/coordination/model/Incarnation.java
@@ -2,9 +2,7 @@
 
 /**
  * Identifies one run of a controller's process, by the controller's name and a number that no other run has.
- *
- * <p>Records that are compared or hashed for each machine in each scheduling cycle write out {@code equals} and
- * {@code hashCode}: the default methods of records are linked at run time, which slows a controller's start.
+ * The package description says why {@code equals} and {@code hashCode} are explicit.
  */
 public record Incarnation(String node, long number) implements StoreRecord {
     @Override
--- a/src/main/java/org/gullway/coordination/model/IntegerRanges.java
+++ b/src/main/java/org/gullway/coordination/model/IntegerRanges.java
@@ -62,15 +62,15 @@
 
     /** Whether the number is in the set. */
     public boolean contains(int number) {
-        return startsAtOrBefore(rangeAtOrAfter(number), number);
+        return startsAtOrBefore(firstBoundOfRangeAtOrAfter(number), number);
     }
 
-    private boolean startsAtOrBefore(int range, int number) {
-        return range < bounds.length && bounds[range] <= number;
+    private boolean startsAtOrBefore(int firstBound, int number) {
+        return firstBound < bounds.length && bounds[firstBound] <= number;
     }
 
-    /** Index in {@link #bounds} of the first range whose last number is not below the number. */
-    private int rangeAtOrAfter(int number) {
+    /** Index of the first bound of the lowest range that ends at or after the number, or the number of bounds. */
+    private int firstBoundOfRangeAtOrAfter(int number) {
         int low = 0;
         int high = bounds.length / 2;
         while (low < high) {
@@ -86,29 +86,29 @@
 
     /** This set with a number added. */
     public IntegerRanges with(int number) {
-        int range = rangeAtOrAfter(number);
-        if (startsAtOrBefore(range, number)) {
+        int firstBound = firstBoundOfRangeAtOrAfter(number);
+        if (startsAtOrBefore(firstBound, number)) {
             return this;
         }
-        boolean extendsPrevious = range > 0 && bounds[range - 1] == number - 1;
-        boolean extendsNext = range < bounds.length && bounds[range] == number + 1;
+        boolean extendsPrevious = firstBound > 0 && bounds[firstBound - 1] == number - 1;
+        boolean extendsNext = firstBound < bounds.length && bounds[firstBound] == number + 1;
         IntList next = new IntArrayList(bounds.length + 2);
-        next.addElements(0, bounds, 0, extendsPrevious ? range - 1 : range);
+        next.addElements(0, bounds, 0, extendsPrevious ? firstBound - 1 : firstBound);
         if (!extendsPrevious) {
             next.add(number);
         }
         if (!extendsNext) {
             next.add(number);
         }
-        int remaining = extendsNext ? range + 1 : range;
-        next.addElements(next.size(), bounds, remaining, bounds.length - remaining);
+        int nextBound = extendsNext ? firstBound + 1 : firstBound;
+        next.addElements(next.size(), bounds, nextBound, bounds.length - nextBound);
         return new IntegerRanges(next.toIntArray());
     }
 
     /** The smallest number at or after {@code from} that is not in the set. */
     public int firstMissing(int from) {
-        int range = rangeAtOrAfter(from);
-        return startsAtOrBefore(range, from) ? bounds[range + 1] + 1 : from;
+        int firstBound = firstBoundOfRangeAtOrAfter(from);
+        return startsAtOrBefore(firstBound, from) ? bounds[firstBound + 1] + 1 : from;
     }
 
     /** Alternating first and last numbers of the ranges, ascending. */
--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -20,8 +20,8 @@
  *
  * @param owner name of the controller whose queue holds the job; null for reserved jobs, which the leader places
  * @param submittedAt wall-clock time at which the job was accepted
- * @param cancelledAt wall-clock time of the cancellation, taken before any confirmation of it was sent; null if the job
- *     is not cancelled
+ * @param cancelledAt wall-clock time of the cancellation, from which the cancel limit runs; taken before any
+ *     confirmation of the cancellation was sent; null if the job is not cancelled
  * @param attemptCount the highest attempt number assigned so far; the next attempt gets the next number
  * @param consecutiveErrors number of attempts that failed since a task was last completed
  * @param livePlacements placements of the attempts that may be running
@@ -63,7 +63,10 @@
         FAILED
     }
 
-    /** Whether the job is reserved: the leader places reserved jobs, the controller that owns the job all others. */
+    /**
+     * Whether the job is reserved, so that the leader places it: gangs, services and jobs of priority PROD or HIGH. Any
+     * other job is best-effort, and its owner places it.
+     */
     public static boolean isReserved(JobRequest request) {
         return request.shape() != Shape.ARRAY
                 || request.priority() == Priority.PROD
@@ -115,7 +118,10 @@
         return new JobStatus(request.id(), state(), completedTasks.size(), livePlacements.size());
     }
 
-    /** Whether tasks wait and none is placed long after acceptance; one task of such a job is placed before others. */
+    /**
+     * Whether the job has waiting tasks but no placement and was accepted more than {@link #STALLED_AFTER} ago. One
+     * task of each stalled job is placed before all other tasks.
+     */
     public boolean isStalledAt(Instant timeOfDay) {
         return livePlacements.isEmpty()
                 && waitingTasks() > 0
@@ -184,7 +190,10 @@
         return Math.max(0, (valueBytes - maxEncodedBytes()) / PLACEMENT_BYTES);
     }
 
-    /** This record with attempts ended; their tasks wait again unless completed. A service never completes a task. */
+    /**
+     * This record without the attempts that have ended. Tasks that were not completed wait again; a service never
+     * completes a task.
+     */
     public JobRecord withCompletions(Map<Placement, AttemptOutcome> outcomes) {
         IntegerRanges nextCompleted = completedTasks;
         int nextErrors = consecutiveErrors;
--- a/src/main/java/org/gullway/coordination/model/KeyVersions.java
+++ b/src/main/java/org/gullway/coordination/model/KeyVersions.java
@@ -30,8 +30,9 @@
 
     /**
      * Accepts the version of a written value if it is newer than the known version, than any known removal of the key
-     * and than the watched revision. The last condition rejects the outcome of an own transaction that arrives after
-     * the watch has delivered another controller's removal of the key: it would restore the key permanently.
+     * and than the watched revision. The last condition rejects the outcome of one of this controller's transactions
+     * that arrives after the watch has delivered another controller's removal of the key: it would restore the key
+     * permanently.
      */
     boolean acceptPut(String key, long version) {
         if (version <= watchedRevision
--- a/src/main/java/org/gullway/coordination/model/MachineIndex.java
+++ b/src/main/java/org/gullway/coordination/model/MachineIndex.java
@@ -29,7 +29,8 @@
     }
 
     /**
-     * Replaces a shard and its machines. A machine that has already been moved to another shard stays there.
+     * Replaces a shard and its machines. A machine of the previous record that another shard has taken over meanwhile
+     * is not removed.
      *
      * @param next the shard's new record, or null if it is removed
      * @return the shard's previous record, or null
--- a/src/main/java/org/gullway/coordination/model/MachineRecord.java
+++ b/src/main/java/org/gullway/coordination/model/MachineRecord.java
@@ -7,9 +7,11 @@
  *
  * @param address address at which the machine's agent accepts commands; null until the first heartbeat
  * @param controller incarnation of the controller that commands the machine; the same as its shard's
- * @param agentEpoch agent epoch in which tasks may be placed; 0 until the first heartbeat
+ * @param agentEpoch agent epoch in which tasks may be placed; 0 until the first heartbeat. The agent raises its epoch
+ *     when its lease has expired; attempts of earlier epochs are no longer running then
  * @param fencingToken fencing token of the machine's shard
- * @param provisionedAt wall-clock time of the provisioning request, as far as known
+ * @param provisionedAt wall-clock time at which the machine was provisioned: the time of its recording, or derived from
+ *     the age that the cloud provider lists for a machine that had no record
  */
 public record MachineRecord(
         String name,
@@ -48,7 +50,7 @@
                 name, null, type, zone, spot, controller, 0, fencingToken, MachineLifecycle.ACTIVE, provisionedAt);
     }
 
-    /** Hashes the name only, which is unique: machines are map keys in each scheduling cycle. */
+    /** Hashes only the unique name, which is fast: machines are map keys in each scheduling cycle. */
     @Override
     public int hashCode() {
         return name.hashCode();
@@ -70,7 +72,7 @@
                 name, address, type, zone, spot, newController, agentEpoch, newFencingToken, lifecycle, provisionedAt);
     }
 
-    /** This machine in a new agent epoch, which has ended every earlier one. */
+    /** This machine in a new agent epoch; no attempt of an earlier agent epoch is running any more. */
     public MachineRecord withAgentEpoch(long newAgentEpoch, String newAddress) {
         return new MachineRecord(
                 name, newAddress, type, zone, spot, controller, newAgentEpoch, fencingToken, lifecycle, provisionedAt);
--- a/src/main/java/org/gullway/coordination/model/MachineShard.java
+++ b/src/main/java/org/gullway/coordination/model/MachineShard.java
@@ -13,7 +13,10 @@
  */
 public record MachineShard(String id, Incarnation controller, long fencingToken, List<MachineRecord> machines)
         implements StoreRecord {
-    /** Small enough that rewriting a shard is cheap; large enough that a third of a fleet is only a few shards. */
+    /**
+     * Small enough that rewriting a shard for one machine is cheap; large enough that the failover of one of three
+     * controllers, and so of a third of the fleet, changes few keys in comparison with the number of machines.
+     */
     public static final int MAX_MACHINES = 16;
 
     /** Upper bound for the encoded size of one machine. */
--- a/src/main/java/org/gullway/coordination/model/PeerZones.java
+++ b/src/main/java/org/gullway/coordination/model/PeerZones.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 
 /**
- * The other controllers of the deployment, with their zones, as configured.
+ * The zones of the other controllers of the deployment, and the cancel limit, as configured: the settings by which a
+ * machine in a zone that is cut off by a network partition is kept or declared lost.
  *
  * @param zoneByPeer the zone of each other controller, by the controller's name
  * @param cancelLimit how long after its cancellation a job may still have tasks on a machine
--- a/src/main/java/org/gullway/coordination/model/PlacementIndex.java
+++ b/src/main/java/org/gullway/coordination/model/PlacementIndex.java
@@ -47,11 +47,11 @@
     }
 
     private static Set<Placement> unchangedPlacements(JobRecord previous, JobRecord next) {
-        boolean sameAccounting = previous != null
+        boolean sameOwnerAndCancellation = previous != null
                 && next != null
                 && Objects.equals(previous.owner(), next.owner())
                 && previous.isCancelled() == next.isCancelled();
-        if (!sameAccounting || previous.livePlacements().isEmpty()) {
+        if (!sameOwnerAndCancellation || previous.livePlacements().isEmpty()) {
             return Set.of();
         }
         Set<Placement> unchanged = new HashSet<>(previous.livePlacements());
--- a/src/main/java/org/gullway/coordination/model/Transaction.java
+++ b/src/main/java/org/gullway/coordination/model/Transaction.java
@@ -27,11 +27,12 @@
      */
     public record Limits(int changes, int conditions, int valueBytes) {
         /**
-         * Total size of the new values from which on no further change is added. It is below the store's limit by the
-         * size that the last change may add.
+         * Once the new values total this many bytes, no further change is added. The store's limit is higher, which
+         * leaves room for the last change.
          */
-        static final int MAX_BYTES = 48 * 1024;
+        static final int SOFT_MAX_BYTES = 48 * 1024;
 
+        /** The store allows this many conditions for each change that it allows. */
         private static final int CONDITIONS_PER_CHANGE = 4;
         /** A job that ends changes two keys: its record and its final state. */
         private static final int MIN_CHANGES = 2;
@@ -63,7 +64,7 @@
         changeSet.requireUnchanged(StoreKeys.member(self.node()));
     }
 
-    /** The wall-clock time that the records written by this transaction contain. */
+    /** Wall-clock time, unlike the monotonic {@code now}, that the records written by this transaction contain. */
     public Instant timeOfDay() {
         return timeOfDay;
     }
