--- a/src/main/java/org/gullway/coordination/failover/Reconciliation.java
+++ b/src/main/java/org/gullway/coordination/failover/Reconciliation.java
@@ -23,7 +23,7 @@
  * balanced.
  */
 public final class Reconciliation implements PlanningStep {
-    /** Short compared with the seconds that it takes to detect a loss. */
+    /** Short compared with the seconds that it takes to detect a loss, so that it hardly delays the recovery. */
     private static final Duration INTERVAL = Duration.ofMillis(250);
     /** Keys that one job may change: its record, its final state, and the quota partitions of both owners. */
     private static final int CHANGES_PER_JOB = 4;
@@ -65,7 +65,7 @@
         }
     }
 
-    // An unchanged record is the same instance; comparing the values would cost as much as changing them.
+    // Unchanged records are the same instance; comparing all placements by value would cost as much as the change.
     @SuppressWarnings("ReferenceEquality")
     private void reconcile(Transaction transaction, JobRecord known, boolean orphaned) {
         String id = known.request().id();
@@ -92,14 +92,18 @@
         return members.get(random.nextInt(members.size()));
     }
 
-    /** This job without its lost attempts; the same instance if it has none. */
+    /**
+     * This job without its lost attempts, and with the rest of an incomplete gang marked as stopping; the same instance
+     * if nothing changes.
+     */
     private JobRecord withoutLostAttempts(JobRecord job) {
         checkedPlacements += job.livePlacements().size();
         Map<Placement, JobRecord.AttemptOutcome> lost = new HashMap<>();
         for (Placement placement : job.livePlacements()) {
             MachineRecord machine = clusterState.machine(placement.machine());
             // A machine's record is removed only after the cloud provider has confirmed that the machine no longer
-            // exists.
+            // exists, so
+            // its attempts have ended; so have those of earlier agent epochs.
             if (machine == null || machine.agentEpoch() > placement.agentEpoch()) {
                 lost.put(placement, JobRecord.AttemptOutcome.STOPPED);
             }
--- a/src/main/java/org/gullway/coordination/failover/ShardAssignment.java
+++ b/src/main/java/org/gullway/coordination/failover/ShardAssignment.java
@@ -56,6 +56,7 @@
         Optional<MachineShard> open = openShard(node);
         boolean alreadyChanged = open.isPresent()
                 && transaction.changes().containsKey(StoreKeys.shard(open.get().id()));
+        // Up to two keys change: the shard and, with the first shard, the fencing token.
         if (!alreadyChanged && !transaction.hasCapacityFor(2)) {
             return false;
         }
@@ -88,7 +89,7 @@
     }
 
     private MachineShard createShard(String node) {
-        // The first shard of a cluster needs the first fencing token: without any shard there is none.
+        // The fencing token is first written together with the first shard of the cluster.
         long fencingToken =
                 transaction.fencingToken() == 0 ? transaction.nextFencingToken() : transaction.fencingToken();
         String id = idPrefix + "-" + ++createdShards;
--- a/src/main/java/org/gullway/coordination/failover/ShardFailover.java
+++ b/src/main/java/org/gullway/coordination/failover/ShardFailover.java
@@ -13,8 +13,8 @@
 import org.gullway.coordination.model.Transaction;
 
 /**
- * Decides which shards this controller takes over: those of lost controllers, and those whose controller is a member
- * that at least half of the shard's agents cannot reach.
+ * Decides which shards this controller takes over: the shards of lost controllers of which it is the successor, and
+ * shards of other members if the agents of at least half of their booted machines send their heartbeats here.
  */
 public final class ShardFailover {
     private static final long NEVER = -1;
@@ -24,12 +24,10 @@
     private final Predicate<String> isReroutedHere;
     /** Ids of shards of other members with agents that repeatedly send their heartbeats here. */
     private final Set<String> reroutedShards = new HashSet<>();
-    /** Value of {@code shardAndMemberChanges} when all shards last had members as their controllers. */
+    /** Value of {@code shardAndMemberChanges} when all shards were last seen to have members as their controllers. */
     private long fullyAssignedAt = NEVER;
 
     /**
-     * Creates the failover decisions of one controller.
-     *
      * @param isReroutedHere whether the agent of the machine of this name sends its heartbeats here because it cannot
      *     reach its own controller
      */
@@ -74,7 +72,7 @@
                     claim(transaction, shard, fencingTokenAfterLoss(transaction, shard));
                 }
             } else if (reroutedShards.contains(shard.id())
-                    && isMostlyRerouted(shard)
+                    && isAtLeastHalfRerouted(shard)
                     && transaction.hasCapacityFor(2)) {
                 claim(transaction, shard, transaction.nextFencingToken());
             }
@@ -111,7 +109,7 @@
         return transaction.fencingToken();
     }
 
-    private boolean isMostlyRerouted(MachineShard shard) {
+    private boolean isAtLeastHalfRerouted(MachineShard shard) {
         long booted = shard.machines().stream().filter(MachineRecord::hasBooted).count();
         long rerouted = shard.machines().stream()
                 .filter(machine -> isReroutedHere.test(machine.name()))
--- a/src/main/java/org/gullway/coordination/membership/Membership.java
+++ b/src/main/java/org/gullway/coordination/membership/Membership.java
@@ -6,10 +6,11 @@
 
 /**
  * This controller's own membership lease. The monotonic clock alone decides its validity: the lease is valid from the
- * moment at which the last successful renewal was sent, for its duration less the possible drift between two clocks.
+ * moment at which the last successful renewal was sent, for its duration less a safety margin for clock drift and
+ * timers.
  */
 public final class Membership {
-    /** A 500th is 0.2%, twice the drift between two monotonic clocks, each of which may drift by 0.05%. */
+    /** Subtracts 0.2% of the duration: two clocks, each drifting by 0.05%, may differ by 0.1%, which is doubled. */
     private static final long DRIFT_DIVISOR = 500;
 
     /** Allowance for the granularity of timers. */
--- a/src/main/java/org/gullway/coordination/membership/StoreOutageDetector.java
+++ b/src/main/java/org/gullway/coordination/membership/StoreOutageDetector.java
@@ -12,13 +12,16 @@
  * controller alone, by the reports that the controllers exchange.
  *
  * <p>During an outage of the store a controller keeps reporting itself as healthy to the load balancer, since no other
- * controller could serve its users any better. The load balancer readmits a controller after a pause that doubles with
- * each removal, so if controllers were removed, repeated short outages would leave users without a healthy controller
- * after each of them.
+ * controller could serve its users any better. The load balancer readmits a controller only after a pause that doubles
+ * with each removal: if all controllers were removed in each of several short outages, users would have no healthy
+ * controller for some time after every outage.
  */
 public final class StoreOutageDetector {
-    /** Watch requests last one second: if the last answered request is older than this, later ones had no answer. */
-    private static final Duration MAX_ANSWER_AGE = Duration.ofSeconds(3);
+    /**
+     * Maximum time since the last answered request was sent. A watch request lasts one second, so if more time has
+     * passed, at least one later request has had no answer.
+     */
+    private static final Duration MAX_ANSWERED_REQUEST_AGE = Duration.ofSeconds(3);
     /** How long a peer's report counts; every peer is asked once per second. */
     private static final Duration PEER_REPORT_VALIDITY = Duration.ofSeconds(4);
 
@@ -37,7 +40,7 @@
      * @param answeredRequestSentAt when the last request that the state store answered was sent
      */
     public static boolean isStoreUnreachable(Instant answeredRequestSentAt, Instant now) {
-        return answeredRequestSentAt.plus(MAX_ANSWER_AGE).isBefore(now);
+        return answeredRequestSentAt.plus(MAX_ANSWERED_REQUEST_AGE).isBefore(now);
     }
 
     /** Records a peer's report that the state store does not answer it. */
@@ -45,7 +48,7 @@
         peerReportedAt.put(peer, now);
     }
 
-    /** Whether every peer has recently reported that the state store does not answer it. */
+    /** Whether every peer has recently reported that the state store does not answer that peer; true without peers. */
     public boolean isReportedByAllPeers(Instant now) {
         return peers.stream().allMatch(peer -> hasRecentlyReportedOutage(peer, now));
     }
