--- a/src/main/java/org/gullway/coordination/scaling/BinPacking.java
+++ b/src/main/java/org/gullway/coordination/scaling/BinPacking.java
@@ -12,8 +12,8 @@
  * onto machines that would have to be provisioned, of the first compatible offering.
  */
 final class BinPacking {
-    /** Bounds the duration of one packing; the next packing takes up the remaining tasks and includes new machines. */
-    static final int MAX_PROVISIONED = 10_000;
+    /** Maximum number of new machines per packing, to bound its duration; the next packs the remaining tasks. */
+    static final int MAX_NEW_MACHINES = 10_000;
 
     private static final double EPSILON = 1e-6;
 
@@ -101,7 +101,7 @@
 
     private int packIntoNew(MachineOffering offering, JobRequest job, int tasks) {
         int packed = 0;
-        while (packed < tasks && newBins.size() < MAX_PROVISIONED) {
+        while (packed < tasks && newBins.size() < MAX_NEW_MACHINES) {
             Bin bin = Bin.empty(offering);
             packed += bin.pack(job, tasks - packed);
             newBins.add(bin);
--- a/src/main/java/org/gullway/coordination/scaling/ExcessCapacity.java
+++ b/src/main/java/org/gullway/coordination/scaling/ExcessCapacity.java
@@ -8,8 +8,8 @@
 /** Measures, in consecutive time windows, the number of processors that were in excess throughout a window. */
 final class ExcessCapacity {
     /**
-     * Number of machines of the largest type whose processors are never drained, since free resources are fragmented
-     * across machines. The effect is noticeable in small fleets only.
+     * Excess that is never drained, in machines of the largest type: free resources are fragmented across machines, so
+     * some of them may be unusable. This amount matters to small fleets only.
      */
     private static final int RETAINED_MACHINES = 4;
 
@@ -26,7 +26,7 @@
         this.window = window;
     }
 
-    /** Records the number of processors in excess now. */
+    /** Records the processors in excess now; at the end of a window, updates the processors that may be drained. */
     void observe(double excess, Instant now) {
         if (windowStart == null) {
             windowStart = now;
@@ -47,13 +47,13 @@
         return largest;
     }
 
-    /** Processors that may be drained: the excess of the last window, less those retained and those drained since. */
+    /** Processors that may be drained: the excess of the last window, less those retained or set to draining since. */
     double cpusToDrain() {
         return cpusToDrain;
     }
 
-    /** Records that a machine with this number of processors is drained. */
-    void onDrained(double cpus) {
+    /** Records that a machine with this number of processors was set to draining. */
+    void onDrainingStarted(double cpus) {
         cpusToDrain -= cpus;
     }
 }
--- a/src/main/java/org/gullway/coordination/scaling/FleetAutoscaler.java
+++ b/src/main/java/org/gullway/coordination/scaling/FleetAutoscaler.java
@@ -18,7 +18,7 @@
 
 /**
  * Sizes the fleet, on the leader: scales out, at the lowest price per processor, for waiting tasks that fit on no
- * machine, and scales in machines that have not been needed for long, except for the spare capacity for reserved jobs.
+ * machine, and scales in machines that were unneeded for the scale-in delay. Spare capacity for reserved jobs is kept.
  */
 public final class FleetAutoscaler implements PlanningStep {
     /** Planning iterates over the whole fleet, and machines take far longer than this interval to boot. */
@@ -59,7 +59,7 @@
         return scaleOutPlanner.plan(availableOfferings.byPrice(now), now);
     }
 
-    /** Drains machines that are not needed, and declares those machines lost that have not booted in time. */
+    /** Drains machines that are not needed, and declares machines lost if they have not booted in time. */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         Instant now = context.now();
@@ -88,7 +88,7 @@
         return free;
     }
 
-    /** Names of the machines to release now: lost ones, and drained ones without tasks. */
+    /** Names of the machines to release now: lost machines, and draining machines without tasks. */
     public List<String> machinesToRelease() {
         List<String> names = new ArrayList<>();
         for (MachineRecord machine : clusterState.machines()) {
@@ -100,7 +100,10 @@
         return names;
     }
 
-    /** Whether no task is placed on the machine, and every placement from before its draining is known here. */
+    /**
+     * Whether the machine has no placement as of the revision at which its shard's record was last written, which is
+     * not before the machine was set to draining; no task is placed on it from then on.
+     */
     private boolean isKnownEmpty(MachineRecord machine) {
         return clusterState.watchedRevision() >= clusterState.machineVersion(machine.name())
                 && clusterState.usageOn(machine.name()).tasks == 0;
--- a/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
@@ -15,7 +15,7 @@
 import org.gullway.protocol.MachineType;
 
 /**
- * Drains machines that are no longer needed, and declares those machines lost that have not booted in time. In a large
+ * Drains machines that are no longer needed, and declares machines lost if they have not booted in time. In a large
  * fleet machines are seldom empty, so excess capacity is drained while tasks are running on it: draining machines get
  * no new tasks and are released when their last task has ended, so that no work is lost.
  */
@@ -24,14 +24,17 @@
     private final PlacementConstraints constraints;
     private final ScalingPolicy policy;
     private final ExcessCapacity excessCapacity;
+    /** When each machine without tasks was first seen without any, by the machine's name. */
     private final Map<String, Instant> idleSince = new HashMap<>();
 
     /** A machine that may be drained or declared lost, with the values that {@link #DRAIN_ORDER} compares. */
     private record Candidate(
             MachineRecord machine, double pricePerCpu, double shardUtilization, String shard, double usedCpus) {
         /**
-         * Machines with the highest price per processor first, with the machines of one shard next to each other: they
-         * are stored in one record, which is rewritten only once for any number of drained machines.
+         * Highest price per processor first; at equal price, machines of the least utilized shard first, and in a shard
+         * the machine with the fewest used processors first. Machines of one shard are thus next to each other where
+         * the price is equal: a shard is stored in one record, which is rewritten once however many of its machines are
+         * set to draining.
          */
         private static final Comparator<Candidate> DRAIN_ORDER = Comparator.<Candidate>comparingDouble(
                         candidate -> -candidate.pricePerCpu)
@@ -70,12 +73,12 @@
                             && type.cpus() <= Math.min(excessCapacity.cpusToDrain(), freeCpus - balance.required()))) {
                 setLifecycle(transaction, machine, MachineLifecycle.DRAINING);
                 freeCpus -= machineFreeCpus;
-                excessCapacity.onDrained(type.cpus());
+                excessCapacity.onDrainingStarted(type.cpus());
             }
         }
     }
 
-    /** Whether the machine has had no tasks for longer than the scale-in delay. */
+    /** Whether the machine has had no tasks for longer than the scale-in delay; notes when it first had none. */
     private boolean isIdle(MachineRecord machine, Instant now) {
         if (clusterState.usageOn(machine.name()).tasks > 0) {
             return false;
--- a/src/main/java/org/gullway/coordination/scaling/ScaleOutPlanner.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleOutPlanner.java
@@ -18,8 +18,8 @@
 import org.gullway.protocol.Priority;
 
 /**
- * Decides which machines to provision: packs all waiting tasks, and the spare capacity for reserved jobs, onto the
- * machines that are up or booting. The tasks that do not fit there need new machines.
+ * Decides which machines to provision: packs the waiting tasks that quotas permit, and the spare capacity for reserved
+ * jobs, onto the machines that have booted or are booting. The tasks that do not fit there need new machines.
  */
 final class ScaleOutPlanner {
     private static final double EPSILON = 1e-6;
@@ -89,13 +89,17 @@
                 packing.pack(request, tasks);
             }
         }
+        // The spare capacity is packed as tasks of the reserved job that is last in packing order.
         if (lastReserved != null) {
             int spareTasks = (int) Math.ceil(spareCapacity.requiredCpus(reservedCpus, now) / lastReserved.cpus());
             packing.pack(lastReserved, spareTasks);
         }
     }
 
-    /** By priority, then fewest waiting tasks first, so that one huge array cannot use up {@code MAX_PROVISIONED}. */
+    /**
+     * By priority, then fewest waiting tasks first, so that a huge array does not use up {@link
+     * BinPacking#MAX_NEW_MACHINES} before smaller jobs of its priority are packed.
+     */
     private List<JobRecord> jobsInPackingOrder() {
         List<JobRecord> jobs = new ArrayList<>(clusterState.jobs());
         jobs.sort(Comparator.<JobRecord, Priority>comparing(job -> job.request().priority())
--- a/src/main/java/org/gullway/coordination/scaling/SpareCapacityPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/SpareCapacityPolicy.java
@@ -9,8 +9,10 @@
 
 /**
  * Decides how much capacity is kept free for reserved jobs: a fraction of what their unfinished tasks need, and at
- * least the size of the largest recent one, which decays over time. The next reserved job may be submitted at any
- * moment, and all of its tasks have to start at once.
+ * least the size of the largest recent one. The next reserved job may be submitted at any moment, and its tasks have to
+ * start without waiting for machines to boot. The size of the largest recent job is called the burst size: it decays by
+ * half per {@link #BURST_HALF_LIFE} and counts as zero once {@link #BURST_RETENTION} has passed without a new reserved
+ * job.
  */
 final class SpareCapacityPolicy {
     private static final Duration BURST_RETENTION = Duration.ofMinutes(1);
@@ -23,7 +25,7 @@
 
     /** The burst size: processors of the largest recent reserved job, as of {@link #burstAt}. */
     private double burstCpus;
-    /** When the burst size last changed; it decays from then on. */
+    /** When the last new reserved job was seen; the burst size decays from then on. */
     private Instant burstAt = Instant.MIN;
 
     SpareCapacityPolicy(ClusterState clusterState, double fraction) {
--- a/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
+++ b/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
@@ -61,13 +61,13 @@
     }
 
     /**
-     * The lost owner held a quota of 24 processors, and 8 tasks of 4 processors each are on record. Two of the 8 had
-     * ended and the owner had used their processors for other tasks, but the completions are not on record, and no
-     * other controller knows which two tasks these are. Whichever they are, no new owner may hold less quota than its
-     * jobs use.
+     * The lost owner held a quota of 24 processors, and its stored job records contain placements of 8 tasks with 4
+     * processors each. Two of the 8 had ended and the owner had used their processors for other tasks, but the
+     * completions are not stored, and no other controller knows which two tasks these are. Whichever they are, no new
+     * owner may hold less quota than its jobs use.
      */
     @Property(tries = 40, seed = "41")
-    void overdrawnQuotaPartitionIsNotDividedBetweenNewOwners(
+    void quotaPartitionIsNotTransferredWhileStoredUsageExceedsIt(
             @ForAll @IntRange(min = 0, max = 8) int firstJobTasks, @ForAll @IntRange(max = 1000) int seed) {
         clusterState.put(StoreKeys.member("perch-2"), THIRD, ++revision);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), ++revision);
@@ -83,12 +83,11 @@
         reconcile(seed, 3);
         for (String id : List.of("run-000001", "run-000002")) {
             assertThat(clusterState.job(id).owner())
-                    .as("owner before the completions are on record")
+                    .as("owner before the completions are stored")
                     .isEqualTo("perch-9");
         }
         assertThat(quotaOf("perch-9")).isEqualTo(24);
-        // Once the completions are on record, the remaining tasks fit into the quota, and it is transferred with the
-        // jobs.
+        // Once the completions are stored, the remaining tasks fit into the quota, and it is transferred with the jobs.
         String completed = firstJobTasks >= 2 ? "run-000001" : "run-000002";
         JobRecord job = clusterState.job(completed);
         clusterState.put(
@@ -155,7 +154,7 @@
                 ++revision);
         reconcileAt(reconciliation, 50);
         assertThat(reconciliation.checkedPlacements())
-                .as("number of checks after the 10 jobs on vm-2 became lost")
+                .as("number of checks after the placements on vm-2 were lost")
                 .isEqualTo(80 + 20);
         assertThat(clusterState.placementsOn("vm-2")).isEmpty();
         assertThat(clusterState.placementsOn("vm-1")).hasSize(60);
--- a/src/test/java/org/gullway/coordination/scaling/BinPackingTest.java
+++ b/src/test/java/org/gullway/coordination/scaling/BinPackingTest.java
@@ -90,9 +90,9 @@
         assertThat(batched.machinesToProvision()).isEqualTo(oneByOne.machinesToProvision());
     }
 
-    /** The tasks need 6,000 machines, which is below {@link BinPacking#MAX_PROVISIONED}, so all of them are packed. */
+    /** The tasks need 6,000 machines, which is below {@link BinPacking#MAX_NEW_MACHINES}, so all of them are packed. */
     @Test
-    void packsOntoMoreThanFourThousandMachines() {
+    void packsAllTasksBelowTheMaximumOfNewMachines() {
         BinPacking packing = new BinPacking(List.of(SPOT));
         assertThat(packing.pack(request(1, 1, true), 96_000)).isEqualTo(96_000);
         assertThat(packing.machinesToProvision()).isEqualTo(Map.of(SPOT, 6_000));
@@ -101,8 +101,8 @@
     @Test
     void stopsAtTheMaximumOfProvisionedMachines() {
         BinPacking packing = new BinPacking(List.of(SPOT));
-        assertThat(packing.pack(request(16, 1, true), BinPacking.MAX_PROVISIONED + 5))
-                .isEqualTo(BinPacking.MAX_PROVISIONED);
+        assertThat(packing.pack(request(16, 1, true), BinPacking.MAX_NEW_MACHINES + 5))
+                .isEqualTo(BinPacking.MAX_NEW_MACHINES);
         assertThat(packing.pack(request(16, 1, true), 1)).isZero();
     }
 }
