--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -23,7 +23,7 @@
     private final MachineIndex machineIndex = new MachineIndex(changedMachines);
     private final PlacementIndex placementIndex = new PlacementIndex(changedMachines);
     private final Map<String, JobRecord> jobs = new TreeMap<>();
-    /** Ids of jobs whose placements must be checked: the record of the job or of one of its machines has changed. */
+    /** Ids of jobs to check: the record has changed, or a machine was removed or entered a later agent epoch. */
     private final Set<String> uncheckedJobs = new HashSet<>();
 
     /** Ids of cancelled jobs, kept across full reads and after the job's end, since cancellation is final. */
@@ -36,7 +36,7 @@
 
     private final Map<String, QuotaPartition> quotaPartitions = new TreeMap<>();
     private final MemberIndex members = new MemberIndex();
-    private long shardsAndMembersVersion;
+    private long shardAndMemberChanges;
     private Incarnation leader;
     private long fencingToken;
     private Set<String> cordonedMachines = Set.of();
@@ -50,7 +50,7 @@
         uncheckedJobs.clear();
         quotaPartitions.clear();
         members.clear();
-        shardsAndMembersVersion++;
+        shardAndMemberChanges++;
         leader = null;
         fencingToken = 0;
         cordonedMachines = Set.of();
@@ -82,7 +82,7 @@
             leader = incarnation;
             return;
         }
-        shardsAndMembersVersion++;
+        shardAndMemberChanges++;
         members.put(key.substring(StoreKeys.MEMBERS.length()), incarnation, version);
     }
 
@@ -98,7 +98,7 @@
         } else if (key.startsWith(StoreKeys.QUOTA_PARTITIONS)) {
             quotaPartitions.remove(key);
         } else if (key.startsWith(StoreKeys.MEMBERS)) {
-            shardsAndMembersVersion++;
+            shardAndMemberChanges++;
             members.remove(key.substring(StoreKeys.MEMBERS.length()), revision);
         } else if (key.equals(StoreKeys.LEADER)) {
             leader = null;
@@ -120,7 +120,7 @@
     }
 
     private void replaceShard(String id, MachineShard next, long version) {
-        shardsAndMembersVersion++;
+        shardAndMemberChanges++;
         MachineShard previous = machineIndex.replace(id, next, version);
         if (previous != null) {
             for (MachineRecord machine : previous.machines()) {
@@ -243,9 +243,9 @@
         return members.byName();
     }
 
-    /** A local counter that increases with every change of a shard or a member. */
-    public long shardsAndMembersVersion() {
-        return shardsAndMembersVersion;
+    /** Local count of the changes of shards and members, by which callers notice that there was a change. */
+    public long shardAndMemberChanges() {
+        return shardAndMemberChanges;
     }
 
     /** Whether this incarnation of a controller holds a member key; false for null. */
@@ -263,7 +263,7 @@
         return fencingToken;
     }
 
-    /** Names of machines on which no best-effort task starts while reserved jobs wait. */
+    /** Names of the machines that are cordoned, as described for {@link CordonedMachines}. */
     public Set<String> cordonedMachines() {
         return cordonedMachines;
     }
@@ -278,7 +278,7 @@
         return placementIndex.quotaUsage(partition, team);
     }
 
-    /** Whether the machine has fetched the image for an earlier task, as far as the records show. */
+    /** Whether a task with the image is known to have been placed on the machine, which then probably has the image. */
     public boolean hasImage(String machine, String image) {
         return placementIndex.hasImage(machine, image);
     }
