--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -95,7 +95,7 @@
     }
 
     /** Whether all other controllers have said lately that the state store does not respond to them either. */
-    public boolean isStoreOutageShared() {
+    public boolean isStoreOutageConfirmedByAllPeers() {
         return outageMonitor.isSharedByAllPeers();
     }
 
