--- a/src/main/java/org/gullway/agent/CommandSender.java
+++ b/src/main/java/org/gullway/agent/CommandSender.java
@@ -35,11 +35,11 @@
     private final StartAuthorization authorization;
     private final StartGate startGate;
     private final Metrics metrics;
-    private final Runnable schedule;
+    private final Runnable triggerSchedulingCycle;
 
     /**
      * @param holdsValidLease whether this controller may start tasks at this moment
-     * @param schedule asks for a scheduling cycle, after every outcome
+     * @param triggerSchedulingCycle asks for a scheduling cycle, after every outcome
      */
     public CommandSender(
             EventLoop loop,
@@ -50,7 +50,7 @@
             BooleanSupplier holdsValidLease,
             InvariantMonitor invariants,
             Metrics metrics,
-            Runnable schedule) {
+            Runnable triggerSchedulingCycle) {
         this.loop = loop;
         this.httpClient = httpClient;
         this.agentReconciler = agentReconciler;
@@ -58,7 +58,7 @@
         this.authorization = authorization;
         this.startGate = new StartGate(authorization, holdsValidLease, invariants);
         this.metrics = metrics;
-        this.schedule = schedule;
+        this.triggerSchedulingCycle = triggerSchedulingCycle;
     }
 
     /** Sends commands to a machine that this controller commands. */
@@ -79,10 +79,10 @@
                         cancellationEnforcer::onDirectStopResponse));
     }
 
-    private void send(CommandBatch planned, Consumer<CommandOutcome> onOutcome, Consumer<Heartbeat> onResponse) {
-        CommandBatch batch = startGate.authorized(planned);
+    private void send(CommandBatch plannedBatch, Consumer<CommandOutcome> onOutcome, Consumer<Heartbeat> onResponse) {
+        CommandBatch batch = startGate.withoutDeniedStarts(plannedBatch);
         if (LOG.isDebugEnabled() && !batch.commands().isEmpty()) {
-            log(batch);
+            logCommands(batch);
         }
         metrics.commandSent();
         byte[] body = AgentCommand.encodeDirect(batch.fencingToken(), batch.agentEpoch(), batch.commands());
@@ -90,14 +90,14 @@
             CommandOutcome outcome = outcomeOf(response);
             onOutcome.accept(outcome);
             if (outcome == CommandOutcome.ANSWERED) {
-                parse(batch, response, onResponse);
+                parseResponse(batch, response, onResponse);
             }
-            schedule.run();
+            triggerSchedulingCycle.run();
         });
     }
 
     /** One line for all commands: a line costs more than its content. */
-    private void log(CommandBatch batch) {
+    private void logCommands(CommandBatch batch) {
         StringBuilder commands = new StringBuilder();
         for (AgentCommand command : batch.commands()) {
             commands.append(commands.isEmpty() ? "" : ", ")
@@ -129,7 +129,7 @@
         };
     }
 
-    private void parse(CommandBatch batch, HttpResponse response, Consumer<Heartbeat> onResponse) {
+    private void parseResponse(CommandBatch batch, HttpResponse response, Consumer<Heartbeat> onResponse) {
         try {
             onResponse.accept(Heartbeat.parse(response.body(), agentReconciler::lastHeartbeat));
         } catch (MalformedMessageException e) {
--- a/src/main/java/org/gullway/agent/HeartbeatAdmission.java
+++ b/src/main/java/org/gullway/agent/HeartbeatAdmission.java
@@ -16,7 +16,7 @@
  */
 public final class HeartbeatAdmission {
     private static final Duration MAX_BUDGET = Duration.ofMillis(20);
-    private static final Duration QUEUE_INTERVAL = Duration.ofMillis(10);
+    private static final Duration QUEUE_CHECK_INTERVAL = Duration.ofMillis(10);
     /** How much budget each moment spent on anything else adds, as a multiple of that moment. */
     private static final int REFILL_FACTOR = 2;
     /** Below the timeout after which an agent no longer waits for a response. */
@@ -30,14 +30,14 @@
     /** Time that heartbeats may take now; negative after one that took longer than the rest of it. */
     private Duration budget = MAX_BUDGET;
 
-    private Instant refilledAt;
+    private Instant budgetRefilledAt;
 
     private record QueuedHeartbeat(HttpExchange exchange, Instant receivedAt) {}
 
     public HeartbeatAdmission(EventLoop loop, Consumer<HttpExchange> handler) {
         this.loop = loop;
         this.handler = handler;
-        this.refilledAt = loop.now();
+        this.budgetRefilledAt = loop.now();
     }
 
     /** Handles the heartbeat now or, if the budget is spent, later and in order. */
@@ -48,7 +48,7 @@
         }
         queue.add(new QueuedHeartbeat(exchange, loop.now()));
         if (queue.size() == 1) {
-            loop.after(QUEUE_INTERVAL, this::handleQueued);
+            loop.after(QUEUE_CHECK_INTERVAL, this::handleQueued);
         }
     }
 
@@ -62,22 +62,22 @@
             }
         }
         if (!queue.isEmpty()) {
-            loop.after(QUEUE_INTERVAL, this::handleQueued);
+            loop.after(QUEUE_CHECK_INTERVAL, this::handleQueued);
         }
     }
 
     private boolean hasBudget() {
         Instant now = loop.now();
-        budget = budget.plus(Duration.between(refilledAt, now).multipliedBy(REFILL_FACTOR));
+        budget = budget.plus(Duration.between(budgetRefilledAt, now).multipliedBy(REFILL_FACTOR));
         budget = budget.compareTo(MAX_BUDGET) > 0 ? MAX_BUDGET : budget;
-        refilledAt = now;
+        budgetRefilledAt = now;
         return !budget.isNegative() && !budget.isZero();
     }
 
     private void handle(HttpExchange exchange) {
         Instant startedAt = loop.now();
         handler.accept(exchange);
-        refilledAt = loop.now();
-        budget = budget.minus(Duration.between(startedAt, refilledAt));
+        budgetRefilledAt = loop.now();
+        budget = budget.minus(Duration.between(startedAt, budgetRefilledAt));
     }
 }
--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -31,11 +31,11 @@
     private final ClusterState clusterState;
     private final AgentReconciler agentReconciler;
     private final CancellationEnforcer cancellationEnforcer;
-    private final LeaseRenewalGate leaseRenewals;
-    private final Runnable requestCycle;
-    private final HeartbeatResponseEncoder responses = new HeartbeatResponseEncoder();
+    private final LeaseRenewalGate leaseRenewalGate;
+    private final Runnable triggerSchedulingCycle;
+    private final HeartbeatResponseEncoder responseEncoder = new HeartbeatResponseEncoder();
 
-    /** @param requestCycle asks for a scheduling cycle, after a heartbeat that changed something */
+    /** @param triggerSchedulingCycle asks for a scheduling cycle, after a heartbeat that changed something */
     public HeartbeatHandler(
             EventLoop loop,
             ClusterState clusterState,
@@ -44,25 +44,25 @@
             CancellationEnforcer cancellationEnforcer,
             CancellationWatermark cancellationWatermark,
             LeaseRenewalPolicy leaseRenewal,
-            Runnable requestCycle) {
+            Runnable triggerSchedulingCycle) {
         this.loop = loop;
         this.clusterState = clusterState;
         this.agentReconciler = agentReconciler;
         this.cancellationEnforcer = cancellationEnforcer;
-        this.leaseRenewals = new LeaseRenewalGate(replicatedState, cancellationWatermark, leaseRenewal);
-        this.requestCycle = requestCycle;
+        this.leaseRenewalGate = new LeaseRenewalGate(replicatedState, cancellationWatermark, leaseRenewal);
+        this.triggerSchedulingCycle = triggerSchedulingCycle;
     }
 
     /** From now on heartbeats are read also while this controller holds no valid lease. */
     public void onLeaseAcquired() {
-        leaseRenewals.onLeaseAcquired();
+        leaseRenewalGate.onLeaseAcquired();
     }
 
     /** Answers one heartbeat. */
     public void handle(HttpExchange exchange) {
         Instant now = loop.now();
-        boolean holdsValidLease = leaseRenewals.holdsValidLease();
-        if (leaseRenewals.isClosed(holdsValidLease, now)) {
+        boolean holdsValidLease = leaseRenewalGate.holdsValidLease();
+        if (leaseRenewalGate.rejectsAllHeartbeats(holdsValidLease, now)) {
             // The body is not read: after a restart all agents retry every second, which must not delay joining.
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
             return;
@@ -90,9 +90,9 @@
     }
 
     private void respondDuringOutage(HttpExchange exchange, Heartbeat heartbeat) {
-        if (leaseRenewals.mayRenewDuringOutage(heartbeat, loop.now())) {
+        if (leaseRenewalGate.mayRenewDuringOutage(heartbeat, loop.now())) {
             List<AgentCommand> stops = cancellationEnforcer.stopCommands(heartbeat);
-            exchange.respond(HttpStatus.OK, responses.encode(clusterState.fencingToken(), stops));
+            exchange.respond(HttpStatus.OK, responseEncoder.encode(clusterState.fencingToken(), stops));
         } else {
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
         }
@@ -100,9 +100,9 @@
 
     private void respond(HttpExchange exchange, HeartbeatResponse response) {
         if (response instanceof HeartbeatResponse.Accepted accepted) {
-            exchange.respond(HttpStatus.OK, responses.encode(accepted.fencingToken(), accepted.commands()));
+            exchange.respond(HttpStatus.OK, responseEncoder.encode(accepted.fencingToken(), accepted.commands()));
             if (accepted.changed()) {
-                requestCycle.run();
+                triggerSchedulingCycle.run();
             }
         } else if (response instanceof HeartbeatResponse.Redirect redirect) {
             exchange.respond(HttpStatus.MISDIRECTED, AgentCommand.encodeRedirect(redirect.controller()));
--- a/src/main/java/org/gullway/agent/LeaseRenewalGate.java
+++ b/src/main/java/org/gullway/agent/LeaseRenewalGate.java
@@ -32,7 +32,7 @@
     }
 
     /** Whether no heartbeat can be accepted now, whatever it contains. */
-    boolean isClosed(boolean holdsValidLease, Instant now) {
+    boolean rejectsAllHeartbeats(boolean holdsValidLease, Instant now) {
         Instant knownThrough = cancellationWatermark.knownThrough(replicatedState.knownThrough());
         return !leaseRenewal.mayRenew(knownThrough, now) || (!holdsValidLease && !heldLeaseBefore);
     }
--- a/src/main/java/org/gullway/agent/StartGate.java
+++ b/src/main/java/org/gullway/agent/StartGate.java
@@ -26,7 +26,7 @@
     }
 
     /** The same batch with only those starts that are allowed now. */
-    CommandBatch authorized(CommandBatch batch) {
+    CommandBatch withoutDeniedStarts(CommandBatch batch) {
         if (!batch.hasStarts()) {
             return batch;
         }
--- a/src/main/java/org/gullway/api/CancellationHandler.java
+++ b/src/main/java/org/gullway/api/CancellationHandler.java
@@ -62,7 +62,7 @@
 
     private void enqueue(String id, UserRequest request, long readRevision) {
         pending.add(id, request, () -> new Cancellation(id, readRevision));
-        context.requestCycle().run();
+        context.triggerSchedulingCycle().run();
     }
 
     /** Adds the pending cancellations to the transaction, as far as it has capacity. */
--- a/src/main/java/org/gullway/api/FinalStateCache.java
+++ b/src/main/java/org/gullway/api/FinalStateCache.java
@@ -36,7 +36,7 @@
         return job != null && job.isCancelled() ? Optional.of(job.status()) : Optional.empty();
     }
 
-    void remember(JobStatus status) {
+    void put(JobStatus status) {
         ended.put(status.id(), status);
     }
 }
--- a/src/main/java/org/gullway/api/JobReader.java
+++ b/src/main/java/org/gullway/api/JobReader.java
@@ -95,7 +95,7 @@
             return;
         }
         JobStatus status = new JobStatus(read.id(), finalState.state(), finalState.done(), 0);
-        finalStates.remember(status);
+        finalStates.put(status);
         read.onResult().accept(found(read, status, outcome.revision()));
     }
 
--- a/src/main/java/org/gullway/api/LinearizableResponses.java
+++ b/src/main/java/org/gullway/api/LinearizableResponses.java
@@ -52,7 +52,7 @@
 
     /** Responds to status queries for one job: 200 with the whole status, or 404. */
     void respondToQueries(List<UserRequest> requests, JobLookupResult result) {
-        JobLookupResult newest = newest(result);
+        JobLookupResult newest = preferFinalState(result);
         respond(requests, newest, newest instanceof Found found ? Response.withTaskCounts(found) : NOT_FOUND);
     }
 
@@ -66,14 +66,14 @@
 
     /** Responds to a cancellation: 200 with the final state, or 404. */
     void respondToCancellation(UserRequest request, JobLookupResult result) {
-        JobLookupResult newest = newest(result);
+        JobLookupResult newest = preferFinalState(result);
         Response response = newest instanceof Found found ? Response.withState(HttpStatus.OK, found) : NOT_FOUND;
         respond(List.of(request), newest, response);
     }
 
     /** Responds to a submission of a job that can never run: 422, unless it was accepted earlier. */
     void respondInfeasible(UserRequest request, JobLookupResult result, String reason) {
-        JobLookupResult newest = newest(result);
+        JobLookupResult newest = preferFinalState(result);
         Response response = newest instanceof Found found
                 ? Response.withTaskCounts(found)
                 : new Response(HttpStatus.UNPROCESSABLE, UserResponses.encodeError(reason));
@@ -82,7 +82,7 @@
 
     private void respond(List<UserRequest> requests, JobLookupResult result, Response response) {
         for (UserRequest request : requests) {
-            if (result.freshness().covers(request.arrivedAt())) {
+            if (result.freshness().isFreshFor(request.arrivedAt())) {
                 request.exchange().respond(response.status(), response.body());
             } else {
                 onViolation.accept(describe(result, request));
@@ -100,7 +100,7 @@
     }
 
     /** A final state that has become known in the time since replaces any other result. */
-    private JobLookupResult newest(JobLookupResult result) {
+    private JobLookupResult preferFinalState(JobLookupResult result) {
         if (result.isFinal()) {
             return result;
         }
@@ -118,12 +118,12 @@
         String state = result instanceof Found found ? found.status().state().wire() : "not_found";
         String age = freshness.source() == ReadFreshness.Source.FINAL_STATE
                 ? ""
-                : " revision=" + freshness.revision() + " state_age_ms=" + millis(freshness.validFrom(), now);
+                : " revision=" + freshness.revision() + " state_age_ms=" + millisBetween(freshness.validFrom(), now);
         return "job=" + result.id() + " state=" + state + " source=" + freshness.source() + age + " request_age_ms="
-                + millis(request.arrivedAt(), now);
+                + millisBetween(request.arrivedAt(), now);
     }
 
-    private static long millis(Instant from, Instant to) {
+    private static long millisBetween(Instant from, Instant to) {
         return Duration.between(from, to).toMillis();
     }
 }
--- a/src/main/java/org/gullway/api/ReadFreshness.java
+++ b/src/main/java/org/gullway/api/ReadFreshness.java
@@ -27,7 +27,7 @@
     }
 
     /** Whether the state is no older than a request that arrived at this moment. */
-    boolean covers(Instant arrivedAt) {
+    boolean isFreshFor(Instant arrivedAt) {
         return source == Source.FINAL_STATE || !validFrom.isBefore(arrivedAt);
     }
 }
--- a/src/main/java/org/gullway/api/RequestContext.java
+++ b/src/main/java/org/gullway/api/RequestContext.java
@@ -7,7 +7,7 @@
 /**
  * What the handlers of all kinds of requests depend on.
  *
- * @param requestCycle asks for a scheduling cycle, which records what users have asked for
+ * @param triggerSchedulingCycle asks for a scheduling cycle, which records what users have asked for
  */
 record RequestContext(
         EventLoop loop,
@@ -16,4 +16,4 @@
         FinalStateCache finalStates,
         LinearizableResponses responses,
         RequestMetrics metrics,
-        Runnable requestCycle) {}
+        Runnable triggerSchedulingCycle) {}
--- a/src/main/java/org/gullway/api/StatusQueryHandler.java
+++ b/src/main/java/org/gullway/api/StatusQueryHandler.java
@@ -43,11 +43,11 @@
         if (finalState.isPresent()) {
             context.metrics().statusQueriesAnswered(1);
             respondFinal(request, finalState.get());
-        } else if (!replicatedState.isFresh() || (queue.joinable(id).isEmpty() && verifier.isOverloaded(TIMEOUT))) {
+        } else if (!replicatedState.isFresh() || (queue.findJoinable(id).isEmpty() && verifier.isOverloaded(TIMEOUT))) {
             context.metrics().statusQueriesRejected(1);
             UserResponses.rejectTemporarily(request);
         } else {
-            queue.joinable(id).orElseGet(() -> enqueueJoinable(id)).add(request);
+            queue.findJoinable(id).orElseGet(() -> enqueueJoinable(id)).add(request);
             verifier.scheduleCheck();
         }
     }
@@ -71,7 +71,7 @@
 
     private StatusQuery enqueueJoinable(String id) {
         StatusQuery query = enqueue(id, Origin.STATUS_REQUEST);
-        queue.open(query);
+        queue.allowJoining(query);
         return query;
     }
 
@@ -79,7 +79,7 @@
         StatusQuery query = new StatusQuery(id, origin, verifier.keyCount(id), context.responses(), context.metrics());
         queue.addLast(query);
         query.cancelOnCompletion(context.loop().after(TIMEOUT, () -> {
-            queue.close(query);
+            queue.disallowJoining(query);
             query.reject();
         }));
         return query;
--- a/src/main/java/org/gullway/api/StatusQueryQueue.java
+++ b/src/main/java/org/gullway/api/StatusQueryQueue.java
@@ -11,7 +11,7 @@
     private final Deque<StatusQuery> repeatedSubmissions = new ArrayDeque<>();
     private final Deque<StatusQuery> statusRequests = new ArrayDeque<>();
     /** Queries that have never been in a check, so that a further request for the job may join them. */
-    private final Map<String, StatusQuery> joinable = new HashMap<>();
+    private final Map<String, StatusQuery> joinableByJob = new HashMap<>();
 
     private int keyCount;
 
@@ -45,21 +45,21 @@
             return Optional.empty();
         }
         keyCount -= query.keyCount();
-        close(query);
+        disallowJoining(query);
         return Optional.of(query);
     }
 
     /** The query that a further request for the job may join. */
-    Optional<StatusQuery> joinable(String id) {
-        return Optional.ofNullable(joinable.get(id));
+    Optional<StatusQuery> findJoinable(String id) {
+        return Optional.ofNullable(joinableByJob.get(id));
     }
 
-    void open(StatusQuery query) {
-        joinable.put(query.id(), query);
+    void allowJoining(StatusQuery query) {
+        joinableByJob.put(query.id(), query);
     }
 
-    void close(StatusQuery query) {
-        joinable.remove(query.id(), query);
+    void disallowJoining(StatusQuery query) {
+        joinableByJob.remove(query.id(), query);
     }
 
     private Deque<StatusQuery> queueOf(StatusQuery query) {
--- a/src/main/java/org/gullway/api/StatusVerifier.java
+++ b/src/main/java/org/gullway/api/StatusVerifier.java
@@ -46,14 +46,14 @@
     private boolean checkScheduled;
 
     /** A query with what the cluster state contains of its job. */
-    private record Candidate(StatusQuery query, Optional<JobStatus> status) {
-        JobLookupResult confirmed(ReadFreshness freshness) {
+    private record BatchedQuery(StatusQuery query, Optional<JobStatus> status) {
+        JobLookupResult toResult(ReadFreshness freshness) {
             return status.isPresent() ? new Found(status.get(), freshness) : new NotFound(query.id(), freshness);
         }
     }
 
     /** The queries of one check, and the keys whose versions it compares. */
-    private record Batch(List<Candidate> candidates, Set<String> keys) {}
+    private record Batch(List<BatchedQuery> queries, Set<String> keys) {}
 
     /** @param conditionsPerTransaction how many key versions one request to the state store may compare */
     StatusVerifier(RequestContext context, JobLookup jobLookup, StatusQueryQueue queue, int conditionsPerTransaction) {
@@ -92,12 +92,12 @@
                 storeBusyUntil.isAfter(loop.now()) ? Duration.between(loop.now(), storeBusyUntil) : Duration.ZERO;
         loop.after(batchingDelay.compareTo(busyDelay) > 0 ? batchingDelay : busyDelay, () -> {
             checkScheduled = false;
-            check();
+            sendCheck();
             scheduleCheck();
         });
     }
 
-    private void check() {
+    private void sendCheck() {
         Batch batch = nextBatch();
         if (batch.keys().isEmpty()) {
             return;
@@ -109,8 +109,8 @@
             switch (read.kind()) {
                 case COMPARED -> complete(batch, read, sentAt);
                 case BUSY -> retryLater(batch);
-                case FAILED -> batch.candidates()
-                        .forEach(candidate -> candidate.query().reject());
+                case FAILED -> batch.queries()
+                        .forEach(batched -> batched.query().reject());
             }
             scheduleCheck();
         });
@@ -138,7 +138,7 @@
             return;
         }
         Optional<JobStatus> status = Optional.ofNullable(clusterState.job(id)).map(JobRecord::status);
-        batch.candidates().add(new Candidate(query, status));
+        batch.queries().add(new BatchedQuery(query, status));
         batch.keys().add(StoreKeys.job(id));
         if (status.isEmpty()) {
             batch.keys().add(StoreKeys.finalState(id));
@@ -147,17 +147,17 @@
 
     private void complete(Batch batch, LinearizableRead read, Instant sentAt) {
         ReadFreshness freshness = new ReadFreshness(ReadFreshness.Source.VERSION_CHECK, read.revision(), sentAt);
-        for (Candidate candidate : batch.candidates()) {
-            complete(candidate, freshness, read.staleKeys());
+        for (BatchedQuery batched : batch.queries()) {
+            complete(batched, freshness, read.staleKeys());
         }
     }
 
-    private void complete(Candidate candidate, ReadFreshness freshness, Set<String> staleKeys) {
-        StatusQuery query = candidate.query();
+    private void complete(BatchedQuery batched, ReadFreshness freshness, Set<String> staleKeys) {
+        StatusQuery query = batched.query();
         String id = query.id();
         boolean ended = staleKeys.contains(StoreKeys.finalState(id));
         if (!ended && !staleKeys.contains(StoreKeys.job(id))) {
-            query.answer(candidate.confirmed(freshness));
+            query.answer(batched.toResult(freshness));
         } else if (ended) {
             jobLookup.lookUpEnded(id, query::answer, query::reject);
         } else if (query.countStaleCheck() >= MAX_STALE_CHECKS) {
@@ -170,9 +170,9 @@
     /** The state store was busy: checks the batch again, before all others, while its users still wait. */
     private void retryLater(Batch batch) {
         storeBusyUntil = loop.now().plus(BUSY_RETRY_DELAY);
-        List<Candidate> candidates = batch.candidates();
-        for (int i = candidates.size() - 1; i >= 0; i--) {
-            queue.addFirst(candidates.get(i).query());
+        List<BatchedQuery> queries = batch.queries();
+        for (int i = queries.size() - 1; i >= 0; i--) {
+            queue.addFirst(queries.get(i).query());
         }
     }
 }
--- a/src/main/java/org/gullway/api/SubmissionHandler.java
+++ b/src/main/java/org/gullway/api/SubmissionHandler.java
@@ -68,7 +68,7 @@
             UserResponses.rejectOverloaded(request, OVERLOADED_RETRY_AFTER);
         } else {
             pending.add(id, request, () -> admission.withKnownMachineTypes(job));
-            context.requestCycle().run();
+            context.triggerSchedulingCycle().run();
         }
     }
 
@@ -109,10 +109,10 @@
         if (requests.isEmpty()) {
             return;
         }
-        boolean newest = clusterState.version(StoreKeys.job(id)) == freshness.revision();
+        boolean isLatestVersion = clusterState.version(StoreKeys.job(id)) == freshness.revision();
         Found committed = new Found(job.status(), freshness);
         for (UserRequest request : requests) {
-            if (newest && freshness.covers(request.arrivedAt())) {
+            if (isLatestVersion && freshness.isFreshFor(request.arrivedAt())) {
                 respondAccepted(job, request, committed);
             } else {
                 statusQueries.respondToRepeatedSubmission(id, request);
--- a/src/main/java/org/gullway/api/UserApi.java
+++ b/src/main/java/org/gullway/api/UserApi.java
@@ -32,7 +32,7 @@
      * @param admission decides which jobs are accepted, and who owns them
      * @param conditionsPerTransaction how many key versions one request to the state store may compare
      * @param onViolation receives a description of each response that was withheld since its state was too old
-     * @param requestCycle asks for a scheduling cycle
+     * @param triggerSchedulingCycle asks for a scheduling cycle
      */
     public UserApi(
             EventLoop loop,
@@ -43,7 +43,7 @@
             int conditionsPerTransaction,
             CancellationEnforcer cancellationEnforcer,
             Consumer<String> onViolation,
-            Runnable requestCycle) {
+            Runnable triggerSchedulingCycle) {
         this.loop = loop;
         this.finalStates = new FinalStateCache(clusterState);
         RequestContext context = new RequestContext(
@@ -53,7 +53,7 @@
                 finalStates,
                 new LinearizableResponses(loop, finalStates::find, onViolation),
                 metrics,
-                requestCycle);
+                triggerSchedulingCycle);
         // Submissions and cancellations have a rate limit of their own, so that queries cannot delay them.
         JobLookup queryLookup = newJobLookup(context, replicatedState.queryReadLimit(), cancellationEnforcer);
         JobLookup requestLookup = newJobLookup(context, replicatedState.requestReadLimit(), cancellationEnforcer);
@@ -75,20 +75,20 @@
 
     /** Responds to a submission, at once or when the job is on record. */
     public void submit(HttpExchange exchange) {
-        submissions.submit(arrived(exchange));
+        submissions.submit(withArrivalTime(exchange));
     }
 
     /** Responds to a cancellation, at once or when it is on record. */
     public void cancel(String id, HttpExchange exchange) {
-        cancellations.cancel(id, arrived(exchange));
+        cancellations.cancel(id, withArrivalTime(exchange));
     }
 
     /** Responds to a status query, at once or when the state is confirmed. */
     public void queryStatus(String id, HttpExchange exchange) {
-        statusQueries.query(id, arrived(exchange));
+        statusQueries.query(id, withArrivalTime(exchange));
     }
 
-    private UserRequest arrived(HttpExchange exchange) {
+    private UserRequest withArrivalTime(HttpExchange exchange) {
         return new UserRequest(exchange, loop.now());
     }
 
@@ -109,7 +109,7 @@
         transaction.changes().forEach((key, value) -> {
             if (value instanceof FinalState finalState) {
                 String id = key.substring(StoreKeys.finalState("").length());
-                finalStates.remember(new JobStatus(id, finalState.state(), finalState.done(), 0));
+                finalStates.put(new JobStatus(id, finalState.state(), finalState.done(), 0));
             } else if (key.startsWith(StoreKeys.JOBS) && value instanceof JobRecord job) {
                 submissions.onCommitted(job, freshness);
             }
--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -28,13 +28,13 @@
     private final PeerMessageTargets targets;
     private final StoreOutageMonitor outageMonitor;
     private final CancellationExchange cancellationExchange;
-    private final Runnable schedule;
-    private Instant polledAt = Instant.MIN;
+    private final Runnable triggerSchedulingCycle;
+    private Instant lastPolledAt = Instant.MIN;
 
     /**
      * @param targets the components that act on messages
      * @param storeKnownThrough when the last request that the state store has answered was sent
-     * @param schedule requests a scheduling cycle, after every message that may give it something to do
+     * @param triggerSchedulingCycle requests a scheduling cycle, after every message that may give it something to do
      */
     public PeerExchange(
             EventLoop loop,
@@ -43,13 +43,13 @@
             List<Settings.Peer> peers,
             PeerMessageTargets targets,
             Supplier<Instant> storeKnownThrough,
-            Runnable schedule) {
+            Runnable triggerSchedulingCycle) {
         this.loop = loop;
         this.client = new PeerClient(httpClient, peers);
         this.targets = targets;
         this.outageMonitor = new StoreOutageMonitor(loop, client, storeKnownThrough);
         this.cancellationExchange = new CancellationExchange(loop, client, self, targets);
-        this.schedule = schedule;
+        this.triggerSchedulingCycle = triggerSchedulingCycle;
     }
 
     /** The names of all other controllers. */
@@ -78,25 +78,25 @@
         switch (exchange.path()) {
             case PeerPaths.OFFERS -> {
                 targets.bestEffortQueue().onOffers(ResourceOffer.decode(exchange.body()), loop.now());
-                acknowledge(exchange);
+                acknowledgeAndTriggerCycle(exchange);
             }
             case PeerPaths.COMPLETIONS -> {
                 targets.agentReconciler().onCompletions(AttemptCompletion.decode(exchange.body()), loop.now());
-                acknowledge(exchange);
+                acknowledgeAndTriggerCycle(exchange);
             }
             case PeerPaths.CANCELLATIONS -> cancellationExchange.respond(exchange);
             default -> exchange.respond(HttpStatus.NOT_FOUND);
         }
     }
 
-    private void acknowledge(HttpExchange exchange) {
+    private void acknowledgeAndTriggerCycle(HttpExchange exchange) {
         exchange.respond(HttpStatus.OK);
-        schedule.run();
+        triggerSchedulingCycle.run();
     }
 
     /** Whether all other controllers have said lately that the state store does not respond to them either. */
     public boolean isStoreOutageConfirmedByAllPeers() {
-        return outageMonitor.isSharedByAllPeers();
+        return outageMonitor.isConfirmedByAllPeers();
     }
 
     /** Offers free resources to a peer. */
@@ -105,8 +105,8 @@
     }
 
     /** Reports attempt completions to the writer of their jobs' records. */
-    public void sendCompletions(String node, List<AttemptCompletion> completions) {
-        client.sendCompletions(node, completions);
+    public void sendCompletions(String peer, List<AttemptCompletion> completions) {
+        client.sendCompletions(peer, completions);
     }
 
     /**
@@ -114,10 +114,10 @@
      * they know. To be called while it does not respond to this one.
      */
     public void pollPeersDuringOutage(Instant now) {
-        if (polledAt.plus(OUTAGE_POLL_INTERVAL).isAfter(now)) {
+        if (lastPolledAt.plus(OUTAGE_POLL_INTERVAL).isAfter(now)) {
             return;
         }
-        polledAt = now;
+        lastPolledAt = now;
         outageMonitor.poll();
         cancellationExchange.poll(now);
     }
--- a/src/main/java/org/gullway/peer/StoreOutageMonitor.java
+++ b/src/main/java/org/gullway/peer/StoreOutageMonitor.java
@@ -48,7 +48,7 @@
         }
     }
 
-    boolean isSharedByAllPeers() {
+    boolean isConfirmedByAllPeers() {
         return outageDetector.isReportedByAllPeers(loop.now());
     }
 }
