--- a/src/main/java/org/gullway/api/CancellationHandler.java
+++ b/src/main/java/org/gullway/api/CancellationHandler.java
@@ -10,9 +10,15 @@
 import org.gullway.protocol.JobStatus;
 import org.gullway.storage.ReplicatedState;
 
-/** Cancellations by users, from their arrival until they are on record and have been answered. */
+/**
+ * Handles cancellation requests from users. Each request is answered only after the cancellation has been committed to
+ * the state store.
+ */
 final class CancellationHandler {
-    /** A cancelled job without live attempts ends at once, which changes two keys. */
+    /**
+     * Keys that one cancellation can change. A cancelled job without live attempts ends at once, which changes two
+     * keys: its live record and its final state.
+     */
     private static final int MAX_CHANGES_PER_JOB = 2;
 
     private final RequestContext context;
@@ -22,9 +28,10 @@
     private final PendingRequests<Cancellation> pending;
 
     /**
-     * A cancellation that is to be recorded.
+     * A cancellation that the next transaction has to commit.
      *
-     * @param readRevision revision at which the job was read by key; 0 if it was in the cluster state
+     * @param readRevision revision at which the job was read from the state store by key; 0 if the job was found in the
+     *     cluster state instead
      */
     private record Cancellation(String job, long readRevision) {}
 
@@ -36,7 +43,10 @@
         this.pending = new PendingRequests<>(context.loop());
     }
 
-    /** Cancels the job and responds when that is on record, or at once if it has ended or does not exist. */
+    /**
+     * Cancels the job. Responds after the cancellation has been committed, or without a commit if the job has ended or
+     * does not exist, or if the request is rejected.
+     */
     void cancel(String id, UserRequest request) {
         if (!JobRequest.isValidId(id)) {
             UserResponses.rejectInvalidId(request);
@@ -65,7 +75,7 @@
         context.triggerSchedulingCycle().run();
     }
 
-    /** Adds the pending cancellations to the transaction, as far as it has capacity. */
+    /** Adds as many pending cancellations to the transaction as it has capacity for. */
     void plan(Transaction transaction) {
         for (Cancellation cancellation : pending.changes()) {
             JobRecord job = transaction.job(cancellation.job());
@@ -75,7 +85,10 @@
         }
     }
 
-    /** Responds to all pending requests that the cluster state answers by now, and rejects those that timed out. */
+    /**
+     * Responds to the pending cancellations whose outcome the cluster state now shows. Rejects those that have timed
+     * out, and all others if this controller no longer holds a valid lease.
+     */
     void completePending() {
         pending.complete(replicatedState.holdsValidLease(), this::completion);
     }
@@ -87,8 +100,9 @@
             JobLookupResult result = Found.ofFinalState(finalState.get());
             return Optional.of(request -> context.responses().respondToCancellation(request, result));
         }
-        // A job that was read by key may not have reached the cluster state yet: absence counts only from that revision
-        // on, or each cycle would read it again at the expense of submissions.
+        // If the job was read by key, the watch may not have delivered it to the cluster state yet. The job counts as
+        // absent only once the cluster state has reached the revision of that read; otherwise each scheduling cycle
+        // would read the job again and use up the read rate limit that cancellations share with submissions.
         if (clusterState.job(id) == null && clusterState.watchedRevision() >= cancellation.readRevision()) {
             return Optional.of(request -> cancel(id, request));
         }
--- a/src/main/java/org/gullway/api/FinalStateCache.java
+++ b/src/main/java/org/gullway/api/FinalStateCache.java
@@ -8,8 +8,9 @@
 import org.gullway.protocol.JobStatus;
 
 /**
- * Final states of jobs: of the most recently used ones that have ended, and of those that are cancelled in the cluster
- * state. They never change, so a response may contain them without asking the state store.
+ * Finds final states of jobs in memory: an LRU cache holds those of ended jobs, and the cluster state holds those of
+ * cancelled jobs that have not ended yet. Final states never change, so a response can contain one without a read of
+ * the state store.
  */
 final class FinalStateCache {
     private static final int MAX_ENTRIES = 10_000;
@@ -26,7 +27,7 @@
         this.clusterState = clusterState;
     }
 
-    /** The final state of the job, if it is known to have one. */
+    /** Returns the final state of the job, or empty if no final state is known in memory. */
     Optional<JobStatus> find(String id) {
         JobStatus status = ended.get(id);
         if (status != null) {
--- a/src/main/java/org/gullway/api/JobAdmission.java
+++ b/src/main/java/org/gullway/api/JobAdmission.java
@@ -9,39 +9,48 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.MachineType;
 
-/** Decides which submitted jobs are accepted, and makes the first record of those that are. */
+/** Decides which submitted jobs are accepted, and creates the initial records of accepted jobs. */
 public final class JobAdmission {
     private final MachineTypeCatalog machineTypes;
     private final JobFeasibility feasibility;
     private final RandomGenerator random;
 
-    /** Decides by the machine types and the quotas known; draws the owner of a best-effort job at random. */
+    /**
+     * @param machineTypes the machine types of the cloud provider, empty until they have been fetched
+     * @param feasibility decides from machine types and quotas whether a job could ever run
+     * @param random selects the owners of best-effort jobs
+     */
     public JobAdmission(MachineTypeCatalog machineTypes, JobFeasibility feasibility, RandomGenerator random) {
         this.machineTypes = machineTypes;
         this.feasibility = feasibility;
         this.random = random;
     }
 
-    /** Whether the machine types are known, without which nothing can be decided. */
+    /** Returns whether the machine types are known; until then no job can be accepted or rejected as infeasible. */
     boolean isReady() {
         return !machineTypes.isEmpty();
     }
 
-    /** Whether the job could ever run. */
+    /** Returns whether the job could ever run with the existing machine types and quotas. */
     boolean isFeasible(JobRequest request) {
         return feasibility.isFeasible(request);
     }
 
     /**
-     * The first record of a job. A best-effort job gets an owner at random; a reserved one belongs to whichever
-     * controller is the leader.
+     * Creates the initial record of a job. The owner of a best-effort job is one of the members, selected at random.
+     * The record of a reserved job has no owner, because the current leader always schedules it.
+     *
+     * @param members names of the controllers that are members of the cluster
      */
     JobRecord newRecord(JobRequest request, List<String> members, Instant timeOfDay) {
         String owner = JobRecord.isReserved(request) ? null : members.get(random.nextInt(members.size()));
         return JobRecord.accepted(request, owner, timeOfDay);
     }
 
-    /** The request with only those allowed machine types that exist, so that its record stays small. */
+    /**
+     * Removes unknown machine types from the list of machine types that the request allows, so that the job's record
+     * stays small.
+     */
     JobRequest withKnownMachineTypes(JobRequest request) {
         if (request.machineTypes() == null) {
             return request;
--- a/src/main/java/org/gullway/api/JobLookup.java
+++ b/src/main/java/org/gullway/api/JobLookup.java
@@ -13,8 +13,9 @@
 import org.gullway.transport.TokenBucket;
 
 /**
- * Looks up the states of jobs in the state store, where the cluster state does not contain them. Lookups of the same job
- * share a read, and all reads together keep to a rate limit: a lookup that would wait too long for it fails at once.
+ * Looks up the states of jobs in the state store when the cluster state does not contain them. Lookups of the same job
+ * share one read. All reads are subject to a rate limit; a lookup that would have to wait for longer than
+ * {@link #MAX_RATE_LIMIT_DELAY} fails at once.
  */
 final class JobLookup {
     private static final Duration MAX_RATE_LIMIT_DELAY = Duration.ofSeconds(1);
@@ -23,23 +24,23 @@
     private final TokenBucket rateLimit;
     private final FinalStateCache finalStates;
     private final JobReader reader;
-    /** Reads that have not been sent yet, in the order in which they will be. */
+    /** Reads that have not been sent yet, by job and in the order in which they will be sent. */
     private final Map<String, SharedRead> queued = new LinkedHashMap<>();
 
     private final Map<String, SharedRead> sent = new HashMap<>();
     private boolean sendScheduled;
 
-    /** Where the outcome of a lookup goes. */
+    /** The callbacks of one lookup. */
     private record Caller(Consumer<JobLookupResult> onResult, Runnable onFailure) {}
 
-    /** One read of a job's state, with all callers that wait for it. */
+    /** One read of a job's state, shared by all callers that wait for its result. */
     private static final class SharedRead {
         private final String id;
-        /** Whether the job is known to have ended, so that it has no live record. */
+        /** Whether the job is known to have ended. If so, only its final state is read, as it has no live record. */
         private boolean knownEnded;
 
         private final List<Caller> callers = new ArrayList<>();
-        /** Called after the read was sent: its result may be too old for them unless it is final. */
+        /** Callers that arrived after the read was sent. A result that is not final may be too old for them. */
         private final List<Caller> lateCallers = new ArrayList<>();
 
         SharedRead(String id, boolean knownEnded) {
@@ -47,13 +48,16 @@
             this.knownEnded = knownEnded;
         }
 
-        /** At most, since a live record saves the read of the final state. */
+        /**
+         * Returns the maximum number of requests to the state store for this read. The final state is read only if
+         * there is no live record.
+         */
         int storeRequests() {
             return knownEnded ? 1 : 2;
         }
     }
 
-    /** @param rateLimit limits the requests to the state store; the reader consumes its tokens */
+    /** @param rateLimit limits the requests to the state store; the reader consumes one token for each request */
     JobLookup(EventLoop loop, TokenBucket rateLimit, FinalStateCache finalStates, JobReader reader) {
         this.loop = loop;
         this.rateLimit = rateLimit;
@@ -64,8 +68,8 @@
     /**
      * Looks up a job that may be live, ended or unknown.
      *
-     * @param onResult receives the result, perhaps at once
-     * @param onFailure is run if the state cannot be read now, perhaps at once
+     * @param onResult receives the result, possibly before this method returns
+     * @param onFailure runs if the state cannot be read now, possibly before this method returns
      */
     void lookUp(String id, Consumer<JobLookupResult> onResult, Runnable onFailure) {
         lookUp(id, false, new Caller(onResult, onFailure));
@@ -100,7 +104,7 @@
         return queued.values().stream().mapToInt(SharedRead::storeRequests).sum();
     }
 
-    /** A little later, so that lookups of the same job at the same time share a read. */
+    /** Sends queued reads after a short delay, so that lookups of the same job that arrive together share one read. */
     private void scheduleSend() {
         if (!queued.isEmpty() && !sendScheduled) {
             sendScheduled = true;
--- a/src/main/java/org/gullway/api/JobLookupResult.java
+++ b/src/main/java/org/gullway/api/JobLookupResult.java
@@ -2,13 +2,13 @@
 
 import org.gullway.protocol.JobStatus;
 
-/** What is known of a job, with the freshness that allows a response with it. */
+/** The result of a lookup: the job's status or its absence, and how fresh this information is. */
 sealed interface JobLookupResult {
     String id();
 
     ReadFreshness freshness();
 
-    /** Whether this never changes again. */
+    /** Returns whether the job has reached a final state, so that this result never changes again. */
     boolean isFinal();
 
     /** The job was accepted and has this status. */
@@ -28,7 +28,7 @@
         }
     }
 
-    /** There is no such job; it may still be submitted. */
+    /** There is no job with this id. A later submission may create it, so this result is never final. */
     record NotFound(String id, ReadFreshness freshness) implements JobLookupResult {
         @Override
         public boolean isFinal() {
--- a/src/main/java/org/gullway/api/JobReader.java
+++ b/src/main/java/org/gullway/api/JobReader.java
@@ -20,8 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads one job's state from the state store by key: its live record, and if there is none its final state. A job only
- * ever moves from the former to the latter, so that absence of both, read in this order, proves that there is no job.
+ * Reads the state of one job from the state store by key: first its live record and, if there is none, its final state.
+ * When a job ends, its final state replaces its live record, and never the other way round. If both reads, in this
+ * order, find nothing, the job does not exist.
  */
 final class JobReader {
     private static final Logger LOG = LoggerFactory.getLogger(JobReader.class);
@@ -32,10 +33,14 @@
     private final FinalStateCache finalStates;
     private final CancellationEnforcer cancellationEnforcer;
 
-    /** A read in progress; the first of its requests was sent at {@code sentAt}. */
+    /**
+     * A read in progress.
+     *
+     * @param sentAt when the first request of this read was sent to the state store
+     */
     private record Read(String id, Instant sentAt, Consumer<JobLookupResult> onResult, Runnable onFailure) {}
 
-    /** @param rateLimit each request consumes one of its tokens, whether there is one or not */
+    /** @param rateLimit each request consumes one token, even if none is available */
     JobReader(
             EventLoop loop,
             StateStoreClient store,
@@ -99,11 +104,15 @@
         read.onResult().accept(found(read, status, outcome.revision()));
     }
 
-    /** A record that cannot be decoded still proves that the job was accepted, and its users need a response. */
+    /**
+     * Returns the status in a live record. A record that cannot be decoded still proves that the job was accepted, and
+     * its user needs a response, so its status is derived from the presence of the {@code cancelled} field alone.
+     */
     private JobStatus statusOfRecord(String id, JsonNode value) {
         try {
             JobRecord job = (JobRecord) RecordCodec.decode(StoreKeys.job(id), value);
-            // Its user gets a response about the cancellation before the watch has delivered it here.
+            // The response tells the user of a cancellation before the watch delivers it to this controller, so the
+            // cancellation enforcer has to know it now.
             cancellationEnforcer.merge(job, loop.now());
             return job.status();
         } catch (MalformedMessageException e) {
--- a/src/main/java/org/gullway/api/LinearizableResponses.java
+++ b/src/main/java/org/gullway/api/LinearizableResponses.java
@@ -15,9 +15,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The only place that responds to users with the state of a job, or with its absence. The state must be final or known
- * to hold no earlier than the request's arrival, so that no user gets an older state than another has got before. A
- * request for which that is not so is rejected temporarily, and reported as a violated invariant.
+ * Sends all responses that tell a user the state of a job, or that there is no such job. To keep responses
+ * linearizable, the state must be final or must be known to hold at or after the arrival of the request: otherwise a
+ * user could get an older state than another user got before. A request for which the state is too old is rejected
+ * temporarily, and the violated invariant is reported.
  */
 final class LinearizableResponses {
     private static final Logger LOG = LoggerFactory.getLogger(LinearizableResponses.class);
@@ -27,7 +28,7 @@
     private final Function<String, Optional<JobStatus>> finalStates;
     private final Consumer<String> onViolation;
 
-    // Bodies are passed on and never compared.
+    // Responses are never compared, so the identity-based equality of the array does not matter.
     @SuppressWarnings("ArrayRecordComponent")
     private record Response(int status, byte[] body) {
         static Response withState(int status, Found result) {
@@ -40,8 +41,8 @@
     }
 
     /**
-     * @param finalStates the final state of a job, if it is known to have one
-     * @param onViolation receives a description of each response that was withheld since its state was too old
+     * @param finalStates returns the final state of a job, or empty if none is known in memory
+     * @param onViolation receives a description of each response that was withheld because its state was too old
      */
     LinearizableResponses(
             EventLoop loop, Function<String, Optional<JobStatus>> finalStates, Consumer<String> onViolation) {
@@ -50,13 +51,18 @@
         this.onViolation = onViolation;
     }
 
-    /** Responds to status queries for one job: 200 with the whole status, or 404. */
+    /**
+     * Responds to status queries for one job: 200 with the state and the task counts, or 404 if there is no such job.
+     */
     void respondToQueries(List<UserRequest> requests, JobLookupResult result) {
         JobLookupResult newest = preferFinalState(result);
         respond(requests, newest, newest instanceof Found found ? Response.withTaskCounts(found) : NOT_FOUND);
     }
 
-    /** Responds to a submission whose job has just been recorded: 201 with the state that was committed. */
+    /**
+     * Responds to a submission whose job has just been committed: 201 with the committed state, or 200 with the final
+     * state if the job has reached one by now.
+     */
     void respondAccepted(UserRequest request, Found committed) {
         Found newest =
                 committed.isFinal() ? committed : finalStateOf(committed.id()).orElse(committed);
@@ -64,14 +70,14 @@
         respond(List.of(request), newest, Response.withState(status, newest));
     }
 
-    /** Responds to a cancellation: 200 with the final state, or 404. */
+    /** Responds to a cancellation: 200 with the final state, or 404 if there is no such job. */
     void respondToCancellation(UserRequest request, JobLookupResult result) {
         JobLookupResult newest = preferFinalState(result);
         Response response = newest instanceof Found found ? Response.withState(HttpStatus.OK, found) : NOT_FOUND;
         respond(List.of(request), newest, response);
     }
 
-    /** Responds to a submission of a job that can never run: 422, unless it was accepted earlier. */
+    /** Responds to a submission of a job that can never run: 422, or 200 with its status if it was accepted earlier. */
     void respondInfeasible(UserRequest request, JobLookupResult result, String reason) {
         JobLookupResult newest = preferFinalState(result);
         Response response = newest instanceof Found found
@@ -99,7 +105,7 @@
         }
     }
 
-    /** A final state that has become known in the time since replaces any other result. */
+    /** Returns the job's final state if it has become known since the lookup, and otherwise the result itself. */
     private JobLookupResult preferFinalState(JobLookupResult result) {
         if (result.isFinal()) {
             return result;
--- a/src/main/java/org/gullway/api/PendingRequests.java
+++ b/src/main/java/org/gullway/api/PendingRequests.java
@@ -14,13 +14,13 @@
 import org.gullway.transport.EventLoop;
 
 /**
- * Requests that wait until a transaction has recorded what they ask for, in the order of arrival. Those for the same job
- * wait together.
+ * Requests of users that wait until a transaction has committed the requested change, grouped by job and in the order
+ * of arrival.
  *
- * @param <T> what is to be recorded for one job
+ * @param <T> the change to be committed for one job
  */
 final class PendingRequests<T> {
-    /** Short enough that a rejected user still has time to try another controller. */
+    /** After this time a request is rejected; short enough that the user can still try another controller. */
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
     private static final int MAX_JOBS = 500;
@@ -28,7 +28,11 @@
     private final EventLoop loop;
     private final Map<String, Entry<T>> entries = new LinkedHashMap<>();
 
-    /** The requests for one job, and when the first of them arrived. */
+    /**
+     * The pending requests for one job.
+     *
+     * @param arrivedAt when the first of the requests arrived
+     */
     private record Entry<T>(T change, Instant arrivedAt, List<UserRequest> requests) {}
 
     PendingRequests(EventLoop loop) {
@@ -39,14 +43,18 @@
         return entries.size() >= MAX_JOBS;
     }
 
-    /** Adds a request; the first one for a job determines what is to be recorded. */
+    /**
+     * Adds a request.
+     *
+     * @param change supplies the change to be committed; called only for the first pending request for the job
+     */
     void add(String job, UserRequest request, Supplier<T> change) {
         entries.computeIfAbsent(job, id -> new Entry<>(change.get(), loop.now(), new ArrayList<>()))
                 .requests()
                 .add(request);
     }
 
-    /** What is to be recorded, in the order of arrival. */
+    /** Returns the changes to be committed, one for each job, in the order of arrival. */
     List<T> changes() {
         List<T> changes = new ArrayList<>(entries.size());
         for (Entry<T> entry : entries.values()) {
@@ -55,22 +63,23 @@
         return changes;
     }
 
-    /** The jobs for which requests wait, as a copy. */
+    /** Returns a copy of the ids of all jobs that have pending requests. */
     Collection<String> jobs() {
         return List.copyOf(entries.keySet());
     }
 
-    /** Removes and returns the requests for a job; none if none wait. */
+    /** Removes and returns the pending requests for a job; the list is empty if there are none. */
     List<UserRequest> remove(String job) {
         Entry<T> entry = entries.remove(job);
         return entry == null ? List.of() : entry.requests();
     }
 
     /**
-     * Completes the requests that can be completed, and rejects the others after their timeout.
+     * Completes the requests whose outcome is known. Rejects the others after their timeout, or at once if this
+     * controller holds no valid lease.
      *
-     * @param holdsValidLease whether this controller can still record anything; if not, nothing goes on waiting
-     * @param completion how to complete the requests for a job; empty while they have to wait
+     * @param holdsValidLease whether this controller holds a valid lease and can commit changes
+     * @param completion returns the action that completes each request for a job, or empty while they have to wait
      */
     void complete(boolean holdsValidLease, Function<T, Optional<Consumer<UserRequest>>> completion) {
         Instant now = loop.now();
--- a/src/main/java/org/gullway/api/ReadFreshness.java
+++ b/src/main/java/org/gullway/api/ReadFreshness.java
@@ -3,30 +3,33 @@
 import java.time.Instant;
 
 /**
- * How a job's state became known, and since when it is known to hold: what makes a response with it linearizable.
+ * Describes how a job's state became known and how recent it is. {@link LinearizableResponses} needs this to decide
+ * whether a response may contain the state.
  *
- * @param revision revision of the state store at which the state was read or written, 0 where that is not known
- * @param validFrom the state held at this moment or later: when the request that read or wrote it was sent
+ * @param source how the state became known
+ * @param revision revision of the state store at which the state was read or written; 0 for a final state from memory
+ * @param validFrom when the request to the state store that read or wrote the state was sent; the state was current at
+ *     some moment from then on
  */
 record ReadFreshness(Source source, long revision, Instant validFrom) {
-    /** How a state became known. */
+    /** How a job's state became known. */
     enum Source {
-        /** The job's final state is on record; it never changes again. */
+        /** The job's final state was found in memory or in the state store; it never changes again. */
         FINAL_STATE,
-        /** The state store confirmed that the key versions in the cluster state were the newest. */
+        /** The state store confirmed that the cluster state has the newest versions of the job's keys. */
         VERSION_CHECK,
-        /** The job's keys were read. */
+        /** The job's keys were read from the state store. */
         READ,
-        /** This controller committed the job's record. */
+        /** This controller committed the job's record to the state store. */
         COMMIT
     }
 
-    /** The freshness of a final state, which is on record for good. */
+    /** Returns the freshness of a final state from memory, which is fresh for every request. */
     static ReadFreshness ofFinalState() {
         return new ReadFreshness(Source.FINAL_STATE, 0, Instant.MIN);
     }
 
-    /** Whether the state is no older than a request that arrived at this moment. */
+    /** Returns whether a response to a request that arrived at this moment may contain the state. */
     boolean isFreshFor(Instant arrivedAt) {
         return source == Source.FINAL_STATE || !validFrom.isBefore(arrivedAt);
     }
--- a/src/main/java/org/gullway/api/RequestContext.java
+++ b/src/main/java/org/gullway/api/RequestContext.java
@@ -5,9 +5,9 @@
 import org.gullway.transport.EventLoop;
 
 /**
- * What the handlers of all kinds of requests depend on.
+ * The dependencies that the handlers of submissions, status queries and cancellations share.
  *
- * @param triggerSchedulingCycle asks for a scheduling cycle, which records what users have asked for
+ * @param triggerSchedulingCycle requests a scheduling cycle, which commits pending submissions and cancellations
  */
 record RequestContext(
         EventLoop loop,
--- a/src/main/java/org/gullway/api/RequestMetrics.java
+++ b/src/main/java/org/gullway/api/RequestMetrics.java
@@ -2,14 +2,18 @@
 
 import java.time.Duration;
 
-/** Receives what is counted of users' requests. */
+/** Counts the outcomes of requests from users. */
 public interface RequestMetrics {
-    /** A submission was accepted this long after its arrival. */
+    /**
+     * Counts an accepted submission.
+     *
+     * @param latency time from the arrival of the submission to its acceptance
+     */
     void submissionAccepted(Duration latency);
 
-    /** This many status queries were answered. */
+    /** Counts status queries that were answered. */
     void statusQueriesAnswered(int count);
 
-    /** This many status queries were rejected temporarily. */
+    /** Counts status queries that were rejected temporarily. */
     void statusQueriesRejected(int count);
 }
--- a/src/main/java/org/gullway/api/StatusQuery.java
+++ b/src/main/java/org/gullway/api/StatusQuery.java
@@ -3,12 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A query for the status of one job, with all requests that wait for the same response. */
+/** A query for the status of one job, shared by all requests that get the same response. */
 final class StatusQuery {
-    /** Why users ask, which determines the priority. */
+    /** The kind of request that caused the query. Queries of repeated submissions are answered before all others. */
     enum Origin {
+        /** A user asked for the status of the job. */
         STATUS_REQUEST,
-        /** The job is submitted once more; its user may not know yet that it was accepted. */
+        /** A user submitted a job that was accepted earlier. The user may not know yet that it was accepted. */
         REPEATED_SUBMISSION
     }
 
@@ -22,7 +23,7 @@
     private boolean completed;
     private int staleChecks;
 
-    /** @param keyCount how many key versions have to be checked for this query */
+    /** @param keyCount the number of key versions that a version check has to compare for this query */
     StatusQuery(String id, Origin origin, int keyCount, LinearizableResponses responses, RequestMetrics metrics) {
         this.id = id;
         this.origin = origin;
@@ -43,7 +44,7 @@
         return keyCount;
     }
 
-    /** Whether all requests have been answered or rejected. */
+    /** Returns whether all requests have been answered or rejected. */
     boolean isCompleted() {
         return completed;
     }
@@ -52,12 +53,12 @@
         requests.add(request);
     }
 
-    /** Sets how the timeout of this query is cancelled once it is completed. */
+    /** Sets the action that cancels the timeout of this query; it runs when the query is completed. */
     void cancelOnCompletion(Runnable timeoutHandle) {
         cancelTimeout = timeoutHandle;
     }
 
-    /** Counts a check that found the cluster state stale; returns how many have. */
+    /** Counts a version check that found this job stale in the cluster state, and returns the number of such checks. */
     int countStaleCheck() {
         return ++staleChecks;
     }
@@ -78,7 +79,9 @@
         }
     }
 
-    /** Whether this call completes the query, which happens once. */
+    /**
+     * Marks the query as completed. Returns false if it was completed before, since requests are answered only once.
+     */
     private boolean tryComplete() {
         if (completed) {
             return false;
--- a/src/main/java/org/gullway/api/StatusQueryHandler.java
+++ b/src/main/java/org/gullway/api/StatusQueryHandler.java
@@ -10,13 +10,14 @@
 import org.gullway.storage.ReplicatedState;
 
 /**
- * Status queries by users. Final states are answered from memory; any other state, and absence, only after the state
- * store has confirmed that it is the newest. All queries for one job share a response and one request to the store
- * serves many jobs, so the load on the store does not grow with the number of queries. A query that cannot be answered
- * in time is rejected as soon as that is clear.
+ * Handles status queries from users. A final state that is known in memory is sent without a request to the state
+ * store. Any other state, or the absence of the job, is sent only after the state store has confirmed that the state is
+ * the newest. Queries for the same job share a response, and one request to the state store serves many jobs, so the
+ * load on the state store does not grow with the number of queries. A query that cannot be answered in time is rejected
+ * as soon as this is foreseeable.
  */
 final class StatusQueryHandler {
-    /** A user waits 2 s for a response. */
+    /** Time after which a query is rejected; shorter than the 2 s that a user waits for a response. */
     private static final Duration TIMEOUT = Duration.ofMillis(1200);
 
     private static final int MAX_REPEATED_SUBMISSIONS = 500;
@@ -26,14 +27,16 @@
     private final StatusQueryQueue queue = new StatusQueryQueue();
     private final StatusVerifier verifier;
 
-    /** @param conditionsPerTransaction how many key versions one request to the state store may compare */
+    /**
+     * @param conditionsPerTransaction maximum number of key versions that one request to the state store can compare
+     */
     StatusQueryHandler(RequestContext context, JobLookup jobLookup, int conditionsPerTransaction) {
         this.context = context;
         this.replicatedState = context.replicatedState();
         this.verifier = new StatusVerifier(context, jobLookup, queue, conditionsPerTransaction);
     }
 
-    /** Responds to a status query. */
+    /** Responds to a status query, at once or after the state store has confirmed the job's state. */
     void query(String id, UserRequest request) {
         if (!JobRequest.isValidId(id)) {
             UserResponses.rejectInvalidId(request);
@@ -52,7 +55,7 @@
         }
     }
 
-    /** Responds to a repeated submission with the job's present state, before all queued status queries. */
+    /** Responds to a repeated submission with the job's current state, before any queued status queries. */
     void respondToRepeatedSubmission(String id, UserRequest request) {
         Optional<JobStatus> finalState = context.finalStates().find(id);
         if (finalState.isPresent()) {
--- a/src/main/java/org/gullway/api/StatusQueryQueue.java
+++ b/src/main/java/org/gullway/api/StatusQueryQueue.java
@@ -6,11 +6,14 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Queries that wait for the next version check: those of repeated submissions first, each kind in order of arrival. */
+/**
+ * Queries that wait for a version check by the state store. Those of repeated submissions are polled first; queries of
+ * the same origin are polled in the order of arrival.
+ */
 final class StatusQueryQueue {
     private final Deque<StatusQuery> repeatedSubmissions = new ArrayDeque<>();
     private final Deque<StatusQuery> statusRequests = new ArrayDeque<>();
-    /** Queries that have never been in a check, so that a further request for the job may join them. */
+    /** By job: the query that no version check has included yet, so that further requests for the job can join it. */
     private final Map<String, StatusQuery> joinableByJob = new HashMap<>();
 
     private int keyCount;
@@ -23,7 +26,7 @@
         return repeatedSubmissions.size();
     }
 
-    /** How many key versions the queries in the queue need checked. */
+    /** Returns the number of key versions that have to be compared for all queued queries. */
     int keyCount() {
         return keyCount;
     }
@@ -38,7 +41,7 @@
         keyCount += query.keyCount();
     }
 
-    /** Takes the next query, which no further request may join. */
+    /** Removes and returns the next query. From then on no further request can join it. */
     Optional<StatusQuery> poll() {
         StatusQuery query = repeatedSubmissions.isEmpty() ? statusRequests.poll() : repeatedSubmissions.poll();
         if (query == null) {
@@ -49,7 +52,7 @@
         return Optional.of(query);
     }
 
-    /** The query that a further request for the job may join. */
+    /** Returns the query that a further request for the job can join, if there is one. */
     Optional<StatusQuery> findJoinable(String id) {
         return Optional.ofNullable(joinableByJob.get(id));
     }
--- a/src/main/java/org/gullway/api/StatusVerifier.java
+++ b/src/main/java/org/gullway/api/StatusVerifier.java
@@ -20,16 +20,23 @@
 import org.gullway.transport.EventLoop;
 
 /**
- * Answers queued status queries by linearizable reads: one request to the state store confirms that the key versions in
- * the cluster state are the newest for many jobs at once. A job for which they are not is checked or looked up again.
+ * Answers queued status queries with linearizable reads. A version check is one request to the state store that
+ * confirms, for many jobs, that the cluster state has the newest versions of their keys. A job that is stale in the
+ * cluster state is checked again or looked up in the state store.
  */
 final class StatusVerifier {
-    /** A job that is not in the cluster state must have neither a live record nor a final state. */
+    /**
+     * Keys to compare for a job that is not in the cluster state: a check confirms that neither its live record nor its
+     * final state exists.
+     */
     private static final int KEYS_OF_UNKNOWN_JOB = 2;
 
     private static final int MAX_CHECKS_IN_FLIGHT = 4;
     private static final Duration BUSY_RETRY_DELAY = Duration.ofMillis(200);
-    /** The watch usually delivers the newest version before the next check; after this many, the job is looked up. */
+    /**
+     * Number of version checks that find a job stale in the cluster state before it is looked up in the state store.
+     * Usually the watch delivers the newest version of the job before its second check.
+     */
     private static final int MAX_STALE_CHECKS = 2;
 
     private final EventLoop loop;
@@ -39,23 +46,29 @@
     private final JobLookup jobLookup;
     private final StatusQueryQueue queue;
     private final int maxKeysPerCheck;
-    /** When each check without an outcome was sent, the oldest first. */
+    /** When each version check that has no outcome yet was sent, the oldest first. */
     private final Deque<Instant> checksInFlight = new ArrayDeque<>();
 
     private Instant storeBusyUntil = Instant.MIN;
     private boolean checkScheduled;
 
-    /** A query with what the cluster state contains of its job. */
+    /**
+     * A query that is part of a version check.
+     *
+     * @param status the job's status in the cluster state when the check was sent; empty if the job was not there
+     */
     private record BatchedQuery(StatusQuery query, Optional<JobStatus> status) {
         JobLookupResult toResult(ReadFreshness freshness) {
             return status.isPresent() ? new Found(status.get(), freshness) : new NotFound(query.id(), freshness);
         }
     }
 
-    /** The queries of one check, and the keys whose versions it compares. */
+    /** The queries of one version check, and the keys whose versions it compares. */
     private record Batch(List<BatchedQuery> queries, Set<String> keys) {}
 
-    /** @param conditionsPerTransaction how many key versions one request to the state store may compare */
+    /**
+     * @param conditionsPerTransaction maximum number of key versions that one request to the state store can compare
+     */
     StatusVerifier(RequestContext context, JobLookup jobLookup, StatusQueryQueue queue, int conditionsPerTransaction) {
         this.loop = context.loop();
         this.clusterState = context.clusterState();
@@ -66,12 +79,12 @@
         this.maxKeysPerCheck = Math.max(KEYS_OF_UNKNOWN_JOB, conditionsPerTransaction);
     }
 
-    /** How many key versions have to be compared for a query for this job. */
+    /** Returns the number of key versions that have to be compared for a query for this job. */
     int keyCount(String id) {
         return clusterState.job(id) == null ? KEYS_OF_UNKNOWN_JOB : 1;
     }
 
-    /** Whether one more query would not be answered within this time. */
+    /** Returns whether an additional query would probably not be answered within the timeout. */
     boolean isOverloaded(Duration timeout) {
         if (checksInFlight.size() >= MAX_CHECKS_IN_FLIGHT
                 && checksInFlight.peekFirst().plus(timeout).isBefore(loop.now())) {
@@ -81,7 +94,7 @@
         return replicatedState.timeUntilConfirmation(checks).compareTo(timeout) >= 0;
     }
 
-    /** Checks the queued queries soon; a short delay gathers those that arrive together. */
+    /** Schedules a version check of the queued queries. A short delay batches queries that arrive together. */
     void scheduleCheck() {
         if (checkScheduled || checksInFlight.size() >= MAX_CHECKS_IN_FLIGHT || queue.isEmpty()) {
             return;
@@ -167,7 +180,10 @@
         }
     }
 
-    /** The state store was busy: checks the batch again, before all others, while its users still wait. */
+    /**
+     * Puts the queries of a batch back at the head of the queue after the state store rejected the check as busy, so
+     * that they are checked before queries that arrived later. Queries that time out meanwhile are not checked again.
+     */
     private void retryLater(Batch batch) {
         storeBusyUntil = loop.now().plus(BUSY_RETRY_DELAY);
         List<BatchedQuery> queries = batch.queries();
--- a/src/main/java/org/gullway/api/SubmissionHandler.java
+++ b/src/main/java/org/gullway/api/SubmissionHandler.java
@@ -19,11 +19,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Submissions by users, from their arrival until the job is on record and they have been answered. */
+/**
+ * Handles submissions from users. A submission is answered as accepted only after the job's record has been committed
+ * to the state store.
+ */
 final class SubmissionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
     private static final Duration OVERLOADED_RETRY_AFTER = UserResponses.RETRY_AFTER.multipliedBy(2);
-    /** As for every first change of a job in a transaction, see {@link Transaction#canPutJob}. */
+    /** Changes reserved for a job that a transaction changes for the first time, see {@link Transaction#canPutJob}. */
     private static final int CAPACITY_PER_JOB = 2;
 
     private static final String INFEASIBLE = "no machine type, zone or team limit allows this job";
@@ -47,7 +50,7 @@
         this.pending = new PendingRequests<>(context.loop());
     }
 
-    /** Parses a submission and responds to it, at once or when the job is on record. */
+    /** Parses a submission and responds to it, at once or after the job has been committed. */
     void submit(UserRequest request) {
         JobRequest job;
         try {
@@ -79,7 +82,10 @@
         return JobRequest.parse(Cbor.decode(exchange.body()));
     }
 
-    /** A job that was accepted earlier is never rejected; only the state store can confirm that it was not. */
+    /**
+     * Rejects an infeasible job, unless it was accepted by an earlier submission: an accepted job is never rejected
+     * later. Only the state store can confirm that the job was not accepted.
+     */
     private void rejectUnlessAcceptedEarlier(String id, UserRequest request) {
         jobLookup.lookUp(
                 id,
@@ -87,7 +93,7 @@
                 () -> UserResponses.rejectTemporarily(request));
     }
 
-    /** Adds the records of pending jobs to the transaction, as far as it has capacity. */
+    /** Adds as many records of pending jobs to the transaction as it has capacity for. */
     void plan(Transaction transaction) {
         List<String> members = new ArrayList<>(clusterState.members().keySet());
         for (JobRequest job : pending.changes()) {
@@ -99,9 +105,10 @@
     }
 
     /**
-     * Responds after this job's record has been committed. The commit answers only requests that arrived before it was
-     * sent, and only while its version is the newest: its response can arrive late, after the job was cancelled and
-     * submitted again. All other requests get the job's present state.
+     * Responds to the submissions of a job whose record has been committed. The committed state is the response only to
+     * requests that arrived before the transaction was sent, and only while the committed version is the newest: the
+     * store's response to the commit can arrive late, after the job was cancelled and submitted again. All other
+     * requests get the job's current state.
      */
     void onCommitted(JobRecord job, ReadFreshness freshness) {
         String id = job.request().id();
@@ -131,7 +138,12 @@
         context.responses().respondAccepted(request, committed);
     }
 
-    /** Responds to submissions of jobs that, as a conflict shows, have already ended. */
+    /**
+     * Responds to the pending submissions of jobs that have already ended, which shows in a failed condition on their
+     * final state.
+     *
+     * @param failedConditions keys whose conditions failed in a transaction
+     */
     void onConflict(Set<String> failedConditions) {
         for (String id : pending.jobs()) {
             if (failedConditions.contains(StoreKeys.finalState(id))) {
@@ -140,7 +152,10 @@
         }
     }
 
-    /** Responds to all pending requests that the cluster state answers by now, and rejects those that timed out. */
+    /**
+     * Responds to the pending submissions whose job is now in the cluster state. Rejects those that have timed out, and
+     * all others if this controller no longer holds a valid lease.
+     */
     void completePending() {
         pending.complete(replicatedState.holdsValidLease(), this::completion);
     }
--- a/src/main/java/org/gullway/api/UserApi.java
+++ b/src/main/java/org/gullway/api/UserApi.java
@@ -18,8 +18,9 @@
 import org.gullway.transport.TokenBucket;
 
 /**
- * The requests of users: submissions, status queries and cancellations. Nothing is confirmed to a user that is not on
- * record, and no state that is not final is reported before the state store has confirmed that it is the newest.
+ * Handles the requests of users: submissions, status queries and cancellations. A submission or cancellation is
+ * confirmed only after it has been committed to the state store. A state that is not final is reported only after the
+ * state store has confirmed that it is the newest.
  */
 public final class UserApi implements PlanningStep {
     private final EventLoop loop;
@@ -29,10 +30,10 @@
     private final CancellationHandler cancellations;
 
     /**
-     * @param admission decides which jobs are accepted, and who owns them
-     * @param conditionsPerTransaction how many key versions one request to the state store may compare
-     * @param onViolation receives a description of each response that was withheld since its state was too old
-     * @param triggerSchedulingCycle asks for a scheduling cycle
+     * @param admission decides which jobs are accepted and which controllers own them
+     * @param conditionsPerTransaction maximum number of key versions that one request to the state store can compare
+     * @param onViolation receives a description of each response that was withheld because its state was too old
+     * @param triggerSchedulingCycle requests a scheduling cycle, which commits pending submissions and cancellations
      */
     public UserApi(
             EventLoop loop,
@@ -54,7 +55,8 @@
                 new LinearizableResponses(loop, finalStates::find, onViolation),
                 metrics,
                 triggerSchedulingCycle);
-        // Submissions and cancellations have a rate limit of their own, so that queries cannot delay them.
+        // Lookups for submissions and cancellations have a rate limit of their own, so that status queries cannot delay
+        // them.
         JobLookup queryLookup = newJobLookup(context, replicatedState.queryReadLimit(), cancellationEnforcer);
         JobLookup requestLookup = newJobLookup(context, replicatedState.requestReadLimit(), cancellationEnforcer);
         this.statusQueries = new StatusQueryHandler(context, queryLookup, conditionsPerTransaction);
@@ -73,17 +75,17 @@
         return new JobLookup(context.loop(), rateLimit, context.finalStates(), reader);
     }
 
-    /** Responds to a submission, at once or when the job is on record. */
+    /** Responds to a submission, at once or after the job has been committed. */
     public void submit(HttpExchange exchange) {
         submissions.submit(withArrivalTime(exchange));
     }
 
-    /** Responds to a cancellation, at once or when it is on record. */
+    /** Responds to a cancellation, at once or after it has been committed. */
     public void cancel(String id, HttpExchange exchange) {
         cancellations.cancel(id, withArrivalTime(exchange));
     }
 
-    /** Responds to a status query, at once or when the state is confirmed. */
+    /** Responds to a status query, at once or after the state store has confirmed the job's state. */
     public void queryStatus(String id, HttpExchange exchange) {
         statusQueries.query(id, withArrivalTime(exchange));
     }
@@ -92,7 +94,7 @@
         return new UserRequest(exchange, loop.now());
     }
 
-    /** Adds what users have asked for to the transaction. */
+    /** Adds pending cancellations and submissions to the transaction; cancellations come first. */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         cancellations.plan(transaction);
@@ -100,8 +102,9 @@
     }
 
     /**
-     * Responds to the users of jobs that a committed transaction has accepted or ended.
+     * Responds to the pending requests for jobs that a committed transaction has accepted or ended.
      *
+     * @param revision revision of the state store at which the transaction was committed
      * @param sentAt when the transaction was sent
      */
     public void onCommitted(Transaction transaction, long revision, Instant sentAt) {
@@ -117,12 +120,20 @@
         completePending();
     }
 
-    /** Responds to the users of jobs that, as the failed conditions of a transaction show, have already ended. */
+    /**
+     * Responds to the pending submissions of jobs that have already ended, which shows in a failed condition on their
+     * final state.
+     *
+     * @param failedConditions keys whose conditions failed in a transaction
+     */
     public void onConflict(Set<String> failedConditions) {
         submissions.onConflict(failedConditions);
     }
 
-    /** Responds to all pending requests that the cluster state answers by now, and rejects those that timed out. */
+    /**
+     * Responds to the pending submissions and cancellations whose outcome the cluster state now shows. Rejects those
+     * that have timed out, and all others if this controller no longer holds a valid lease.
+     */
     public void completePending() {
         cancellations.completePending();
         submissions.completePending();
--- a/src/main/java/org/gullway/api/UserResponses.java
+++ b/src/main/java/org/gullway/api/UserResponses.java
@@ -5,43 +5,46 @@
 import org.gullway.protocol.JobStatus;
 import org.gullway.transport.HttpStatus;
 
-/** Bodies of responses to users, and all rejections; for responses with the state of a job see {@link LinearizableResponses}. */
+/**
+ * Encodes the bodies of responses to users and sends rejections. Responses that contain the state of a job are sent by
+ * {@link LinearizableResponses}.
+ */
 final class UserResponses {
-    /** When a user whose request was rejected temporarily may retry. */
+    /** How long a user is asked to wait before repeating a request that was rejected temporarily. */
     static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     static final byte[] EMPTY_BODY = new byte[0];
 
     private UserResponses() {}
 
-    /** The state of a job without counts of its tasks. */
+    /** Encodes the id and state of a job, without its task counts. */
     static byte[] encodeState(JobStatus status) {
         return Cbor.encode(Cbor.map()
                 .put("name_id", status.id())
                 .put("tide", status.state().wire()));
     }
 
-    /** The reason of a rejection. */
+    /** Encodes the reason for a rejection. */
     static byte[] encodeError(String reason) {
         return Cbor.encode(Cbor.map().put("error", reason));
     }
 
-    /** Rejects a request about something that is no job id, so that there is no such job. */
+    /** Responds with 404 to a request with an invalid job id, since no job can have that id. */
     static void rejectInvalidId(UserRequest request) {
         request.exchange().respond(HttpStatus.NOT_FOUND, EMPTY_BODY);
     }
 
-    /** Rejects a request that does not have the stated form. */
+    /** Responds with 400 and the reason to a request whose body is malformed. */
     static void rejectMalformed(UserRequest request, String reason) {
         request.exchange().respond(HttpStatus.BAD_REQUEST, encodeError(reason));
     }
 
-    /** Rejects a request since too many are pending. */
+    /** Responds with 429 to a request that is rejected because too many requests are pending. */
     static void rejectOverloaded(UserRequest request, Duration retryAfter) {
         request.exchange().reject(HttpStatus.TOO_MANY_REQUESTS, retryAfter);
     }
 
-    /** Rejects a request that this controller cannot answer now. */
+    /** Responds with 503 to a request that this controller cannot answer now; the user may retry it later. */
     static void rejectTemporarily(UserRequest request) {
         request.exchange().reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
     }
--- a/src/main/java/org/gullway/api/package-info.java
+++ b/src/main/java/org/gullway/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests of users: submissions, status queries and cancellations, from their arrival until they are answered. Every
- * response with the state of a job goes through {@link org.gullway.api.LinearizableResponses}.
+ * Handles the requests of users: submissions, status queries and cancellations. Every response that contains the state
+ * of a job is sent by {@link org.gullway.api.LinearizableResponses}.
  */
 package org.gullway.api;
