--- a/src/main/java/org/gullway/agent/CommandSender.java
+++ b/src/main/java/org/gullway/agent/CommandSender.java
@@ -22,7 +22,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends commands to agents and passes on their outcomes and the agents' responses. */
+/** Sends commands to agents, and passes the outcomes and the agents' responses to the components that track them. */
 public final class CommandSender {
     private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
     private static final String PATH = "/do";
@@ -38,8 +38,8 @@
     private final Runnable triggerSchedulingCycle;
 
     /**
-     * @param holdsValidLease whether this controller may start tasks at this moment
-     * @param triggerSchedulingCycle asks for a scheduling cycle, after every outcome
+     * @param holdsValidLease returns whether this controller holds a valid lease, without which it must not start tasks
+     * @param triggerSchedulingCycle requests a scheduling cycle; called after the outcome of each command batch
      */
     public CommandSender(
             EventLoop loop,
@@ -61,7 +61,7 @@
         this.triggerSchedulingCycle = triggerSchedulingCycle;
     }
 
-    /** Sends commands to a machine that this controller commands. */
+    /** Sends commands to the agent of a machine that this controller commands. */
     public void send(CommandBatch batch) {
         send(
                 batch,
@@ -69,7 +69,10 @@
                 response -> agentReconciler.onCommandResponse(response, loop.now()));
     }
 
-    /** Sends the stops of cancelled tasks that are due during an outage of the store, whoever commands the machine. */
+    /**
+     * Sends the due stop commands for tasks of cancelled jobs while the state store is unavailable. They go to the
+     * agents directly, even if another controller commands the machine.
+     */
     public void sendCancellationStops(Instant now) {
         cancellationEnforcer
                 .directStopsDue(now)
@@ -96,7 +99,7 @@
         });
     }
 
-    /** One line for all commands: a line costs more than its content. */
+    /** Logs all commands of a batch in one line, since writing a line costs more than its content. */
     private void logCommands(CommandBatch batch) {
         StringBuilder commands = new StringBuilder();
         for (AgentCommand command : batch.commands()) {
@@ -117,7 +120,10 @@
                 commands);
     }
 
-    /** An agent that refuses a fencing token or agent epoch answers with its state too. */
+    /**
+     * Maps the HTTP response to the outcome of the commands. Status 409 counts as answered, because an agent that
+     * rejects a fencing token or an agent epoch responds with its state too.
+     */
     private static CommandOutcome outcomeOf(HttpResponse response) {
         return switch (response.outcome()) {
             case ANSWERED -> response.status() == HttpStatus.OK || response.status() == HttpStatus.CONFLICT
--- a/src/main/java/org/gullway/agent/HeartbeatAdmission.java
+++ b/src/main/java/org/gullway/agent/HeartbeatAdmission.java
@@ -10,16 +10,19 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Limits the part of the event loop's time that heartbeats take; those beyond it wait in a queue. After a restart of all
- * controllers every agent sends a heartbeat at once, and the state store's responses, and with them every transaction,
- * would otherwise wait behind them.
+ * Limits the share of the event loop's time that is spent on heartbeats, and queues the heartbeats that exceed it.
+ * After a restart of all controllers every agent sends a heartbeat at once. Without the limit, the responses of the
+ * state store, and with them every transaction, would wait until all these heartbeats are handled.
  */
 public final class HeartbeatAdmission {
     private static final Duration MAX_BUDGET = Duration.ofMillis(20);
     private static final Duration QUEUE_CHECK_INTERVAL = Duration.ofMillis(10);
-    /** How much budget each moment spent on anything else adds, as a multiple of that moment. */
+    /**
+     * Each millisecond in which no heartbeat is handled adds this many milliseconds to the budget, so heartbeats take
+     * up to two thirds of the event loop's time.
+     */
     private static final int REFILL_FACTOR = 2;
-    /** Below the timeout after which an agent no longer waits for a response. */
+    /** A heartbeat queued for longer is rejected. Shorter than the timeout with which agents wait for a response. */
     private static final Duration MAX_QUEUE_TIME = Duration.ofMillis(3500);
 
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -27,7 +30,9 @@
     private final EventLoop loop;
     private final Consumer<HttpExchange> handler;
     private final Deque<QueuedHeartbeat> queue = new ArrayDeque<>();
-    /** Time that heartbeats may take now; negative after one that took longer than the rest of it. */
+    /**
+     * Time that may be spent on heartbeats now. Negative after a heartbeat that took longer than the remaining budget.
+     */
     private Duration budget = MAX_BUDGET;
 
     private Instant budgetRefilledAt;
@@ -40,7 +45,7 @@
         this.budgetRefilledAt = loop.now();
     }
 
-    /** Handles the heartbeat now or, if the budget is spent, later and in order. */
+    /** Handles the heartbeat now or, if the budget is exhausted, later and in the order of arrival. */
     public void admit(HttpExchange exchange) {
         if (queue.isEmpty() && hasBudget()) {
             handle(exchange);
--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers agents' heartbeats. A response with status 200 renews the agent's lease, so none is given while a cancellation
- * confirmed elsewhere may be unknown here.
+ * Responds to heartbeats of agents. A response with status 200 renews the agent's lease, so no such response is sent
+ * while this controller may lack a cancellation that another controller has confirmed.
  */
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
@@ -35,7 +35,7 @@
     private final Runnable triggerSchedulingCycle;
     private final HeartbeatResponseEncoder responseEncoder = new HeartbeatResponseEncoder();
 
-    /** @param triggerSchedulingCycle asks for a scheduling cycle, after a heartbeat that changed something */
+    /** @param triggerSchedulingCycle requests a scheduling cycle; called after a heartbeat that may require one */
     public HeartbeatHandler(
             EventLoop loop,
             ClusterState clusterState,
@@ -53,17 +53,21 @@
         this.triggerSchedulingCycle = triggerSchedulingCycle;
     }
 
-    /** From now on heartbeats are read also while this controller holds no valid lease. */
+    /**
+     * Called when this controller holds a valid lease. From then on heartbeats can also be accepted while it holds
+     * none.
+     */
     public void onLeaseAcquired() {
         leaseRenewalGate.onLeaseAcquired();
     }
 
-    /** Answers one heartbeat. */
+    /** Responds to one heartbeat. */
     public void handle(HttpExchange exchange) {
         Instant now = loop.now();
         boolean holdsValidLease = leaseRenewalGate.holdsValidLease();
         if (leaseRenewalGate.rejectsAllHeartbeats(holdsValidLease, now)) {
-            // The body is not read: after a restart all agents retry every second, which must not delay joining.
+            // The body is not parsed: after a restart all agents retry every second, and their heartbeats must not
+            // delay this controller in joining the cluster.
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
             return;
         }
--- a/src/main/java/org/gullway/agent/LeaseRenewalGate.java
+++ b/src/main/java/org/gullway/agent/LeaseRenewalGate.java
@@ -6,7 +6,7 @@
 import org.gullway.protocol.Heartbeat;
 import org.gullway.storage.ReplicatedState;
 
-/** Decides whether heartbeats may be answered with a renewal of the agent's lease, with and without the state store. */
+/** Decides whether a response to a heartbeat may renew the agent's lease, also while the state store is unavailable. */
 final class LeaseRenewalGate {
     private final ReplicatedState replicatedState;
     private final CancellationWatermark cancellationWatermark;
@@ -22,7 +22,10 @@
         this.leaseRenewal = leaseRenewal;
     }
 
-    /** From now on renewals are possible also while this controller holds no valid lease. */
+    /**
+     * Called when this controller holds a valid lease. From then on it can also renew agents' leases while it holds
+     * none.
+     */
     void onLeaseAcquired() {
         heldLeaseBefore = true;
     }
@@ -31,13 +34,17 @@
         return replicatedState.holdsValidLease();
     }
 
-    /** Whether no heartbeat can be accepted now, whatever it contains. */
+    /**
+     * Returns whether every heartbeat has to be rejected now, regardless of its content.
+     *
+     * @param holdsValidLease whether this controller holds a valid lease
+     */
     boolean rejectsAllHeartbeats(boolean holdsValidLease, Instant now) {
         Instant knownThrough = cancellationWatermark.knownThrough(replicatedState.knownThrough());
         return !leaseRenewal.mayRenew(knownThrough, now) || (!holdsValidLease && !heldLeaseBefore);
     }
 
-    /** Whether this agent's lease may be renewed while this controller holds no valid lease itself. */
+    /** Returns whether this agent's lease may be renewed although this controller itself holds no valid lease. */
     boolean mayRenewDuringOutage(Heartbeat heartbeat, Instant now) {
         return leaseRenewal.mayRenewDuringOutage(heartbeat, now);
     }
--- a/src/main/java/org/gullway/agent/StartGate.java
+++ b/src/main/java/org/gullway/agent/StartGate.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Leaves out of a batch the starts that are not allowed at the moment of sending. */
+/** Removes from a batch the start commands that are not allowed at the moment of sending. */
 final class StartGate {
     private static final Logger LOG = LoggerFactory.getLogger(StartGate.class);
 
@@ -25,7 +25,7 @@
         this.invariants = invariants;
     }
 
-    /** The same batch with only those starts that are allowed now. */
+    /** Returns the batch without the start commands that are not allowed now. */
     CommandBatch withoutDeniedStarts(CommandBatch batch) {
         if (!batch.hasStarts()) {
             return batch;
@@ -41,7 +41,8 @@
 
     private boolean isAllowed(CommandBatch batch, AgentCommand start) {
         if (!holdsValidLease.getAsBoolean()) {
-            // The lease may expire while a long cycle sends commands, so this is no defect.
+            // The lease can expire while a long scheduling cycle sends commands, so this is not reported as a violated
+            // invariant.
             LOG.debug(
                     "start denied: the lease is no longer valid machine={} task={} attempt={}",
                     batch.machine(),
--- a/src/main/java/org/gullway/agent/package-info.java
+++ b/src/main/java/org/gullway/agent/package-info.java
@@ -1,2 +1,2 @@
-/** Communication with the agents on machines: their heartbeats are admitted and answered, commands are sent. */
+/** Communicates with the agents on the machines: admits and answers their heartbeats, and sends them commands. */
 package org.gullway.agent;
