--- a/src/main/java/org/gullway/peer/CancellationExchange.java
+++ b/src/main/java/org/gullway/peer/CancellationExchange.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Exchanges known cancellations with the other controllers while the state store cannot be read. */
+/** Exchanges known cancellations with the other controllers while the state store is unavailable. */
 final class CancellationExchange {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationExchange.class);
 
@@ -36,7 +36,7 @@
         this.leaseRenewal = targets.leaseRenewal();
     }
 
-    /** Responds with the known cancellations that the request does not name. */
+    /** Responds with the known cancellations that are not listed in the peer's request. */
     void respond(HttpExchange exchange) throws MalformedMessageException {
         Set<String> knownToPeer = PeerCancellations.decodeKnown(exchange.body());
         List<PeerCancellations.CancelledJob> unknownToPeer = cancellationEnforcer.knownCancellations().stream()
@@ -45,7 +45,7 @@
         exchange.respond(HttpStatus.OK, PeerCancellations.encode(self.node(), self.number(), unknownToPeer));
     }
 
-    /** Asks all peers for cancellations that are not known here. */
+    /** Queries all peers for cancellations that this controller does not know. */
     void poll(Instant now) {
         byte[] known = PeerCancellations.encodeKnown(cancellationEnforcer.knownCancellations().stream()
                 .map(PeerCancellations.CancelledJob::id)
@@ -53,7 +53,7 @@
         client.queryCancellations(known, (peer, response) -> onResponse(peer, now, response));
     }
 
-    /** @param requestedAt when the request was sent: cancellations confirmed later may be missing in the response */
+    /** @param requestedAt when the request was sent; cancellations confirmed later may be missing from the response */
     private void onResponse(String peer, Instant requestedAt, HttpResponse response) {
         if (!response.isOk()) {
             return;
--- a/src/main/java/org/gullway/peer/PeerClient.java
+++ b/src/main/java/org/gullway/peer/PeerClient.java
@@ -29,12 +29,12 @@
         return addressByName.keySet();
     }
 
-    /** Sends resource offers; nobody waits for the response. */
+    /** Sends resource offers and ignores the response. */
     void sendOffers(String peer, List<ResourceOffer> offers) {
         send(peer, PeerPaths.OFFERS, ResourceOffer.encode(offers));
     }
 
-    /** Sends attempt completions, as many messages as needed; nobody waits for the responses. */
+    /** Sends attempt completions, in several messages if necessary, and ignores the responses. */
     void sendCompletions(String peer, List<AttemptCompletion> completions) {
         for (int from = 0; from < completions.size(); from += AttemptCompletion.MAX_PER_MESSAGE) {
             int to = Math.min(completions.size(), from + AttemptCompletion.MAX_PER_MESSAGE);
@@ -49,14 +49,19 @@
         }
     }
 
-    /** Asks every peer whether the state store responds to it; the callback gets the peer's name and its response. */
+    /** Asks every peer whether the state store responds to it. The callback receives each peer's name and response. */
     void queryStoreStatus(BiConsumer<String, HttpResponse> callback) {
         HttpRequest request = HttpRequest.get(PeerPaths.STORE_STATUS, TIMEOUT);
         addressByName.forEach(
                 (peer, address) -> httpClient.call(address, request, response -> callback.accept(peer, response)));
     }
 
-    /** Asks every peer for the cancellations that are not among the known ones. */
+    /**
+     * Asks every peer for cancellations that this controller does not know. The callback receives each peer's name and
+     * response.
+     *
+     * @param knownCancellations the encoded ids of cancelled jobs that this controller knows
+     */
     void queryCancellations(byte[] knownCancellations, BiConsumer<String, HttpResponse> callback) {
         HttpRequest request = HttpRequest.post(PeerPaths.CANCELLATIONS, knownCancellations, TIMEOUT);
         addressByName.forEach(
--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -17,9 +17,9 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Messages between controllers: resource offers, attempt completions, and, while the state store does not respond,
- * known cancellations. Offers and completions are sent without waiting for a response: what gets lost is made up for by
- * later heartbeats.
+ * Exchanges messages with the other controllers: resource offers, attempt completions and, while the state store does
+ * not respond, known cancellations. Responses to offers and completions are ignored, since later heartbeats make up for
+ * lost messages.
  */
 public final class PeerExchange {
     private static final Duration OUTAGE_POLL_INTERVAL = Duration.ofSeconds(1);
@@ -32,9 +32,9 @@
     private Instant lastPolledAt = Instant.MIN;
 
     /**
-     * @param targets the components that act on messages
-     * @param storeKnownThrough when the last request that the state store has answered was sent
-     * @param triggerSchedulingCycle requests a scheduling cycle, after every message that may give it something to do
+     * @param targets the components that process messages of other controllers
+     * @param storeKnownThrough returns when the latest request that the state store has answered was sent
+     * @param triggerSchedulingCycle requests a scheduling cycle; called after every message that may require one
      */
     public PeerExchange(
             EventLoop loop,
@@ -52,12 +52,12 @@
         this.triggerSchedulingCycle = triggerSchedulingCycle;
     }
 
-    /** The names of all other controllers. */
+    /** Returns the names of all other controllers. */
     public Set<String> peerNames() {
         return client.names();
     }
 
-    /** Handles a request of another controller. */
+    /** Handles a request from another controller. */
     public void handle(HttpExchange exchange) {
         targets.leaseRenewal().onExternalContact(loop.now());
         if (exchange.path().equals(PeerPaths.STORE_STATUS)) {
@@ -94,24 +94,25 @@
         triggerSchedulingCycle.run();
     }
 
-    /** Whether all other controllers have said lately that the state store does not respond to them either. */
+    /** Returns whether all other controllers have recently reported that the state store does not respond to them. */
     public boolean isStoreOutageConfirmedByAllPeers() {
         return outageMonitor.isConfirmedByAllPeers();
     }
 
-    /** Offers free resources to a peer. */
+    /** Offers free resources to another controller. */
     public void sendOffers(BestEffortQueue.OutgoingOffers outgoing) {
         client.sendOffers(outgoing.peer(), outgoing.offers());
     }
 
-    /** Reports attempt completions to the writer of their jobs' records. */
+    /** Reports attempt completions to the controller that writes the records of their jobs. */
     public void sendCompletions(String peer, List<AttemptCompletion> completions) {
         client.sendCompletions(peer, completions);
     }
 
     /**
-     * Asks all other controllers, at limited intervals, whether the state store responds to them and which cancellations
-     * they know. To be called while it does not respond to this one.
+     * Asks all other controllers whether the state store responds to them and which cancellations they know. To be
+     * called while the state store does not respond to this controller; a call within {@link #OUTAGE_POLL_INTERVAL} of
+     * the previous poll does nothing.
      */
     public void pollPeersDuringOutage(Instant now) {
         if (lastPolledAt.plus(OUTAGE_POLL_INTERVAL).isAfter(now)) {
--- a/src/main/java/org/gullway/peer/PeerMessageTargets.java
+++ b/src/main/java/org/gullway/peer/PeerMessageTargets.java
@@ -6,7 +6,7 @@
 import org.gullway.coordination.cancellation.LeaseRenewalPolicy;
 import org.gullway.coordination.scheduling.BestEffortQueue;
 
-/** The components that act on the messages of other controllers. */
+/** The components that process the messages of other controllers. */
 public record PeerMessageTargets(
         BestEffortQueue bestEffortQueue,
         AgentReconciler agentReconciler,
--- a/src/main/java/org/gullway/peer/PeerPaths.java
+++ b/src/main/java/org/gullway/peer/PeerPaths.java
@@ -1,6 +1,6 @@
 package org.gullway.peer;
 
-/** The paths of requests between controllers. */
+/** The HTTP paths of requests between controllers. */
 final class PeerPaths {
     static final String OFFERS = "/offers";
     static final String COMPLETIONS = "/ends";
--- a/src/main/java/org/gullway/peer/StoreOutageMonitor.java
+++ b/src/main/java/org/gullway/peer/StoreOutageMonitor.java
@@ -10,8 +10,8 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Finds out whether the state store responds to none of the controllers, and answers peers that ask whether it responds
- * to this one.
+ * Detects outages of the state store that affect all controllers, and tells peers whether the state store responds to
+ * this controller.
  */
 final class StoreOutageMonitor {
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -20,7 +20,7 @@
     private final Supplier<Instant> storeKnownThrough;
     private final StoreOutageDetector outageDetector;
 
-    /** @param storeKnownThrough when the last request that the state store has answered was sent */
+    /** @param storeKnownThrough returns when the latest request that the state store has answered was sent */
     StoreOutageMonitor(EventLoop loop, PeerClient client, Supplier<Instant> storeKnownThrough) {
         this.loop = loop;
         this.client = client;
@@ -28,7 +28,7 @@
         this.outageDetector = new StoreOutageDetector(client.names());
     }
 
-    /** Responds whether the state store responds to this controller. */
+    /** Responds with 200 if the state store responds to this controller, and with 503 otherwise. */
     void respond(HttpExchange exchange) {
         if (StoreOutageDetector.isStoreUnreachable(storeKnownThrough.get(), loop.now())) {
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
@@ -37,6 +37,7 @@
         }
     }
 
+    /** Asks all peers whether the state store responds to them. */
     void poll() {
         client.queryStoreStatus(this::onResponse);
     }
@@ -48,6 +49,7 @@
         }
     }
 
+    /** Returns whether all peers have recently reported that the state store does not respond to them. */
     boolean isConfirmedByAllPeers() {
         return outageDetector.isReportedByAllPeers(loop.now());
     }
--- a/src/main/java/org/gullway/peer/package-info.java
+++ b/src/main/java/org/gullway/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between controllers: resource offers, attempt completions and known cancellations. */
+/** Exchanges messages between controllers: resource offers, attempt completions and known cancellations. */
 package org.gullway.peer;
