--- a/src/main/java/org/gullway/peer/CancellationExchange.java
+++ b/src/main/java/org/gullway/peer/CancellationExchange.java
@@ -67,7 +67,7 @@
                         new Incarnation(cancellations.node(), cancellations.number()), requestedAt);
             }
         } catch (MalformedMessageException e) {
-            LOG.info("malformed cancellations of a peer controller={} error={}", peer, e.getMessage());
+            LOG.info("ignored a malformed cancellation response controller={} error={}", peer, e.getMessage());
         }
     }
 }
