--- a/src/test/java/org/gullway/agent/HeartbeatAdmissionTest.java
+++ b/src/test/java/org/gullway/agent/HeartbeatAdmissionTest.java
@@ -41,9 +41,12 @@
         }
     }
 
-    /** A thousand heartbeats at once: other tasks of the event loop are hardly delayed, and all get a response. */
+    /**
+     * Without a limit, 1000 heartbeats that arrive at once would occupy the event loop for 3 s, and all other tasks
+     * would wait behind them.
+     */
     @Test
-    void aFloodOfHeartbeatsDoesNotDelayOtherTasks() {
+    void manySimultaneousHeartbeatsDoNotDelayOtherTasks() {
         HeartbeatAdmission admission = admission(Duration.ofMillis(3));
         List<Duration> delays = new ArrayList<>();
         for (int i = 1; i <= 300; i++) {
@@ -57,8 +60,10 @@
         assertThat(delays).hasSize(300).allSatisfy(d -> assertThat(d).isLessThan(Duration.ofMillis(30)));
         assertThat(responses).hasSize(1000);
         assertThat(responses.stream().filter(status -> status == HttpStatus.SERVICE_UNAVAILABLE))
-                .as("rejected, since their agents no longer wait")
+                .as("heartbeats rejected after the maximum queue time")
                 .isNotEmpty();
-        assertThat(handled).as("two thirds of the longest queue time").isGreaterThan(700);
+        assertThat(handled)
+                .as("heartbeats handled in two thirds of the maximum queue time")
+                .isGreaterThan(700);
     }
 }
--- a/src/test/java/org/gullway/api/GoldenResponsesTest.java
+++ b/src/test/java/org/gullway/api/GoldenResponsesTest.java
@@ -5,7 +5,7 @@
 import org.gullway.protocol.JobStatus;
 import org.junit.jupiter.api.Test;
 
-/** Bodies of responses to users have the bytes that an earlier version wrote. */
+/** Compares the bodies of responses to users with the bytes that an earlier version wrote. */
 class GoldenResponsesTest {
     private static final GoldenFile GOLDEN = GoldenFile.of("answers");
 
--- a/src/test/java/org/gullway/api/JobLookupTest.java
+++ b/src/test/java/org/gullway/api/JobLookupTest.java
@@ -37,11 +37,11 @@
     private int storeRequests;
 
     JobLookupTest() {
-        network.listen(STORE, loop, this::respondLate);
+        network.listen(STORE, loop, this::respondAfterLatency);
     }
 
-    /** A store that responds late, with what holds when the request arrives. */
-    private void respondLate(HttpExchange exchange) {
+    /** Responds after the latency, with the state that was current when the request arrived. */
+    private void respondAfterLatency(HttpExchange exchange) {
         storeRequests++;
         boolean found = jobAccepted && exchange.path().startsWith("/store/live/jobs/");
         byte[] body = found ? Cbor.encode(Cbor.map().set("v", Cbor.map())) : new byte[0];
@@ -62,9 +62,12 @@
         time.runUntil(time.now().plus(duration));
     }
 
-    /** If late callers joined a read in progress, both would get "not found". */
+    /**
+     * The job is accepted while a read is in progress. If the second lookup joined that read, it would get the outdated
+     * result "not found".
+     */
     @Test
-    void aLookupDuringAReadInProgressDoesNotGetItsOlderState() {
+    void lookupDuringAReadInProgressDoesNotGetItsOutdatedResult() {
         lookUp("run-000001");
         advance(Duration.ofMillis(100));
         jobAccepted = true;
@@ -73,15 +76,20 @@
         assertThat(outcomes).containsExactly("not found", "pending");
     }
 
-    /** Without shared reads each caller would cause one, and without the rate limit all would be sent at once. */
+    /**
+     * Without shared reads each caller would cause a read, and without the rate limit all reads would be sent at once.
+     */
     @Test
-    void lookupsOfOneJobShareAReadAndAllKeepToTheRateLimit() {
+    void lookupsOfOneJobShareAReadAndAllReadsObeyTheRateLimit() {
         for (int i = 0; i < 20; i++) {
             for (int caller = 0; caller < 3; caller++) {
                 lookUp("run-" + i);
             }
         }
-        assertThat(outcomes).as("failed at once").hasSizeGreaterThan(30).containsOnly("failed");
+        assertThat(outcomes)
+                .as("lookups that failed at once")
+                .hasSizeGreaterThan(30)
+                .containsOnly("failed");
         int failed = outcomes.size();
         advance(Duration.ofMillis(100));
         assertThat(storeRequests).isLessThanOrEqualTo(4);
--- a/src/test/java/org/gullway/api/LinearizableResponsesTest.java
+++ b/src/test/java/org/gullway/api/LinearizableResponsesTest.java
@@ -23,7 +23,10 @@
 import org.gullway.transport.HttpResponse;
 import org.junit.jupiter.api.Test;
 
-/** Every kind of response with a state is withheld, and reported, if the state is older than the request. */
+/**
+ * Every kind of response that contains a job's state, or reports its absence, is withheld if that state is older than
+ * the request, and the withheld response is reported as a violation.
+ */
 class LinearizableResponsesTest {
     private static final String JOB = "run-000001";
     private static final int MEASURED_RESPONSES = 5_000;
@@ -37,14 +40,14 @@
     private final List<String> violations = new ArrayList<>();
     private final LinearizableResponses responses = new LinearizableResponses(
             new SimulatedTime().process(), id -> Optional.ofNullable(finalStates.get(id)), violations::add);
-    /** The kinds of responses that can also say that there is no such job. */
-    private final List<BiConsumer<UserRequest, JobLookupResult>> kinds = List.of(
+    /** The kinds of responses that can also report that there is no such job. */
+    private final List<BiConsumer<UserRequest, JobLookupResult>> kindsAllowingNotFound = List.of(
             (request, result) -> responses.respondToQueries(List.of(request), result),
             responses::respondToCancellation,
             (request, result) -> responses.respondInfeasible(request, result, "too large"));
 
     private List<BiConsumer<UserRequest, JobLookupResult>> allKinds() {
-        List<BiConsumer<UserRequest, JobLookupResult>> all = new ArrayList<>(kinds);
+        List<BiConsumer<UserRequest, JobLookupResult>> all = new ArrayList<>(kindsAllowingNotFound);
         all.add((request, result) -> responses.respondAccepted(request, (JobLookupResult.Found) result));
         return all;
     }
@@ -59,27 +62,27 @@
                 new byte[0],
                 (HttpResponse response) -> statuses.add(response.status()));
         kind.accept(new UserRequest(exchange, ARRIVED_AT), result);
-        assertThat(statuses).as("one response").hasSize(1);
+        assertThat(statuses).as("exactly one response").hasSize(1);
         return statuses.get(0);
     }
 
-    private static ReadFreshness checkedAt(Instant validFrom) {
+    private static ReadFreshness confirmedFrom(Instant validFrom) {
         return new ReadFreshness(ReadFreshness.Source.VERSION_CHECK, 7, validFrom);
     }
 
     private static JobLookupResult found(Instant validFrom) {
-        return new JobLookupResult.Found(PENDING, checkedAt(validFrom));
+        return new JobLookupResult.Found(PENDING, confirmedFrom(validFrom));
     }
 
     private static JobLookupResult notFound(Instant validFrom) {
-        return new JobLookupResult.NotFound(JOB, checkedAt(validFrom));
+        return new JobLookupResult.NotFound(JOB, confirmedFrom(validFrom));
     }
 
     @Property(tries = 60, seed = "241")
-    void aResponseIsSentOnlyIfItsStateIsNotOlderThanTheRequest(
+    void responseIsSentOnlyIfItsStateIsNotOlderThanTheRequest(
             @ForAll @IntRange(min = -5, max = 5) int millis, @ForAll boolean known) {
         JobLookupResult result = known ? found(ARRIVED_AT.plusMillis(millis)) : notFound(ARRIVED_AT.plusMillis(millis));
-        for (BiConsumer<UserRequest, JobLookupResult> kind : known ? allKinds() : kinds) {
+        for (BiConsumer<UserRequest, JobLookupResult> kind : known ? allKinds() : kindsAllowingNotFound) {
             violations.clear();
             int status = status(kind, result);
             if (millis < 0) {
@@ -96,13 +99,13 @@
     }
 
     @Test
-    void aFinalStateIsSentWhateverItsAgeAndReplacesAnOlderResult() {
+    void finalStateIsSentRegardlessOfItsAgeAndReplacesAnOlderResult() {
         for (BiConsumer<UserRequest, JobLookupResult> kind : allKinds()) {
             assertThat(status(kind, JobLookupResult.Found.ofFinalState(CANCELLED)))
                     .isEqualTo(200);
         }
         finalStates.put(JOB, CANCELLED);
-        for (BiConsumer<UserRequest, JobLookupResult> kind : kinds) {
+        for (BiConsumer<UserRequest, JobLookupResult> kind : kindsAllowingNotFound) {
             assertThat(status(kind, found(ARRIVED_AT.minus(Duration.ofSeconds(1)))))
                     .isEqualTo(200);
             assertThat(status(kind, notFound(ARRIVED_AT.plusSeconds(1)))).isEqualTo(200);
@@ -110,9 +113,9 @@
         assertThat(violations).isEmpty();
     }
 
-    /** Every response passes the check, on controllers with a small fraction of a processor. */
+    /** The freshness check runs for every response, on controllers that have only a small fraction of a processor. */
     @Test
-    void theCheckAllocatesLittleBesideTheBodyOfTheResponse() {
+    void freshnessCheckAllocatesLittleMemoryBesideTheResponseBody() {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         SimulatedNetwork.Message exchange =
                 new SimulatedNetwork.Message("users", "GET", "/v2/runs/" + JOB, "", new byte[0], response -> {});
@@ -123,7 +126,7 @@
         long bodyBytes = 0;
         for (int i = -MEASURED_RESPONSES; i < MEASURED_RESPONSES; i++) {
             if (i == 0) {
-                // Classes are loaded by now.
+                // The first half is the warm-up: now all classes are loaded.
                 responseBytes = 0;
                 bodyBytes = 0;
             }
@@ -135,7 +138,7 @@
             bodyBytes += threads.getCurrentThreadAllocatedBytes() - between;
         }
         assertThat((responseBytes - bodyBytes) / MEASURED_RESPONSES)
-                .as("bytes for each response")
+                .as("bytes allocated per response")
                 .isLessThan(MAX_BYTES_PER_RESPONSE);
     }
 }
