--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -141,7 +141,7 @@
     /** In an outage that all controllers share it stays healthy: users get 503 and repeat their requests here. */
     private boolean isHealthy() {
         boolean canServe = replicatedState.holdsValidLease()
-                || (heldLeaseBefore && messaging.peerExchange().isStoreOutageConfirmedByAllPeers());
+                || (heldLeaseBefore && messaging.peerExchange().isStoreOutageReportedByAllPeers());
         return canServe && !placement.machineTypes().isEmpty();
     }
 
--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -95,8 +95,8 @@
     }
 
     /** Returns whether all other controllers have recently reported that the state store does not respond to them. */
-    public boolean isStoreOutageConfirmedByAllPeers() {
-        return outageMonitor.isConfirmedByAllPeers();
+    public boolean isStoreOutageReportedByAllPeers() {
+        return outageMonitor.isReportedByAllPeers();
     }
 
     /** Offers free resources to another controller. */
--- a/src/main/java/org/gullway/peer/StoreOutageMonitor.java
+++ b/src/main/java/org/gullway/peer/StoreOutageMonitor.java
@@ -50,7 +50,7 @@
     }
 
     /** Returns whether all peers have recently reported that the state store does not respond to them. */
-    boolean isConfirmedByAllPeers() {
+    boolean isReportedByAllPeers() {
         return outageDetector.isReportedByAllPeers(loop.now());
     }
 }
