--- a/src/main/java/org/gullway/agent/HeartbeatAdmission.java
+++ b/src/main/java/org/gullway/agent/HeartbeatAdmission.java
@@ -10,16 +10,19 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Limits the part of the event loop's time that heartbeats take; those beyond it wait in a queue. After a restart of all
- * controllers every agent sends a heartbeat at once, and the state store's responses, and with them every transaction,
- * would otherwise wait behind them.
+ * Limits the share of the event loop's time that is spent on heartbeats, and queues the heartbeats that exceed it.
+ * After a restart of all controllers every agent sends a heartbeat at once. Without the limit, the responses of the
+ * state store, and with them every transaction, would wait until all these heartbeats are handled.
  */
 public final class HeartbeatAdmission {
     private static final Duration MAX_BUDGET = Duration.ofMillis(20);
-    private static final Duration QUEUE_INTERVAL = Duration.ofMillis(10);
-    /** How much budget each moment spent on anything else adds, as a multiple of that moment. */
+    private static final Duration QUEUE_CHECK_INTERVAL = Duration.ofMillis(10);
+    /**
+     * Each millisecond in which no heartbeat is handled adds this many milliseconds to the budget, so heartbeats take
+     * up to two thirds of the event loop's time.
+     */
     private static final int REFILL_FACTOR = 2;
-    /** Below the timeout after which an agent no longer waits for a response. */
+    /** A heartbeat queued for longer is rejected. Shorter than the timeout with which agents wait for a response. */
     private static final Duration MAX_QUEUE_TIME = Duration.ofMillis(3500);
 
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -27,20 +30,22 @@
     private final EventLoop loop;
     private final Consumer<HttpExchange> handler;
     private final Deque<QueuedHeartbeat> queue = new ArrayDeque<>();
-    /** Time that heartbeats may take now; negative after one that took longer than the rest of it. */
+    /**
+     * Time that may be spent on heartbeats now. Negative after a heartbeat that took longer than the remaining budget.
+     */
     private Duration budget = MAX_BUDGET;
 
-    private Instant refilledAt;
+    private Instant budgetRefilledAt;
 
     private record QueuedHeartbeat(HttpExchange exchange, Instant receivedAt) {}
 
     public HeartbeatAdmission(EventLoop loop, Consumer<HttpExchange> handler) {
         this.loop = loop;
         this.handler = handler;
-        this.refilledAt = loop.now();
+        this.budgetRefilledAt = loop.now();
     }
 
-    /** Handles the heartbeat now or, if the budget is spent, later and in order. */
+    /** Handles the heartbeat now or, if the budget is exhausted, later and in the order of arrival. */
     public void admit(HttpExchange exchange) {
         if (queue.isEmpty() && hasBudget()) {
             handle(exchange);
@@ -48,7 +53,7 @@
         }
         queue.add(new QueuedHeartbeat(exchange, loop.now()));
         if (queue.size() == 1) {
-            loop.after(QUEUE_INTERVAL, this::handleQueued);
+            loop.after(QUEUE_CHECK_INTERVAL, this::handleQueued);
         }
     }
 
@@ -62,22 +67,22 @@
             }
         }
         if (!queue.isEmpty()) {
-            loop.after(QUEUE_INTERVAL, this::handleQueued);
+            loop.after(QUEUE_CHECK_INTERVAL, this::handleQueued);
         }
     }
 
     private boolean hasBudget() {
         Instant now = loop.now();
-        budget = budget.plus(Duration.between(refilledAt, now).multipliedBy(REFILL_FACTOR));
+        budget = budget.plus(Duration.between(budgetRefilledAt, now).multipliedBy(REFILL_FACTOR));
         budget = budget.compareTo(MAX_BUDGET) > 0 ? MAX_BUDGET : budget;
-        refilledAt = now;
+        budgetRefilledAt = now;
         return !budget.isNegative() && !budget.isZero();
     }
 
     private void handle(HttpExchange exchange) {
         Instant startedAt = loop.now();
         handler.accept(exchange);
-        refilledAt = loop.now();
-        budget = budget.minus(Duration.between(startedAt, refilledAt));
+        budgetRefilledAt = loop.now();
+        budget = budget.minus(Duration.between(startedAt, budgetRefilledAt));
     }
 }
--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers agents' heartbeats. A response with status 200 renews the agent's lease, so none is given while a cancellation
- * confirmed elsewhere may be unknown here.
+ * Responds to heartbeats of agents. A response with status 200 renews the agent's lease, so no such response is sent
+ * while this controller may lack a cancellation that another controller has confirmed.
  */
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
@@ -31,11 +31,11 @@
     private final ClusterState clusterState;
     private final AgentReconciler agentReconciler;
     private final CancellationEnforcer cancellationEnforcer;
-    private final LeaseRenewalGate leaseRenewals;
-    private final Runnable requestCycle;
-    private final HeartbeatResponseEncoder responses = new HeartbeatResponseEncoder();
+    private final LeaseRenewalGate leaseRenewalGate;
+    private final Runnable triggerSchedulingCycle;
+    private final HeartbeatResponseEncoder responseEncoder = new HeartbeatResponseEncoder();
 
-    /** @param requestCycle asks for a scheduling cycle, after a heartbeat that changed something */
+    /** @param triggerSchedulingCycle requests a scheduling cycle; called after a heartbeat that may require one */
     public HeartbeatHandler(
             EventLoop loop,
             ClusterState clusterState,
@@ -44,26 +44,30 @@
             CancellationEnforcer cancellationEnforcer,
             CancellationWatermark cancellationWatermark,
             LeaseRenewalPolicy leaseRenewal,
-            Runnable requestCycle) {
+            Runnable triggerSchedulingCycle) {
         this.loop = loop;
         this.clusterState = clusterState;
         this.agentReconciler = agentReconciler;
         this.cancellationEnforcer = cancellationEnforcer;
-        this.leaseRenewals = new LeaseRenewalGate(replicatedState, cancellationWatermark, leaseRenewal);
-        this.requestCycle = requestCycle;
+        this.leaseRenewalGate = new LeaseRenewalGate(replicatedState, cancellationWatermark, leaseRenewal);
+        this.triggerSchedulingCycle = triggerSchedulingCycle;
     }
 
-    /** From now on heartbeats are read also while this controller holds no valid lease. */
+    /**
+     * Called when this controller holds a valid lease. From then on heartbeats can also be accepted while it holds
+     * none.
+     */
     public void onLeaseAcquired() {
-        leaseRenewals.onLeaseAcquired();
+        leaseRenewalGate.onLeaseAcquired();
     }
 
-    /** Answers one heartbeat. */
+    /** Responds to one heartbeat. */
     public void handle(HttpExchange exchange) {
         Instant now = loop.now();
-        boolean holdsValidLease = leaseRenewals.holdsValidLease();
-        if (leaseRenewals.isClosed(holdsValidLease, now)) {
-            // The body is not read: after a restart all agents retry every second, which must not delay joining.
+        boolean holdsValidLease = leaseRenewalGate.holdsValidLease();
+        if (leaseRenewalGate.rejectsAllHeartbeats(holdsValidLease, now)) {
+            // The body is not parsed: after a restart all agents retry every second, and their heartbeats must not
+            // delay this controller in joining the cluster.
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
             return;
         }
@@ -90,9 +94,9 @@
     }
 
     private void respondDuringOutage(HttpExchange exchange, Heartbeat heartbeat) {
-        if (leaseRenewals.mayRenewDuringOutage(heartbeat, loop.now())) {
+        if (leaseRenewalGate.mayRenewDuringOutage(heartbeat, loop.now())) {
             List<AgentCommand> stops = cancellationEnforcer.stopCommands(heartbeat);
-            exchange.respond(HttpStatus.OK, responses.encode(clusterState.fencingToken(), stops));
+            exchange.respond(HttpStatus.OK, responseEncoder.encode(clusterState.fencingToken(), stops));
         } else {
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
         }
@@ -100,9 +104,9 @@
 
     private void respond(HttpExchange exchange, HeartbeatResponse response) {
         if (response instanceof HeartbeatResponse.Accepted accepted) {
-            exchange.respond(HttpStatus.OK, responses.encode(accepted.fencingToken(), accepted.commands()));
+            exchange.respond(HttpStatus.OK, responseEncoder.encode(accepted.fencingToken(), accepted.commands()));
             if (accepted.mayRequireCycle()) {
-                requestCycle.run();
+                triggerSchedulingCycle.run();
             }
         } else if (response instanceof HeartbeatResponse.Redirect redirect) {
             exchange.respond(HttpStatus.MISDIRECTED, AgentCommand.encodeRedirect(redirect.controller()));
