--- a/src/main/java/org/gullway/api/StatusVerifier.java
+++ b/src/main/java/org/gullway/api/StatusVerifier.java
@@ -15,8 +15,8 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.protocol.JobStatus;
-import org.gullway.storage.LinearizableRead;
 import org.gullway.storage.ReplicatedState;
+import org.gullway.storage.VersionCheckResult;
 import org.gullway.transport.EventLoop;
 
 /**
@@ -78,7 +78,7 @@
             return true;
         }
         int checks = 1 + queue.keyCount() / maxKeysPerCheck;
-        return replicatedState.timeUntilConfirmation(checks).compareTo(timeout) >= 0;
+        return replicatedState.timeUntilVersionChecks(checks).compareTo(timeout) >= 0;
     }
 
     /** Checks the queued queries soon; a short delay gathers those that arrive together. */
@@ -87,7 +87,7 @@
             return;
         }
         checkScheduled = true;
-        Duration batchingDelay = replicatedState.confirmationDelay();
+        Duration batchingDelay = replicatedState.versionCheckDelay();
         Duration busyDelay =
                 storeBusyUntil.isAfter(loop.now()) ? Duration.between(loop.now(), storeBusyUntil) : Duration.ZERO;
         loop.after(batchingDelay.compareTo(busyDelay) > 0 ? batchingDelay : busyDelay, () -> {
@@ -104,7 +104,7 @@
         }
         Instant sentAt = loop.now();
         checksInFlight.add(sentAt);
-        replicatedState.confirmVersions(batch.keys(), read -> {
+        replicatedState.checkVersions(batch.keys(), read -> {
             checksInFlight.remove(sentAt);
             switch (read.kind()) {
                 case COMPARED -> complete(batch, read, sentAt);
@@ -145,7 +145,7 @@
         }
     }
 
-    private void complete(Batch batch, LinearizableRead read, Instant sentAt) {
+    private void complete(Batch batch, VersionCheckResult read, Instant sentAt) {
         ReadFreshness freshness = new ReadFreshness(ReadFreshness.Source.VERSION_CHECK, read.revision(), sentAt);
         for (Candidate candidate : batch.candidates()) {
             complete(candidate, freshness, read.staleKeys());
--- a/src/main/java/org/gullway/storage/ReplicatedState.java
+++ b/src/main/java/org/gullway/storage/ReplicatedState.java
@@ -54,8 +54,8 @@
         // Fractions of the request rate of one controller; the rest is for the renewal of its membership lease.
         static final double WATCH_SHARE = 0.38;
         static final double COMMIT_SHARE = 0.35;
-        /** Requests that confirm the versions on which responses to users are based. */
-        static final double CONFIRMATION_SHARE = 0.075;
+        /** Version checks of the records on which responses to users are based. */
+        static final double VERSION_CHECK_SHARE = 0.075;
         /** Reads of single jobs for status queries. */
         static final double QUERY_READ_SHARE = 0.12;
         /** Reads of single jobs for submissions and cancellations, which never wait for reads for status queries. */
@@ -76,7 +76,7 @@
     private final WatchStream watchStream;
     private final CommitPacing commitPacing;
     private final TransactionCommitter committer;
-    private final LinearizableReader linearizableReader;
+    private final VersionChecker versionChecker;
     private final TokenBucket queryReadLimit;
     private final TokenBucket requestReadLimit;
 
@@ -110,8 +110,8 @@
                 loop, rateLimits, rateLimits.requestLimit(loop, StoreRateLimits.COMMIT_SHARE), onStateChanged);
         this.committer = new TransactionCommitter(
                 loop, store, clusterState, membershipLease, watchStream, commitPacing, onStateChanged);
-        this.linearizableReader = new LinearizableReader(
-                store, clusterState, rateLimits.requestLimit(loop, StoreRateLimits.CONFIRMATION_SHARE));
+        this.versionChecker = new VersionChecker(
+                store, clusterState, rateLimits.requestLimit(loop, StoreRateLimits.VERSION_CHECK_SHARE));
     }
 
     private void onJoined() {
@@ -187,21 +187,21 @@
     }
 
     /**
-     * Asks the state store whether the versions of the keys in the cluster state are current. A key that is missing
+     * Compares the versions of the keys in the cluster state with those in the state store. A key that is missing
      * from the cluster state is current only if it does not exist in the store.
      */
-    public void confirmVersions(Set<String> keys, Consumer<LinearizableRead> callback) {
-        linearizableReader.confirmVersions(keys, callback);
+    public void checkVersions(Set<String> keys, Consumer<VersionCheckResult> callback) {
+        versionChecker.checkVersions(keys, callback);
     }
 
-    /** Returns how long status queries should be collected before the next confirmation is requested. */
-    public Duration confirmationDelay() {
-        return linearizableReader.batchingDelay();
+    /** Returns how long status queries should be collected before the next version check is sent. */
+    public Duration versionCheckDelay() {
+        return versionChecker.batchingDelay();
     }
 
-    /** Returns the time until the rate limit allows this number of confirmations. */
-    public Duration timeUntilConfirmation(int count) {
-        return linearizableReader.timeUntilAvailable(count);
+    /** Returns the time until the rate limit allows this number of version checks. */
+    public Duration timeUntilVersionChecks(int count) {
+        return versionChecker.timeUntilAvailable(count);
     }
 
     /** Returns the rate limit for reads of single jobs for status queries. */
--- a/src/main/java/org/gullway/storage/LinearizableRead.java
+++ b/src/main/java/org/gullway/storage/VersionCheckResult.java
@@ -3,12 +3,13 @@
 import java.util.Set;
 
 /**
- * Result of a linearizable comparison of key versions in the cluster state with those in the state store.
+ * Result of a version check: a linearizable comparison of key versions in the cluster state with those in the state
+ * store.
  *
  * @param staleKeys keys whose version in the cluster state is not the current one; empty if no versions were compared
  * @param revision revision of the state store at which the versions were compared; 0 if no versions were compared
  */
-public record LinearizableRead(Kind kind, Set<String> staleKeys, long revision) {
+public record VersionCheckResult(Kind kind, Set<String> staleKeys, long revision) {
     /** Whether the versions were compared, and if not, why. */
     public enum Kind {
         /** The versions were compared; {@code staleKeys} contains the keys whose versions differ. */
@@ -19,13 +20,13 @@
         FAILED
     }
 
-    static LinearizableRead of(StateStoreClient.Outcome outcome) {
+    static VersionCheckResult of(StateStoreClient.Outcome outcome) {
         if (outcome.isOkWithBody()) {
-            return new LinearizableRead(Kind.COMPARED, Set.of(), outcome.revision());
+            return new VersionCheckResult(Kind.COMPARED, Set.of(), outcome.revision());
         }
         if (outcome.isConflict()) {
-            return new LinearizableRead(Kind.COMPARED, outcome.failedConditions(), outcome.revision());
+            return new VersionCheckResult(Kind.COMPARED, outcome.failedConditions(), outcome.revision());
         }
-        return new LinearizableRead(outcome.isRateLimited() ? Kind.BUSY : Kind.FAILED, Set.of(), 0);
+        return new VersionCheckResult(outcome.isRateLimited() ? Kind.BUSY : Kind.FAILED, Set.of(), 0);
     }
 }
--- a/src/main/java/org/gullway/storage/LinearizableReader.java
+++ b/src/main/java/org/gullway/storage/VersionChecker.java
@@ -7,31 +7,34 @@
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.transport.TokenBucket;
 
-/** Confirms that records of the cluster state are current, with transactions that have conditions but no changes. */
-final class LinearizableReader {
+/**
+ * Compares key versions in the cluster state with those in the state store, with transactions that have conditions but
+ * no changes. These comparisons are linearizable.
+ */
+final class VersionChecker {
     private final StateStoreClient store;
     private final ClusterState clusterState;
     private final TokenBucket requestLimit;
 
-    LinearizableReader(StateStoreClient store, ClusterState clusterState, TokenBucket requestLimit) {
+    VersionChecker(StateStoreClient store, ClusterState clusterState, TokenBucket requestLimit) {
         this.store = store;
         this.clusterState = clusterState;
         this.requestLimit = requestLimit;
     }
 
-    /** See {@link ReplicatedState#confirmVersions}. */
-    void confirmVersions(Set<String> keys, Consumer<LinearizableRead> callback) {
+    /** See {@link ReplicatedState#checkVersions}. */
+    void checkVersions(Set<String> keys, Consumer<VersionCheckResult> callback) {
         requestLimit.consume(1);
         store.commit(
-                keys, clusterState::version, Map.of(), 0, outcome -> callback.accept(LinearizableRead.of(outcome)));
+                keys, clusterState::version, Map.of(), 0, outcome -> callback.accept(VersionCheckResult.of(outcome)));
     }
 
-    /** See {@link ReplicatedState#confirmationDelay}. */
+    /** See {@link ReplicatedState#versionCheckDelay}. */
     Duration batchingDelay() {
         return requestLimit.batchingDelay();
     }
 
-    /** See {@link ReplicatedState#timeUntilConfirmation}. */
+    /** See {@link ReplicatedState#timeUntilVersionChecks}. */
     Duration timeUntilAvailable(int count) {
         return requestLimit.timeUntilAvailable(count);
     }
