--- a/src/main/java/org/gullway/controller/SchedulingCycle.java
+++ b/src/main/java/org/gullway/controller/SchedulingCycle.java
@@ -81,7 +81,7 @@
 
     /** Plans the changes that are due and commits them. To be called only while the replicated state can commit. */
     void run(Instant startedAt) {
-        replicatedState.setWriteShare(isLeader());
+        replicatedState.updateChangeShare(isLeader());
         Transaction transaction = new Transaction(
                 clusterState, self, limits.withMaxChanges(replicatedState.availableChanges()), timeOfDay.instant());
         current = transaction;
--- a/src/main/java/org/gullway/storage/CommitPacing.java
+++ b/src/main/java/org/gullway/storage/CommitPacing.java
@@ -37,8 +37,8 @@
         this.onPauseEnded = onPauseEnded;
     }
 
-    /** See {@link ReplicatedState#setWriteShare}. */
-    void setWriteShare(boolean leading) {
+    /** See {@link ReplicatedState#updateChangeShare}. */
+    void updateChangeShare(boolean leading) {
         changeLimit.setShare(
                 loop.now().isBefore(contendedUntil)
                         ? rateLimits.contendedShare(leading)
--- a/src/main/java/org/gullway/storage/ReplicatedState.java
+++ b/src/main/java/org/gullway/storage/ReplicatedState.java
@@ -156,8 +156,8 @@
     /**
      * Sets this controller's share of the change rate, which depends on whether it leads and the store is contended.
      */
-    public void setWriteShare(boolean leading) {
-        commitPacing.setWriteShare(leading);
+    public void updateChangeShare(boolean leading) {
+        commitPacing.updateChangeShare(leading);
     }
 
     /**
