--- a/src/main/java/org/gullway/api/UserApi.java
+++ b/src/main/java/org/gullway/api/UserApi.java
@@ -56,7 +56,7 @@
                 requestCycle);
         // Submissions and cancellations have a rate limit of their own, so that queries cannot delay them.
         JobLookup queryLookup = newJobLookup(context, replicatedState.queryReadLimit(), cancellationEnforcer);
-        JobLookup requestLookup = newJobLookup(context, replicatedState.requestReadLimit(), cancellationEnforcer);
+        JobLookup requestLookup = newJobLookup(context, replicatedState.mutationReadLimit(), cancellationEnforcer);
         this.statusQueries = new StatusQueryHandler(context, queryLookup, conditionsPerTransaction);
         this.submissions = new SubmissionHandler(context, admission, requestLookup, statusQueries);
         this.cancellations = new CancellationHandler(context, requestLookup);
--- a/src/main/java/org/gullway/storage/ReplicatedState.java
+++ b/src/main/java/org/gullway/storage/ReplicatedState.java
@@ -59,7 +59,7 @@
         /** Reads of single jobs for status queries. */
         static final double QUERY_READ_SHARE = 0.12;
         /** Reads of single jobs for submissions and cancellations, which never wait for reads for status queries. */
-        static final double REQUEST_READ_SHARE = 0.06;
+        static final double MUTATION_READ_SHARE = 0.06;
 
         double contendedShare(boolean leading) {
             return leading ? CONTENDED_LEADER_SHARE : CONTENDED_NON_LEADERS_SHARE / Math.max(1, controllers - 1);
@@ -78,7 +78,7 @@
     private final TransactionCommitter committer;
     private final VersionChecker versionChecker;
     private final TokenBucket queryReadLimit;
-    private final TokenBucket requestReadLimit;
+    private final TokenBucket mutationReadLimit;
 
     /**
      * @param rateLimits rate limits of the state store
@@ -96,7 +96,7 @@
         this.store = store;
         this.clusterState = clusterState;
         this.queryReadLimit = rateLimits.requestLimit(loop, StoreRateLimits.QUERY_READ_SHARE);
-        this.requestReadLimit = rateLimits.requestLimit(loop, StoreRateLimits.REQUEST_READ_SHARE);
+        this.mutationReadLimit = rateLimits.requestLimit(loop, StoreRateLimits.MUTATION_READ_SHARE);
         this.watchStream = new WatchStream(
                 loop,
                 store,
@@ -210,8 +210,8 @@
     }
 
     /** Returns the rate limit for reads of single jobs for submissions and cancellations. */
-    public TokenBucket requestReadLimit() {
-        return requestReadLimit;
+    public TokenBucket mutationReadLimit() {
+        return mutationReadLimit;
     }
 
     /** Returns the client of the state store, for reads of single keys. */
