--- a/src/main/java/org/gullway/storage/CommitPacing.java
+++ b/src/main/java/org/gullway/storage/CommitPacing.java
@@ -10,8 +10,11 @@
  * store's rate limits, and pauses between transactions.
  */
 final class CommitPacing {
+    /** How long the contended share applies after the store has rejected a transaction because of its rate limit. */
     private static final Duration CONTENTION_PERIOD = Duration.ofSeconds(10);
+    /** Pause after a transaction that was not applied for a reason other than failed conditions. */
     private static final Duration REJECTION_PAUSE = Duration.ofMillis(120);
+    /** Pause after failed conditions or fencing if the watch has already reached the revision. */
     private static final Duration CONFLICT_PAUSE = Duration.ofMillis(20);
 
     private final EventLoop loop;
@@ -53,6 +56,10 @@
         return changeLimit.hasSurplus();
     }
 
+    /**
+     * Returns true if no pause is in progress and the change limit has a batch of tokens, a quarter of those of one
+     * second. The request limit is not checked here; it determines the pause after a committed transaction.
+     */
     boolean allowsCommit() {
         return !loop.now().isBefore(pausedUntil) && changeLimit.hasBatch();
     }
@@ -71,7 +78,7 @@
         pauseFor(CONFLICT_PAUSE);
     }
 
-    /** Handles a transaction that the store rejected, or never received, without comparing its conditions. */
+    /** Handles a transaction that was not applied for a reason other than failed conditions. */
     void onRejected(boolean rateLimited) {
         if (rateLimited) {
             contendedUntil = loop.now().plus(CONTENTION_PERIOD);
--- a/src/main/java/org/gullway/storage/ConflictHistory.java
+++ b/src/main/java/org/gullway/storage/ConflictHistory.java
@@ -6,8 +6,8 @@
 import org.gullway.coordination.model.StoreKeys;
 
 /**
- * Keeps the failed conditions since the last committed transaction, to detect keys whose version in the cluster state
- * is wrong.
+ * Keeps the failed conditions since the last committed transaction, to detect keys of which the cluster state has a
+ * wrong version.
  */
 final class ConflictHistory {
     private record Conflict(long expectedVersion, long revision) {}
@@ -20,14 +20,15 @@
 
     /**
      * Records the failed conditions of a transaction. If the condition on a key fails twice with the same expected
-     * version, and the second transaction was sent after the watch had passed the revision of the first failure, then
-     * the version in the cluster state is wrong, and every further transaction on the key would fail too.
+     * version, and the watch had reached the revision of the first failure when the second transaction was sent, then
+     * the cluster state has a wrong version of the key, and every further transaction on the key would fail too. Keys
+     * that are not watched, and keys that were expected not to exist, are not considered.
      *
      * @param failed the keys whose conditions failed
      * @param expectedVersions the versions that the transaction expected, by key
      * @param revision revision of the state store at which the conditions failed
      * @param watchedRevision the revision that the watch had reached when the transaction was sent
-     * @return true if the version of any of the keys in the cluster state is wrong
+     * @return true if the cluster state has a wrong version of any of the keys
      */
     boolean record(Set<String> failed, Map<String, Long> expectedVersions, long revision, long watchedRevision) {
         boolean inconsistent = false;
--- a/src/main/java/org/gullway/storage/FullRead.java
+++ b/src/main/java/org/gullway/storage/FullRead.java
@@ -6,7 +6,7 @@
 import java.util.function.BooleanSupplier;
 import org.gullway.coordination.model.StoreKeys;
 
-/** Reads all keys under {@link StoreKeys#LIVE} once, page by page. */
+/** One full read: reads all keys under {@link StoreKeys#LIVE}, page by page. */
 final class FullRead {
     /** Receives the outcome of the read. It is not called if the read has been superseded. */
     interface Callback {
--- a/src/main/java/org/gullway/storage/JobFormat.java
+++ b/src/main/java/org/gullway/storage/JobFormat.java
@@ -18,7 +18,7 @@
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.protocol.MessageFields;
 
-/** Stored encoding of a job that has not ended. */
+/** Stored encoding of a job that has not ended. Completed tasks are alternating first and last numbers of ranges. */
 final class JobFormat implements RecordFormat<JobRecord> {
     /**
      * Positions in an entry of the {@code live} list: the machine, its agent epoch and the time of the placements. From
--- a/src/main/java/org/gullway/storage/MembershipLease.java
+++ b/src/main/java/org/gullway/storage/MembershipLease.java
@@ -20,6 +20,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
     private static final int RENEWALS_PER_LEASE_DURATION = 5;
     private static final int RENEWAL_TIMEOUT_DIVISOR = 3;
+    /** Renewals overlap, because the timeout of a renewal is longer than the interval between renewals. */
     private static final int MAX_RENEWALS_IN_FLIGHT = 2;
 
     private enum Phase {
@@ -33,23 +34,24 @@
     private final ClusterState clusterState;
     private final Membership membership;
     private final Runnable onJoined;
-    private final Runnable onStateChanged;
+    private final Runnable requestSchedulingCycle;
     private Phase phase = Phase.NOT_MEMBER;
     /** Revision at which this controller's member key was last written. */
     private long memberKeyRevision;
     /** Revision at which the current membership began. */
     private long joinedRevision;
     /**
-     * Number of the current membership. The outcome of a transaction that was sent during an earlier membership does
-     * not concern the transaction in flight.
+     * Number of the current membership, incremented on each join. The outcome of a transaction that was sent under a
+     * lower number is late, and must not be taken for the outcome of the transaction in flight.
      */
-    private int term;
+    private int membershipNumber;
 
     private int renewalsInFlight;
 
     /**
      * @param onJoined runs whenever a membership has begun
-     * @param onStateChanged runs, after {@code onJoined}, whenever this controller may have gained a valid lease
+     * @param requestSchedulingCycle runs when this controller may have gained a valid lease; on a join, runs after
+     *     {@code onJoined}
      */
     MembershipLease(
             EventLoop loop,
@@ -57,13 +59,13 @@
             ClusterState clusterState,
             Membership membership,
             Runnable onJoined,
-            Runnable onStateChanged) {
+            Runnable requestSchedulingCycle) {
         this.loop = loop;
         this.store = store;
         this.clusterState = clusterState;
         this.membership = membership;
         this.onJoined = onJoined;
-        this.onStateChanged = onStateChanged;
+        this.requestSchedulingCycle = requestSchedulingCycle;
     }
 
     void start() {
@@ -76,8 +78,8 @@
         return phase == Phase.MEMBER && membership.isLeaseValid(loop.now());
     }
 
-    /** Returns true if the current membership is on this lease, even if the lease may have expired. */
-    boolean isCurrent(long lease) {
+    /** Returns true if this controller is a member with this lease, which may have expired. */
+    boolean isCurrentLease(long lease) {
         return lease == membership.leaseId() && phase == Phase.MEMBER;
     }
 
@@ -89,8 +91,8 @@
         return membership.leaseId();
     }
 
-    int term() {
-        return term;
+    int membershipNumber() {
+        return membershipNumber;
     }
 
     long memberKeyRevision() {
@@ -176,10 +178,10 @@
         joinedRevision = revision;
         onMemberKeyWritten(revision);
         phase = Phase.MEMBER;
-        term++;
+        membershipNumber++;
         onJoined.run();
         LOG.info("joined the cluster incarnation={} lease={}", self(), lease);
-        onStateChanged.run();
+        requestSchedulingCycle.run();
     }
 
     private void renew() {
@@ -192,7 +194,7 @@
         renewalsInFlight++;
         store.renewLease(lease, timeout, outcome -> {
             renewalsInFlight--;
-            if (isCurrent(lease)) {
+            if (isCurrentLease(lease)) {
                 onRenewalOutcome(outcome, sentAt);
             }
         });
@@ -204,7 +206,7 @@
             membership.onRenewed(sentAt);
             if (!wasValid) {
                 LOG.info("membership lease valid again after a late renewal lease={}", membership.leaseId());
-                onStateChanged.run();
+                requestSchedulingCycle.run();
             }
         } else if (outcome.isNotFound()) {
             LOG.info("membership lease expired in the state store; joining again lease={}", membership.leaseId());
--- a/src/main/java/org/gullway/storage/RecordCodec.java
+++ b/src/main/java/org/gullway/storage/RecordCodec.java
@@ -61,7 +61,7 @@
      * Decodes a value under {@link StoreKeys#LIVE}. Returns null if the key belongs to no known record type; a later
      * version may have written it.
      *
-     * @throws MalformedMessageException if the value is malformed; the message names the key and the field
+     * @throws MalformedMessageException if the format rejects the value; the message begins with the key
      */
     public static StoreRecord decode(String key, JsonNode value) throws MalformedMessageException {
         for (StoredType<?> type : WATCHED_TYPES) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Decodes the final state of an ended job, which is stored outside the watched keys. */
+    /** Decodes the final state of an ended job, which is stored outside the watched keys. Does not use the key. */
     public static FinalState decodeFinalState(JsonNode value) throws MalformedMessageException {
         return FINAL_STATE.decode("", value);
     }
--- a/src/main/java/org/gullway/storage/RecordFormat.java
+++ b/src/main/java/org/gullway/storage/RecordFormat.java
@@ -13,10 +13,11 @@
     ObjectNode encode(T record);
 
     /**
-     * Decodes a stored record.
+     * Decodes a stored record. Not everything is validated: values inside arrays, and the amounts of a quota partition,
+     * are decoded as 0, false or an empty text if they are missing or have another type.
      *
      * @param name the key without the prefix of the record type
-     * @throws MalformedMessageException if the value is malformed; the message names the field
+     * @throws MalformedMessageException if the format rejects a field
      */
     T decode(String name, JsonNode value) throws MalformedMessageException;
 }
--- a/src/main/java/org/gullway/storage/ReplicatedState.java
+++ b/src/main/java/org/gullway/storage/ReplicatedState.java
@@ -29,20 +29,24 @@
      *     false
      */
     public record CommitResult(boolean committed, Set<String> failedConditions, long revision) {
-        static final CommitResult NOT_COMMITTED = notCommitted(Set.of());
+        static final CommitResult UNCONFIRMED = unconfirmed(Set.of());
 
         static CommitResult committed(long revision) {
             return new CommitResult(true, Set.of(), revision);
         }
 
-        static CommitResult notCommitted(Set<String> failedConditions) {
+        static CommitResult unconfirmed(Set<String> failedConditions) {
             return new CommitResult(false, failedConditions, 0);
         }
     }
 
     /** Rate limits of the state store for all controllers together, and the number of controllers. */
     public record StoreRateLimits(double changesPerSecond, double requestsPerSecond, int controllers) {
-        /** Fraction of the changes that each controller may use while the store rejects none for its rate limit. */
+        /**
+         * Fraction of the change rate that each controller may use while the store is not contended, which means that
+         * the store has not recently rejected a transaction because of the rate limit. The fractions of all controllers
+         * may add up to more than 1; the store rejects what exceeds the limit.
+         */
         static final double UNCONTENDED_SHARE = 0.6;
         /**
          * Fraction of the changes that the leader may use while the store is contended; the leader writes most of them.
@@ -51,7 +55,8 @@
         private static final double CONTENDED_LEADER_SHARE = 0.55;
 
         private static final double CONTENDED_NON_LEADERS_SHARE = 0.4;
-        // Fractions of the request rate of one controller; the rest is for the renewal of its membership lease.
+        // Fractions of one controller's part of the request rate. The rest is for the renewal of its membership lease,
+        // which is not rate limited here, and neither are joins, full reads and fencing.
         static final double WATCH_SHARE = 0.38;
         static final double COMMIT_SHARE = 0.35;
         /** Version checks of the records on which responses to users are based. */
@@ -83,7 +88,8 @@
     /**
      * @param rateLimits rate limits of the state store
      * @param watchWait how long the state store may delay its response to a watch while there are no changes
-     * @param onStateChanged runs on the event loop whenever a new scheduling cycle may find work
+     * @param requestSchedulingCycle runs on the event loop whenever a new scheduling cycle may find work: the cluster
+     *     state has changed, a valid lease may have been gained, or a pause between transactions has ended
      */
     public ReplicatedState(
             EventLoop loop,
@@ -92,7 +98,7 @@
             Membership membership,
             StoreRateLimits rateLimits,
             Duration watchWait,
-            Runnable onStateChanged) {
+            Runnable requestSchedulingCycle) {
         this.store = store;
         this.clusterState = clusterState;
         this.queryReadLimit = rateLimits.requestLimit(loop, StoreRateLimits.QUERY_READ_SHARE);
@@ -103,13 +109,13 @@
                 clusterState,
                 rateLimits.requestLimit(loop, StoreRateLimits.WATCH_SHARE),
                 watchWait,
-                onStateChanged);
+                requestSchedulingCycle);
         this.membershipLease =
-                new MembershipLease(loop, store, clusterState, membership, this::onJoined, onStateChanged);
+                new MembershipLease(loop, store, clusterState, membership, this::onJoined, requestSchedulingCycle);
         this.commitPacing = new CommitPacing(
-                loop, rateLimits, rateLimits.requestLimit(loop, StoreRateLimits.COMMIT_SHARE), onStateChanged);
+                loop, rateLimits, rateLimits.requestLimit(loop, StoreRateLimits.COMMIT_SHARE), requestSchedulingCycle);
         this.committer = new TransactionCommitter(
-                loop, store, clusterState, membershipLease, watchStream, commitPacing, onStateChanged);
+                loop, store, clusterState, membershipLease, watchStream, commitPacing, requestSchedulingCycle);
         this.versionChecker = new VersionChecker(
                 store, clusterState, rateLimits.requestLimit(loop, StoreRateLimits.VERSION_CHECK_SHARE));
     }
@@ -128,8 +134,9 @@
     }
 
     /**
-     * Returns true if this controller may act: its lease has not expired, and the cluster state is fresh and contains
-     * all changes up to the revision at which this controller joined.
+     * Returns true if this controller may schedule and command agents. This requires that the membership lease has not
+     * expired, that the cluster state is fresh, and that it contains all changes up to the revision at which this
+     * controller joined.
      */
     public boolean holdsValidLease() {
         // A cluster state from before the join may lack placements that other controllers committed until then.
@@ -138,41 +145,45 @@
                 && clusterState.watchedRevision() >= membershipLease.joinedRevision();
     }
 
-    /** Returns true if all keys have been read, and the watch that follows has been answered recently. */
+    /** Returns true if a full read is complete and the latest answer to it or to a watch is less than 10 s old. */
     public boolean isFresh() {
         return watchStream.isFresh();
     }
 
     /**
-     * Returns the time up to which the cluster state certainly contains the transactions of all controllers: the time
-     * at which the last watch or full read that was answered had been sent. The time of the response would be too late,
-     * because the store may delay a response for long. A watch that is still open counts for nothing, because it also
-     * stays open during an outage.
+     * Returns the send time of the latest answered watch or full read. The cluster state contains every transaction
+     * that any controller committed before this time. The time of the response would be too late, because the store may
+     * hold a response back. An unanswered watch does not count, because a watch also stays open during an outage.
      */
     public Instant knownThrough() {
         return watchStream.knownThrough();
     }
 
     /**
-     * Sets this controller's share of the change rate, which depends on whether it leads and the store is contended.
+     * Updates this controller's share of the change rate. The share depends on whether this controller is the leader
+     * and whether the store is contended at the time of the call, so this method must be called in every scheduling
+     * cycle.
      */
     public void updateChangeShare(boolean leading) {
         commitPacing.updateChangeShare(leading);
     }
 
     /**
-     * Returns how many changes a transaction may contain now so that the rate limit does not delay the next one long.
+     * Returns the number of changes that the rate limit currently allows. A larger transaction would be possible, but
+     * the next transaction would have to wait longer.
      */
     public int availableChanges() {
         return commitPacing.availableChanges();
     }
 
-    /** Returns true if the rate limit has room for changes that are not urgent. */
+    /**
+     * Returns true if at least half of the changes of one second are unused, so that less urgent changes may be sent.
+     */
     public boolean hasSurplusChanges() {
         return commitPacing.hasSurplusChanges();
     }
 
-    /** Returns true if a transaction may be committed now. */
+    /** Returns true if a transaction may be committed now. May start a full read if the watch is late. */
     public boolean canCommit() {
         return holdsValidLease() && committer.isReady();
     }
--- a/src/main/java/org/gullway/storage/StateStoreClient.java
+++ b/src/main/java/org/gullway/storage/StateStoreClient.java
@@ -20,12 +20,12 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Client for the HTTP API of the state store. If a response has an unexpected status, or lacks a readable body that is
- * required, the outcome of the request counts as unknown.
+ * Client for the HTTP API of the state store. The outcome of a request counts as unknown if its response has an
+ * unexpected status, or has status 200 without a readable body.
  */
 public final class StateStoreClient {
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
-    /** Delay before a failed request is sent again. */
+    /** Delay after which callers repeat a failed request. */
     static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
     private static final int PAGE_SIZE = 500;
@@ -41,13 +41,13 @@
     /**
      * Outcome of a request.
      *
-     * @param kind whether the request was answered, and if not, whether it may have been carried out
+     * @param httpOutcome whether the request was answered, and if not, whether it may have been carried out
      * @param status HTTP status; 0 if the request was not answered
      * @param body decoded body of the response; null if the response has no body or the body is not a CBOR map
      */
-    public record Outcome(HttpResponse.Outcome kind, int status, ObjectNode body) {
+    public record Outcome(HttpResponse.Outcome httpOutcome, int status, ObjectNode body) {
         private boolean hasStatus(int expected) {
-            return kind == HttpResponse.Outcome.ANSWERED && status == expected;
+            return httpOutcome == HttpResponse.Outcome.ANSWERED && status == expected;
         }
 
         /** Returns true if the request was carried out, whether or not the response has a readable body. */
@@ -75,7 +75,7 @@
             return hasStatus(HttpStatus.GONE);
         }
 
-        /** Returns true if the request was malformed, or wrote a key on a lease that has expired. */
+        /** Returns true if the request was malformed, or tried to write a key on an expired lease. */
         boolean isBadRequest() {
             return hasStatus(HttpStatus.BAD_REQUEST);
         }
@@ -84,9 +84,12 @@
             return hasStatus(HttpStatus.TOO_MANY_REQUESTS);
         }
 
-        /** Returns true if the request may have been carried out, or may still be carried out later. */
+        /**
+         * Returns true if the request may have been carried out, or may still be carried out later. This includes
+         * status 200 without a readable body, for which {@link #isOk()} returns true as well.
+         */
         boolean isUnknown() {
-            return switch (kind) {
+            return switch (httpOutcome) {
                 case ANSWERED -> !isConclusive();
                 case NOT_SENT, NO_SOCKET -> false;
                 case UNKNOWN -> true;
@@ -107,8 +110,9 @@
         }
 
         /**
-         * Returns the revision of the store for which the response is valid or, for a read of a single key, the version
-         * of that key; 0 if the response contains neither.
+         * Returns the revision of the store at which the request was carried out or, for a read of a single key, the
+         * version of the key, which is the revision at which the key was last written; 0 if the response contains
+         * neither.
          */
         public long revision() {
             return body == null ? 0 : body.path("logline").asLong(version(body));
@@ -180,7 +184,7 @@
         send(HttpRequest.post("/grants", body, REQUEST_TIMEOUT), callback);
     }
 
-    /** Renews a lease, which extends it by its duration. */
+    /** Renews a lease, so that it expires one lease duration after the renewal. */
     public void renewLease(long lease, Duration timeout, Consumer<Outcome> callback) {
         send(HttpRequest.post("/grants/" + lease + "/renew", Cbor.encode(Cbor.map()), timeout), callback);
     }
@@ -196,7 +200,7 @@
      * @param versionOf returns the expected version of a key; 0 if the key must not exist
      * @param changes new value of each key; null removes the key
      * @param lease ID of the lease on which the member key and the leader key are written, if they are among the
-     *     changes
+     *     changes; ignored otherwise
      */
     public void commit(
             Collection<String> conditions,
--- a/src/main/java/org/gullway/storage/TransactionCommitter.java
+++ b/src/main/java/org/gullway/storage/TransactionCommitter.java
@@ -27,7 +27,7 @@
     private final MembershipLease membershipLease;
     private final WatchStream watchStream;
     private final CommitPacing pacing;
-    private final Runnable onStateChanged;
+    private final Runnable requestSchedulingCycle;
     private final TransactionFence fence;
     private final ConflictHistory conflictHistory = new ConflictHistory();
     private boolean inFlight;
@@ -37,7 +37,7 @@
             Transaction transaction,
             Instant sentAt,
             long lease,
-            int term,
+            int membershipNumber,
             long watchedRevision,
             Map<String, Long> expectedVersions) {}
 
@@ -48,26 +48,29 @@
             MembershipLease membershipLease,
             WatchStream watchStream,
             CommitPacing pacing,
-            Runnable onStateChanged) {
+            Runnable requestSchedulingCycle) {
         this.loop = loop;
         this.store = store;
         this.clusterState = clusterState;
         this.membershipLease = membershipLease;
         this.watchStream = watchStream;
         this.pacing = pacing;
-        this.onStateChanged = onStateChanged;
+        this.requestSchedulingCycle = requestSchedulingCycle;
         this.fence = new TransactionFence(loop, store, clusterState, membershipLease);
     }
 
     /**
-     * Stops waiting for the transaction in flight. It was sent during an earlier membership, so its condition on the
-     * version of the member key fails.
+     * Stops waiting for the transaction in flight. It was sent during an earlier membership: it either has been applied
+     * already, or can no longer be applied because its condition on the version of the member key fails.
      */
     void onJoined() {
         inFlight = false;
     }
 
-    /** Returns true if a transaction may be sent now, provided that this controller holds a valid lease. */
+    /**
+     * Returns true if a transaction may be sent now, provided that this controller holds a valid lease. May start a
+     * full read, see {@link WatchStream#checkAwaitedRevision()}.
+     */
     boolean isReady() {
         if (inFlight || !pacing.allowsCommit()) {
             return false;
@@ -75,7 +78,7 @@
         // The cluster state must already contain the placements that an earlier incarnation of this controller, or an
         // earlier leader, has committed.
         return clusterState.watchedRevision() >= Math.max(membershipLease.memberKeyRevision(), leaderRevision())
-                && watchStream.hasReachedAwaitedRevision();
+                && watchStream.checkAwaitedRevision();
     }
 
     private long leaderRevision() {
@@ -102,7 +105,7 @@
                 transaction,
                 loop.now(),
                 membershipLease.lease(),
-                membershipLease.term(),
+                membershipLease.membershipNumber(),
                 clusterState.watchedRevision(),
                 expectedVersions);
     }
@@ -114,23 +117,23 @@
             LOG.info(
                     "transaction outcome unknown; rewriting the member key to fence the transaction lease={}",
                     sent.lease());
-            fence.fence((result, term, revision) -> {
-                onFenced(result, term, revision);
-                callback.accept(CommitResult.NOT_COMMITTED);
+            fence.fence((result, membershipNumber, revision) -> {
+                onFenced(result, membershipNumber, revision);
+                callback.accept(CommitResult.UNCONFIRMED);
             });
         } else {
-            callback.accept(CommitResult.notCommitted(onNotCommitted(sent, outcome)));
+            callback.accept(CommitResult.unconfirmed(handleNotApplied(sent, outcome)));
         }
     }
 
     private void onCommitted(SentTransaction sent, long revision, Consumer<CommitResult> callback) {
         logCommitted(sent, revision);
-        onOutcomeKnown(sent.term());
+        onOutcomeKnown(sent.membershipNumber());
         conflictHistory.clear();
         clusterState.apply(sent.transaction().changes(), revision);
         pacing.onCommitted();
         callback.accept(CommitResult.committed(revision));
-        onStateChanged.run();
+        requestSchedulingCycle.run();
     }
 
     private void logCommitted(SentTransaction sent, long revision) {
@@ -145,28 +148,28 @@
     }
 
     /** Allows the next transaction, unless the known outcome is that of a transaction of an earlier membership. */
-    private void onOutcomeKnown(int term) {
-        if (term == membershipLease.term()) {
+    private void onOutcomeKnown(int membershipNumber) {
+        if (membershipNumber == membershipLease.membershipNumber()) {
             inFlight = false;
         }
     }
 
-    private void onFenced(TransactionFence.Result result, int term, long revision) {
+    private void onFenced(TransactionFence.Result result, int membershipNumber, long revision) {
         switch (result) {
             case MEMBER_KEY_REWRITTEN -> {
-                onOutcomeKnown(term);
-                awaitWatch(revision);
+                onOutcomeKnown(membershipNumber);
+                delayNextTransaction(revision);
             }
             case MEMBERSHIP_ENDED -> {
                 // onJoined() clears the transaction in flight once this controller has joined again.
             }
-            case MEMBERSHIP_REPLACED -> onOutcomeKnown(term);
+            case LEASE_NOT_CURRENT -> onOutcomeKnown(membershipNumber);
         }
     }
 
     /** Handles an outcome which shows that the transaction was not applied. Returns the keys of failed conditions. */
-    private Set<String> onNotCommitted(SentTransaction sent, StateStoreClient.Outcome outcome) {
-        onOutcomeKnown(sent.term());
+    private Set<String> handleNotApplied(SentTransaction sent, StateStoreClient.Outcome outcome) {
+        onOutcomeKnown(sent.membershipNumber());
         if (outcome.isConflict()) {
             Set<String> failed = outcome.failedConditions();
             onConflict(sent, failed, outcome.revision());
@@ -199,11 +202,14 @@
             conflictHistory.clear();
             watchStream.readAll();
         } else {
-            awaitWatch(revision);
+            delayNextTransaction(revision);
         }
     }
 
-    private void awaitWatch(long revision) {
+    /**
+     * Delays the next transaction until the watch has reached the revision or, if it already has, for a short pause.
+     */
+    private void delayNextTransaction(long revision) {
         if (!watchStream.awaitRevision(revision)) {
             pacing.onConflict();
         }
--- a/src/main/java/org/gullway/storage/TransactionFence.java
+++ b/src/main/java/org/gullway/storage/TransactionFence.java
@@ -7,31 +7,36 @@
 
 /**
  * Ensures that a transaction whose outcome is unknown can no longer be applied. The version of this controller's member
- * key is a condition of every transaction, so rewriting the member key makes all transactions sent before fail.
+ * key is a condition of every transaction, so rewriting the member key makes all earlier transactions fail.
  */
 final class TransactionFence {
-    /** Why the fenced transactions can no longer be applied, or why their outcome no longer matters. */
+    /** How the fencing ended. */
     enum Result {
-        /** The member key was rewritten and has a new version. */
+        /** The member key was rewritten. The fenced transactions can no longer be applied. */
         MEMBER_KEY_REWRITTEN,
         /**
-         * The membership has ended, or the version of the member key differs from that in the cluster state. This
-         * controller joins again.
+         * The store rejected the rewrite: the membership has ended, or the version of the member key differs from that
+         * in the cluster state. Either way the fenced transactions can no longer be applied. This controller joins
+         * again.
          */
         MEMBERSHIP_ENDED,
-        /** This controller left the membership of the transactions before it could rewrite the member key. */
-        MEMBERSHIP_REPLACED
+        /**
+         * The lease of the fenced transactions is no longer current, and the member key could not be rewritten before.
+         * The outcome of the transactions no longer matters.
+         */
+        LEASE_NOT_CURRENT
     }
 
     /** Receives the result of fencing. */
     interface Callback {
         /**
-         * Called exactly once, when the result is certain.
+         * Called once, when the result is certain. The rewrite is retried until the state store answers or the lease
+         * is no longer current.
          *
-         * @param term number of the membership whose transactions were fenced
+         * @param membershipNumber number of the membership whose transactions were fenced
          * @param revision revision at which the member key was rewritten; 0 if it was not
          */
-        void onFenced(Result result, int term, long revision);
+        void onFenced(Result result, int membershipNumber, long revision);
     }
 
     private final EventLoop loop;
@@ -47,40 +52,40 @@
         this.membershipLease = membershipLease;
     }
 
-    /** Fences all transactions that were sent before this call during the current membership. */
+    /** Fences all transactions that this controller sent earlier in its current membership. */
     void fence(Callback callback) {
         long lease = membershipLease.lease();
-        int term = membershipLease.term();
+        int membershipNumber = membershipLease.membershipNumber();
         String memberKey = membershipLease.memberKey();
         store.commit(
                 Set.of(memberKey),
                 clusterState::version,
                 Map.of(memberKey, membershipLease.self()),
                 lease,
-                outcome -> onOutcome(outcome, lease, term, callback));
+                outcome -> onOutcome(outcome, lease, membershipNumber, callback));
     }
 
-    private void onOutcome(StateStoreClient.Outcome outcome, long lease, int term, Callback callback) {
+    private void onOutcome(StateStoreClient.Outcome outcome, long lease, int membershipNumber, Callback callback) {
         if (outcome.isOkWithBody()) {
             membershipLease.onMemberKeyWritten(outcome.revision());
-            callback.onFenced(Result.MEMBER_KEY_REWRITTEN, term, outcome.revision());
+            callback.onFenced(Result.MEMBER_KEY_REWRITTEN, membershipNumber, outcome.revision());
         } else if (outcome.isConflict() || outcome.isBadRequest()) {
             // Either the membership has ended, or an earlier attempt at this write was applied without a response.
-            callback.onFenced(Result.MEMBERSHIP_ENDED, term, 0);
+            callback.onFenced(Result.MEMBERSHIP_ENDED, membershipNumber, 0);
             // A response that arrives after this controller has joined again does not concern its current membership.
             if (lease == membershipLease.lease()) {
                 membershipLease.join();
             }
         } else {
-            loop.after(StateStoreClient.RETRY_DELAY, () -> retry(lease, term, callback));
+            loop.after(StateStoreClient.RETRY_DELAY, () -> retry(lease, membershipNumber, callback));
         }
     }
 
-    private void retry(long lease, int term, Callback callback) {
-        if (membershipLease.isCurrent(lease)) {
+    private void retry(long lease, int membershipNumber, Callback callback) {
+        if (membershipLease.isCurrentLease(lease)) {
             fence(callback);
         } else {
-            callback.onFenced(Result.MEMBERSHIP_REPLACED, term, 0);
+            callback.onFenced(Result.LEASE_NOT_CURRENT, membershipNumber, 0);
         }
     }
 }
--- a/src/main/java/org/gullway/storage/WatchStream.java
+++ b/src/main/java/org/gullway/storage/WatchStream.java
@@ -23,7 +23,7 @@
     private static final Duration MAX_AGE = Duration.ofSeconds(10);
 
     private static final Duration MAX_REVISION_WAIT = Duration.ofSeconds(5);
-    /** A watch that is answered within this time indicates that more changes will follow. */
+    /** A watch response that arrives within this time indicates that more changes will follow. */
     private static final Duration PROMPT_RESPONSE_THRESHOLD = Duration.ofMillis(120);
 
     private final EventLoop loop;
@@ -31,10 +31,10 @@
     private final ClusterState clusterState;
     private final TokenBucket requestLimit;
     private final Duration watchWait;
-    private final Runnable onStateChanged;
+    private final Runnable requestSchedulingCycle;
     private boolean synced;
     private Instant lastResponseAt = Instant.MIN;
-    /** Time at which the last full read or watch that was answered had been sent. */
+    /** Send time of the latest answered watch or, if none was answered since, of the first request of the full read. */
     private Instant knownThrough = Instant.MIN;
     /** Number of the latest full read. Responses that belong to an earlier full read are ignored. */
     private long generation;
@@ -44,10 +44,10 @@
     private Instant awaitedSince;
 
     /**
-     * @param requestLimit rate limit for watch requests
+     * @param requestLimit rate limit that delays the next watch after a prompt response
      * @param watchWait how long the store may delay its response to a watch while there are no changes
-     * @param onStateChanged runs whenever the cluster state has changed, and on each watch response while a revision is
-     *     awaited
+     * @param requestSchedulingCycle runs when the cluster state has changed, and on each watch response while a
+     *     revision is awaited
      */
     WatchStream(
             EventLoop loop,
@@ -55,13 +55,13 @@
             ClusterState clusterState,
             TokenBucket requestLimit,
             Duration watchWait,
-            Runnable onStateChanged) {
+            Runnable requestSchedulingCycle) {
         this.loop = loop;
         this.store = store;
         this.clusterState = clusterState;
         this.requestLimit = requestLimit;
         this.watchWait = watchWait;
-        this.onStateChanged = onStateChanged;
+        this.requestSchedulingCycle = requestSchedulingCycle;
     }
 
     /** See {@link ReplicatedState#isFresh()}. */
@@ -75,8 +75,9 @@
     }
 
     /**
-     * Makes {@link #hasReachedAwaitedRevision()} return false until the watch has reached the revision. Has no effect
-     * and returns false if the watch has already reached it.
+     * Makes {@link #checkAwaitedRevision()} return false until the watch has reached the revision, or until a full read
+     * has been started because the watch is late. Has no effect and returns false if the watch has already reached the
+     * revision.
      */
     boolean awaitRevision(long revision) {
         if (clusterState.watchedRevision() >= revision) {
@@ -88,10 +89,10 @@
     }
 
     /**
-     * Returns true if the watch has reached the awaited revision. Starts a full read if the watch does not reach it
-     * within {@link #MAX_REVISION_WAIT}.
+     * Returns true if no revision is awaited or the watch has reached the awaited revision. If the watch does not reach
+     * it within {@link #MAX_REVISION_WAIT}, this method starts a full read and the revision is no longer awaited.
      */
-    boolean hasReachedAwaitedRevision() {
+    boolean checkAwaitedRevision() {
         if (clusterState.watchedRevision() >= awaitedRevision) {
             awaitedRevision = 0;
             return true;
@@ -139,7 +140,7 @@
         lastResponseAt = loop.now();
         knownThrough = sentAt;
         LOG.info("full read of the state store complete revision={} keys={}", revision, items.size());
-        onStateChanged.run();
+        requestSchedulingCycle.run();
         watch(readGeneration, revision);
     }
 
@@ -195,7 +196,7 @@
         lastResponseAt = loop.now();
         knownThrough = sentAt;
         if (changed || awaitedRevision > 0) {
-            onStateChanged.run();
+            requestSchedulingCycle.run();
         }
         // The store answers immediately while there are changes; a short pause before the next watch collects several
         // changes in one response and saves requests.
