--- a/src/main/java/org/gullway/storage/TransactionCommitter.java
+++ b/src/main/java/org/gullway/storage/TransactionCommitter.java
@@ -177,7 +177,10 @@
         }
         pacing.onRejected(outcome.isRateLimited());
         if (outcome.isBadRequest()) {
-            LOG.info("transaction rejected as malformed or on an expired lease response={}", outcome.body());
+            LOG.info(
+                    "transaction rejected: expired lease or malformed request lease={} response={}",
+                    sent.lease(),
+                    outcome.body());
         }
         return Set.of();
     }
@@ -194,8 +197,8 @@
         }
         if (conflictHistory.record(failed, sent.expectedVersions(), revision, sent.watchedRevision())) {
             LOG.error(
-                    "conditions failed again after the watch passed the conflict; starting a full read revision={}"
-                            + " watched_revision={} failed={}",
+                    "the cluster state has wrong versions of keys whose conditions failed twice; starting a full read"
+                            + " revision={} watched_revision={} failed={}",
                     revision,
                     sent.watchedRevision(),
                     failed);
--- a/src/main/java/org/gullway/storage/WatchStream.java
+++ b/src/main/java/org/gullway/storage/WatchStream.java
@@ -100,9 +100,10 @@
         if (awaitedSince.plus(MAX_REVISION_WAIT).isBefore(loop.now())) {
             LOG.info(
                     "watch did not reach the awaited revision in time; starting a full read revision={}"
-                            + " watched_revision={}",
+                            + " watched_revision={} elapsed_ms={}",
                     awaitedRevision,
-                    clusterState.watchedRevision());
+                    clusterState.watchedRevision(),
+                    Duration.between(awaitedSince, loop.now()).toMillis());
             awaitedRevision = 0;
             readAll();
         }
@@ -165,7 +166,7 @@
                 clusterState.put(key, value, StateStoreClient.version(item));
             }
         } catch (MalformedMessageException e) {
-            LOG.error("ignored malformed record error=\"{}\"", e.getMessage());
+            LOG.error("ignored malformed record and kept any previous value error=\"{}\"", e.getMessage());
         }
     }
 
