--- a/src/test/java/org/gullway/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenRecordsTest.java
@@ -44,6 +44,10 @@
         }
     }
 
+    /**
+     * Builds a request, whose optional fields have values if {@code allFields} is true. The exception is the flag
+     * {@code spreadAcrossZones}, which is set if {@code allFields} is false, so that both values occur.
+     */
     private static JobRequest request(JobRequest.Shape shape, Priority priority, boolean allFields) {
         return new JobRequest(
                 "run-000412",
@@ -77,6 +81,7 @@
         return new JobRecord(request, owner, SUBMITTED, cancelledAt, IntegerRanges.of(0, 4, 9, 9, 20, 31), 40, 2, live);
     }
 
+    /** A machine is a spot machine if its agent epoch is even, so that both kinds occur. */
     private static MachineRecord machine(
             String name, String address, long agentEpoch, MachineRecord.MachineLifecycle lifecycle) {
         return new MachineRecord(
--- a/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
@@ -17,7 +17,7 @@
 import org.gullway.transport.HttpResponse;
 import org.junit.jupiter.api.Test;
 
-/** Requests to the state store are byte for byte those that an earlier version sent. */
+/** Address, method, path, timeout and body of requests to the state store equal those of an earlier version. */
 class GoldenStoreCallsTest {
     private static final GoldenFile GOLDEN = GoldenFile.of("store-calls");
 
@@ -72,6 +72,7 @@
         clientFor("commit")
                 .commit(
                         List.of(StoreKeys.member("perch-0"), StoreKeys.FENCING_TOKEN, StoreKeys.job("run-000412")),
+                        // Any versions: the golden entry has the length of each key.
                         key -> key.length(),
                         changes,
                         17,
--- a/src/test/java/org/gullway/storage/RecordCodecTest.java
+++ b/src/test/java/org/gullway/storage/RecordCodecTest.java
@@ -31,14 +31,15 @@
 import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Records are decoded as they were encoded, and jobs stay within the sizes that placement allows for. */
+/** Records are decoded as they were encoded, and encoded jobs stay within their size bounds. */
 class RecordCodecTest {
     private static StoreRecord roundTrip(String key, StoreRecord value) throws MalformedMessageException {
         return RecordCodec.decode(key, Cbor.decode(Cbor.encode(RecordCodec.encode(value))));
     }
 
+    /** The size of the job is that of its JSON text, which must not exceed {@link JobRecord#maxEncodedBytes()}. */
     @Property(tries = 300, seed = "5")
-    void jobsAreDecodedAsEncodedWithinTheirSizeBound(@ForAll long seed) throws MalformedMessageException {
+    void jobRoundTripStaysWithinMaxEncodedBytes(@ForAll long seed) throws MalformedMessageException {
         SplittableRandom random = new SplittableRandom(seed);
         IntegerRanges completed = IntegerRanges.EMPTY;
         for (int i = random.nextInt(40); i > 0; i--) {
@@ -75,7 +76,7 @@
 
     /** The record of a job with 400 tasks, each placed on a different machine, fits into 16 KiB. */
     @Test
-    void allPlacementsOfLargestJobFitIntoOneRecord() {
+    void fourHundredPlacementsFitIntoOneRecord() {
         JobRecord job = JobRecord.accepted(
                 TestFixtures.request("run-000001", "red", Priority.HIGH, 400, 4), null, TestFixtures.TIME_OF_DAY);
         assertThat(job.remainingPlacements(16 * 1024)).isGreaterThanOrEqualTo(400);
--- a/src/test/java/org/gullway/storage/ReplicatedStateTest.java
+++ b/src/test/java/org/gullway/storage/ReplicatedStateTest.java
@@ -73,16 +73,16 @@
     }
 
     @Test
-    void commitsStayWithinTheShareOfTheStoreWriteRate() {
-        int committed = 0;
+    void commitsStayWithinTheChangeRateLimit() {
+        int sent = 0;
         for (int i = 0; i < 1000; i++) {
             time.runUntil(time.now().plusMillis(10));
             if (replicatedState.canCommit()) {
                 replicatedState.commit(fencingTokenTransaction(), result -> {});
-                committed++;
+                sent++;
             }
         }
-        assertThat(committed).isBetween(100, 30 * 10);
+        assertThat(sent).isBetween(100, 30 * 10);
     }
 
     /**
@@ -90,11 +90,12 @@
      * member key of the former process; the controller must not take it for the end of its own membership.
      */
     @Property(tries = 40, seed = "12")
-    void joinsOnceWhenFullReadShowsMemberKeyOfFormerProcess(@ForAll @IntRange(min = 0, max = 400) int millis) {
+    void joinsOnceWhenFullReadShowsMemberKeyOfFormerProcess(
+            @ForAll @IntRange(min = 0, max = 400) int millisBeforeRestart) {
         ReplicatedStateTest test = new ReplicatedStateTest();
         ClusterState restartedState = new ClusterState();
         Incarnation restartedIncarnation = new Incarnation(TestFixtures.SELF.node(), 99);
-        test.time.runUntil(test.time.now().plusMillis(millis));
+        test.time.runUntil(test.time.now().plusMillis(millisBeforeRestart));
         test.network.delayResponses("/store", Duration.ofMillis(700));
         test.controllerProcess.kill();
         SimulatedTime.SimulatedProcess process = test.time.process();
@@ -118,12 +119,14 @@
             }
         }
         assertThat(restartedState.fencingToken()).isPositive();
-        assertThat(test.storeRequests).filteredOn(c -> c.equals("POST /grants")).hasSize(1);
+        assertThat(test.storeRequests)
+                .filteredOn(request -> request.equals("POST /grants"))
+                .hasSize(1);
     }
 
     /**
      * Guards against endless conflicts on a key whose version in the cluster state is wrong, whatever the cause. The
-     * test puts a version that the store never wrote.
+     * test puts a leader record into the cluster state with a version that the store never wrote.
      */
     @Test
     void repeatedConflictTriggersFullRead() {
@@ -154,8 +157,9 @@
     }
 
     /**
-     * The network partition delays the transaction, which arrives only after the partition has healed. The rewritten
-     * member key makes the late transaction fail.
+     * The network partition delays the transaction, so that its outcome is unknown. If the transaction arrives after
+     * the member key was rewritten, it fails. The callback must wait for the fencing, and the cluster state must agree
+     * with the store afterwards, whether or not the transaction was applied.
      */
     @Test
     void transactionWithUnknownOutcomeIsFencedBeforeItsCallback() {
@@ -173,16 +177,19 @@
 
     /** Guards against two concurrent joins, which would revoke each other's lease. */
     @Property(tries = 60, seed = "6")
-    void joinsOnceAfterLongPartitionWithTransactionInFlight(@ForAll @IntRange(min = 7_000, max = 30_000) int millis) {
+    void requestsAtMostOneLeaseAfterLongPartitionWithTransactionInFlight(
+            @ForAll @IntRange(min = 7_000, max = 30_000) int partitionMillis) {
         ReplicatedStateTest test = new ReplicatedStateTest();
         test.network.cut("perch-0", STORE_ADDRESS);
         test.replicatedState.commit(test.fencingTokenTransaction(), result -> {});
-        test.time.runUntil(test.time.now().plusMillis(millis));
+        test.time.runUntil(test.time.now().plusMillis(partitionMillis));
         test.network.heal();
         test.storeRequests.clear();
         test.run(10);
         assertThat(test.replicatedState.holdsValidLease()).isTrue();
-        assertThat(test.storeRequests).filteredOn(c -> c.equals("POST /grants")).hasSizeLessThanOrEqualTo(1);
+        assertThat(test.storeRequests)
+                .filteredOn(request -> request.equals("POST /grants"))
+                .hasSizeLessThanOrEqualTo(1);
     }
 
     /**
@@ -190,9 +197,10 @@
      * rejected, does not advance it.
      */
     @Property(tries = 50, seed = "32")
-    void knownThroughDoesNotAdvanceWhileTheStoreIsDown(@ForAll @IntRange(min = 1, max = 20_000) int millis) {
+    void knownThroughDoesNotAdvanceWhileTheStoreIsDown(
+            @ForAll @IntRange(min = 1, max = 20_000) int millisBeforeOutage) {
         ReplicatedStateTest test = new ReplicatedStateTest();
-        test.time.runUntil(test.time.now().plusMillis(millis));
+        test.time.runUntil(test.time.now().plusMillis(millisBeforeOutage));
         Instant before = test.replicatedState.knownThrough();
         assertThat(before).isBetween(test.time.now().minusMillis(2100), test.time.now());
         test.store.setDown(true);
@@ -241,8 +249,10 @@
         List<ReplicatedState.CommitResult> results = new ArrayList<>();
         replicatedState.commit(fencingTokenTransaction(), results::add);
         time.runUntil(time.now().plusMillis(50));
+        // Removes the delay. Revoking the lease with ID 1, the first lease, ends the membership.
         network.delayResponses("", Duration.ZERO);
         new StateStoreClient(network.client("other", storeProcess), STORE_ADDRESS).revokeLease(1, outcome -> {});
+        // Revision 1 is the join, 2 the transaction and 3 the revocation, so a higher version means a second join.
         for (int i = 0;
                 i < 2500
                         && !(clusterState.version(StoreKeys.member(TestFixtures.SELF.node())) > 3
