--- a/src/main/java/org/gullway/storage/MembershipLease.java
+++ b/src/main/java/org/gullway/storage/MembershipLease.java
@@ -79,15 +79,15 @@
     }
 
     /** Returns true if this controller is a member with this lease, which may have expired. */
-    boolean isCurrentLease(long lease) {
-        return lease == membership.leaseId() && phase == Phase.MEMBER;
+    boolean isCurrentLease(long leaseId) {
+        return leaseId == membership.leaseId() && phase == Phase.MEMBER;
     }
 
     Incarnation self() {
         return membership.self();
     }
 
-    long lease() {
+    long leaseId() {
         return membership.leaseId();
     }
 
@@ -129,7 +129,7 @@
             if (outcome.isOkWithBody() && outcome.hasLease()) {
                 // Only this controller writes this key, so the lease is left over from an earlier
                 // process or an earlier membership of this controller.
-                revokeFormerLease(outcome.lease());
+                revokeFormerLease(outcome.leaseId());
             } else if (outcome.isNotFound()) {
                 requestLease();
             } else {
@@ -138,8 +138,8 @@
         });
     }
 
-    private void revokeFormerLease(long lease) {
-        store.revokeLease(lease, outcome -> {
+    private void revokeFormerLease(long leaseId) {
+        store.revokeLease(leaseId, outcome -> {
             if (outcome.isOk()) {
                 tryJoin();
             } else {
@@ -156,31 +156,31 @@
         Instant sentAt = loop.now();
         store.grantLease(membership.leaseDuration(), outcome -> {
             if (outcome.isOkWithBody()) {
-                writeMemberKey(outcome.lease(), sentAt);
+                writeMemberKey(outcome.leaseId(), sentAt);
             } else {
                 retryJoin();
             }
         });
     }
 
-    private void writeMemberKey(long lease, Instant requestedAt) {
-        store.commit(Set.of(memberKey()), key -> 0, Map.of(memberKey(), self()), lease, outcome -> {
+    private void writeMemberKey(long leaseId, Instant requestedAt) {
+        store.commit(Set.of(memberKey()), key -> 0, Map.of(memberKey(), self()), leaseId, outcome -> {
             if (outcome.isOkWithBody()) {
-                completeJoin(lease, requestedAt, outcome.revision());
+                completeJoin(leaseId, requestedAt, outcome.revision());
             } else {
                 retryJoin();
             }
         });
     }
 
-    private void completeJoin(long lease, Instant requestedAt, long revision) {
-        membership.onJoined(lease, requestedAt);
+    private void completeJoin(long leaseId, Instant requestedAt, long revision) {
+        membership.onJoined(leaseId, requestedAt);
         joinedRevision = revision;
         onMemberKeyWritten(revision);
         phase = Phase.MEMBER;
         membershipNumber++;
         onJoined.run();
-        LOG.info("joined the cluster incarnation={} lease={}", self(), lease);
+        LOG.info("joined the cluster incarnation={} lease={}", self(), leaseId);
         requestSchedulingCycle.run();
     }
 
@@ -188,13 +188,13 @@
         if (phase != Phase.MEMBER || renewalsInFlight >= MAX_RENEWALS_IN_FLIGHT) {
             return;
         }
-        long lease = membership.leaseId();
+        long leaseId = membership.leaseId();
         Instant sentAt = loop.now();
         Duration timeout = membership.leaseDuration().dividedBy(RENEWAL_TIMEOUT_DIVISOR);
         renewalsInFlight++;
-        store.renewLease(lease, timeout, outcome -> {
+        store.renewLease(leaseId, timeout, outcome -> {
             renewalsInFlight--;
-            if (isCurrentLease(lease)) {
+            if (isCurrentLease(leaseId)) {
                 onRenewalOutcome(outcome, sentAt);
             }
         });
--- a/src/main/java/org/gullway/storage/StateStoreClient.java
+++ b/src/main/java/org/gullway/storage/StateStoreClient.java
@@ -119,7 +119,7 @@
         }
 
         /** Returns the ID of the lease that was granted, or on which the key is held. Requires a body. */
-        long lease() {
+        long leaseId() {
             return body.path("tether").asLong();
         }
 
@@ -185,13 +185,13 @@
     }
 
     /** Renews a lease, so that it expires one lease duration after the renewal. */
-    public void renewLease(long lease, Duration timeout, Consumer<Outcome> callback) {
-        send(HttpRequest.post("/grants/" + lease + "/renew", Cbor.encode(Cbor.map()), timeout), callback);
+    public void renewLease(long leaseId, Duration timeout, Consumer<Outcome> callback) {
+        send(HttpRequest.post("/grants/" + leaseId + "/renew", Cbor.encode(Cbor.map()), timeout), callback);
     }
 
     /** Revokes a lease immediately, which also removes the keys that are held on it. */
-    public void revokeLease(long lease, Consumer<Outcome> callback) {
-        send(HttpRequest.delete("/grants/" + lease, REQUEST_TIMEOUT), callback);
+    public void revokeLease(long leaseId, Consumer<Outcome> callback) {
+        send(HttpRequest.delete("/grants/" + leaseId, REQUEST_TIMEOUT), callback);
     }
 
     /**
@@ -199,14 +199,14 @@
      *
      * @param versionOf returns the expected version of a key; 0 if the key must not exist
      * @param changes new value of each key; null removes the key
-     * @param lease ID of the lease on which the member key and the leader key are written, if they are among the
+     * @param leaseId ID of the lease on which the member key and the leader key are written, if they are among the
      *     changes; ignored otherwise
      */
     public void commit(
             Collection<String> conditions,
             ToLongFunction<String> versionOf,
             Map<String, ? extends StoreRecord> changes,
-            long lease,
+            long leaseId,
             Consumer<Outcome> callback) {
         ObjectNode transaction = Cbor.map();
         ArrayNode guards = transaction.putArray("guards");
@@ -214,11 +214,11 @@
             guards.addObject().put("k", key).put("mark", versionOf.applyAsLong(key));
         }
         ArrayNode then = transaction.putArray("then");
-        changes.forEach((key, value) -> addChange(then.addObject(), key, value, lease));
+        changes.forEach((key, value) -> addChange(then.addObject(), key, value, leaseId));
         send(HttpRequest.post("/commit", Cbor.encode(transaction), REQUEST_TIMEOUT), callback);
     }
 
-    private static void addChange(ObjectNode change, String key, StoreRecord value, long lease) {
+    private static void addChange(ObjectNode change, String key, StoreRecord value, long leaseId) {
         if (value == null) {
             change.put("remove", key);
             return;
@@ -226,7 +226,7 @@
         change.put("put", key);
         change.set("v", RecordCodec.encode(value));
         if (isHeldOnLease(key)) {
-            change.put("tether", lease);
+            change.put("tether", leaseId);
         }
     }
 
--- a/src/main/java/org/gullway/storage/TransactionCommitter.java
+++ b/src/main/java/org/gullway/storage/TransactionCommitter.java
@@ -36,7 +36,7 @@
     private record SentTransaction(
             Transaction transaction,
             Instant sentAt,
-            long lease,
+            long leaseId,
             int membershipNumber,
             long watchedRevision,
             Map<String, Long> expectedVersions) {}
@@ -94,7 +94,7 @@
                 transaction.conditions(),
                 sent.expectedVersions()::get,
                 transaction.changes(),
-                sent.lease(),
+                sent.leaseId(),
                 outcome -> onOutcome(sent, outcome, callback));
     }
 
@@ -104,7 +104,7 @@
         return new SentTransaction(
                 transaction,
                 loop.now(),
-                membershipLease.lease(),
+                membershipLease.leaseId(),
                 membershipLease.membershipNumber(),
                 clusterState.watchedRevision(),
                 expectedVersions);
@@ -116,7 +116,7 @@
         } else if (outcome.isUnknown()) {
             LOG.info(
                     "transaction outcome unknown; rewriting the member key to fence the transaction lease={}",
-                    sent.lease());
+                    sent.leaseId());
             fence.fence((result, membershipNumber, revision) -> {
                 onFenced(result, membershipNumber, revision);
                 callback.accept(CommitResult.UNCONFIRMED);
@@ -179,7 +179,7 @@
         if (outcome.isBadRequest()) {
             LOG.info(
                     "transaction rejected: expired lease or malformed request lease={} response={}",
-                    sent.lease(),
+                    sent.leaseId(),
                     outcome.body());
         }
         return Set.of();
@@ -191,7 +191,7 @@
                 revision,
                 sent.watchedRevision(),
                 failed);
-        if (failed.contains(membershipLease.memberKey()) && sent.lease() == membershipLease.lease()) {
+        if (failed.contains(membershipLease.memberKey()) && sent.leaseId() == membershipLease.leaseId()) {
             membershipLease.join();
             return;
         }
--- a/src/main/java/org/gullway/storage/TransactionFence.java
+++ b/src/main/java/org/gullway/storage/TransactionFence.java
@@ -54,18 +54,18 @@
 
     /** Fences all transactions that this controller sent earlier in its current membership. */
     void fence(Callback callback) {
-        long lease = membershipLease.lease();
+        long leaseId = membershipLease.leaseId();
         int membershipNumber = membershipLease.membershipNumber();
         String memberKey = membershipLease.memberKey();
         store.commit(
                 Set.of(memberKey),
                 clusterState::version,
                 Map.of(memberKey, membershipLease.self()),
-                lease,
-                outcome -> onOutcome(outcome, lease, membershipNumber, callback));
+                leaseId,
+                outcome -> onOutcome(outcome, leaseId, membershipNumber, callback));
     }
 
-    private void onOutcome(StateStoreClient.Outcome outcome, long lease, int membershipNumber, Callback callback) {
+    private void onOutcome(StateStoreClient.Outcome outcome, long leaseId, int membershipNumber, Callback callback) {
         if (outcome.isOkWithBody()) {
             membershipLease.onMemberKeyWritten(outcome.revision());
             callback.onFenced(Result.MEMBER_KEY_REWRITTEN, membershipNumber, outcome.revision());
@@ -73,16 +73,16 @@
             // Either the membership has ended, or an earlier attempt at this write was applied without a response.
             callback.onFenced(Result.MEMBERSHIP_ENDED, membershipNumber, 0);
             // A response that arrives after this controller has joined again does not concern its current membership.
-            if (lease == membershipLease.lease()) {
+            if (leaseId == membershipLease.leaseId()) {
                 membershipLease.join();
             }
         } else {
-            loop.after(StateStoreClient.RETRY_DELAY, () -> retry(lease, membershipNumber, callback));
+            loop.after(StateStoreClient.RETRY_DELAY, () -> retry(leaseId, membershipNumber, callback));
         }
     }
 
-    private void retry(long lease, int membershipNumber, Callback callback) {
-        if (membershipLease.isCurrentLease(lease)) {
+    private void retry(long leaseId, int membershipNumber, Callback callback) {
+        if (membershipLease.isCurrentLease(leaseId)) {
             fence(callback);
         } else {
             callback.onFenced(Result.LEASE_NOT_CURRENT, membershipNumber, 0);
