--- a/src/main/java/org/gullway/storage/MembershipLease.java
+++ b/src/main/java/org/gullway/storage/MembershipLease.java
@@ -20,6 +20,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
     private static final int RENEWALS_PER_LEASE_DURATION = 5;
     private static final int RENEWAL_TIMEOUT_DIVISOR = 3;
+    /** Renewals overlap, because the timeout of a renewal is longer than the interval between renewals. */
     private static final int MAX_RENEWALS_IN_FLIGHT = 2;
 
     private enum Phase {
@@ -33,23 +34,24 @@
     private final ClusterState clusterState;
     private final Membership membership;
     private final Runnable onJoined;
-    private final Runnable onStateChanged;
+    private final Runnable requestSchedulingCycle;
     private Phase phase = Phase.NOT_MEMBER;
     /** Revision at which this controller's member key was last written. */
     private long memberKeyRevision;
     /** Revision at which the current membership began. */
     private long joinedRevision;
     /**
-     * Number of the current membership. The outcome of a transaction that was sent during an earlier membership does
-     * not concern the transaction in flight.
+     * Number of the current membership, incremented on each join. The outcome of a transaction that was sent under a
+     * lower number is late, and must not be taken for the outcome of the transaction in flight.
      */
-    private int term;
+    private int membershipNumber;
 
     private int renewalsInFlight;
 
     /**
      * @param onJoined runs whenever a membership has begun
-     * @param onStateChanged runs, after {@code onJoined}, whenever this controller may have gained a valid lease
+     * @param requestSchedulingCycle runs when this controller may have gained a valid lease; on a join, runs after
+     *     {@code onJoined}
      */
     MembershipLease(
             EventLoop loop,
@@ -57,13 +59,13 @@
             ClusterState clusterState,
             Membership membership,
             Runnable onJoined,
-            Runnable onStateChanged) {
+            Runnable requestSchedulingCycle) {
         this.loop = loop;
         this.store = store;
         this.clusterState = clusterState;
         this.membership = membership;
         this.onJoined = onJoined;
-        this.onStateChanged = onStateChanged;
+        this.requestSchedulingCycle = requestSchedulingCycle;
     }
 
     void start() {
@@ -76,21 +78,21 @@
         return phase == Phase.MEMBER && membership.isLeaseValid(loop.now());
     }
 
-    /** Returns true if the current membership is on this lease, even if the lease may have expired. */
-    boolean isCurrent(long lease) {
-        return lease == membership.leaseId() && phase == Phase.MEMBER;
+    /** Returns true if this controller is a member with this lease, which may have expired. */
+    boolean isCurrentLease(long leaseId) {
+        return leaseId == membership.leaseId() && phase == Phase.MEMBER;
     }
 
     Incarnation self() {
         return membership.self();
     }
 
-    long lease() {
+    long leaseId() {
         return membership.leaseId();
     }
 
-    int term() {
-        return term;
+    int membershipNumber() {
+        return membershipNumber;
     }
 
     long memberKeyRevision() {
@@ -127,7 +129,7 @@
             if (outcome.isOkWithBody() && outcome.hasLease()) {
                 // Only this controller writes this key, so the lease is left over from an earlier
                 // process or an earlier membership of this controller.
-                revokeFormerLease(outcome.lease());
+                revokeFormerLease(outcome.leaseId());
             } else if (outcome.isNotFound()) {
                 requestLease();
             } else {
@@ -136,8 +138,8 @@
         });
     }
 
-    private void revokeFormerLease(long lease) {
-        store.revokeLease(lease, outcome -> {
+    private void revokeFormerLease(long leaseId) {
+        store.revokeLease(leaseId, outcome -> {
             if (outcome.isOk()) {
                 tryJoin();
             } else {
@@ -154,45 +156,45 @@
         Instant sentAt = loop.now();
         store.grantLease(membership.leaseDuration(), outcome -> {
             if (outcome.isOkWithBody()) {
-                writeMemberKey(outcome.lease(), sentAt);
+                writeMemberKey(outcome.leaseId(), sentAt);
             } else {
                 retryJoin();
             }
         });
     }
 
-    private void writeMemberKey(long lease, Instant requestedAt) {
-        store.commit(Set.of(memberKey()), key -> 0, Map.of(memberKey(), self()), lease, outcome -> {
+    private void writeMemberKey(long leaseId, Instant requestedAt) {
+        store.commit(Set.of(memberKey()), key -> 0, Map.of(memberKey(), self()), leaseId, outcome -> {
             if (outcome.isOkWithBody()) {
-                completeJoin(lease, requestedAt, outcome.revision());
+                completeJoin(leaseId, requestedAt, outcome.revision());
             } else {
                 retryJoin();
             }
         });
     }
 
-    private void completeJoin(long lease, Instant requestedAt, long revision) {
-        membership.onJoined(lease, requestedAt);
+    private void completeJoin(long leaseId, Instant requestedAt, long revision) {
+        membership.onJoined(leaseId, requestedAt);
         joinedRevision = revision;
         onMemberKeyWritten(revision);
         phase = Phase.MEMBER;
-        term++;
+        membershipNumber++;
         onJoined.run();
-        LOG.info("joined the cluster incarnation={} lease={}", self(), lease);
-        onStateChanged.run();
+        LOG.info("joined the cluster incarnation={} lease={}", self(), leaseId);
+        requestSchedulingCycle.run();
     }
 
     private void renew() {
         if (phase != Phase.MEMBER || renewalsInFlight >= MAX_RENEWALS_IN_FLIGHT) {
             return;
         }
-        long lease = membership.leaseId();
+        long leaseId = membership.leaseId();
         Instant sentAt = loop.now();
         Duration timeout = membership.leaseDuration().dividedBy(RENEWAL_TIMEOUT_DIVISOR);
         renewalsInFlight++;
-        store.renewLease(lease, timeout, outcome -> {
+        store.renewLease(leaseId, timeout, outcome -> {
             renewalsInFlight--;
-            if (isCurrent(lease)) {
+            if (isCurrentLease(leaseId)) {
                 onRenewalOutcome(outcome, sentAt);
             }
         });
@@ -204,7 +206,7 @@
             membership.onRenewed(sentAt);
             if (!wasValid) {
                 LOG.info("membership lease valid again after a late renewal lease={}", membership.leaseId());
-                onStateChanged.run();
+                requestSchedulingCycle.run();
             }
         } else if (outcome.isNotFound()) {
             LOG.info("membership lease expired in the state store; joining again lease={}", membership.leaseId());
