--- a/src/main/java/org/gullway/protocol/AgentCommand.java
+++ b/src/main/java/org/gullway/protocol/AgentCommand.java
@@ -5,9 +5,13 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A command to the agent on a machine about one attempt of a task. */
+/**
+ * A command to the agent on a machine about one attempt of a task.
+ *
+ * @param grace time that a stopped attempt gets to save a checkpoint; zero for commands other than {@code STOP}
+ */
 public record AgentCommand(Kind kind, TaskId task, long attempt, Duration grace) {
-    /** The action: start the attempt, stop it, or forget an ended attempt, which later heartbeats then omit. */
+    /** Starts the attempt, stops it, or removes an ended attempt from the heartbeats that follow. */
     public enum Kind {
         START,
         STOP,
--- a/src/main/java/org/gullway/protocol/AttemptCompletion.java
+++ b/src/main/java/org/gullway/protocol/AttemptCompletion.java
@@ -10,7 +10,7 @@
  * that writes the job's record. The end of an attempt is final, so the message is still correct if it is delayed or
  * delivered more than once.
  *
- * @param outcome how the attempt ended, as the code of a {@code JobRecord.AttemptOutcome} constant
+ * @param outcome how the attempt ended, as a code that {@code OutcomeCode} in the coordination layer maps to an outcome
  */
 public record AttemptCompletion(TaskId task, long attempt, byte outcome) {
     public static final int MAX_PER_MESSAGE = 500;
@@ -34,7 +34,8 @@
     /**
      * Decodes a message of {@link #encode}.
      *
-     * @throws MalformedMessageException if the message is truncated, too long, or of another version
+     * @throws MalformedMessageException if the message is truncated, has trailing bytes or another version, or has
+     *     more than {@link #MAX_PER_MESSAGE} completions
      */
     public static List<AttemptCompletion> decode(byte[] body) throws MalformedMessageException {
         return PeerMessages.decode(body, VERSION, CONTENT, AttemptCompletion::readAll);
--- a/src/main/java/org/gullway/protocol/Cbor.java
+++ b/src/main/java/org/gullway/protocol/Cbor.java
@@ -46,6 +46,7 @@
                 throw new MalformedMessageException("unexpected bytes after the CBOR map");
             }
         } catch (IOException | StackOverflowError e) {
+            // JsonTrees reads nested values recursively, so a body that is nested too deeply may exhaust the stack.
             throw new MalformedMessageException("not valid CBOR", e);
         }
         if (!(node instanceof ObjectNode map)) {
--- a/src/main/java/org/gullway/protocol/CloudMessages.java
+++ b/src/main/java/org/gullway/protocol/CloudMessages.java
@@ -15,7 +15,12 @@
 
     private CloudMessages() {}
 
-    /** A machine in the cloud provider's machine list, which shows changes with a delay. */
+    /**
+     * A machine in the cloud provider's machine list. The list shows changes with a delay, so it may omit a new machine
+     * and may still contain a released one.
+     *
+     * @param address null if the list states none
+     */
     public record ListedMachine(
             String name,
             String address,
@@ -52,7 +57,8 @@
     /**
      * Encodes a request for machines.
      *
-     * @param requestId the provider carries out requests with the same id only once, so a repeated request is safe
+     * @param requestId the idempotency key: the provider carries out requests with the same id only once, so a retry of
+     *     a request must have the same id and any other request a new one
      */
     public static byte[] encodeProvisionRequest(String requestId, String type, String zone, boolean spot, int count) {
         return Cbor.encode(Cbor.map()
--- a/src/main/java/org/gullway/protocol/Heartbeat.java
+++ b/src/main/java/org/gullway/protocol/Heartbeat.java
@@ -28,7 +28,7 @@
      * Decodes a heartbeat from CBOR.
      *
      * @param lastHeartbeats returns the last heartbeat of the machine with the given name, or null if none is known;
-     *     the decoded heartbeat shares the objects of values that have not changed since then
+     *     unchanged values are reused from it instead of allocated again
      */
     public static Heartbeat parse(byte[] body, Function<String, Heartbeat> lastHeartbeats)
             throws MalformedMessageException {
--- a/src/main/java/org/gullway/protocol/HeartbeatReader.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatReader.java
@@ -11,7 +11,8 @@
 
 /**
  * Decodes a heartbeat from CBOR in one pass. Values that equal those of the agent's last heartbeat are reused from it,
- * so a heartbeat in which only counters have changed allocates little, however many tasks it lists.
+ * so a heartbeat in which only counters have changed allocates little, however many tasks it lists. This requires that
+ * the machine's name precedes those values in the encoding; values before it are decoded without reuse.
  */
 final class HeartbeatReader {
     private static final BigInteger MAX_COUNT = BigInteger.valueOf(Long.MAX_VALUE);
@@ -130,7 +131,7 @@
         long attempt = -1;
         TaskStatus.Phase phase = null;
         TaskStatus.Cause cause = null;
-        boolean causeIsText = true;
+        boolean causeIsValid = true;
         boolean checkpointed = false;
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
             if (parser.nextToken() == JsonToken.VALUE_NULL) {
@@ -141,9 +142,9 @@
                 case "launch" -> attempt = count("legs[].launch");
                 case "tide" -> phase = TaskStatus.Phase.of(text("legs[].tide", "running"));
                 case "cause" -> {
-                    // Checked by causeOf once all fields are read: a task that has not ended needs no valid cause.
-                    causeIsText = isText();
-                    if (causeIsText) {
+                    // An invalid cause is an error only if the attempt has ended; causeOf checks that.
+                    causeIsValid = isValidText();
+                    if (causeIsValid) {
                         cause = TaskStatus.Cause.of(text("legs[].cause", "done"));
                     } else {
                         skip();
@@ -157,7 +158,7 @@
         requirePresent(task != null, "legs[].leg");
         requirePresent(attempt >= 0, "legs[].launch");
         requirePresent(phase != null, "legs[].tide");
-        cause = causeOf(phase, cause, causeIsText);
+        cause = causeOf(phase, cause, causeIsValid);
         if (lastStatus != null
                 && lastStatus.task() == task
                 && lastStatus.attempt() == attempt
@@ -170,12 +171,12 @@
     }
 
     /** Returns null for a task that has not ended, and {@code OTHER} for an ended task without a stated cause. */
-    private static TaskStatus.Cause causeOf(TaskStatus.Phase phase, TaskStatus.Cause cause, boolean causeIsText)
+    private static TaskStatus.Cause causeOf(TaskStatus.Phase phase, TaskStatus.Cause cause, boolean causeIsValid)
             throws MalformedMessageException {
         if (phase != TaskStatus.Phase.ENDED) {
             return null;
         }
-        if (!causeIsText) {
+        if (!causeIsValid) {
             throw invalid("legs[].cause", EXPECTED_TEXT);
         }
         return cause == null ? TaskStatus.Cause.OTHER : cause;
@@ -190,33 +191,33 @@
         return TaskId.parse(parser.getText());
     }
 
-    /** Reads a text. Returns {@code expected} itself if the text equals it. */
-    private String text(String name, String expected) throws IOException, MalformedMessageException {
+    /** Reads a text. Returns {@code candidate} itself if the text equals it; the candidate may be null. */
+    private String text(String name, String candidate) throws IOException, MalformedMessageException {
         requireText(name);
-        return expected != null && equalsText(expected) ? expected : parser.getText();
+        return candidate != null && equalsText(candidate) ? candidate : parser.getText();
     }
 
     private void requireText(String name) throws IOException, MalformedMessageException {
-        if (!isText()) {
+        if (!isValidText()) {
             throw invalid(name, EXPECTED_TEXT);
         }
     }
 
-    private boolean isText() throws IOException {
+    private boolean isValidText() throws IOException {
         return parser.currentToken() == JsonToken.VALUE_STRING
                 && parser.getTextLength() > 0
                 && parser.getTextLength() <= MessageFields.MAX_TEXT_CHARACTERS;
     }
 
-    private boolean equalsText(String expected) throws IOException {
+    private boolean equalsText(String candidate) throws IOException {
         int length = parser.getTextLength();
-        if (expected.length() != length) {
+        if (candidate.length() != length) {
             return false;
         }
         char[] characters = parser.getTextCharacters();
         int offset = parser.getTextOffset();
         for (int i = 0; i < length; i++) {
-            if (characters[offset + i] != expected.charAt(i)) {
+            if (characters[offset + i] != candidate.charAt(i)) {
                 return false;
             }
         }
@@ -258,6 +259,7 @@
     /** Skips an unused value, but still checks that it is well-formed. */
     private void skip() throws IOException {
         parser.skipChildren();
+        // Jackson decodes texts lazily: getTextLength decodes this one, and fails if it is malformed.
         if (parser.currentToken() == JsonToken.VALUE_STRING) {
             parser.getTextLength();
         }
--- a/src/main/java/org/gullway/protocol/HeartbeatResponseEncoder.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatResponseEncoder.java
@@ -4,7 +4,7 @@
 
 /**
  * Encodes responses to heartbeats. Most responses contain no commands; such a response is encoded once for each fencing
- * token and then reused.
+ * token and then reused. The encoder is not thread-safe.
  */
 public final class HeartbeatResponseEncoder {
     private long cachedToken = -1;
--- a/src/main/java/org/gullway/protocol/JobRequest.java
+++ b/src/main/java/org/gullway/protocol/JobRequest.java
@@ -11,10 +11,14 @@
 /**
  * A job as its user submits it.
  *
+ * @param jobClass the class of the job, which service-level objectives refer to
+ * @param tasks the number of tasks
+ * @param cpus the number of CPUs that each task uses; GPUs and memory are also per task
  * @param machineTypes the machine types on which the tasks may run; null if all are allowed
  * @param zone the only zone in which the tasks may run; null if all are allowed
  * @param singleZone whether all tasks must run in the same zone
  * @param spreadAcrossZones whether at most half of the tasks may run in one zone
+ * @param estimatedRunTime zero for a service that states none
  * @param checkpointInterval time between two checkpoints of a task; zero if the tasks save no checkpoints
  * @param checkpointTime how long a task takes to save a checkpoint
  * @param deadline time from the submission to the deadline of the job; null if it has none
--- a/src/main/java/org/gullway/protocol/JsonTrees.java
+++ b/src/main/java/org/gullway/protocol/JsonTrees.java
@@ -12,7 +12,8 @@
 
 /**
  * Reads and writes JSON trees token by token. Jackson's {@code ObjectMapper} does the same, but its initialization
- * (dates, types, annotations) costs CPU time when a controller starts.
+ * (dates, types, annotations) costs CPU time when a controller starts. Only the optional file of operators' settings is
+ * read with it.
  */
 final class JsonTrees {
     private static final JsonNodeFactory NODE_FACTORY = JsonNodeFactory.instance;
--- a/src/main/java/org/gullway/protocol/MalformedMessageException.java
+++ b/src/main/java/org/gullway/protocol/MalformedMessageException.java
@@ -1,6 +1,9 @@
 package org.gullway.protocol;
 
-/** Thrown if a message or a settings file is malformed. The message of an error in a field names that field. */
+/**
+ * Thrown if a message or a settings file is malformed, or if a settings file cannot be read. If one field is invalid,
+ * the exception's text names it.
+ */
 public final class MalformedMessageException extends Exception {
     public MalformedMessageException(String message) {
         super(message);
--- a/src/main/java/org/gullway/protocol/MessageFields.java
+++ b/src/main/java/org/gullway/protocol/MessageFields.java
@@ -6,7 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the fields of a decoded map and checks their types and limits. Each error names the field with its path. */
+/**
+ * Reads the fields of a decoded map and checks their types and limits. The errors of these methods name the field with
+ * its path.
+ */
 public final class MessageFields {
     private static final double MAX_AMOUNT = 1e9;
     static final int MAX_TEXT_CHARACTERS = 200;
@@ -141,7 +144,7 @@
         return List.copyOf(texts);
     }
 
-    /** Returns the fields of the map in the given field. Errors name its fields with their full path. */
+    /** Returns a reader for the nested map in this field. In its errors, the path starts with this field. */
     public MessageFields nested(String name) throws MalformedMessageException {
         JsonNode node = required(name);
         if (!node.isObject()) {
--- a/src/main/java/org/gullway/protocol/OperatorSettings.java
+++ b/src/main/java/org/gullway/protocol/OperatorSettings.java
@@ -15,7 +15,8 @@
  * @param membershipLease how long a controller stays a member without renewing its lease
  * @param spareCapacityFraction capacity kept free for urgent work, as a fraction of what urgent work uses now
  * @param scaleInDelay how long a machine must be without tasks before it is released
- * @param bootTimeoutFactor how long a machine may take to boot, as a multiple of its type's usual boot time
+ * @param bootTimeoutFactor how long a machine may take to boot, as a multiple of its type's usual boot time; a
+ *     fraction in the file is cut off
  * @param logInterval time between two log lines with metrics
  */
 public record OperatorSettings(
@@ -78,6 +79,7 @@
     }
 
     private OperatorSettings with(String name, double value) throws MalformedMessageException {
+        // A value that is not finite becomes 0 seconds; the constructor then checks whether 0 is allowed.
         Duration duration = Double.isFinite(value) ? Duration.ofMillis(Math.round(value * 1000)) : Duration.ZERO;
         return switch (name) {
             case "membership-lease-s" -> new OperatorSettings(
--- a/src/main/java/org/gullway/protocol/PeerCancellations.java
+++ b/src/main/java/org/gullway/protocol/PeerCancellations.java
@@ -12,18 +12,17 @@
 import java.util.Set;
 
 /**
- * A controller's response to a peer that cannot reach the state store: the cancelled jobs that the controller knows and
- * whose tasks may still be on machines. The peer's request lists the cancelled jobs that the peer knows already; the
- * response leaves them out.
+ * A controller's response to a peer that cannot reach the state store. The response lists the cancelled jobs that the
+ * responding controller knows and whose tasks may still be on machines, except those that the peer's request names.
  *
- * @param node the name of the responding controller
- * @param incarnationNumber the number of the responding controller's incarnation
- * @param complete whether the response has all these jobs; false if some did not fit into the size of a message
+ * @param node the name of the responding controller, as in its incarnation
+ * @param incarnationNumber the number of the responding controller's incarnation, different in each of its runs
+ * @param complete whether the response has all these jobs; false if some were left out because of its size
  */
 public record PeerCancellations(String node, long incarnationNumber, boolean complete, List<CancelledJob> jobs) {
     private static final int VERSION = 1;
     private static final int MAX_KNOWN_JOBS = 4000;
-    private static final int MAX_BYTES = 40 * 1024;
+    private static final int CONTENT_BYTES_THRESHOLD = 40 * 1024;
     private static final int HEADER_BYTES = 64;
     private static final int EXPECTED_JOB_ID_BYTES = 16;
     private static final int MAX_ATTEMPTS = 10_000;
@@ -38,12 +37,12 @@
      */
     public record CancelledJob(String id, long cancelledAt, List<CancelledAttempt> attempts) {}
 
-    /** One attempt of a task, on a machine in the given epoch of its agent. */
+    /** One attempt of a task, with its machine and the epoch of the agent on that machine. */
     public record CancelledAttempt(int task, long attempt, String machine, long agentEpoch) {}
 
     /**
      * Encodes a request, which lists the cancelled jobs that the requesting controller knows already. Jobs beyond
-     * {@link #MAX_KNOWN_JOBS} are left out.
+     * {@link #MAX_KNOWN_JOBS} are left out, so the response may contain them.
      */
     public static byte[] encodeKnownJobs(Collection<String> jobs) {
         return PeerMessages.encode(VERSION, EXPECTED_JOB_ID_BYTES * jobs.size(), out -> {
@@ -71,13 +70,16 @@
         return jobs;
     }
 
-    /** Encodes a response with as many of the jobs as fit into one message. */
+    /**
+     * Encodes a response. Once its jobs take more than {@link #CONTENT_BYTES_THRESHOLD} bytes, the other jobs are left
+     * out and {@code complete} is false.
+     */
     public static byte[] encode(String node, long incarnationNumber, Collection<CancelledJob> jobs) {
         ByteArrayOutputStream content = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(content)) {
             int written = 0;
             for (CancelledJob job : jobs) {
-                if (content.size() > MAX_BYTES) {
+                if (content.size() > CONTENT_BYTES_THRESHOLD) {
                     break;
                 }
                 writeJob(job, out);
@@ -115,7 +117,8 @@
     /**
      * Decodes a response of {@link #encode}.
      *
-     * @throws MalformedMessageException if the response is truncated, has bytes left over, or is of another version
+     * @throws MalformedMessageException if the response is truncated, has trailing bytes or another version, or a
+     *     job with more than {@link #MAX_ATTEMPTS} attempts
      */
     public static PeerCancellations decode(byte[] body) throws MalformedMessageException {
         return PeerMessages.decode(body, VERSION, CONTENT, PeerCancellations::readResponse);
--- a/src/main/java/org/gullway/protocol/ResourceOffer.java
+++ b/src/main/java/org/gullway/protocol/ResourceOffer.java
@@ -10,7 +10,8 @@
  * An offer of a machine's free resources to a peer, made because no task in the offering controller's queue fits them.
  *
  * @param agentEpoch the epoch of the machine's agent in which the offer is valid
- * @param declinedBy controllers that could not use the resources, among them the one that made the offer
+ * @param declinedBy controllers that could not use the resources. Each controller adds itself before it sends the
+ *     offer; the list is empty for an offer of its own machines that a controller has not sent yet
  */
 public record ResourceOffer(String machine, long agentEpoch, List<String> declinedBy) {
     public static final int MAX_PER_MESSAGE = 128;
@@ -41,7 +42,8 @@
     /**
      * Decodes a message of {@link #encode}.
      *
-     * @throws MalformedMessageException if the message is truncated, too long, or of another version
+     * @throws MalformedMessageException if the message is truncated, has trailing bytes or another version, or has
+     *     more than {@link #MAX_PER_MESSAGE} offers
      */
     public static List<ResourceOffer> decode(byte[] body) throws MalformedMessageException {
         return PeerMessages.decode(body, VERSION, CONTENT, ResourceOffer::readAll);
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -15,7 +15,24 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** A controller's settings, read from the TOML file that the platform provides. */
+/**
+ * A controller's settings, read from the TOML file that the platform provides.
+ *
+ * @param nodeName the name of this controller
+ * @param publicAddress the address at which the controller accepts requests from users and agents
+ * @param peerAddress the address at which the controller accepts requests from its peers
+ * @param stateAddress the address of the state store
+ * @param teams the teams by name
+ * @param heartbeatInterval time between two heartbeats of an agent
+ * @param agentLease how long an agent's lease lasts after a renewal
+ * @param cancellationLimit how long tasks may still run after the cancellation of their job was confirmed to the user
+ * @param stateRequestsPerSecond the state store's rate limit on requests, for all controllers together
+ * @param stateChangesPerSecond the state store's rate limit on changes, for all controllers together
+ * @param stateValueBytes the maximum size of a value in the state store
+ * @param stateChangesPerCommit the maximum number of changes in one commit
+ * @param cloudListLag the longest delay with which the cloud provider's machine list shows a change
+ * @param socketLimit the maximum number of sockets that the controller may have open at a time
+ */
 public record Settings(
         String nodeName,
         String zone,
@@ -48,9 +65,14 @@
      *
      * @param cpus the guaranteed number of CPUs
      * @param cpusMax the limit on the number of CPUs
+     * @param gpus the guaranteed number of GPUs
+     * @param gpusMax the limit on the number of GPUs
      */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-        /** Larger than any fleet, but small enough that rounding errors in sums of quota partitions do not matter. */
+        /**
+         * The limit of a team without one. It is larger than any fleet, but small enough that rounding errors in sums
+         * of quota partitions, into which a team's quota is divided, do not matter.
+         */
         private static final double UNLIMITED = 1e7;
 
         public double cpusLimit() {
@@ -62,7 +84,7 @@
         }
     }
 
-    /** A service-level objective for one class of jobs; {@code timeLimit} is null if it has none. */
+    /** A service-level objective for one class of jobs; {@code timeLimit} is null for an objective without one. */
     public record Objective(String kind, String jobClass, Duration timeLimit) {}
 
     /**
@@ -143,7 +165,8 @@
     private static List<Objective> objectives(MessageFields facts) throws MalformedMessageException {
         List<Objective> objectives = new ArrayList<>();
         for (MessageFields fields : facts.list("objectives")) {
-            // An objective of an unknown kind or of another form must not keep a controller from starting.
+            // An objective without a kind or a class is skipped, and an unknown kind is kept, so that neither prevents
+            // a start.
             if (fields.has("kind") && fields.has("class")) {
                 objectives.add(
                         new Objective(fields.text("kind"), fields.text("class"), fields.secondsOrNull("within_s")));
--- a/src/main/java/org/gullway/protocol/TaskId.java
+++ b/src/main/java/org/gullway/protocol/TaskId.java
@@ -1,6 +1,9 @@
 package org.gullway.protocol;
 
-/** One task of a job. */
+/**
+ * Identifies one task of a job. The methods {@code equals} and {@code hashCode} are written out, since the default
+ * methods of records are linked at run time, which slows a controller's start.
+ */
 public record TaskId(String job, int index) {
     /** Parses the form that the protocol uses: {@code job/index}, with an index from 0. */
     public static TaskId parse(String text) throws MalformedMessageException {
@@ -11,12 +14,12 @@
                 return new TaskId(text.substring(0, slash), index);
             }
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
-            // Reported by the exception below.
+            // Not of the form: falls through to the exception below.
         }
         throw new MalformedMessageException("leg is not of the form run-000412/3");
     }
 
-    /** Whether these characters are the protocol form of this id. */
+    /** Whether {@link #parse} of these characters gives this id. */
     boolean matches(char[] characters, int offset, int length) {
         int slash = job.length();
         if (length <= slash + 1 || characters[offset + slash] != '/') {
--- a/src/main/java/org/gullway/protocol/TaskStatus.java
+++ b/src/main/java/org/gullway/protocol/TaskStatus.java
@@ -1,6 +1,11 @@
 package org.gullway.protocol;
 
-/** The status of one attempt of a task, as its agent reports it; {@code cause} is null until the attempt has ended. */
+/**
+ * The status of one attempt of a task, as its agent reports it.
+ *
+ * @param cause why the attempt ended; null until it has ended
+ * @param checkpointed whether the agent reports that a checkpoint of the task is stored
+ */
 public record TaskStatus(TaskId task, long attempt, Phase phase, Cause cause, boolean checkpointed) {
     /** The phase of an attempt. The attempt uses resources of its machine in every phase except {@code ENDED}. */
     public enum Phase {
@@ -23,11 +28,17 @@
 
     /** Why the attempt ended. A cause added by a later protocol version is read as {@code OTHER}. */
     public enum Cause {
+        /** The task is complete. */
         DONE,
+        /** The agent stopped the attempt. */
         STOPPED,
+        /** The attempt failed. */
         ERROR,
+        /** The machine did not have enough free resources to start the attempt. */
         NO_ROOM,
+        /** Another attempt of the same task was running on the machine. */
         BUSY,
+        /** The agent did not find the job. */
         UNKNOWN_JOB,
         OTHER;
 
--- a/src/test/java/org/gullway/golden/GoldenFile.java
+++ b/src/test/java/org/gullway/golden/GoldenFile.java
@@ -55,7 +55,7 @@
         return Stream.of(values).map(String::valueOf).collect(Collectors.joining("|"));
     }
 
-    /** Returns the position of a constant in its enum, so that no entry depends on the name of a constant. */
+    /** Returns the position of a constant in its enum. An entry then does not depend on the names of constants. */
     public static <E extends Enum<E>> int position(E constant) {
         return List.of(constant.getDeclaringClass().getEnumConstants()).indexOf(constant);
     }
--- a/src/test/java/org/gullway/protocol/FormatsTest.java
+++ b/src/test/java/org/gullway/protocol/FormatsTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Messages that are encoded and decoded again are unchanged. Invalid messages and settings are rejected with an error
- * that names the field.
+ * Messages that are encoded and decoded again are unchanged. Invalid messages and settings are rejected, and the errors
+ * of numbers and settings name the field.
  */
 class FormatsTest {
     @Provide
--- a/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -20,7 +20,8 @@
 
     // Messages of users
 
-    private static JobRequest request(JobRequest.Shape shape, Priority priority, boolean withOptionalFields) {
+    /** @param allFields whether to set every optional field, and every flag except singleZone */
+    private static JobRequest request(JobRequest.Shape shape, Priority priority, boolean allFields) {
         return new JobRequest(
                 "run-000412",
                 "render",
@@ -29,29 +30,29 @@
                 priority,
                 300,
                 1.5,
-                withOptionalFields ? 2 : 0,
+                allFields ? 2 : 0,
                 6.25,
                 "img-1",
                 0.5,
-                withOptionalFields ? List.of("small", "large") : null,
-                withOptionalFields ? "b" : null,
-                !withOptionalFields,
-                withOptionalFields,
-                withOptionalFields,
+                allFields ? List.of("small", "large") : null,
+                allFields ? "b" : null,
+                !allFields,
+                allFields,
+                allFields,
                 Duration.ofMillis(12_500),
-                withOptionalFields ? Duration.ofSeconds(20) : Duration.ZERO,
-                withOptionalFields ? Duration.ofMillis(1500) : Duration.ZERO,
-                withOptionalFields ? Duration.ofMinutes(2) : null);
+                allFields ? Duration.ofSeconds(20) : Duration.ZERO,
+                allFields ? Duration.ofMillis(1500) : Duration.ZERO,
+                allFields ? Duration.ofMinutes(2) : null);
     }
 
     @Test
     void submissionEncodingIsUnchanged() throws MalformedMessageException {
         for (JobRequest.Shape shape : JobRequest.Shape.values()) {
             for (Priority priority : Priority.values()) {
-                for (boolean withOptionalFields : new boolean[] {false, true}) {
+                for (boolean allFields : new boolean[] {false, true}) {
                     String name = "submission-" + GoldenFile.position(shape) + "-" + GoldenFile.position(priority)
-                            + (withOptionalFields ? "-all" : "-least");
-                    JobRequest request = request(shape, priority, withOptionalFields);
+                            + (allFields ? "-all" : "-least");
+                    JobRequest request = request(shape, priority, allFields);
                     GOLDEN.check(name, Cbor.encode(request.toNode()));
                     JobRequest read = JobRequest.parse(Cbor.decode(GOLDEN.bytes(name)));
                     assertThat(read).isEqualTo(request);
--- a/src/test/java/org/gullway/protocol/HeartbeatTest.java
+++ b/src/test/java/org/gullway/protocol/HeartbeatTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * {@link HeartbeatReader} accepts and rejects the same heartbeats as the slower {@link MessageFields}, with the same
- * result, and allocates little.
+ * {@link HeartbeatReader} accepts and rejects the same heartbeats as a slower decoder in this test that uses
+ * {@link MessageFields}, with the same result, and allocates little.
  */
 class HeartbeatTest {
     private static final int TASKS = 8;
@@ -217,6 +217,7 @@
         }
         Heartbeat last = read(bodies[0]);
         long before = 0;
+        // The first pass warms up; only the second is measured.
         for (int pass = 0; pass < 2; pass++) {
             before = threads.getThreadAllocatedBytes(thread);
             for (byte[] body : bodies) {
--- a/src/test/java/org/gullway/protocol/JsonTreesTest.java
+++ b/src/test/java/org/gullway/protocol/JsonTreesTest.java
@@ -43,6 +43,7 @@
         }
         Arbitrary<JsonNode> lists = trees(depth - 1).list().ofMaxSize(4).map(items -> NODES.arrayNode()
                 .addAll(items));
+        // The identity function converts the type of the maps from ObjectNode to JsonNode.
         return Arbitraries.oneOf(leaves, lists, maps(depth - 1).map(map -> map));
     }
 
