--- a/src/main/java/org/gullway/coordination/quota/JobFeasibility.java
+++ b/src/main/java/org/gullway/coordination/quota/JobFeasibility.java
@@ -38,7 +38,7 @@
     }
 
     private static boolean fits(JobRequest job, MachineType type) {
-        return type.fits(job)
+        return type.canHostTaskOf(job)
                 && type.isAllowedFor(job)
                 && (job.zone() == null || type.zones().contains(job.zone()));
     }
--- a/src/main/java/org/gullway/coordination/scaling/MachineOffering.java
+++ b/src/main/java/org/gullway/coordination/scaling/MachineOffering.java
@@ -13,7 +13,7 @@
     boolean isCompatible(JobRequest job) {
         return (!spot || job.spotAllowed())
                 && type.isAllowedFor(job)
-                && type.fits(job)
+                && type.canHostTaskOf(job)
                 && (job.zone() == null || job.zone().equals(zone));
     }
 }
--- a/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
@@ -106,7 +106,7 @@
             MachineRecord machine = candidate.machine();
             MachineType type = constraints.typeOf(machine);
             if (type != null
-                    && type.fits(request)
+                    && type.canHostTaskOf(request)
                     && constraints.isAllowed(job, machine, clusterState)
                     && chosen.add(machine.name())) {
                 tasks -= (int) Math.min(
@@ -159,7 +159,7 @@
         MachineType type = constraints.typeOf(machine);
         return PlacementConstraints.isAvailable(machine, clusterState)
                 && type != null
-                && type.fits(job.request())
+                && type.canHostTaskOf(job.request())
                 && constraints.isAllowed(job, machine, clusterState);
     }
 }
--- a/src/main/java/org/gullway/protocol/MachineType.java
+++ b/src/main/java/org/gullway/protocol/MachineType.java
@@ -9,13 +9,14 @@
         double cpus,
         double gpus,
         double memoryGb,
-        double cacheGb,
+        double localDiskGb,
         double imagePullGbPerSecond,
         double price,
         double spotPrice,
         Duration bootTime,
         List<String> zones) {
-    public boolean fits(JobRequest job) {
+    /** Whether an empty machine of this type has enough CPUs, GPUs and memory for one task of the job. */
+    public boolean canHostTaskOf(JobRequest job) {
         return job.cpus() <= cpus && job.gpus() <= gpus && job.memoryGb() <= memoryGb;
     }
 
--- a/src/test/java/org/gullway/fake/FakeCloud.java
+++ b/src/test/java/org/gullway/fake/FakeCloud.java
@@ -121,7 +121,7 @@
                     .put("cpus", type.cpus())
                     .put("cards", type.gpus())
                     .put("mem_gb", type.memoryGb())
-                    .put("local_gb", type.cacheGb())
+                    .put("local_gb", type.localDiskGb())
                     .put("pull_gb_per_s", type.imagePullGbPerSecond())
                     .put("price", type.price())
                     .put("low_price", type.spotPrice())
--- a/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/gullway/protocol/GoldenMessagesTest.java
@@ -198,7 +198,7 @@
                     type.cpus(),
                     type.gpus(),
                     type.memoryGb(),
-                    type.cacheGb(),
+                    type.localDiskGb(),
                     type.imagePullGbPerSecond(),
                     type.price(),
                     type.spotPrice(),
