--- a/src/main/java/org/gullway/protocol/Cbor.java
+++ b/src/main/java/org/gullway/protocol/Cbor.java
@@ -47,7 +47,7 @@
             }
         } catch (IOException | StackOverflowError e) {
             // JsonTrees reads nested values recursively, so a body that is nested too deeply may exhaust the stack.
-            throw new MalformedMessageException("not valid CBOR", e);
+            throw new MalformedMessageException("not valid CBOR, or nested too deeply", e);
         }
         if (!(node instanceof ObjectNode map)) {
             throw new MalformedMessageException("not a CBOR map");
--- a/src/main/java/org/gullway/protocol/HeartbeatReader.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatReader.java
@@ -267,7 +267,7 @@
 
     private void requireEnd() throws MalformedMessageException {
         if (parser.currentToken() != JsonToken.END_OBJECT) {
-            throw new MalformedMessageException("not valid CBOR");
+            throw new MalformedMessageException("not valid CBOR: a map has no end");
         }
     }
 
--- a/src/main/java/org/gullway/protocol/JobRequest.java
+++ b/src/main/java/org/gullway/protocol/JobRequest.java
@@ -84,12 +84,12 @@
         MessageFields fields = MessageFields.of(map);
         String id = fields.text("name_id");
         if (!isValidId(id)) {
-            throw new MalformedMessageException("name_id is not of the form run-000412");
+            throw new MalformedMessageException("name_id is not 'run-' followed by 1 to 18 digits, such as run-000412");
         }
         Shape shape = Shape.of(fields.text("shape"));
         int tasks = fields.countUpTo("legs", MAX_TASKS);
         if (tasks < 1) {
-            throw new MalformedMessageException("legs is below 1");
+            throw new MalformedMessageException("legs must be at least 1, got " + tasks);
         }
         List<String> types = fields.textsOrNull("breeds");
         return new JobRequest(
--- a/src/main/java/org/gullway/protocol/OperatorSettings.java
+++ b/src/main/java/org/gullway/protocol/OperatorSettings.java
@@ -31,16 +31,18 @@
     public OperatorSettings {
         if (membershipLease.compareTo(Duration.ofSeconds(1)) < 0
                 || membershipLease.compareTo(Duration.ofMinutes(10)) > 0) {
-            throw new IllegalArgumentException("membership-lease-s is not from 1 to 600");
+            throw new IllegalArgumentException(
+                    "membership-lease-s must be from 1 to 600 seconds, got " + membershipLease);
         }
         if (!(spareCapacityFraction >= 0 && spareCapacityFraction <= 100)) {
-            throw new IllegalArgumentException("spare-share is not from 0 to 100");
+            throw new IllegalArgumentException("spare-share must be from 0 to 100, got " + spareCapacityFraction);
         }
         if (bootTimeoutFactor < 1 || bootTimeoutFactor > 100) {
-            throw new IllegalArgumentException("boot-patience is not from 1 to 100");
+            throw new IllegalArgumentException("boot-patience must be from 1 to 100, got " + bootTimeoutFactor);
         }
         if (scaleInDelay.isNegative() || logInterval.compareTo(Duration.ofSeconds(1)) < 0) {
-            throw new IllegalArgumentException("idle-return-s is below 0 or log-interval-s below 1");
+            throw new IllegalArgumentException("idle-return-s must be at least 0 seconds, got " + scaleInDelay
+                    + ", and log-interval-s at least 1 second, got " + logInterval);
         }
     }
 
@@ -57,7 +59,7 @@
             throw new MalformedMessageException(
                     file + " is not XML: " + MalformedMessageException.toSingleLine(e.getOriginalMessage()), e);
         } catch (IOException e) {
-            throw new MalformedMessageException("cannot read " + file + ": " + e.getMessage(), e);
+            throw new MalformedMessageException("cannot read " + file + ": " + e, e);
         }
         return of(root);
     }
--- a/src/main/java/org/gullway/protocol/PeerMessages.java
+++ b/src/main/java/org/gullway/protocol/PeerMessages.java
@@ -41,7 +41,8 @@
             throws MalformedMessageException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(body))) {
             if (in.readUnsignedByte() != version) {
-                throw new MalformedMessageException("unknown version of " + content + ", expected " + version);
+                throw new MalformedMessageException(
+                        "unsupported version of the message with " + content + ", expected " + version);
             }
             T message = reader.read(in);
             if (in.read() >= 0) {
--- a/src/main/java/org/gullway/protocol/Settings.java
+++ b/src/main/java/org/gullway/protocol/Settings.java
@@ -101,7 +101,7 @@
             throw new MalformedMessageException(
                     file + " is not TOML: " + MalformedMessageException.toSingleLine(e.getOriginalMessage()), e);
         } catch (IOException e) {
-            throw new MalformedMessageException("cannot read " + file + ": " + e.getMessage(), e);
+            throw new MalformedMessageException("cannot read " + file + ": " + e, e);
         }
         return of(root);
     }
@@ -186,7 +186,7 @@
     private static Duration positiveDuration(MessageFields fields, String name) throws MalformedMessageException {
         Duration duration = fields.seconds(name);
         if (duration.isZero()) {
-            throw new MalformedMessageException(name + " is 0");
+            throw new MalformedMessageException(name + " must be above 0 seconds, got 0");
         }
         return duration;
     }
@@ -194,7 +194,7 @@
     private static int positiveCount(MessageFields fields, String name) throws MalformedMessageException {
         int count = fields.countUpTo(name, 1_000_000);
         if (count < 1) {
-            throw new MalformedMessageException(name + " is below 1");
+            throw new MalformedMessageException(name + " must be at least 1, got " + count);
         }
         return count;
     }
--- a/src/main/java/org/gullway/protocol/TaskId.java
+++ b/src/main/java/org/gullway/protocol/TaskId.java
@@ -16,7 +16,7 @@
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
             // Not of the form: falls through to the exception below.
         }
-        throw new MalformedMessageException("leg is not of the form run-000412/3");
+        throw new MalformedMessageException("leg is not a job id, a slash and an index from 0, such as run-000412/3");
     }
 
     /** Whether {@link #parse} of these characters gives this id. */
