--- a/src/main/java/org/gullway/protocol/Cbor.java
+++ b/src/main/java/org/gullway/protocol/Cbor.java
@@ -46,7 +46,8 @@
                 throw new MalformedMessageException("unexpected bytes after the CBOR map");
             }
         } catch (IOException | StackOverflowError e) {
-            throw new MalformedMessageException("not valid CBOR", e);
+            // JsonTrees reads nested values recursively, so a body that is nested too deeply may exhaust the stack.
+            throw new MalformedMessageException("not valid CBOR, or nested too deeply", e);
         }
         if (!(node instanceof ObjectNode map)) {
             throw new MalformedMessageException("not a CBOR map");
--- a/src/main/java/org/gullway/protocol/OperatorSettings.java
+++ b/src/main/java/org/gullway/protocol/OperatorSettings.java
@@ -15,7 +15,8 @@
  * @param membershipLease how long a controller stays a member without renewing its lease
  * @param spareCapacityFraction capacity kept free for urgent work, as a fraction of what urgent work uses now
  * @param scaleInDelay how long a machine must be without tasks before it is released
- * @param bootTimeoutFactor how long a machine may take to boot, as a multiple of its type's usual boot time
+ * @param bootTimeoutFactor how long a machine may take to boot, as a multiple of its type's usual boot time; a
+ *     fraction in the file is cut off
  * @param logInterval time between two log lines with metrics
  */
 public record OperatorSettings(
@@ -30,16 +31,18 @@
     public OperatorSettings {
         if (membershipLease.compareTo(Duration.ofSeconds(1)) < 0
                 || membershipLease.compareTo(Duration.ofMinutes(10)) > 0) {
-            throw new IllegalArgumentException("membership-lease-s is not from 1 to 600");
+            throw new IllegalArgumentException(
+                    "membership-lease-s must be from 1 to 600 seconds, got " + membershipLease);
         }
         if (!(spareCapacityFraction >= 0 && spareCapacityFraction <= 100)) {
-            throw new IllegalArgumentException("spare-share is not from 0 to 100");
+            throw new IllegalArgumentException("spare-share must be from 0 to 100, got " + spareCapacityFraction);
         }
         if (bootTimeoutFactor < 1 || bootTimeoutFactor > 100) {
-            throw new IllegalArgumentException("boot-patience is not from 1 to 100");
+            throw new IllegalArgumentException("boot-patience must be from 1 to 100, got " + bootTimeoutFactor);
         }
         if (scaleInDelay.isNegative() || logInterval.compareTo(Duration.ofSeconds(1)) < 0) {
-            throw new IllegalArgumentException("idle-return-s is below 0 or log-interval-s below 1");
+            throw new IllegalArgumentException("idle-return-s must be at least 0 seconds, got " + scaleInDelay
+                    + ", and log-interval-s at least 1 second, got " + logInterval);
         }
     }
 
@@ -56,7 +59,7 @@
             throw new MalformedMessageException(
                     file + " is not XML: " + MalformedMessageException.toSingleLine(e.getOriginalMessage()), e);
         } catch (IOException e) {
-            throw new MalformedMessageException("cannot read " + file + ": " + e.getMessage(), e);
+            throw new MalformedMessageException("cannot read " + file + ": " + e, e);
         }
         return of(root);
     }
@@ -78,6 +81,7 @@
     }
 
     private OperatorSettings with(String name, double value) throws MalformedMessageException {
+        // A value that is not finite becomes 0 seconds; the constructor then checks whether 0 is allowed.
         Duration duration = Double.isFinite(value) ? Duration.ofMillis(Math.round(value * 1000)) : Duration.ZERO;
         return switch (name) {
             case "membership-lease-s" -> new OperatorSettings(
