--- a/src/main/java/org/gullway/agent/CommandSender.java
+++ b/src/main/java/org/gullway/agent/CommandSender.java
@@ -84,7 +84,7 @@
         if (LOG.isDebugEnabled() && !batch.commands().isEmpty()) {
             log(batch);
         }
-        metrics.commandSent();
+        metrics.commandBatchSent();
         byte[] body = AgentCommand.encodeDirect(batch.fencingToken(), batch.agentEpoch(), batch.commands());
         httpClient.call(batch.address(), HttpRequest.post(PATH, body, TIMEOUT), response -> {
             CommandOutcome outcome = outcomeOf(response);
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -202,7 +202,7 @@
     }
 
     private void sendOffers(BestEffortQueue.OutgoingOffers offers) {
-        monitoring.metrics().offerSent();
+        monitoring.metrics().offerBatchSent();
         messaging.peerExchange().sendOffers(offers);
     }
 
--- a/src/main/java/org/gullway/observability/Metrics.java
+++ b/src/main/java/org/gullway/observability/Metrics.java
@@ -93,11 +93,11 @@
         record(cycleTime, time);
     }
 
-    public void commandSent() {
+    public void commandBatchSent() {
         commandBatches++;
     }
 
-    public void offerSent() {
+    public void offerBatchSent() {
         resourceOffers++;
     }
 
