--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -124,8 +124,8 @@
     }
 
     /** Sets the listener that gets the description of every invariant that is violated. */
-    public void onInvariantViolated(Consumer<String> listener) {
-        monitoring.invariants().setListener(listener);
+    public void setViolationListener(Consumer<String> listener) {
+        monitoring.invariants().setViolationListener(listener);
     }
 
     /** Handles a request that came to the public address. */
--- a/src/main/java/org/gullway/observability/InvariantMonitor.java
+++ b/src/main/java/org/gullway/observability/InvariantMonitor.java
@@ -19,7 +19,7 @@
     }
 
     /** Sets the listener that gets the description of every violation from now on. */
-    public void setListener(Consumer<String> newListener) {
+    public void setViolationListener(Consumer<String> newListener) {
         listener = newListener;
     }
 
--- a/src/test/java/org/gullway/SimulatedControllers.java
+++ b/src/test/java/org/gullway/SimulatedControllers.java
@@ -92,7 +92,7 @@
                 network.client(name, process),
                 skewedClock(),
                 random.nextLong());
-        controller.onInvariantViolated(onViolation);
+        controller.setViolationListener(onViolation);
         network.listen(settings.peerAddress(), process, controller::handlePeer);
         controller.start(() -> network.listen(
                 settings.publicAddress(), process, exchange -> controller.handle(responses.logged(name, exchange))));
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -62,7 +62,7 @@
             () -> {});
 
     StartAuthorizationTest() {
-        invariants.setListener(violations::add);
+        invariants.setViolationListener(violations::add);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         put(job -> job, 11);
     }
