--- a/src/main/java/org/gullway/Main.java
+++ b/src/main/java/org/gullway/Main.java
@@ -10,26 +10,26 @@
 import org.gullway.protocol.Settings;
 import org.gullway.transport.DisabledMBeanServerBuilder;
 
-/** Starts the service, or prints why it cannot be started. */
+/** The entry point of the process: starts the daemon, or prints why it cannot be started. */
 public final class Main {
     private static final int EXIT_OK = 0;
     private static final int EXIT_START_FAILED = 1;
     private static final int EXIT_INVALID_SETTINGS = 2;
 
-    /** Starts the daemon; empty if only a check or the help was requested. */
+    /** Starts the daemon. Empty unless valid settings have been read and a start was requested, rather than a check. */
     private Optional<Runnable> startAction = Optional.empty();
 
-    /** Reads the command line and the settings, then starts the daemon; exits with a code above 0 if that fails. */
+    /** Reads the command line and the settings, then starts the daemon. Exits with a status above 0 on failure. */
     public static void main(String[] args) {
         configureLogging(System.getenv());
         DisabledMBeanServerBuilder.install();
         Main main = new Main();
-        int code = main.prepare(args);
-        if (code != EXIT_OK) {
-            System.exit(code);
+        int exitCode = main.prepare(args);
+        if (exitCode != EXIT_OK) {
+            System.exit(exitCode);
         }
-        // The last step of this thread: if it went on to load classes during the event loop's first reads of sockets,
-        // the Java virtual machine could crash.
+        // This must be the last step of the main thread. If the main thread loaded classes while the event loop reads
+        // from sockets for the first time, the Java virtual machine could crash.
         main.start();
     }
 
@@ -54,18 +54,18 @@
         System.setProperty("org.jboss.logging.provider", "slf4j");
     }
 
-    /** Reads the command line and the settings that it names; returns the exit code. */
+    /** Parses the command line and reads the settings files that it names. Returns the exit code. */
     int prepare(String... arguments) {
-        Optional<StartOptions> plain = StartOptions.parsePlain(arguments);
-        return plain.isPresent() ? prepare(plain.get()) : CommandLineInterface.execute(arguments, this::prepare);
+        Optional<StartOptions> options = StartOptions.parseWithoutLibrary(arguments);
+        return options.isPresent() ? prepare(options.get()) : CommandLineInterface.execute(arguments, this::prepare);
     }
 
     private int prepare(StartOptions options) {
         final Settings settings;
-        final OperatorSettings operator;
+        final OperatorSettings operatorSettings;
         try {
             settings = Settings.read(options.config());
-            operator = options.operatorSettings() == null
+            operatorSettings = options.operatorSettings() == null
                     ? OperatorSettings.DEFAULTS
                     : OperatorSettings.read(options.operatorSettings());
         } catch (MalformedMessageException e) {
@@ -73,7 +73,7 @@
             return EXIT_INVALID_SETTINGS;
         }
         if (!options.checkOnly()) {
-            startAction = Optional.of(() -> Daemon.start(settings, operator));
+            startAction = Optional.of(() -> Daemon.start(settings, operatorSettings));
         }
         return EXIT_OK;
     }
--- a/src/test/java/org/gullway/MainTest.java
+++ b/src/test/java/org/gullway/MainTest.java
@@ -13,66 +13,65 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A faulty settings file ends the start with one line that names the field, and with exit code 2. */
+/** Tests that invalid settings end the start with exit code 2 and with one line that names the field or the file. */
 class MainTest {
     @TempDir
     private Path directory;
 
-    private record Ending(int code, String errors) {}
+    private record Result(int exitCode, String errorOutput) {}
 
-    private Ending run(String toml, String xml) throws IOException {
+    private Result run(String toml, String xml) throws IOException {
         Path config = Files.writeString(directory.resolve("site.toml"), toml);
         Path operator = Files.writeString(directory.resolve("operator.xml"), xml);
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
-        PrintStream before = System.err;
+        PrintStream originalErr = System.err;
         System.setErr(new PrintStream(errors, true, StandardCharsets.UTF_8));
         try {
-            Ending ending = run(errors, "--config", config.toString(), "--operator-settings", operator.toString());
-            // The command line library parses this form, which the platform does not use: the outcome has to be the
-            // same.
+            Result result = run(errors, "--config", config.toString(), "--operator-settings", operator.toString());
+            // The platform does not use this form, which the command line library parses. The result must be the same.
             assertThat(run(errors, "--check", "--config=" + config, "--operator-settings=" + operator))
-                    .isEqualTo(ending);
-            return ending;
+                    .isEqualTo(result);
+            return result;
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
     }
 
-    private static Ending run(ByteArrayOutputStream errors, String... arguments) {
+    private static Result run(ByteArrayOutputStream errors, String... arguments) {
         errors.reset();
-        int code = new Main().prepare(arguments);
-        return new Ending(code, errors.toString(StandardCharsets.UTF_8));
+        int exitCode = new Main().prepare(arguments);
+        return new Result(exitCode, errors.toString(StandardCharsets.UTF_8));
     }
 
-    private static String valid() {
+    private static String validToml() {
         return ClassArchiveTraining.settings("127.0.0.1:18080", "127.0.0.2:18080", "127.0.0.3:18080");
     }
 
-    private static void assertFaulty(Ending ending, String field) {
-        assertThat(ending.code()).isEqualTo(2);
-        assertThat(ending.errors().lines()).hasSize(1);
-        assertThat(ending.errors()).contains(field);
+    private static void assertRejected(Result result, String fieldOrFile) {
+        assertThat(result.exitCode()).isEqualTo(2);
+        assertThat(result.errorOutput().lines()).hasSize(1);
+        assertThat(result.errorOutput()).contains(fieldOrFile);
     }
 
     @Test
     void validFilesAreAccepted() throws IOException {
-        assertThat(run(valid(), "<gullway/>")).isEqualTo(new Ending(0, ""));
+        assertThat(run(validToml(), "<gullway/>")).isEqualTo(new Result(0, ""));
     }
 
     @Test
-    void aWrongCommandLineEndsWithTheUsage() throws IOException {
+    void anInvalidCommandLinePrintsTheUsage() throws IOException {
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
-        PrintStream before = System.err;
+        PrintStream originalErr = System.err;
         System.setErr(new PrintStream(errors, true, StandardCharsets.UTF_8));
         try {
             for (String[] arguments :
                     new String[][] {{}, {"--config"}, {"--colour", "red"}, {"site.toml", "--config"}}) {
-                Ending ending = run(errors, arguments);
-                assertThat(ending.code()).isEqualTo(2);
-                assertThat(ending.errors()).contains("--config=FILE");
+                Result result = run(errors, arguments);
+                assertThat(result.exitCode()).isEqualTo(2);
+                assertThat(result.errorOutput()).contains("--config=FILE");
             }
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
     }
 
@@ -87,14 +86,14 @@
         "value_kb = 16.0,value_kb = [],value_kb",
         "[facts.cloud],[facts.cloudy],cloud"
     })
-    void faultyTomlFieldsAreNamed(String original, String replacement, String field) throws IOException {
-        assertFaulty(run(valid().replace(original, replacement == null ? "" : replacement), "<gullway/>"), field);
+    void errorNamesTheInvalidTomlField(String original, String replacement, String field) throws IOException {
+        assertRejected(run(validToml().replace(original, replacement == null ? "" : replacement), "<gullway/>"), field);
     }
 
     @ParameterizedTest
     @CsvSource({"node_name = ", "= = =", "[[[", "'node_name = \"a\"\nnode_name = \"b\"'"})
-    void invalidTomlNamesTheFile(String toml) throws IOException {
-        assertFaulty(run(toml, "<gullway/>"), "site.toml");
+    void errorNamesTheFileThatIsNotToml(String toml) throws IOException {
+        assertRejected(run(toml, "<gullway/>"), "site.toml");
     }
 
     @ParameterizedTest
@@ -106,7 +105,7 @@
         "plain text,operator.xml",
         "'',operator.xml"
     })
-    void faultyXmlIsNamed(String xml, String field) throws IOException {
-        assertFaulty(run(valid(), xml), field);
+    void errorNamesTheInvalidXmlSettingOrFile(String xml, String fieldOrFile) throws IOException {
+        assertRejected(run(validToml(), xml), fieldOrFile);
     }
 }
