--- a/src/main/java/org/gullway/observability/ClusterSummary.java
+++ b/src/main/java/org/gullway/observability/ClusterSummary.java
@@ -4,7 +4,7 @@
 import org.gullway.coordination.model.JobRecord;
 import org.gullway.coordination.model.MachineRecord;
 
-/** The state of the cluster in a few figures, as this controller knows it. */
+/** Key figures of the cluster for the metrics log line, taken from one controller's copy of the cluster state. */
 public record ClusterSummary(
         Role role,
         long fencingToken,
@@ -13,7 +13,7 @@
         int machines,
         int schedulableMachines,
         int cordonedMachines) {
-    /** What a controller may do. */
+    /** The role of a controller; without a valid lease, it counts as neither the leader nor a member. */
     public enum Role {
         LEADER("leader"),
         MEMBER("member"),
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Summarizes the cluster state of a controller in this role. */
+    /** Summarizes the copy of the cluster state of a controller that has the given role. */
     public static ClusterSummary of(ClusterState clusterState, Role role) {
         int waitingTasks = 0;
         for (JobRecord job : clusterState.jobs()) {
--- a/src/main/java/org/gullway/observability/InvariantMonitor.java
+++ b/src/main/java/org/gullway/observability/InvariantMonitor.java
@@ -5,8 +5,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports invariants that are violated at run time. Each violation is a defect of this program whose consequence was
- * prevented.
+ * Logs and counts violations of invariants. Each violation shows a defect of this program. The component that detects the
+ * violation prevents its consequence, for example by withholding a command or a response.
  */
 public final class InvariantMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(InvariantMonitor.class);
@@ -18,12 +18,12 @@
         this.metrics = metrics;
     }
 
-    /** Sets the listener that gets the description of every violation from now on. */
+    /** Replaces the listener, which receives the description of every later violation. */
     public void setViolationListener(Consumer<String> newListener) {
         listener = newListener;
     }
 
-    /** Counts and logs a violation. */
+    /** Logs and counts a violation, and passes its description to the listener. */
     public void onViolation(String description) {
         LOG.error("invariant violated description={}", description);
         metrics.invariantViolated();
--- a/src/main/java/org/gullway/observability/LeadershipLog.java
+++ b/src/main/java/org/gullway/observability/LeadershipLog.java
@@ -5,27 +5,27 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs every change of the leader and of the fencing token, as far as this controller knows of it. */
+/** Logs each change of the leader or of the fencing token that this controller observes in the cluster state. */
 public final class LeadershipLog {
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipLog.class);
 
-    private Incarnation leader;
-    private long fencingToken = -1;
+    private Incarnation previousLeader;
+    private long previousFencingToken = -1;
 
     /**
-     * Takes note of the cluster state.
+     * Compares the leader and the fencing token with those of the previous call and logs what has changed.
      *
-     * @param newLeader null if there is none
-     * @param revision at which the leader was recorded
+     * @param leader the leader on record, or null if there is none
+     * @param revision the revision of the state store at which the leader was recorded; 0 if there is none
      */
-    public void observe(Incarnation newLeader, long newFencingToken, long revision) {
-        if (!Objects.equals(newLeader, leader)) {
-            logLeader(newLeader, newFencingToken, revision);
-        } else if (newFencingToken != fencingToken) {
-            LOG.debug("fencing token changed fencing_token={}", newFencingToken);
+    public void observe(Incarnation leader, long fencingToken, long revision) {
+        if (!Objects.equals(leader, previousLeader)) {
+            logLeader(leader, fencingToken, revision);
+        } else if (fencingToken != previousFencingToken) {
+            LOG.debug("fencing token changed fencing_token={}", fencingToken);
         }
-        leader = newLeader;
-        fencingToken = newFencingToken;
+        previousLeader = leader;
+        previousFencingToken = fencingToken;
     }
 
     private static void logLeader(Incarnation leader, long fencingToken, long revision) {
--- a/src/main/java/org/gullway/observability/Metrics.java
+++ b/src/main/java/org/gullway/observability/Metrics.java
@@ -13,10 +13,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counters since the start and latencies since the last log line, logged in one line for each interval. */
+/**
+ * Counts events since the start of the process and records latencies since the last log line. Logs both in one line per
+ * log interval.
+ */
 public final class Metrics implements RequestMetrics {
     private static final Logger LOG = LoggerFactory.getLogger(Metrics.class);
-    private static final String LINE = "{} submissions_accepted={} submission_p99_ms={}"
+    private static final String LOG_FORMAT = "{} submissions_accepted={} submission_p99_ms={}"
             + " commits={} conflicts={} job_changes={} shard_changes={} other_changes={}"
             + " commit_p50_ms={} commit_p99_ms={} cycles={} cycle_max_ms={}"
             + " command_batches={} resource_offers={} status_queries_answered={} status_queries_rejected={}"
@@ -46,36 +49,37 @@
     private long queriesAnswered;
     private long queriesRejected;
     private long invariantViolations;
-    /** Set up with the first log line: while a controller starts, processor time is scarce. */
+    /** Created with the first log line, because CPU time is scarce while a controller starts; null until then. */
     private MeterRegistry registry;
 
     private final Histogram submissionLatency = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
     private final Histogram commitLatency = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
-    private final Histogram cycleTime = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
+    private final Histogram cycleDuration = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
 
-    private static void record(Histogram histogram, Duration time) {
-        long millis = TimeUnit.NANOSECONDS.toMillis(time.toNanos());
+    private static void record(Histogram histogram, Duration latency) {
+        long millis = TimeUnit.NANOSECONDS.toMillis(latency.toNanos());
         histogram.recordValue(Math.min(MAX_RECORDED_MS, Math.max(0, millis)));
     }
 
     @Override
-    public void submissionAccepted(Duration time) {
-        record(submissionLatency, time);
+    public void submissionAccepted(Duration latency) {
+        record(submissionLatency, latency);
     }
 
     /**
-     * Takes note of the outcome of a transaction.
+     * Counts a transaction whose outcome is known. Its keys are counted whether or not it was committed.
      *
-     * @param keys the keys that it changes
-     * @param time since its scheduling cycle began
+     * @param committed whether the transaction was committed; if it was not, it counts as a conflict
+     * @param keys the keys that the transaction changes
+     * @param latency the time from the start of the transaction's scheduling cycle until the outcome was known
      */
-    public void commitFinished(boolean committed, Set<String> keys, Duration time) {
+    public void commitFinished(boolean committed, Set<String> keys, Duration latency) {
         if (committed) {
             commits++;
         } else {
             conflicts++;
         }
-        record(commitLatency, time);
+        record(commitLatency, latency);
         keys.forEach(this::countChange);
     }
 
@@ -89,8 +93,8 @@
         }
     }
 
-    public void cycleFinished(Duration time) {
-        record(cycleTime, time);
+    public void cycleFinished(Duration elapsed) {
+        record(cycleDuration, elapsed);
     }
 
     public void commandBatchSent() {
@@ -118,51 +122,51 @@
     private MeterRegistry registry() {
         if (registry == null) {
             registry = new SimpleMeterRegistry();
-            register(COMMITS, metrics -> metrics.commits);
-            register(CONFLICTS, metrics -> metrics.conflicts);
-            register(JOB_CHANGES, metrics -> metrics.jobChanges);
-            register(SHARD_CHANGES, metrics -> metrics.shardChanges);
-            register(OTHER_CHANGES, metrics -> metrics.otherChanges);
-            register(COMMAND_BATCHES, metrics -> metrics.commandBatches);
-            register(RESOURCE_OFFERS, metrics -> metrics.resourceOffers);
-            register(QUERIES_ANSWERED, metrics -> metrics.queriesAnswered);
-            register(QUERIES_REJECTED, metrics -> metrics.queriesRejected);
-            register(INVARIANT_VIOLATIONS, metrics -> metrics.invariantViolations);
+            registerCounter(COMMITS, metrics -> metrics.commits);
+            registerCounter(CONFLICTS, metrics -> metrics.conflicts);
+            registerCounter(JOB_CHANGES, metrics -> metrics.jobChanges);
+            registerCounter(SHARD_CHANGES, metrics -> metrics.shardChanges);
+            registerCounter(OTHER_CHANGES, metrics -> metrics.otherChanges);
+            registerCounter(COMMAND_BATCHES, metrics -> metrics.commandBatches);
+            registerCounter(RESOURCE_OFFERS, metrics -> metrics.resourceOffers);
+            registerCounter(QUERIES_ANSWERED, metrics -> metrics.queriesAnswered);
+            registerCounter(QUERIES_REJECTED, metrics -> metrics.queriesRejected);
+            registerCounter(INVARIANT_VIOLATIONS, metrics -> metrics.invariantViolations);
         }
         return registry;
     }
 
-    private void register(String name, ToDoubleFunction<Metrics> count) {
-        FunctionCounter.builder(name, this, count).register(registry);
+    private void registerCounter(String name, ToDoubleFunction<Metrics> value) {
+        FunctionCounter.builder(name, this, value).register(registry);
     }
 
-    private long count(String name) {
+    private long counterValue(String name) {
         return (long) registry().get(name).functionCounter().count();
     }
 
-    /** Logs one line and starts new histograms. */
+    /** Logs all metrics in one line and resets the histograms. The counters keep their values. */
     public void log(ClusterSummary cluster) {
         LOG.info(
-                LINE,
+                LOG_FORMAT,
                 cluster.toLogPairs(),
                 submissionLatency.getTotalCount(),
                 submissionLatency.getValueAtPercentile(99),
-                count(COMMITS),
-                count(CONFLICTS),
-                count(JOB_CHANGES),
-                count(SHARD_CHANGES),
-                count(OTHER_CHANGES),
+                counterValue(COMMITS),
+                counterValue(CONFLICTS),
+                counterValue(JOB_CHANGES),
+                counterValue(SHARD_CHANGES),
+                counterValue(OTHER_CHANGES),
                 commitLatency.getValueAtPercentile(50),
                 commitLatency.getValueAtPercentile(99),
-                cycleTime.getTotalCount(),
-                cycleTime.getMaxValue(),
-                count(COMMAND_BATCHES),
-                count(RESOURCE_OFFERS),
-                count(QUERIES_ANSWERED),
-                count(QUERIES_REJECTED),
-                count(INVARIANT_VIOLATIONS));
+                cycleDuration.getTotalCount(),
+                cycleDuration.getMaxValue(),
+                counterValue(COMMAND_BATCHES),
+                counterValue(RESOURCE_OFFERS),
+                counterValue(QUERIES_ANSWERED),
+                counterValue(QUERIES_REJECTED),
+                counterValue(INVARIANT_VIOLATIONS));
         submissionLatency.reset();
         commitLatency.reset();
-        cycleTime.reset();
+        cycleDuration.reset();
     }
 }
--- a/src/main/java/org/gullway/observability/package-info.java
+++ b/src/main/java/org/gullway/observability/package-info.java
@@ -1,2 +1,2 @@
-/** Metrics, the log of leadership changes, and the monitor of invariants that are checked at run time. */
+/** Metrics, the log of leadership changes, and the reporting of invariant violations that are detected at run time. */
 package org.gullway.observability;
