--- a/src/main/java/org/gullway/controller/AgentComponents.java
+++ b/src/main/java/org/gullway/controller/AgentComponents.java
@@ -11,7 +11,7 @@
 import org.gullway.coordination.model.PeerZones;
 import org.gullway.protocol.Settings;
 
-/** What deals with agents: their reconciliation, their leases, and the end of their tasks. */
+/** The components that manage agents: reconciliation, lease renewal, completions and cancellations. */
 record AgentComponents(
         AgentReconciler reconciler,
         CompletionBuffer completionBuffer,
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -22,13 +22,14 @@
 import org.gullway.transport.HttpExchange;
 
 /**
- * One controller: the root of its components and its control loop. Whatever happens (a heartbeat, a request, a change in
- * the state store, the passing of time) requests a scheduling cycle; a cycle compares the desired state with the actual
- * one, sends the commands that are due, and commits the changes that are due.
+ * One controller: creates its components and runs its control loop. Every event that may require action (a heartbeat, a
+ * request, a change in the state store, a timer) requests a scheduling cycle. A cycle compares the desired state with the
+ * actual state, sends the commands that are due, and commits the changes that are due. While this controller holds no
+ * valid lease, a cycle commits nothing and sends agents nothing but the stops of cancelled tasks.
  */
 public final class Controller {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
-    private static final int RANDOM_BITS_OF_INCARNATION = 12;
+    private static final int INCARNATION_RANDOM_BITS = 12;
 
     private final EventLoop loop;
     private final ControllerEnvironment environment;
@@ -48,12 +49,12 @@
     private boolean heldLeaseBefore;
 
     /**
-     * @param timeOfDay the wall clock, which drifts within the bound that the platform states
-     * @param seed of everything that is decided by chance; no two processes may share it
+     * @param timeOfDay the wall clock, whose drift stays within the bound that the platform states
+     * @param seed the seed of all random decisions; no two processes may have the same seed
      */
     public Controller(
             Settings settings,
-            OperatorSettings operator,
+            OperatorSettings operatorSettings,
             EventLoop loop,
             HttpClient httpClient,
             InstantSource timeOfDay,
@@ -63,13 +64,13 @@
         SplittableRandom random = new SplittableRandom(seed);
         this.environment = new ControllerEnvironment(
                 settings,
-                operator,
+                operatorSettings,
                 loop,
                 httpClient,
                 timeOfDay,
                 newIncarnation(settings.nodeName(), timeOfDay, random),
                 clusterState,
-                cycleThrottle::schedule);
+                cycleThrottle::requestCycle);
         this.replicatedState = ReplicatedStateFactory.create(environment);
         this.placement = PlacementComponents.create(environment);
         this.agents = AgentComponents.create(environment);
@@ -87,10 +88,12 @@
         addPlanningSteps();
     }
 
-    /** The time of day makes the number rise; random bits distinguish processes that start within a millisecond. */
+    /**
+     * Creates the incarnation of this process. Its number contains the wall-clock time, so that the number grows with each
+     * restart, and random bits, which distinguish processes that start within the same millisecond.
+     */
     private static Incarnation newIncarnation(String node, InstantSource timeOfDay, RandomGenerator random) {
-        long number =
-                timeOfDay.millis() << RANDOM_BITS_OF_INCARNATION | random.nextInt(1 << RANDOM_BITS_OF_INCARNATION);
+        long number = timeOfDay.millis() << INCARNATION_RANDOM_BITS | random.nextInt(1 << INCARNATION_RANDOM_BITS);
         return new Incarnation(node, number & Long.MAX_VALUE);
     }
 
@@ -111,10 +114,11 @@
     }
 
     /**
-     * Starts to read the state store, to join the members, and to tick.
+     * Starts to read the state store, to join the cluster as a member, and to run the periodic tasks.
      *
-     * @param openPublicAddress is run once, when this controller first holds a valid lease: before, its public address
-     *     accepts no connections, since the heartbeats of many agents could keep a small machine from joining
+     * @param openPublicAddress opens the public address; is run once, while this controller holds a valid lease, see
+     *     {@link PublicListener}. Until then the public address accepts no connections, since the heartbeats of many
+     *     agents could prevent a controller on a small machine from joining.
      */
     public void start(Runnable openPublicAddress) {
         publicListener.setOpenAction(openPublicAddress);
@@ -123,22 +127,25 @@
         loop.every(environment.operatorSettings().logInterval(), this::logMetrics);
     }
 
-    /** Sets the listener that gets the description of every invariant that is violated. */
+    /** Sets the listener that receives the description of every invariant violation. */
     public void setViolationListener(Consumer<String> listener) {
-        monitoring.invariants().setViolationListener(listener);
+        monitoring.invariantMonitor().setViolationListener(listener);
     }
 
-    /** Handles a request that came to the public address. */
+    /** Handles a request to the public address. */
     public void handle(HttpExchange exchange) {
         requests.router().route(exchange);
     }
 
-    /** Handles a request of another controller, which came to the address for peers. */
+    /** Handles a request of another controller to the peer address. */
     public void handlePeer(HttpExchange exchange) {
         messaging.peerExchange().handle(exchange);
     }
 
-    /** In an outage that all controllers share it stays healthy: users get 503 and repeat their requests here. */
+    /**
+     * Returns whether health checks succeed now. A controller that held a valid lease before also stays healthy during an
+     * outage of the state store that all controllers share: users get status 503 and retry their requests here.
+     */
     private boolean isHealthy() {
         boolean canServe = replicatedState.holdsValidLease()
                 || (heldLeaseBefore && messaging.peerExchange().isStoreOutageShared());
@@ -153,7 +160,7 @@
         fleet.cloudProvisioner().reconcile(isLeader() && replicatedState.holdsValidLease());
         agents.reconciler().evictStaleAgents(loop.now());
         scheduling.backoff().retainJobsOf(clusterState);
-        cycleThrottle.schedule();
+        cycleThrottle.requestCycle();
     }
 
     private void runCycle() {
@@ -173,7 +180,7 @@
             schedulingCycle.run(startedAt);
         }
         Duration elapsed = Duration.between(startedAt, loop.now());
-        cycleThrottle.delayAfter(elapsed);
+        cycleThrottle.startPause(elapsed);
         monitoring.metrics().cycleFinished(elapsed);
     }
 
@@ -193,7 +200,10 @@
         agents.reconciler().drainCompletions().forEach(peerExchange::sendCompletions);
     }
 
-    /** Stopping tasks is safe without the state store, and the time limit of a cancellation does not wait for it. */
+    /**
+     * Ends the tasks of cancelled jobs while this controller holds no valid lease. Stopping tasks is safe without the
+     * state store, and the cancellation limit applies during an outage of the state store too.
+     */
     private void enforceCancellations(Instant now) {
         messaging.commandSender().sendCancellationStops(now);
         Instant timeOfDay = environment.timeOfDay().instant();
--- a/src/main/java/org/gullway/controller/ControllerEnvironment.java
+++ b/src/main/java/org/gullway/controller/ControllerEnvironment.java
@@ -9,15 +9,15 @@
 import org.gullway.transport.HttpClient;
 
 /**
- * What all components of one controller are built from.
+ * The settings and shared objects from which the components of one controller are created.
  *
- * @param settings of the platform
+ * @param settings the platform's settings
  * @param operatorSettings the operators' own settings
- * @param loop the thread on which all components run, with the monotonic clock
- * @param timeOfDay the wall clock, which drifts within the bound that the platform states
- * @param self this run of the controller's process
- * @param clusterState the replicated state, as of the last change that the watch has brought
- * @param schedule requests a scheduling cycle
+ * @param loop the event loop, whose thread runs all components and which provides the monotonic clock
+ * @param timeOfDay the wall clock, whose drift stays within the bound that the platform states
+ * @param self the incarnation of this controller, which identifies this run of its process
+ * @param clusterState the replicated state, as of the last change received from the watch of the state store
+ * @param requestCycle requests a scheduling cycle
  */
 record ControllerEnvironment(
         Settings settings,
@@ -27,4 +27,4 @@
         InstantSource timeOfDay,
         Incarnation self,
         ClusterState clusterState,
-        Runnable schedule) {}
+        Runnable requestCycle) {}
--- a/src/main/java/org/gullway/controller/CycleThrottle.java
+++ b/src/main/java/org/gullway/controller/CycleThrottle.java
@@ -5,32 +5,33 @@
 import org.gullway.transport.EventLoop;
 
 /**
- * Runs requested cycles with pauses in between: all requests during a pause are served by one cycle, and a long cycle is
- * followed by a long pause, so that heartbeats and requests get their part of the processor.
+ * Runs the requested scheduling cycles with pauses in between. One cycle serves all requests made during a pause. A pause
+ * is proportional to the duration of the cycle before it, within limits, so that heartbeats and users' requests get their
+ * share of the CPU time.
  */
 final class CycleThrottle {
     private static final Duration MIN_PAUSE = Duration.ofMillis(10);
     private static final Duration MAX_PAUSE = Duration.ofMillis(300);
-    private static final int PAUSE_PER_CYCLE_TIME = 2;
+    private static final int PAUSE_TO_CYCLE_RATIO = 2;
 
     private final EventLoop loop;
     private final Runnable cycle;
-    private boolean scheduled;
-    private Instant notBefore = Instant.MIN;
+    private boolean cyclePending;
+    private Instant pauseEnd = Instant.MIN;
 
     CycleThrottle(EventLoop loop, Runnable cycle) {
         this.loop = loop;
         this.cycle = cycle;
     }
 
-    /** Requests a cycle, which runs after the present pause but never within this call. */
-    void schedule() {
-        if (scheduled) {
+    /** Requests a cycle. The cycle runs after the current pause, and never within this call. */
+    void requestCycle() {
+        if (cyclePending) {
             return;
         }
-        scheduled = true;
-        Duration delay = Duration.between(loop.now(), notBefore);
-        if (notBefore.equals(Instant.MIN) || delay.isNegative() || delay.isZero()) {
+        cyclePending = true;
+        Duration delay = Duration.between(loop.now(), pauseEnd);
+        if (pauseEnd.equals(Instant.MIN) || delay.isNegative() || delay.isZero()) {
             loop.execute(this::run);
         } else {
             loop.after(delay, this::run);
@@ -38,18 +39,18 @@
     }
 
     private void run() {
-        scheduled = false;
+        cyclePending = false;
         cycle.run();
     }
 
-    /** Starts the pause after a cycle that took this long. */
-    void delayAfter(Duration elapsed) {
-        Duration pause = elapsed.multipliedBy(PAUSE_PER_CYCLE_TIME);
+    /** Starts the pause after a cycle that took the given time. */
+    void startPause(Duration elapsed) {
+        Duration pause = elapsed.multipliedBy(PAUSE_TO_CYCLE_RATIO);
         if (pause.compareTo(MIN_PAUSE) < 0) {
             pause = MIN_PAUSE;
         } else if (pause.compareTo(MAX_PAUSE) > 0) {
             pause = MAX_PAUSE;
         }
-        notBefore = loop.now().plus(pause);
+        pauseEnd = loop.now().plus(pause);
     }
 }
--- a/src/main/java/org/gullway/controller/Daemon.java
+++ b/src/main/java/org/gullway/controller/Daemon.java
@@ -21,30 +21,32 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A controller as a process, on real sockets and clocks. */
+/** Runs a controller as a process, with real sockets and clocks. */
 public final class Daemon {
     private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
-    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int MAX_REQUEST_BODY_BYTES = 64 * 1024;
     private static final int BUFFER_BYTES = 8 * 1024;
     private static final int MAX_POOLED_BUFFERS = 256;
-    private static final int BUFFERS_PER_THREAD = 4;
+    private static final int CACHED_BUFFERS_PER_THREAD = 4;
 
     private Daemon() {}
 
-    /** Starts a controller; returns once its event loop runs. */
-    public static void start(Settings settings, OperatorSettings operator) {
+    /** Starts a controller. Returns once its event loop runs. */
+    public static void start(Settings settings, OperatorSettings operatorSettings) {
         XnioWorker worker = newXnioWorker();
-        ByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
+        ByteBufferPool buffers =
+                new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, CACHED_BUFFERS_PER_THREAD);
         XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
         SocketBudget socketBudget = new SocketBudget(settings.socketLimit());
         Controller controller = new Controller(
                 settings,
-                operator,
+                operatorSettings,
                 loop,
                 new UndertowHttpClient(loop, buffers, socketBudget, essentialAddresses(settings)),
                 InstantSource.system(),
                 randomSeed(settings.nodeName()));
-        HttpServer.start(worker, buffers, socketBudget, settings.peerAddress(), MAX_BODY_BYTES, controller::handlePeer);
+        HttpServer.start(
+                worker, buffers, socketBudget, settings.peerAddress(), MAX_REQUEST_BODY_BYTES, controller::handlePeer);
         LOG.info("listening for peers controller={} address={}", settings.nodeName(), settings.peerAddress());
         Runnable openPublicAddress = () -> openPublicAddress(worker, buffers, socketBudget, settings, controller);
         loop.execute(() -> controller.start(() -> worker.execute(openPublicAddress)));
@@ -54,7 +56,7 @@
         return System.nanoTime() ^ System.currentTimeMillis() << 20 ^ node.hashCode();
     }
 
-    /** Addresses to which connections are made even when sockets are scarce. */
+    /** Returns the addresses to which connections are opened even if the socket budget is used up. */
     private static Set<String> essentialAddresses(Settings settings) {
         Set<String> addresses = new HashSet<>(List.of(settings.stateAddress(), settings.cloudAddress()));
         settings.peers().forEach(peer -> addresses.add(peer.address()));
@@ -69,10 +71,10 @@
             Controller controller) {
         String address = settings.publicAddress();
         try {
-            HttpServer.start(worker, buffers, socketBudget, address, MAX_BODY_BYTES, controller::handle);
+            HttpServer.start(worker, buffers, socketBudget, address, MAX_REQUEST_BODY_BYTES, controller::handle);
             LOG.info("listening for users and agents controller={} address={}", settings.nodeName(), address);
         } catch (RuntimeException e) {
-            // A controller that nobody can reach must not stay a member.
+            // A controller that neither users nor agents can reach must not stay a member.
             LOG.error("cannot listen address={}", address, e);
             System.exit(1);
         }
--- a/src/main/java/org/gullway/controller/FleetComponents.java
+++ b/src/main/java/org/gullway/controller/FleetComponents.java
@@ -7,17 +7,19 @@
 import org.gullway.protocol.OperatorSettings;
 import org.gullway.protocol.Settings;
 
-/** What sizes the fleet of machines. */
+/** The components that size the fleet, and provision and release its machines. */
 record FleetComponents(FleetAutoscaler autoscaler, CloudProvisioner cloudProvisioner) {
     static FleetComponents create(ControllerEnvironment environment, PlacementComponents placement) {
         Settings settings = environment.settings();
-        OperatorSettings operator = environment.operatorSettings();
+        OperatorSettings operatorSettings = environment.operatorSettings();
         FleetAutoscaler autoscaler = new FleetAutoscaler(
                 environment.clusterState(),
                 placement.constraints(),
                 placement.quotas(),
                 new ScalingPolicy(
-                        operator.spareCapacityFraction(), operator.scaleInDelay(), operator.bootTimeoutFactor()));
+                        operatorSettings.spareCapacityFraction(),
+                        operatorSettings.scaleInDelay(),
+                        operatorSettings.bootTimeoutFactor()));
         CloudClient cloudClient = new CloudClient(
                 environment.loop(),
                 environment.httpClient(),
@@ -31,7 +33,7 @@
                 placement.machineTypes(),
                 autoscaler,
                 environment.self(),
-                environment.schedule());
+                environment.requestCycle());
         return new FleetComponents(autoscaler, cloudProvisioner);
     }
 }
--- a/src/main/java/org/gullway/controller/MessagingComponents.java
+++ b/src/main/java/org/gullway/controller/MessagingComponents.java
@@ -7,7 +7,7 @@
 import org.gullway.peer.PeerMessageTargets;
 import org.gullway.storage.ReplicatedState;
 
-/** What sends commands to agents, and exchanges messages with other controllers. */
+/** The components that send commands to agents and exchange messages with other controllers. */
 record MessagingComponents(CommandSender commandSender, PeerExchange peerExchange) {
     static MessagingComponents create(
             ControllerEnvironment environment,
@@ -22,9 +22,9 @@
                 agents.cancellationEnforcer(),
                 new StartAuthorization(environment.clusterState(), environment.self()),
                 replicatedState::holdsValidLease,
-                monitoring.invariants(),
+                monitoring.invariantMonitor(),
                 monitoring.metrics(),
-                environment.schedule());
+                environment.requestCycle());
         PeerExchange peerExchange = new PeerExchange(
                 environment.loop(),
                 environment.httpClient(),
@@ -37,7 +37,7 @@
                         agents.cancellationWatermark(),
                         agents.leaseRenewal()),
                 replicatedState::knownThrough,
-                environment.schedule());
+                environment.requestCycle());
         return new MessagingComponents(commandSender, peerExchange);
     }
 }
--- a/src/main/java/org/gullway/controller/PublicListener.java
+++ b/src/main/java/org/gullway/controller/PublicListener.java
@@ -7,43 +7,47 @@
 import org.gullway.coordination.placement.MachineTypeCatalog;
 
 /**
- * Opens the public address of a controller that has started, once the other controllers are members too. The first to
- * open alone would get the heartbeats of all agents at once, and could lose its membership over them.
+ * Opens the public address of a starting controller once the other controllers are members too, or after a limited wait.
+ * If one controller opened its public address before the others, it would receive the heartbeats of all agents at once,
+ * and the load could make it lose its membership.
  */
 final class PublicListener {
     private static final Duration MAX_WAIT_FOR_PEERS = Duration.ofMillis(2500);
 
     private final ClusterState clusterState;
     private final MachineTypeCatalog machineTypes;
-    private final Set<String> peers;
-    /** Opens the address; null before the start, and once it is open. */
-    private Runnable open;
+    private final Set<String> peerNames;
+    /** Opens the public address; null until the controller starts, and again after the address was opened. */
+    private Runnable openAction;
 
     private Instant readySince;
 
-    PublicListener(ClusterState clusterState, MachineTypeCatalog machineTypes, Set<String> peers) {
+    PublicListener(ClusterState clusterState, MachineTypeCatalog machineTypes, Set<String> peerNames) {
         this.clusterState = clusterState;
         this.machineTypes = machineTypes;
-        this.peers = peers;
+        this.peerNames = peerNames;
     }
 
-    /** Sets the action that opens the address; it will be run once. */
+    /** Sets the action that opens the public address; it is run at most once. */
     void setOpenAction(Runnable action) {
-        open = action;
+        openAction = action;
     }
 
-    /** Opens the address if it is time. To be called only while this controller holds a valid lease. */
+    /**
+     * Opens the public address if the machine types are known, and all other controllers are members or the wait for
+     * them has timed out. Must be called only while this controller holds a valid lease.
+     */
     void openIfReady(Instant now) {
-        if (open == null || machineTypes.isEmpty()) {
+        if (openAction == null || machineTypes.isEmpty()) {
             return;
         }
         if (readySince == null) {
             readySince = now;
         }
-        if (clusterState.members().keySet().containsAll(peers)
+        if (clusterState.members().keySet().containsAll(peerNames)
                 || readySince.plus(MAX_WAIT_FOR_PEERS).isBefore(now)) {
-            open.run();
-            open = null;
+            openAction.run();
+            openAction = null;
         }
     }
 }
--- a/src/main/java/org/gullway/controller/ReplicatedStateFactory.java
+++ b/src/main/java/org/gullway/controller/ReplicatedStateFactory.java
@@ -6,11 +6,15 @@
 import org.gullway.storage.ReplicatedState;
 import org.gullway.storage.StateStoreClient;
 
-/** Builds the replicated state, with the limits that the settings state for the store. */
+/** Creates the replicated state, with the limits of the state store that the settings contain. */
 final class ReplicatedStateFactory {
     private static final Duration MIN_WATCH_WAIT = Duration.ofMillis(250);
     private static final Duration MAX_WATCH_WAIT = Duration.ofSeconds(1);
-    /** Agents' leases are renewed only by a recent state, so a watch may wait for a small part of that time. */
+    /**
+     * A watch may wait for the renewal window divided by this number. An agent's lease is renewed only while the age
+     * of the cluster state is within the renewal window, which is about the cancellation limit minus the duration of an
+     * agent's lease.
+     */
     private static final int WATCHES_PER_RENEWAL_WINDOW = 8;
 
     private ReplicatedStateFactory() {}
@@ -25,7 +29,7 @@
                         environment.self(), environment.operatorSettings().membershipLease()),
                 rateLimits(settings),
                 watchWait(settings),
-                environment.schedule());
+                environment.requestCycle());
     }
 
     private static ReplicatedState.StoreRateLimits rateLimits(Settings settings) {
--- a/src/main/java/org/gullway/controller/RequestComponents.java
+++ b/src/main/java/org/gullway/controller/RequestComponents.java
@@ -9,15 +9,15 @@
 import org.gullway.coordination.quota.JobFeasibility;
 import org.gullway.storage.ReplicatedState;
 
-/** What handles the requests that come to the public address. */
+/** The components that handle requests to the public address. */
 record RequestComponents(UserApi userApi, HeartbeatHandler heartbeatHandler, RequestRouter router) {
     private static final int CONDITIONS_PER_CHANGE = 4;
 
     /**
      * Builds the components.
      *
-     * @param random chooses the owners of best-effort jobs
-     * @param isHealthy whether health checks succeed
+     * @param random the generator for the random choice of the owners of best-effort jobs
+     * @param isHealthy returns whether health checks succeed now
      */
     static RequestComponents create(
             ControllerEnvironment environment,
@@ -36,7 +36,7 @@
                 agents.cancellationEnforcer(),
                 agents.cancellationWatermark(),
                 agents.leaseRenewal(),
-                environment.schedule());
+                environment.requestCycle());
         RequestRouter router = new RequestRouter(
                 environment.loop(),
                 agents.leaseRenewal(),
@@ -64,7 +64,7 @@
                 monitoring.metrics(),
                 CONDITIONS_PER_CHANGE * environment.settings().stateChangesPerCommit(),
                 agents.cancellationEnforcer(),
-                monitoring.invariants()::onViolation,
-                environment.schedule());
+                monitoring.invariantMonitor()::onViolation,
+                environment.requestCycle());
     }
 }
--- a/src/main/java/org/gullway/controller/RequestRouter.java
+++ b/src/main/java/org/gullway/controller/RequestRouter.java
@@ -9,13 +9,13 @@
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpStatus;
 
-/** Passes the requests of users, agents and health checks to their handlers, by path and method. */
+/** Routes requests of users, agents and health checks to their handlers, by path and method. */
 final class RequestRouter {
-    private static final String HEALTH_CHECK = "/up";
-    private static final String HEARTBEATS = "/agent/beat";
-    private static final String JOBS = "/v2/runs";
-    private static final String JOB_PREFIX = JOBS + "/";
-    private static final String CANCEL_SUFFIX = "/withdraw";
+    private static final String HEALTH_CHECK_PATH = "/up";
+    private static final String HEARTBEAT_PATH = "/agent/beat";
+    private static final String JOBS_PATH = "/v2/runs";
+    private static final String JOB_PATH_PREFIX = JOBS_PATH + "/";
+    private static final String CANCEL_PATH_SUFFIX = "/withdraw";
     private static final String GET = "GET";
     private static final String POST = "POST";
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -39,20 +39,23 @@
         this.userApi = userApi;
     }
 
-    /** Answers the request, now or later; an unknown path gets 404 and a wrong method 405. */
+    /**
+     * Routes the request to its handler, which responds immediately or later. Responds with status 404 to an unknown
+     * path, and with status 405 to a method that the path does not support.
+     */
     void route(HttpExchange exchange) {
         String path = exchange.path();
-        if (!path.equals(HEARTBEATS)) {
+        if (!path.equals(HEARTBEAT_PATH)) {
             leaseRenewal.onExternalContact(loop.now());
         }
-        if (path.equals(HEALTH_CHECK)) {
-            ifMethod(GET, exchange, () -> answerHealthCheck(exchange));
-        } else if (path.equals(HEARTBEATS)) {
-            ifMethod(POST, exchange, () -> heartbeatAdmission.admit(exchange));
-        } else if (path.equals(JOBS)) {
-            ifMethod(POST, exchange, () -> userApi.submit(exchange));
-        } else if (path.startsWith(JOB_PREFIX)) {
-            routeJob(path.substring(JOB_PREFIX.length()), exchange);
+        if (path.equals(HEALTH_CHECK_PATH)) {
+            handleIfMethod(GET, exchange, () -> answerHealthCheck(exchange));
+        } else if (path.equals(HEARTBEAT_PATH)) {
+            handleIfMethod(POST, exchange, () -> heartbeatAdmission.admit(exchange));
+        } else if (path.equals(JOBS_PATH)) {
+            handleIfMethod(POST, exchange, () -> userApi.submit(exchange));
+        } else if (path.startsWith(JOB_PATH_PREFIX)) {
+            routeJob(path.substring(JOB_PATH_PREFIX.length()), exchange);
         } else {
             exchange.respond(HttpStatus.NOT_FOUND);
         }
@@ -67,15 +70,15 @@
     }
 
     private void routeJob(String jobPath, HttpExchange exchange) {
-        if (jobPath.endsWith(CANCEL_SUFFIX)) {
-            String job = jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length());
-            ifMethod(POST, exchange, () -> userApi.cancel(job, exchange));
+        if (jobPath.endsWith(CANCEL_PATH_SUFFIX)) {
+            String job = jobPath.substring(0, jobPath.length() - CANCEL_PATH_SUFFIX.length());
+            handleIfMethod(POST, exchange, () -> userApi.cancel(job, exchange));
         } else {
-            ifMethod(GET, exchange, () -> userApi.queryStatus(jobPath, exchange));
+            handleIfMethod(GET, exchange, () -> userApi.queryStatus(jobPath, exchange));
         }
     }
 
-    private static void ifMethod(String method, HttpExchange exchange, Runnable handler) {
+    private static void handleIfMethod(String method, HttpExchange exchange, Runnable handler) {
         if (exchange.method().equals(method)) {
             handler.run();
         } else {
--- a/src/main/java/org/gullway/controller/SchedulingComponents.java
+++ b/src/main/java/org/gullway/controller/SchedulingComponents.java
@@ -17,7 +17,7 @@
 import org.gullway.coordination.scheduling.SchedulingContext;
 import org.gullway.protocol.Settings;
 
-/** What places tasks, and divides quotas, jobs and machines among the controllers. */
+/** The components that place tasks, and that divide quotas, jobs and machines among the controllers. */
 record SchedulingComponents(
         JobBackoff backoff,
         ReservedScheduler reservedScheduler,
@@ -28,7 +28,7 @@
     /**
      * Builds the components.
      *
-     * @param random the source from which each component that decides by chance gets its own
+     * @param random is split, so that each component that makes random decisions has a generator of its own
      * @param offerSender sends resource offers to a peer
      */
     static SchedulingComponents create(
--- a/src/main/java/org/gullway/controller/SchedulingCycle.java
+++ b/src/main/java/org/gullway/controller/SchedulingCycle.java
@@ -17,7 +17,7 @@
 import org.gullway.storage.ReplicatedState;
 import org.gullway.transport.EventLoop;
 
-/** Lets every planning step add its changes to one transaction, within a budget of time, and commits it. */
+/** Runs the planning steps within a time budget. The steps add their changes to one transaction, which is then committed. */
 final class SchedulingCycle {
     private static final Duration TIME_BUDGET = Duration.ofMillis(150);
 
@@ -31,8 +31,7 @@
     private final UserApi userApi;
     private final Metrics metrics;
     private final CycleSteps steps = new CycleSteps(TIME_BUDGET);
-    /** The transaction of the present cycle. */
-    private Transaction current;
+    private Transaction currentTransaction;
 
     SchedulingCycle(
             ControllerEnvironment environment,
@@ -55,13 +54,16 @@
         return new Transaction.Limits(settings.stateChangesPerCommit(), settings.stateValueBytes());
     }
 
-    /** Adds a step; steps run in the order in which they were added, unless the last cycle ran out of time. */
+    /**
+     * Appends a step. Steps run in the order in which they were added, except that the cycle after one that exceeded its
+     * time budget begins with the first step that did not run.
+     */
     SchedulingCycle addStep(String name, PlanningStep step) {
-        steps.add(name, () -> step.plan(current, context()));
+        steps.add(name, () -> step.plan(currentTransaction, context()));
         return this;
     }
 
-    /** Adds a step that is left out unless this controller is the leader. */
+    /** Appends a step that does nothing unless this controller is the leader. */
     SchedulingCycle addLeaderStep(String name, PlanningStep step) {
         return addStep(name, (transaction, context) -> {
             if (context.leader()) {
@@ -74,17 +76,22 @@
         return new PlanningContext(loop.now(), isLeader(), replicatedState::hasSurplusChanges);
     }
 
-    /** Whether this process is the leader on record. */
+    /** Returns whether this process is the leader on record. */
     boolean isLeader() {
         return self.equals(clusterState.leader());
     }
 
-    /** Plans the changes that are due and commits them. To be called only while the replicated state can commit. */
+    /**
+     * Plans the changes that are due and commits them. Must be called only while {@link ReplicatedState#canCommit()}
+     * returns true.
+     *
+     * @param startedAt when the cycle started; the time budget and the latency of the commit count from then on
+     */
     void run(Instant startedAt) {
         replicatedState.setWriteShare(isLeader());
         Transaction transaction = new Transaction(
                 clusterState, self, limits.withMaxChanges(replicatedState.availableChanges()), timeOfDay.instant());
-        current = transaction;
+        currentTransaction = transaction;
         claimOrConfirmLeadership(transaction);
         completionBuffer.releaseResources(transaction);
         steps.run(startedAt, loop::now);
@@ -98,7 +105,8 @@
         if (clusterState.leader() == null) {
             transaction.put(StoreKeys.LEADER, self);
         } else if (isLeader()) {
-            // A former leader whose membership lease expired may be a member again before it hears of its successor.
+            // A former leader whose membership lease expired may become a member again before the watch delivers the
+            // record of the new leader. This condition then makes its transaction fail.
             transaction.requireUnchanged(StoreKeys.LEADER);
         }
     }
--- a/src/main/java/org/gullway/controller/package-info.java
+++ b/src/main/java/org/gullway/controller/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One controller as a whole: the wiring of its components, its control loop, the scheduling cycle, the routing of
- * requests, and the process around it.
+ * Assembles and runs a controller: the wiring of its components, its control loop, the scheduling cycle, the routing of
+ * requests, and the daemon process.
  */
 package org.gullway.controller;
