--- a/src/main/java/org/gullway/controller/Daemon.java
+++ b/src/main/java/org/gullway/controller/Daemon.java
@@ -75,7 +75,11 @@
             LOG.info("listening for users and agents controller={} address={}", settings.nodeName(), address);
         } catch (RuntimeException e) {
             // A controller that neither users nor agents can reach must not stay a member.
-            LOG.error("cannot listen address={}", address, e);
+            LOG.error(
+                    "cannot listen on the public address; exiting controller={} address={}",
+                    settings.nodeName(),
+                    address,
+                    e);
             System.exit(1);
         }
     }
@@ -92,7 +96,7 @@
                             .set(Options.REUSE_ADDRESSES, true)
                             .getMap());
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot start the event loop", e);
+            throw new UncheckedIOException("cannot start the event loop: " + e.getMessage(), e);
         }
     }
 }
