--- a/src/main/java/org/gullway/agent/CommandSender.java
+++ b/src/main/java/org/gullway/agent/CommandSender.java
@@ -87,7 +87,7 @@
         if (LOG.isDebugEnabled() && !batch.commands().isEmpty()) {
             logCommands(batch);
         }
-        metrics.commandSent();
+        metrics.commandBatchSent();
         byte[] body = AgentCommand.encodeDirect(batch.fencingToken(), batch.agentEpoch(), batch.commands());
         httpClient.call(batch.address(), HttpRequest.post(PATH, body, TIMEOUT), response -> {
             CommandOutcome outcome = outcomeOf(response);
