--- a/src/main/java/org/gullway/storage/CommitPacing.java
+++ b/src/main/java/org/gullway/storage/CommitPacing.java
@@ -54,7 +54,7 @@
     }
 
     boolean allowsCommit() {
-        return !loop.now().isBefore(pausedUntil) && changeLimit.hasBatch();
+        return !loop.now().isBefore(pausedUntil) && changeLimit.hasTokensForBatch();
     }
 
     /** Consumes the rate limit tokens of a transaction that is being sent. */
--- a/src/main/java/org/gullway/transport/TokenBucket.java
+++ b/src/main/java/org/gullway/transport/TokenBucket.java
@@ -52,7 +52,7 @@
     }
 
     /** Whether there are tokens for several requests together: a quarter of those of a second. */
-    public boolean hasBatch() {
+    public boolean hasTokensForBatch() {
         return refill() >= Math.max(1, tokensPerSecond / BATCH_DIVISOR);
     }
 
