--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -74,7 +74,7 @@
     @Property(tries = 6, seed = "203")
     void heartbeatsBeforeTheRecordAndALeaderCrash(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        cluster.cloud.setBootTime(seconds(0.2 + seed % 18 / 10.0));
+        cluster.cloud.setMaxBootTime(seconds(0.2 + seed % 18 / 10.0));
         cluster.run(Duration.ofSeconds(5));
         cluster.store.applyLate(0.4, cluster.random.split());
         submitSteadily(cluster, 1, 20);
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -247,7 +247,7 @@
     FAST_BOOTS {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            cluster.cloud.setBootTime(Duration.ofMillis(200 + random.nextInt(1800)));
+            cluster.cloud.setMaxBootTime(Duration.ofMillis(200 + random.nextInt(1800)));
         }
     },
     /**
--- a/src/test/java/org/gullway/fake/FakeCloud.java
+++ b/src/test/java/org/gullway/fake/FakeCloud.java
@@ -72,7 +72,7 @@
     }
 
     /** From now on machines are up within this time, however long their type usually takes. */
-    public void setBootTime(Duration longest) {
+    public void setMaxBootTime(Duration longest) {
         maxBootTime = longest;
     }
 
