--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -76,7 +76,7 @@
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         cluster.cloud.setMaxBootTime(seconds(0.2 + seed % 18 / 10.0));
         cluster.run(Duration.ofSeconds(5));
-        cluster.store.applyLate(0.4, cluster.random.split());
+        cluster.store.delayCommits(0.4, cluster.random.split());
         submitSteadily(cluster, 1, 20);
         for (int i = 0; i < 4; i++) {
             cluster.after(seconds(2 + 9 * i + seed % 8 / 2.0), () -> {
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -134,8 +134,8 @@
     LATE_WRITES {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration span) {
-            cluster.store.applyLate(0.3, random.split());
-            cluster.after(span, () -> cluster.store.applyLate(0, random));
+            cluster.store.delayCommits(0.3, random.split());
+            cluster.after(span, () -> cluster.store.delayCommits(0, random));
         }
     },
     /** Transactions are applied at once, and only their responses are lost. */
--- a/src/test/java/org/gullway/StoreFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/StoreFaultCombinationsTest.java
@@ -27,7 +27,7 @@
     @Property(tries = 6, seed = "103")
     void transactionsAreAppliedAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(45));
-        cluster.store.applyLate(0.3, cluster.random.split());
+        cluster.store.delayCommits(0.3, cluster.random.split());
         submitSteadily(cluster, 9, 12);
         for (int i = 0; i < 5; i++) {
             int number = i;
--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -64,8 +64,8 @@
     }
 
     /** This share of transactions gets no response and is applied 2 to 12 s later, after newer ones. */
-    public void applyLate(double share, RandomGenerator random) {
-        faults.applyLate(share, random);
+    public void delayCommits(double share, RandomGenerator random) {
+        faults.delayCommits(share, random);
     }
 
     /** This share of transactions is applied at once, and only its response is lost. */
--- a/src/test/java/org/gullway/fake/FakesTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -105,10 +105,10 @@
 
     @Test
     void aLateTransactionIsAppliedAfterANewerOne() {
-        store.applyLate(1, new SplittableRandom(5));
+        store.delayCommits(1, new SplittableRandom(5));
         List<Integer> late = put(one, 1);
         run(0.1);
-        store.applyLate(0, new SplittableRandom(5));
+        store.delayCommits(0, new SplittableRandom(5));
         List<Integer> newer = put(one, 2);
         run(1);
         assertThat(newer).containsExactly(200);
--- a/src/test/java/org/gullway/fake/StoreFaults.java
+++ b/src/test/java/org/gullway/fake/StoreFaults.java
@@ -63,7 +63,7 @@
         return !down && !rejectedClients.contains(client);
     }
 
-    void applyLate(double share, RandomGenerator random) {
+    void delayCommits(double share, RandomGenerator random) {
         lateShare = share;
         lateRandom = random;
     }
