--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -276,7 +276,7 @@
             link.set(FaultyLink.Conditions.GOOD);
             link.cut(false);
         });
-        store.restore();
+        store.clearFaults();
         nodes().forEach(name -> {
             pause(name, false);
             startController(name);
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -165,7 +165,7 @@
     /** Ends all faults: from now on no query may go unanswered for long, and no job may wait beside free machines. */
     void endFaults() {
         network.heal();
-        store.restore();
+        store.clearFaults();
         invariants.onFaultsEnded(time.now());
     }
 
--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -89,7 +89,7 @@
     }
 
     /** Everything is served as usual again. */
-    public void restore() {
+    public void clearFaults() {
         faults.clear();
         setDown(false);
     }
