--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -57,7 +57,7 @@
         assertThat(cluster.store.changes("live/shares"))
                 .as("changes of quota partitions, less than three a second")
                 .isLessThan(3 * 150);
-        assertThat(cluster.store.largestValue())
+        assertThat(cluster.store.largestValueBytes())
                 .as("bytes of a record")
                 .isLessThanOrEqualTo(FakeStateStore.VALUE_BYTES);
     }
--- a/src/test/java/org/gullway/fake/CommitLimits.java
+++ b/src/test/java/org/gullway/fake/CommitLimits.java
@@ -18,7 +18,7 @@
     /** Changes by the first two parts of their keys, such as live/jobs. */
     private final Map<String, Integer> changes = new TreeMap<>();
 
-    private int largestValue;
+    private int largestValueBytes;
     private double tokens = FakeStateStore.CHANGES_PER_SECOND;
     private Instant tokensAt;
 
@@ -35,7 +35,7 @@
                 && body.toString().length() <= MAX_BYTES;
         for (JsonNode change : then) {
             int bytes = change.path("v").toString().length();
-            largestValue = Math.max(largestValue, bytes);
+            largestValueBytes = Math.max(largestValueBytes, bytes);
             valid &= bytes <= FakeStateStore.VALUE_BYTES;
         }
         if (!valid) {
@@ -69,7 +69,7 @@
                 .sum();
     }
 
-    int largestValue() {
-        return largestValue;
+    int largestValueBytes() {
+        return largestValueBytes;
     }
 }
--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -110,8 +110,8 @@
         return limits.changes(prefix);
     }
 
-    public int largestValue() {
-        return limits.largestValue();
+    public int largestValueBytes() {
+        return limits.largestValueBytes();
     }
 
     private void expire() {
