--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -59,7 +59,7 @@
                 .isLessThan(3 * 150);
         assertThat(cluster.store.largestValueBytes())
                 .as("bytes of a record")
-                .isLessThanOrEqualTo(FakeStateStore.VALUE_BYTES);
+                .isLessThanOrEqualTo(FakeStateStore.MAX_VALUE_BYTES);
     }
 
     /** With 2,000 machines: a fifth is unresponsive for long, then only one controller runs, then all restart. */
--- a/src/test/java/org/gullway/NodeSettings.java
+++ b/src/test/java/org/gullway/NodeSettings.java
@@ -88,7 +88,7 @@
                         seconds(setup.heartbeatInterval()),
                         seconds(setup.lease()),
                         seconds(setup.cancel()),
-                        (double) FakeStateStore.CHANGES_PER_SECOND,
-                        FakeStateStore.CHANGES_PER_COMMIT);
+                        (double) FakeStateStore.MAX_CHANGES_PER_SECOND,
+                        FakeStateStore.MAX_CHANGES_PER_COMMIT);
     }
 }
--- a/src/test/java/org/gullway/SimulatedControllers.java
+++ b/src/test/java/org/gullway/SimulatedControllers.java
@@ -123,9 +123,9 @@
                 SimulatedCluster.LEASE,
                 SimulatedCluster.CANCEL,
                 StoreRequestLog.PER_SECOND,
-                FakeStateStore.CHANGES_PER_SECOND,
-                FakeStateStore.VALUE_BYTES,
-                FakeStateStore.CHANGES_PER_COMMIT,
+                FakeStateStore.MAX_CHANGES_PER_SECOND,
+                FakeStateStore.MAX_VALUE_BYTES,
+                FakeStateStore.MAX_CHANGES_PER_COMMIT,
                 10,
                 Duration.ofSeconds(3),
                 1000);
--- a/src/test/java/org/gullway/fake/CommitLimits.java
+++ b/src/test/java/org/gullway/fake/CommitLimits.java
@@ -19,7 +19,7 @@
     private final Map<String, Integer> changes = new TreeMap<>();
 
     private int largestValueBytes;
-    private double tokens = FakeStateStore.CHANGES_PER_SECOND;
+    private double tokens = FakeStateStore.MAX_CHANGES_PER_SECOND;
     private Instant tokensAt;
 
     CommitLimits(EventLoop loop) {
@@ -30,23 +30,23 @@
     /** The status by which the transaction is refused, or OK. */
     int check(ObjectNode body) {
         JsonNode then = body.path("then");
-        boolean valid = then.size() <= FakeStateStore.CHANGES_PER_COMMIT
-                && body.path("guards").size() <= CONDITIONS_PER_CHANGE * FakeStateStore.CHANGES_PER_COMMIT
+        boolean valid = then.size() <= FakeStateStore.MAX_CHANGES_PER_COMMIT
+                && body.path("guards").size() <= CONDITIONS_PER_CHANGE * FakeStateStore.MAX_CHANGES_PER_COMMIT
                 && body.toString().length() <= MAX_BYTES;
         for (JsonNode change : then) {
             int bytes = change.path("v").toString().length();
             largestValueBytes = Math.max(largestValueBytes, bytes);
-            valid &= bytes <= FakeStateStore.VALUE_BYTES;
+            valid &= bytes <= FakeStateStore.MAX_VALUE_BYTES;
         }
         if (!valid) {
             return HttpStatus.BAD_REQUEST;
         }
         tokens = Math.min(
-                FakeStateStore.CHANGES_PER_SECOND,
+                FakeStateStore.MAX_CHANGES_PER_SECOND,
                 tokens
                         + Duration.between(tokensAt, loop.now()).toMillis()
                                 / 1000.0
-                                * FakeStateStore.CHANGES_PER_SECOND);
+                                * FakeStateStore.MAX_CHANGES_PER_SECOND);
         tokensAt = loop.now();
         if (tokens < then.size()) {
             return HttpStatus.TOO_MANY_REQUESTS;
--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -20,10 +20,10 @@
 /** The state store as its protocol describes it, in memory: the endpoints, and the faults that tests switch on. */
 public final class FakeStateStore {
     /** Limits of the settings; a transaction beyond them is refused. */
-    public static final int CHANGES_PER_SECOND = 30;
+    public static final int MAX_CHANGES_PER_SECOND = 30;
 
-    public static final int CHANGES_PER_COMMIT = 24;
-    public static final int VALUE_BYTES = 16 * 1024;
+    public static final int MAX_CHANGES_PER_COMMIT = 24;
+    public static final int MAX_VALUE_BYTES = 16 * 1024;
 
     private static final Duration EXPIRY_CHECK_INTERVAL = Duration.ofMillis(20);
     private static final Duration LATE_COMMIT_RETRY = Duration.ofMillis(500);
