--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -51,10 +51,12 @@
                 .as("starts, with those of preempted tasks")
                 .isLessThan(tasks * 3 / 2);
         assertThat(cluster.cloud.provisionedCount()).isGreaterThan(1000);
-        int machineChanges = cluster.store.changes("live/groups");
+        int machineChanges = cluster.store.changeCount("live/groups");
         assertThat(machineChanges).as("changes for machines").isLessThan(cluster.cloud.provisionedCount());
-        assertThat(cluster.store.changes("live/jobs")).as("changes for jobs").isLessThan(tasks / 5);
-        assertThat(cluster.store.changes("live/shares"))
+        assertThat(cluster.store.changeCount("live/jobs"))
+                .as("changes for jobs")
+                .isLessThan(tasks / 5);
+        assertThat(cluster.store.changeCount("live/shares"))
                 .as("changes of quota partitions, less than three a second")
                 .isLessThan(3 * 150);
         assertThat(cluster.store.largestValueBytes())
@@ -70,7 +72,7 @@
         cluster.run(Duration.ofSeconds(70));
         int provisioned = cluster.cloud.provisionedCount();
         assertThat(provisioned).isGreaterThanOrEqualTo(2000);
-        int before = cluster.store.changes("live/groups");
+        int before = cluster.store.changeCount("live/groups");
         List<FakeAgent> unresponsive =
                 cluster.cloud.agents().stream().limit(400).toList();
         for (FakeAgent agent : unresponsive) {
@@ -85,7 +87,7 @@
         assertThat(cluster.cloud.provisionedCount() - provisioned)
                 .as("at most replaced")
                 .isLessThanOrEqualTo(400);
-        assertThat(cluster.store.changes("live/groups") - before)
+        assertThat(cluster.store.changeCount("live/groups") - before)
                 .as("changes of shards, which all lose machines: unresponsive, lost, released, new")
                 .isLessThan(6 * 2000 / 16);
         cluster.crash("perch-0", Duration.ofSeconds(20));
--- a/src/test/java/org/gullway/ScavengerClassTest.java
+++ b/src/test/java/org/gullway/ScavengerClassTest.java
@@ -65,7 +65,7 @@
                 .isGreaterThanOrEqualTo(700);
         assertThat(cluster.startedTasks()).as("the array's tasks as well").isGreaterThan(2000);
         assertThat(cluster.store.largestValueBytes()).isLessThanOrEqualTo(FakeStateStore.MAX_VALUE_BYTES);
-        assertThat(cluster.store.changes("live/jobs"))
+        assertThat(cluster.store.changeCount("live/jobs"))
                 .as("changes for %s jobs", cluster.users().size())
                 .isLessThan(5 * cluster.users().size() + 4 * 240);
     }
--- a/src/test/java/org/gullway/fake/CommitLimits.java
+++ b/src/test/java/org/gullway/fake/CommitLimits.java
@@ -62,7 +62,7 @@
     }
 
     /** How often keys of this prefix were changed. */
-    int changes(String prefix) {
+    int changeCount(String prefix) {
         return changes.entrySet().stream()
                 .filter(e -> e.getKey().startsWith(prefix))
                 .mapToInt(Map.Entry::getValue)
--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -106,8 +106,8 @@
     }
 
     /** How often keys of this prefix were put or removed. */
-    public int changes(String prefix) {
-        return limits.changes(prefix);
+    public int changeCount(String prefix) {
+        return limits.changeCount(prefix);
     }
 
     public int largestValueBytes() {
