--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -161,7 +161,7 @@
     private void degradeLinks(Duration at, String links, Conditions conditions, Duration span) {
         add(at, "all of " + links + " are " + conditions + " for " + span.toMillis() + " ms", cluster -> {
             set(cluster, links, conditions);
-            cluster.loop.after(span, () -> set(cluster, links, Conditions.GOOD));
+            cluster.loop.after(span, () -> set(cluster, links, Conditions.NO_FAULTS));
         });
     }
 
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -273,7 +273,7 @@
     /** All links are good, all controllers run, and the state store serves everybody. */
     void endFaults() {
         links.values().forEach(link -> {
-            link.set(FaultyLink.Conditions.GOOD);
+            link.set(FaultyLink.Conditions.NO_FAULTS);
             link.cut(false);
         });
         store.clearFaults();
--- a/src/test/java/org/gullway/fake/FaultyLink.java
+++ b/src/test/java/org/gullway/fake/FaultyLink.java
@@ -33,7 +33,7 @@
             double copied,
             double slow,
             Duration slowest) {
-        public static final Conditions GOOD = new Conditions(0, 0, 0, Duration.ZERO, 0, 0, Duration.ZERO);
+        public static final Conditions NO_FAULTS = new Conditions(0, 0, 0, Duration.ZERO, 0, 0, Duration.ZERO);
     }
 
     private static final Duration MIN_DELAY = Duration.ofMillis(200);
@@ -41,7 +41,7 @@
     private final EventLoop loop;
     private final RandomGenerator random;
     private final List<Runnable> held = new ArrayList<>();
-    private Conditions conditions = Conditions.GOOD;
+    private Conditions conditions = Conditions.NO_FAULTS;
     private boolean cut;
 
     /** A link without faults. */
