--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public boolean fails(String machine, String job) {
+    public boolean taskFails(String machine, String job) {
         return taskFails.test(machine, job);
     }
 
--- a/src/test/java/org/gullway/fake/AgentTasks.java
+++ b/src/test/java/org/gullway/fake/AgentTasks.java
@@ -161,7 +161,7 @@
         task.runningSince = loop.now();
         task.cancelTimer = process.after(task.remaining, () -> {
             if (task.running()) {
-                end(task, environment.fails(machine, task.job()) ? "error" : "done");
+                end(task, environment.taskFails(machine, task.job()) ? "error" : "done");
             }
         });
     }
--- a/src/test/java/org/gullway/fake/FakeAgent.java
+++ b/src/test/java/org/gullway/fake/FakeAgent.java
@@ -30,7 +30,7 @@
         Duration runTime(String job);
 
         /** Whether a task of the job that has run its time on this machine has failed. */
-        default boolean fails(String machine, String job) {
+        default boolean taskFails(String machine, String job) {
             return false;
         }
 
