--- a/src/main/java/org/gullway/transport/ConnectionPool.java
+++ b/src/main/java/org/gullway/transport/ConnectionPool.java
@@ -10,41 +10,47 @@
 import java.util.function.Predicate;
 
 /**
- * Outgoing connections within a budget of sockets: idle ones are kept for the next request, and when the budget is used
- * up the one that was idle longest is closed for a new one. A connect that timed out stays open until the system
- * ends it (the client library has no way to end it), so it counts, and there is one at a time to an address.
+ * Pools outgoing connections within a socket budget. Idle connections are kept for later requests; when the budget is
+ * used up, the connection that has been idle longest is closed to make room for a new one.
  *
- * <p>Essential addresses (state store, cloud, peers) are few and their requests are limited, so they are never refused:
- * the budget leaves a reserve for them. Without it, unreachable agents by the hundred would take the sockets by
- * which this controller stays a member.
+ * <p>The client library cannot cancel a connection attempt. An abandoned attempt (one whose request has timed out)
+ * holds its socket until the operating system ends it. It therefore counts against the budget, and until it ends no
+ * other connection to the same address is opened.
+ *
+ * <p>Connections to essential addresses (state store, cloud provider, peers) are never refused: they are few, their
+ * requests are rate-limited, and the budget leaves a reserve for them. Without the reserve, hundreds of unreachable
+ * agents could use up the sockets that this controller needs to renew its membership lease.
  */
 final class ConnectionPool<C> {
     private static final int MAX_IDLE_PER_ADDRESS = 4;
 
     private final SocketBudget socketBudget;
     private final Set<String> essential;
-    private final Consumer<C> close;
-    /** All idle connections with their addresses, the one that was idle longest first. */
+    private final Consumer<C> closer;
+    /** Address by idle connection; the connection that has been idle longest comes first. */
     private final Map<C, String> idle = new LinkedHashMap<>();
 
-    private final Map<String, Deque<C>> byAddress = new HashMap<>();
-    /** Connects that no request waits for any more. */
-    private final Map<String, Integer> abandoned = new HashMap<>();
+    private final Map<String, Deque<C>> idleByAddress = new HashMap<>();
+    /** Number of abandoned connection attempts, by address. */
+    private final Map<String, Integer> abandonedConnects = new HashMap<>();
 
     private int open;
 
-    ConnectionPool(SocketBudget socketBudget, Set<String> essential, Consumer<C> close) {
+    ConnectionPool(SocketBudget socketBudget, Set<String> essential, Consumer<C> closer) {
         this.socketBudget = socketBudget;
         this.essential = essential;
-        this.close = close;
+        this.closer = closer;
     }
 
-    /** An idle connection to the address that passes the test, or null. */
-    C reuse(String address, Predicate<C> usable) {
-        while (byAddress.containsKey(address)) {
-            C connection = byAddress.get(address).peekLast();
-            forget(connection);
-            if (usable.test(connection)) {
+    /**
+     * Removes an idle connection to the address from the pool and returns it, or null if there is none. Idle
+     * connections that fail the test are discarded.
+     */
+    C takeIdle(String address, Predicate<C> isUsable) {
+        while (idleByAddress.containsKey(address)) {
+            C connection = idleByAddress.get(address).peekLast();
+            removeIdle(connection);
+            if (isUsable.test(connection)) {
                 return connection;
             }
             discard(connection);
@@ -52,20 +58,26 @@
         return null;
     }
 
-    /** Whether a connect to the address is still under way although its request has timed out; no other is begun then. */
+    /**
+     * Returns whether an abandoned attempt forbids another connection to the address. Always false for essential
+     * addresses.
+     */
     boolean isAbandoned(String address) {
-        return abandoned.containsKey(address) && !essential.contains(address);
+        return abandonedConnects.containsKey(address) && !essential.contains(address);
     }
 
-    /** Whether the budget lets a connect begin now; if so it counts until it has failed or its connection is discarded. */
-    boolean mayConnect(String address) {
+    /**
+     * Reserves a socket for a new connection, closing idle connections if necessary. Returns false if the budget is
+     * used up. The reservation lasts until the connection attempt fails or the connection is closed.
+     */
+    boolean tryReserve(String address) {
         if (!essential.contains(address)) {
-            while (open >= socketBudget.availableForAgents() && !idle.isEmpty()) {
+            while (open >= socketBudget.maxOutgoing() && !idle.isEmpty()) {
                 C oldest = idle.keySet().iterator().next();
-                forget(oldest);
+                removeIdle(oldest);
                 discard(oldest);
             }
-            if (open >= socketBudget.availableForAgents()) {
+            if (open >= socketBudget.maxOutgoing()) {
                 return false;
             }
         }
@@ -73,59 +85,62 @@
         return true;
     }
 
-    private void forget(C connection) {
+    private void removeIdle(C connection) {
         String address = idle.remove(connection);
-        Deque<C> there = byAddress.get(address);
-        there.remove(connection);
-        if (there.isEmpty()) {
-            byAddress.remove(address);
+        Deque<C> sameAddress = idleByAddress.get(address);
+        sameAddress.remove(connection);
+        if (sameAddress.isEmpty()) {
+            idleByAddress.remove(address);
         }
     }
 
-    /** The request has timed out although its connect is still under way. */
+    /** Records that a request has timed out while its connection attempt is still in progress. */
     void abandon(String address) {
-        abandoned.merge(address, 1, Integer::sum);
+        abandonedConnects.merge(address, 1, Integer::sum);
     }
 
-    /** A connect that had been abandoned has ended after all, with or without a connection. */
-    void abandonedEnded(String address) {
-        abandoned.computeIfPresent(address, (a, n) -> n == 1 ? null : n - 1);
+    /** Records that an abandoned connection attempt has succeeded or failed. */
+    void onAbandonedConnectEnded(String address) {
+        abandonedConnects.computeIfPresent(address, (a, n) -> n == 1 ? null : n - 1);
     }
 
-    void connectFailed() {
+    void onConnectFailed() {
         open--;
     }
 
-    /** Keeps a connection for the next request. */
-    void keep(String address, C connection) {
-        Deque<C> there = byAddress.computeIfAbsent(address, a -> new ArrayDeque<>());
-        if (there.size() >= MAX_IDLE_PER_ADDRESS
-                || (open > socketBudget.availableForAgents() && !essential.contains(address))) {
-            if (there.isEmpty()) {
-                byAddress.remove(address);
+    /**
+     * Returns a connection to the pool after its request. Closes it instead if the address has enough idle connections
+     * or the budget is exceeded.
+     */
+    void putIdle(String address, C connection) {
+        Deque<C> sameAddress = idleByAddress.computeIfAbsent(address, a -> new ArrayDeque<>());
+        if (sameAddress.size() >= MAX_IDLE_PER_ADDRESS
+                || (open > socketBudget.maxOutgoing() && !essential.contains(address))) {
+            if (sameAddress.isEmpty()) {
+                idleByAddress.remove(address);
             }
             discard(connection);
             return;
         }
-        there.addLast(connection);
+        sameAddress.addLast(connection);
         idle.put(connection, address);
     }
 
-    /** Closes a connection that serves no request any more. */
+    /** Closes a connection that is not in the pool and releases its socket. */
     void discard(C connection) {
         open--;
-        close.accept(connection);
+        closer.accept(connection);
     }
 
-    /** The other side has closed a connection; one that serves a request is discarded by it. */
-    void closedByPeer(C connection) {
+    /** Removes an idle connection that the peer has closed. A connection in use is discarded by its request instead. */
+    void onClosedByPeer(C connection) {
         if (idle.containsKey(connection)) {
-            forget(connection);
+            removeIdle(connection);
             open--;
         }
     }
 
-    int open() {
+    int openCount() {
         return open;
     }
 }
--- a/src/main/java/org/gullway/transport/DisabledMBeanServerBuilder.java
+++ b/src/main/java/org/gullway/transport/DisabledMBeanServerBuilder.java
@@ -5,13 +5,14 @@
 import javax.management.MBeanServerDelegate;
 
 /**
- * Keeps the platform's management server from being set up, as XNIO would for each of its workers: that takes much of a start
- * on a small machine, and nothing can connect to it. XNIO goes on without.
+ * Prevents XNIO from creating the platform MBean server, which it would do to register each of its workers. Creating it
+ * takes a large part of the start-up time on a small machine, and no JMX client can connect to it. XNIO works without
+ * it.
  */
 public final class DisabledMBeanServerBuilder extends MBeanServerBuilder {
     private static final String BUILDER_PROPERTY = "javax.management.builder.initial";
 
-    /** From now on nothing in this process can set up a management server. To be called before XNIO is used. */
+    /** Disables the creation of MBean servers in this process. Must be called before XNIO is used. */
     public static void install() {
         System.setProperty(BUILDER_PROPERTY, DisabledMBeanServerBuilder.class.getName());
     }
--- a/src/main/java/org/gullway/transport/EventLoop.java
+++ b/src/main/java/org/gullway/transport/EventLoop.java
@@ -4,19 +4,22 @@
 import java.time.Instant;
 
 /**
- * The single thread on which everything in a controller runs. No task may block it. State that is reached from the loop is
- * reached from nowhere else, so nothing of it is synchronized.
+ * The event loop of a controller: one thread that runs all of its tasks. A task must not block. State that is used by
+ * tasks of the loop is not used by any other thread, so it needs no synchronization.
  */
 public interface EventLoop {
-    /** The monotonic clock; it has no relation to wall-clock time, which is passed as an {@code InstantSource}. */
+    /**
+     * Returns the time of the monotonic clock. It is unrelated to the wall clock, which is passed as an {@code
+     * InstantSource}.
+     */
     Instant now();
 
     void execute(Runnable task);
 
-    /** Runs the task once after the delay; the returned handle cancels it. */
+    /** Runs the task once after the delay. Running the returned handle cancels the task. */
     Runnable after(Duration delay, Runnable task);
 
-    /** Runs the task again and again, with the pause between the end of one run and the next. */
+    /** Runs the task repeatedly, with the pause between the end of one run and the start of the next. */
     default void every(Duration pause, Runnable task) {
         after(pause, () -> {
             try {
--- a/src/main/java/org/gullway/transport/HttpExchange.java
+++ b/src/main/java/org/gullway/transport/HttpExchange.java
@@ -2,17 +2,17 @@
 
 import java.time.Duration;
 
-/** One request that was received, with the means to respond, at once or later, always exactly once. */
+/** A received request and its response. The receiver must respond exactly once, immediately or later. */
 public interface HttpExchange {
     String method();
 
     /** The path without the query. */
     String path();
 
-    /** The query without its question mark, empty if there is none. */
+    /** The query string without the question mark; empty if there is none. */
     String query();
 
-    /** The body, or null if it was larger than allowed. */
+    /** The body, or null if it exceeds the size limit or could not be read. */
     byte[] body();
 
     void respond(int status, byte[] content);
@@ -22,6 +22,6 @@
         respond(status, new byte[0]);
     }
 
-    /** Rejects the request for now, with {@code Retry-After}. */
+    /** Rejects the request temporarily, with a {@code Retry-After} header. */
     void reject(int status, Duration retryAfter);
 }
--- a/src/main/java/org/gullway/transport/HttpResponse.java
+++ b/src/main/java/org/gullway/transport/HttpResponse.java
@@ -1,24 +1,27 @@
 package org.gullway.transport;
 
 /**
- * What became of a request to another process.
+ * The outcome of a request to another process, with the response if there was one.
  *
- * @param status 0 unless it was answered
- * @param body empty unless it was answered with one
+ * @param status the HTTP status code; 0 unless the outcome is {@code ANSWERED}
+ * @param body the response body; empty if there is none
  */
-// Bodies are passed on and never compared.
+// Array equality is irrelevant: bodies are never compared.
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpResponse(Outcome outcome, int status, byte[] body) {
     private static final byte[] EMPTY = new byte[0];
 
-    /** Whether the request was answered, and if not, whether it may have been carried out. */
+    /** Whether a response was received, and if not, whether the request may have been processed. */
     public enum Outcome {
         ANSWERED,
-        /** The connection was never made, so the request was certainly not carried out. */
+        /** The request was not sent, so it was certainly not processed. */
         NOT_SENT,
-        /** The same, for want of sockets here: it says nothing about the other side. */
+        /**
+         * The request was not sent because the local socket budget is used up; says nothing about the reachability of
+         * the peer.
+         */
         NO_SOCKET,
-        /** The request may have been carried out, or may still be carried out later. */
+        /** No complete response was received. The request may have been processed, or may still be processed later. */
         UNKNOWN
     }
 
--- a/src/main/java/org/gullway/transport/HttpServer.java
+++ b/src/main/java/org/gullway/transport/HttpServer.java
@@ -24,11 +24,11 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
-/** Listens on one address and hands whole requests to a handler on the event loop. */
+/** An HTTP server that passes complete requests to a handler on the event loop. */
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-    /** Handles one request; the response may be given at once or later, always exactly once. */
+    /** Handles one request. Must respond exactly once, immediately or later. */
     @FunctionalInterface
     public interface Handler {
         void handle(HttpExchange exchange);
@@ -70,7 +70,7 @@
             if (exchange.isResponseStarted()) {
                 return;
             }
-            if (socketBudget.isCrowded()) {
+            if (socketBudget.isNearAcceptLimit()) {
                 exchange.setPersistent(false);
             }
             exchange.setStatusCode(status);
@@ -102,17 +102,17 @@
             .set(UndertowOptions.NO_REQUEST_TIMEOUT, 120_000)
             .getMap();
 
-    private static final AttachmentKey<Boolean> COUNTED = AttachmentKey.create(Boolean.class);
+    private static final AttachmentKey<Boolean> IS_COUNTED = AttachmentKey.create(Boolean.class);
 
     private HttpServer() {}
 
     /**
-     * Begins to listen.
+     * Starts to listen on an address.
      *
-     * @param socketBudget what connections may take of the process's sockets
-     * @param address host and port; for port 0 the system chooses one
-     * @return host and port that it listens on
-     * @throws UncheckedIOException if the address cannot be listened on
+     * @param socketBudget limits the connections that the server accepts
+     * @param address host and port; for port 0 the operating system chooses a port
+     * @return host and port on which the server listens
+     * @throws UncheckedIOException if the server cannot listen on the address
      */
     public static String start(
             XnioWorker worker,
@@ -122,14 +122,14 @@
             int bodyLimit,
             Handler handler) {
         int colon = address.lastIndexOf(':');
-        InetSocketAddress where =
+        InetSocketAddress socketAddress =
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-        // Not Undertow's builder: its handlers match each request's Host header against a pattern, which costs most
-        // while nothing is compiled yet, and nothing here depends on that header.
+        // Undertow's builder is not used: its handlers match each request's Host header against a pattern. This is
+        // slowest before the JIT compiler has compiled the code, and no handler of this server needs the header.
         HttpOpenListener listener = new HttpOpenListener(buffers, SERVER_OPTIONS);
         listener.setRootHandler(exchange -> {
-            count(socketBudget, exchange.getConnection());
-            receive(exchange, socketBudget, bodyLimit, handler);
+            countConnection(socketBudget, exchange.getConnection());
+            receiveBody(exchange, socketBudget, bodyLimit, handler);
         });
         OptionMap socketOptions = OptionMap.builder()
                 .set(Options.TCP_NODELAY, true)
@@ -140,7 +140,7 @@
                 .getMap();
         try {
             AcceptingChannel<StreamConnection> channel = worker.createStreamConnectionServer(
-                    where, ChannelListeners.openListenerAdapter(listener), socketOptions);
+                    socketAddress, ChannelListeners.openListenerAdapter(listener), socketOptions);
             channel.resumeAccepts();
             int port = channel.getLocalAddress(InetSocketAddress.class).getPort();
             return address.substring(0, colon + 1) + port;
@@ -149,17 +149,18 @@
         }
     }
 
-    /** A connection counts from its first request on. */
-    private static void count(SocketBudget socketBudget, ServerConnection connection) {
-        if (connection.getAttachment(COUNTED) == null) {
-            connection.putAttachment(COUNTED, true);
+    /** Counts a connection as accepted from its first request until it is closed. */
+    private static void countConnection(SocketBudget socketBudget, ServerConnection connection) {
+        if (connection.getAttachment(IS_COUNTED) == null) {
+            connection.putAttachment(IS_COUNTED, true);
             socketBudget.onAcceptedChange(1);
             connection.addCloseListener(closed -> socketBudget.onAcceptedChange(-1));
         }
     }
 
-    private static void receive(HttpServerExchange exchange, SocketBudget socketBudget, int limit, Handler handler) {
-        if (exchange.getRequestContentLength() > limit) {
+    private static void receiveBody(
+            HttpServerExchange exchange, SocketBudget socketBudget, int bodyLimit, Handler handler) {
+        if (exchange.getRequestContentLength() > bodyLimit) {
             exchange.setPersistent(false);
             dispatch(exchange, null, socketBudget, handler);
             return;
@@ -167,11 +168,11 @@
         if (exchange.getRequestContentLength() < 0) {
             exchange.getRequestReceiver()
                     .receivePartialBytes(
-                            new BodyOfUnknownLength(socketBudget, limit, handler),
+                            new BodyOfUnknownLength(socketBudget, bodyLimit, handler),
                             (ex, error) -> rejectBody(ex, socketBudget, handler));
             return;
         }
-        exchange.setMaxEntitySize(limit);
+        exchange.setMaxEntitySize(bodyLimit);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
                         (ex, bytes) -> dispatch(ex, bytes, socketBudget, handler),
@@ -184,23 +185,23 @@
     }
 
     /**
-     * Collects a body whose length is not stated. One that turns out to be over the limit is read on for a while without
-     * being kept: if the connection were closed while its sender is still writing, the answer would be lost.
+     * Collects a request body without a Content-Length. If the body exceeds the limit, the rest of it is read and
+     * dropped up to a maximum: closing the connection while the client is still writing would lose the response.
      */
     private static final class BodyOfUnknownLength implements Receiver.PartialBytesCallback {
-        /** Multiple of the limit beyond which the rest of a body is not read any more. */
+        /** A body is read up to this multiple of the limit; the rest is not read. */
         private static final int MAX_READ_FACTOR = 16;
 
         private final SocketBudget socketBudget;
-        private final int limit;
+        private final int bodyLimit;
         private final Handler handler;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        private long read;
+        private long bytesRead;
         private boolean dispatched;
 
-        BodyOfUnknownLength(SocketBudget socketBudget, int limit, Handler handler) {
+        BodyOfUnknownLength(SocketBudget socketBudget, int bodyLimit, Handler handler) {
             this.socketBudget = socketBudget;
-            this.limit = limit;
+            this.bodyLimit = bodyLimit;
             this.handler = handler;
         }
 
@@ -209,14 +210,14 @@
             if (dispatched) {
                 return;
             }
-            read += message.length;
-            if (read <= limit) {
+            bytesRead += message.length;
+            if (bytesRead <= bodyLimit) {
                 body.write(message, 0, message.length);
             }
-            if (last || read > (long) limit * MAX_READ_FACTOR) {
+            if (last || bytesRead > (long) bodyLimit * MAX_READ_FACTOR) {
                 dispatched = true;
                 exchange.setPersistent(last && exchange.isPersistent());
-                dispatch(exchange, read <= limit ? body.toByteArray() : null, socketBudget, handler);
+                dispatch(exchange, bytesRead <= bodyLimit ? body.toByteArray() : null, socketBudget, handler);
             }
         }
     }
--- a/src/main/java/org/gullway/transport/HttpStatus.java
+++ b/src/main/java/org/gullway/transport/HttpStatus.java
@@ -1,19 +1,19 @@
 package org.gullway.transport;
 
-/** The status codes that the protocol uses. */
+/** The HTTP status codes used by the protocols of this system. */
 public final class HttpStatus {
     public static final int OK = 200;
     public static final int CREATED = 201;
-    /** The request does not have the stated form. */
+    /** The request is malformed. */
     public static final int BAD_REQUEST = 400;
 
     public static final int NOT_FOUND = 404;
     public static final int METHOD_NOT_ALLOWED = 405;
-    /** A condition failed: a key's version, or an agent's fencing token or epoch. */
+    /** A condition failed: the version of a key, or the fencing token or epoch of an agent. */
     public static final int CONFLICT = 409;
-    /** A watch asked for revisions that the store no longer keeps. */
+    /** A watch requested revisions that the state store no longer keeps. */
     public static final int GONE = 410;
-    /** Another controller is responsible. */
+    /** Another controller is responsible for the request; the response may name it. */
     public static final int MISDIRECTED = 421;
     /** The job can never run. */
     public static final int UNPROCESSABLE = 422;
--- a/src/main/java/org/gullway/transport/TokenBucket.java
+++ b/src/main/java/org/gullway/transport/TokenBucket.java
@@ -4,8 +4,9 @@
 import java.time.Instant;
 
 /**
- * Limits the rate at which this controller uses a service that limits all controllers together. Tokens accrue at a share of the
- * limit and are saved up for a second at most. What the controllers exceed together the service rejects.
+ * Limits the rate of this controller's requests to a service that has one rate limit for all controllers together.
+ * Tokens accrue at a share of that limit, up to the tokens of one second. The service rejects what all controllers
+ * together send beyond its limit.
  */
 public final class TokenBucket {
     private static final double DEFAULT_SHARE = 0.6;
@@ -31,27 +32,30 @@
         this.refilledAt = loop.now();
     }
 
-    /** Changes the share of the limit that this controller may use. */
+    /** Sets the share of the service's limit that this controller may use. */
     public void setShare(double share) {
         tokensPerSecond = Math.max(1, limitPerSecond * share);
     }
 
-    /** How many whole tokens there are now. */
+    /** Returns the number of whole tokens that are available. */
     public int availableTokens() {
         return (int) Math.max(0, refill());
     }
 
-    /** Whether at least half of the tokens of a second are unused. */
+    /** Returns whether at least half of the tokens of one second are available. */
     public boolean hasSurplus() {
         return refill() >= tokensPerSecond / SURPLUS_DIVISOR;
     }
 
-    /** Whether there is a token; consumption may go below zero, which later tokens make up for. */
+    /**
+     * Returns whether a token is available. The balance may become negative by {@link #consume}; later tokens offset
+     * it.
+     */
     public boolean hasToken() {
         return refill() >= 1;
     }
 
-    /** Whether there are tokens for several requests together: a quarter of those of a second. */
+    /** Returns whether there are tokens for a batch of requests: a quarter of the tokens of one second. */
     public boolean hasTokensForBatch() {
         return refill() >= Math.max(1, tokensPerSecond / BATCH_DIVISOR);
     }
@@ -64,13 +68,13 @@
         return tokens;
     }
 
-    /** How long to wait for a token, and a little more, so that requests that arrive together are sent together. */
+    /** Returns the time until a token is available plus a short delay, in which further requests can join the batch. */
     public Duration batchingDelay() {
         double missing = 1 - refill();
         return Duration.ofMillis(missing <= 0 ? BATCHING_MS : BATCHING_MS + (long) (1000 * missing / tokensPerSecond));
     }
 
-    /** How long it takes until so many tokens have accrued; zero if they are there. */
+    /** Returns the time until this number of tokens is available; zero if it is available already. */
     public Duration timeUntilAvailable(int count) {
         double missing = count - refill();
         return missing <= 0 ? Duration.ZERO : Duration.ofMillis((long) Math.ceil(1000 * missing / tokensPerSecond));
--- a/src/main/java/org/gullway/transport/UndertowHttpClient.java
+++ b/src/main/java/org/gullway/transport/UndertowHttpClient.java
@@ -29,8 +29,8 @@
     private final ConnectionPool<ClientConnection> connections;
 
     /**
-     * @param socketBudget what connections may take of the process's sockets
-     * @param essential addresses that are always called, whatever else is open
+     * @param socketBudget limits the connections that the client opens to addresses that are not essential
+     * @param essential addresses to which a connection is always opened, even when the socket budget is used up
      */
     public UndertowHttpClient(
             XnioEventLoop loop, ByteBufferPool buffers, SocketBudget socketBudget, Set<String> essential) {
@@ -41,8 +41,8 @@
 
     @Override
     public void call(String address, HttpRequest request, Consumer<HttpResponse> callback) {
-        assert loop.isCurrent() : "a request that is not sent from the event loop";
-        new PendingCall(address, request, callback).begin();
+        assert loop.isCurrent() : "HTTP request sent from a thread other than the event loop";
+        new PendingCall(address, request, callback).start();
     }
 
     private final class PendingCall {
@@ -59,20 +59,20 @@
             this.address = address;
             this.request = request;
             this.callback = callback;
-            this.cancelTimer = loop.after(request.timeout(), () -> finish(outcomeSoFar()));
+            this.cancelTimer = loop.after(request.timeout(), () -> finish(timeoutResponse()));
         }
 
-        void begin() {
-            ClientConnection kept = connections.reuse(address, ClientConnection::isOpen);
-            if (kept != null) {
-                send(kept);
+        void start() {
+            ClientConnection idle = connections.takeIdle(address, ClientConnection::isOpen);
+            if (idle != null) {
+                send(idle);
                 return;
             }
             if (connections.isAbandoned(address)) {
                 finish(HttpResponse.notSent());
                 return;
             }
-            if (!connections.mayConnect(address)) {
+            if (!connections.tryReserve(address)) {
                 finish(HttpResponse.noSocket());
                 return;
             }
@@ -85,20 +85,20 @@
                     .connect(
                             new ClientCallback<>() {
                                 @Override
-                                public void completed(ClientConnection made) {
-                                    connectEnded();
-                                    made.addCloseListener(connections::closedByPeer);
+                                public void completed(ClientConnection established) {
+                                    onConnectEnded();
+                                    established.addCloseListener(connections::onClosedByPeer);
                                     if (finished) {
-                                        connections.keep(address, made);
+                                        connections.putIdle(address, established);
                                     } else {
-                                        send(made);
+                                        send(established);
                                     }
                                 }
 
                                 @Override
                                 public void failed(IOException e) {
-                                    connectEnded();
-                                    connections.connectFailed();
+                                    onConnectEnded();
+                                    connections.onConnectFailed();
                                     finish(HttpResponse.notSent());
                                 }
                             },
@@ -108,15 +108,15 @@
                             OptionMap.EMPTY);
         }
 
-        private void connectEnded() {
+        private void onConnectEnded() {
             connecting = false;
             if (finished) {
-                connections.abandonedEnded(address);
+                connections.onAbandonedConnectEnded(address);
             }
         }
 
-        /** Until a connection stands nothing was sent; from then on the outcome is open. */
-        private HttpResponse outcomeSoFar() {
+        /** Nothing is sent before the connection is established; after that the request may have been processed. */
+        private HttpResponse timeoutResponse() {
             return connection == null ? HttpResponse.notSent() : HttpResponse.unknown();
         }
 
@@ -135,15 +135,15 @@
             return clientRequest;
         }
 
-        private void send(ClientConnection made) {
-            connection = made;
-            made.sendRequest(newClientRequest(), new ClientCallback<>() {
+        private void send(ClientConnection established) {
+            connection = established;
+            established.sendRequest(newClientRequest(), new ClientCallback<>() {
                 @Override
                 public void completed(ClientExchange exchange) {
                     exchange.setResponseListener(new ClientCallback<>() {
                         @Override
-                        public void completed(ClientExchange answered) {
-                            drain(answered, answered.getResponseChannel());
+                        public void completed(ClientExchange completedExchange) {
+                            readResponse(completedExchange, completedExchange.getResponseChannel());
                         }
 
                         @Override
@@ -191,18 +191,19 @@
             }
         }
 
-        private void drain(ClientExchange exchange, StreamSourceChannel channel) {
+        private void readResponse(ClientExchange exchange, StreamSourceChannel channel) {
             try (PooledByteBuffer pooled = buffers.allocate()) {
                 ByteBuffer buffer = pooled.getBuffer();
                 while (true) {
                     buffer.clear();
-                    int n = channel.read(buffer);
-                    if (n < 0) {
+                    int count = channel.read(buffer);
+                    if (count < 0) {
                         onResponseComplete(exchange);
                         return;
                     }
-                    if (n == 0) {
-                        channel.getReadSetter().set((ChannelListener<StreamSourceChannel>) c -> drain(exchange, c));
+                    if (count == 0) {
+                        channel.getReadSetter()
+                                .set((ChannelListener<StreamSourceChannel>) c -> readResponse(exchange, c));
                         channel.resumeReads();
                         return;
                     }
@@ -217,13 +218,13 @@
         private void onResponseComplete(ClientExchange exchange) {
             HttpResponse response =
                     HttpResponse.answered(exchange.getResponse().getResponseCode(), received.toByteArray());
-            boolean close = "close"
+            boolean closeRequested = "close"
                     .equalsIgnoreCase(
                             exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
             ClientConnection reusable = connection;
-            if (!finished && !close) {
+            if (!finished && !closeRequested) {
                 connection = null;
-                connections.keep(address, reusable);
+                connections.putIdle(address, reusable);
             }
             finish(response);
         }
--- a/src/main/java/org/gullway/transport/XnioEventLoop.java
+++ b/src/main/java/org/gullway/transport/XnioEventLoop.java
@@ -8,18 +8,18 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The event loop of a real process: the one I/O thread of an XNIO worker. */
+/** The event loop of a production process: the only I/O thread of an XNIO worker. */
 public final class XnioEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
 
     private final XnioIoThread thread;
-    private final long origin = System.nanoTime();
+    private final long startNanos = System.nanoTime();
 
     public XnioEventLoop(XnioIoThread thread) {
         this.thread = thread;
     }
 
-    /** Whether the caller runs on this loop, as everything that reaches a controller's state has to. */
+    /** Returns whether the caller runs on this loop. All code that uses a controller's state must do so. */
     boolean isCurrent() {
         return Thread.currentThread() == thread;
     }
@@ -30,26 +30,27 @@
 
     @Override
     public Instant now() {
-        return Instant.EPOCH.plusNanos(System.nanoTime() - origin);
+        return Instant.EPOCH.plusNanos(System.nanoTime() - startNanos);
     }
 
     @Override
     public void execute(Runnable task) {
-        thread.execute(() -> guarded(task));
+        thread.execute(() -> runAndLogErrors(task));
     }
 
     @Override
     public Runnable after(Duration delay, Runnable task) {
-        XnioExecutor.Key key = thread.executeAfter(() -> guarded(task), delay.toMillis(), TimeUnit.MILLISECONDS);
+        XnioExecutor.Key key =
+                thread.executeAfter(() -> runAndLogErrors(task), delay.toMillis(), TimeUnit.MILLISECONDS);
         return key::remove;
     }
 
-    /** A task that fails must not end the loop: the error is logged and the next task runs. */
-    private static void guarded(Runnable task) {
+    /** Runs a task and logs its exception, so that a failed task does not end the loop. */
+    private static void runAndLogErrors(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.error("a task of the event loop failed", e);
+            LOG.error("event loop task failed", e);
         }
     }
 }
--- a/src/main/java/org/gullway/transport/package-info.java
+++ b/src/main/java/org/gullway/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Sockets, HTTP and timers, without knowledge of the scheduler. Everything runs on the thread of one event loop, which
- * no callback may block.
+ * HTTP over sockets, and timers, independent of the scheduler. All callbacks run on the thread of one event loop and
+ * must not block it.
  */
 package org.gullway.transport;
--- a/src/test/java/org/gullway/transport/ConnectionPoolTest.java
+++ b/src/test/java/org/gullway/transport/ConnectionPoolTest.java
@@ -12,124 +12,127 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Kept connections stay within the socket budget, and unresponsive addresses take one socket each at most. */
+/** Idle connections stay within the socket budget, and unresponsive addresses take one socket each at most. */
 class ConnectionPoolTest {
-    private static final String STATE = "10.2.0.1:2379";
+    private static final String STORE_ADDRESS = "10.2.0.1:2379";
 
     private final List<String> closed = new ArrayList<>();
     private final SocketBudget socketBudget = new SocketBudget(100);
-    private final ConnectionPool<String> pool = new ConnectionPool<>(socketBudget, Set.of(STATE), closed::add);
+    private final ConnectionPool<String> pool = new ConnectionPool<>(socketBudget, Set.of(STORE_ADDRESS), closed::add);
 
-    private void use(String address, String connection) {
-        assertThat(pool.mayConnect(address)).isTrue();
-        pool.keep(address, connection);
+    private void openAndReturn(String address, String connection) {
+        assertThat(pool.tryReserve(address)).isTrue();
+        pool.putIdle(address, connection);
     }
 
-    /** With a kept connection to each agent of a fleet one controller would run out of sockets. */
+    /**
+     * Without the budget, a controller that keeps an idle connection to each agent of a large fleet runs out of
+     * sockets.
+     */
     @Test
-    void closesTheConnectionThatWasIdleLongestWhenTheBudgetIsUsedUp() {
+    void closesTheLongestIdleConnectionWhenTheBudgetIsUsedUp() {
         socketBudget.onAcceptedChange(75);
         for (int i = 0; i < 10; i++) {
-            use("10.1.0." + i + ":9000", "c" + i);
+            openAndReturn("10.1.0." + i + ":9000", "c" + i);
         }
-        assertThat(pool.reuse("10.1.0.0:9000", c -> true)).isEqualTo("c0");
-        pool.keep("10.1.0.0:9000", "c0");
-        use("10.1.0.99:9000", "new");
+        assertThat(pool.takeIdle("10.1.0.0:9000", c -> true)).isEqualTo("c0");
+        pool.putIdle("10.1.0.0:9000", "c0");
+        openAndReturn("10.1.0.99:9000", "new");
         assertThat(closed).containsExactly("c1");
-        assertThat(pool.open()).isEqualTo(10);
+        assertThat(pool.openCount()).isEqualTo(10);
         socketBudget.onAcceptedChange(-20);
-        use("10.1.0.98:9000", "more");
+        openAndReturn("10.1.0.98:9000", "more");
         assertThat(closed).as("while the budget allows more").hasSize(1);
     }
 
-    /** Machines that are partitioned take one socket each at most, and never those of the state store. */
+    /** Partitioned machines take at most one socket each and never use the sockets reserved for the state store. */
     @Test
-    void anAbandonedConnectIsNotRepeatedUntilItEnds() {
+    void anAddressGetsNoNewConnectionUntilItsAbandonedConnectEnds() {
         String unresponsive = "10.1.0.7:9000";
-        assertThat(pool.mayConnect(unresponsive)).isTrue();
+        assertThat(pool.tryReserve(unresponsive)).isTrue();
         pool.abandon(unresponsive);
         assertThat(pool.isAbandoned(unresponsive)).isTrue();
-        pool.abandonedEnded(unresponsive);
-        pool.connectFailed();
+        pool.onAbandonedConnectEnded(unresponsive);
+        pool.onConnectFailed();
         assertThat(pool.isAbandoned(unresponsive)).isFalse();
-        assertThat(pool.open()).isZero();
+        assertThat(pool.openCount()).isZero();
         socketBudget.onAcceptedChange(80);
         for (int i = 0; i < 50; i++) {
-            pool.mayConnect("10.1.1." + i + ":9000");
+            pool.tryReserve("10.1.1." + i + ":9000");
         }
-        assertThat(pool.open()).isEqualTo(socketBudget.availableForAgents());
-        pool.abandon(STATE);
-        assertThat(pool.isAbandoned(STATE)).isFalse();
-        assertThat(pool.mayConnect(STATE)).isTrue();
+        assertThat(pool.openCount()).isEqualTo(socketBudget.maxOutgoing());
+        pool.abandon(STORE_ADDRESS);
+        assertThat(pool.isAbandoned(STORE_ADDRESS)).isFalse();
+        assertThat(pool.tryReserve(STORE_ADDRESS)).isTrue();
     }
 
     @Test
-    void forgetsConnectionsThatThePeerHasClosed() {
-        use("10.1.0.1:9000", "a");
-        pool.closedByPeer("a");
-        assertThat(pool.reuse("10.1.0.1:9000", c -> true)).isNull();
-        assertThat(pool.open()).isZero();
-        use("10.1.0.1:9000", "b");
-        assertThat(pool.reuse("10.1.0.1:9000", c -> false))
-                .as("found closed when it was to be used")
+    void removesIdleConnectionsClosedByThePeer() {
+        openAndReturn("10.1.0.1:9000", "a");
+        pool.onClosedByPeer("a");
+        assertThat(pool.takeIdle("10.1.0.1:9000", c -> true)).isNull();
+        assertThat(pool.openCount()).isZero();
+        openAndReturn("10.1.0.1:9000", "b");
+        assertThat(pool.takeIdle("10.1.0.1:9000", c -> false))
+                .as("an idle connection that is no longer usable")
                 .isNull();
-        assertThat(pool.open()).isZero();
+        assertThat(pool.openCount()).isZero();
     }
 
     @Test
-    void connectionsCloseWithTheirResponseWhenSocketsRunShort() {
+    void connectionsCloseAfterTheirResponseNearTheAcceptLimit() {
         socketBudget.onAcceptedChange(60);
-        assertThat(socketBudget.isCrowded()).isFalse();
+        assertThat(socketBudget.isNearAcceptLimit()).isFalse();
         socketBudget.onAcceptedChange(9);
-        assertThat(socketBudget.isCrowded()).isTrue();
+        assertThat(socketBudget.isNearAcceptLimit()).isTrue();
         socketBudget.onAcceptedChange(socketBudget.maxAccepted() - 69);
-        assertThat(socketBudget.maxAccepted() + socketBudget.availableForAgents())
-                .as("leaves a reserve")
+        assertThat(socketBudget.maxAccepted() + socketBudget.maxOutgoing())
+                .as("accepted and outgoing connections together leave a reserve")
                 .isLessThanOrEqualTo(86);
     }
 
-    /** In any order of events the count is that of connections opened and not closed, and stays within the budget. */
+    /** In any order of events the pool counts exactly the open connections, and the count stays within the budget. */
     @Property(tries = 200, seed = "31")
     void countsOpenConnections(@ForAll @IntRange(min = 0, max = 100_000) int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Set<String> open = new HashSet<>();
-        ConnectionPool<String> generated = new ConnectionPool<>(socketBudget, Set.of(STATE), open::remove);
-        List<String[]> inExchange = new ArrayList<>();
-        int made = 0;
+        ConnectionPool<String> randomPool = new ConnectionPool<>(socketBudget, Set.of(STORE_ADDRESS), open::remove);
+        List<String[]> inUse = new ArrayList<>();
+        int opened = 0;
         for (int step = 0; step < 300; step++) {
             String address = "10.1.0." + random.nextInt(120) + ":9000";
             switch (random.nextInt(4)) {
                 case 0 -> {
-                    String kept = generated.reuse(address, c -> random.nextInt(5) > 0);
-                    if (kept != null) {
-                        inExchange.add(new String[] {address, kept});
-                    } else if (generated.mayConnect(address)) {
-                        open.add("c" + ++made);
-                        inExchange.add(new String[] {address, "c" + made});
+                    String idle = randomPool.takeIdle(address, c -> random.nextInt(5) > 0);
+                    if (idle != null) {
+                        inUse.add(new String[] {address, idle});
+                    } else if (randomPool.tryReserve(address)) {
+                        open.add("c" + ++opened);
+                        inUse.add(new String[] {address, "c" + opened});
                     }
                 }
                 case 1 -> {
-                    if (!inExchange.isEmpty()) {
-                        String[] exchange = inExchange.remove(random.nextInt(inExchange.size()));
-                        generated.keep(exchange[0], exchange[1]);
+                    if (!inUse.isEmpty()) {
+                        String[] used = inUse.remove(random.nextInt(inUse.size()));
+                        randomPool.putIdle(used[0], used[1]);
                     }
                 }
                 case 2 -> {
-                    if (!inExchange.isEmpty()) {
-                        generated.discard(inExchange.remove(random.nextInt(inExchange.size()))[1]);
+                    if (!inUse.isEmpty()) {
+                        randomPool.discard(inUse.remove(random.nextInt(inUse.size()))[1]);
                     }
                 }
                 default -> {
                     if (!open.isEmpty()) {
-                        String any = open.iterator().next();
-                        if (inExchange.stream().noneMatch(exchange -> exchange[1].equals(any))) {
-                            open.remove(any);
-                            generated.closedByPeer(any);
+                        String picked = open.iterator().next();
+                        if (inUse.stream().noneMatch(used -> used[1].equals(picked))) {
+                            open.remove(picked);
+                            randomPool.onClosedByPeer(picked);
                         }
                     }
                 }
             }
-            assertThat(generated.open()).isEqualTo(open.size()).isLessThanOrEqualTo(socketBudget.availableForAgents());
+            assertThat(randomPool.openCount()).isEqualTo(open.size()).isLessThanOrEqualTo(socketBudget.maxOutgoing());
         }
     }
 }
--- a/src/test/java/org/gullway/transport/HttpServerTest.java
+++ b/src/test/java/org/gullway/transport/HttpServerTest.java
@@ -20,7 +20,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** On real sockets: a faulty request stops neither the server nor other connections. */
+/** Uses real sockets. Guards against a faulty request that stops the server or breaks other connections. */
 class HttpServerTest {
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
@@ -43,7 +43,7 @@
                 MAX_BODY_BYTES,
                 exchange -> {
                     if (exchange.path().equals("/fails")) {
-                        throw new IllegalStateException("on purpose");
+                        throw new IllegalStateException("deliberate failure of the handler");
                     }
                     exchange.respond(exchange.body() == null ? 400 : 200, new byte[0]);
                 });
@@ -72,9 +72,9 @@
         assertThat(post("/", BodyPublishers.ofByteArray(new byte[10]))).isEqualTo(200);
     }
 
-    /** Without a stated length the limit is only met while the body is read. */
+    /** Without a Content-Length the server detects an excessive body only while reading it. */
     @Test
-    void bodiesOfUnknownLengthOverTheLimitAreRejectedAndLaterRequestsServed() throws Exception {
+    void chunkedBodiesOverTheLimitAreRejectedAndLaterRequestsServed() throws Exception {
         for (int size : new int[] {MAX_BODY_BYTES + 1, 3 * MAX_BODY_BYTES}) {
             assertThat(post("/", BodyPublishers.ofInputStream(() -> new ByteArrayInputStream(new byte[size]))))
                     .isEqualTo(400);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aHandlerThatFailsIsAnsweredWith503AndLaterRequestsAreServed() throws Exception {
+    void aHandlerExceptionIsAnsweredWith503AndLaterRequestsAreServed() throws Exception {
         assertThat(post("/fails", BodyPublishers.ofByteArray(new byte[10]))).isEqualTo(503);
         assertThat(post("/", BodyPublishers.ofByteArray(new byte[10]))).isEqualTo(200);
     }
