--- a/src/main/java/org/gullway/cloud/CloudClient.java
+++ b/src/main/java/org/gullway/cloud/CloudClient.java
@@ -17,7 +17,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The cloud provider's API. Callers acquire a part of the rate limit before they send a request. */
+/**
+ * A client of the cloud provider's API. Callers must acquire a token with {@link #tryAcquire} before each request,
+ * except for the further pages of a machine list and for repetitions of a provisioning request.
+ */
 public final class CloudClient {
     private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -29,7 +32,7 @@
     private final String address;
     private final TokenBucket rateLimit;
 
-    /** @param requestsPerSecond the provider's limit for all controllers together */
+    /** @param requestsPerSecond the provider's rate limit, which applies to all controllers together */
     public CloudClient(EventLoop loop, HttpClient httpClient, String address, double requestsPerSecond) {
         this.httpClient = httpClient;
         this.address = address;
@@ -41,7 +44,7 @@
         T decode(byte[] body) throws MalformedMessageException;
     }
 
-    /** Whether a request may be sent now; if so, it counts as sent. */
+    /** Takes a token of the rate limit for one request. Returns false if there is none. */
     boolean tryAcquire() {
         if (!rateLimit.hasToken()) {
             return false;
@@ -50,7 +53,7 @@
         return true;
     }
 
-    /** Fetches the machine types that the provider offers; the callback gets nothing if that failed. */
+    /** Fetches the machine types that the provider offers. The callback gets an empty value if the request fails. */
     void fetchMachineTypes(Consumer<Optional<List<MachineType>>> callback) {
         httpClient.call(
                 address,
@@ -58,7 +61,12 @@
                 response -> callback.accept(decode(response, CloudMessages::decodeTypes, MACHINE_TYPES)));
     }
 
-    /** Fetches the page of the machine list that follows this machine; the callback gets nothing if that failed. */
+    /**
+     * Fetches one page of the machine list.
+     *
+     * @param after name of the machine after which the page begins; empty for the first page
+     * @param callback gets an empty value if the request fails
+     */
     void fetchMachines(String after, Consumer<Optional<CloudMessages.Page>> callback) {
         String path = MACHINES + "?from=" + after + "&page=" + CloudMessages.PAGE_SIZE;
         httpClient.call(
@@ -74,7 +82,7 @@
         try {
             return Optional.of(decoder.decode(response.body()));
         } catch (MalformedMessageException e) {
-            LOG.error("malformed response of the cloud provider path={} error={}", path, e.getMessage());
+            LOG.error("malformed response from cloud provider path={} error={}", path, e.getMessage());
             return Optional.empty();
         }
     }
@@ -82,7 +90,7 @@
     /**
      * Requests machines.
      *
-     * @param requestId the provider carries out only one of the requests with the same id
+     * @param requestId identifies the request; the provider processes repeated requests with the same id only once
      */
     void provision(String requestId, ProvisioningRequest request, Consumer<ProvisioningOutcome> callback) {
         byte[] body = CloudMessages.encodeProvisionRequest(
@@ -99,20 +107,20 @@
                 return ProvisioningOutcome.provisioned(CloudMessages.decodeProvisioned(response.body()), response);
             } catch (MalformedMessageException e) {
                 LOG.error(
-                        "malformed response of the cloud provider path={} request={} error={}",
+                        "malformed response from cloud provider path={} request={} error={}",
                         MACHINES,
                         requestId,
                         e.getMessage());
-                return ProvisioningOutcome.without(ProvisioningOutcome.Status.MALFORMED, response);
+                return ProvisioningOutcome.withoutMachines(ProvisioningOutcome.Status.MALFORMED, response);
             }
         }
         boolean refused = response.outcome() == HttpResponse.Outcome.ANSWERED
                 && (response.status() == HttpStatus.SERVICE_UNAVAILABLE || response.status() == HttpStatus.BAD_REQUEST);
-        return ProvisioningOutcome.without(
+        return ProvisioningOutcome.withoutMachines(
                 refused ? ProvisioningOutcome.Status.REFUSED : ProvisioningOutcome.Status.UNKNOWN, response);
     }
 
-    /** Releases machines; the callback gets the provider's response. */
+    /** Releases machines and passes the provider's response to the callback. */
     void release(List<String> machines, Consumer<HttpResponse> callback) {
         httpClient.call(address, HttpRequest.post(RELEASE, CloudMessages.encodeRelease(machines), TIMEOUT), callback);
     }
--- a/src/main/java/org/gullway/cloud/CloudInventory.java
+++ b/src/main/java/org/gullway/cloud/CloudInventory.java
@@ -12,14 +12,17 @@
 import org.gullway.coordination.scaling.ProvisioningRequest;
 import org.gullway.protocol.CloudMessages.ListedMachine;
 
-/** What this controller knows of the cloud provider's machines beyond their records. */
+/**
+ * The machines of the cloud provider whose state differs from the records in the state store: provisioned machines
+ * without a record, failed machines, and machines that were released recently.
+ */
 final class CloudInventory {
-    /** The provider's list lags and may still show machines that were released. */
-    private static final Duration RELEASED_MEMORY = Duration.ofMinutes(2);
+    /** How long released machines are ignored in the provider's list, which lags and may still contain them. */
+    private static final Duration RELEASED_RETENTION = Duration.ofMinutes(2);
 
     private final ClusterState clusterState;
     private final Map<String, UnrecordedMachine> unrecorded = new LinkedHashMap<>();
-    /** Machines that failed according to the provider, and are not released yet. */
+    /** Machines that have failed according to the provider and are not released yet. */
     private final Set<String> failed = new LinkedHashSet<>();
 
     private final Map<String, Instant> releasedAt = new HashMap<>();
@@ -36,11 +39,11 @@
     /**
      * Compares the provider's complete list with the records.
      *
-     * @param now the present moment of the monotonic clock
-     * @param timeOfDay the present moment of the wall clock
+     * @param now the time of the monotonic clock
+     * @param timeOfDay the time of the wall clock
      */
     void onListed(List<ListedMachine> machines, Instant now, Instant timeOfDay) {
-        releasedAt.values().removeIf(at -> at.plus(RELEASED_MEMORY).isBefore(now));
+        releasedAt.values().removeIf(at -> at.plus(RELEASED_RETENTION).isBefore(now));
         failed.clear();
         for (ListedMachine machine : machines) {
             String name = machine.name();
@@ -65,8 +68,8 @@
         }
     }
 
-    /** Drops the machines that have a record by now from those without one. */
-    void forgetRecorded() {
+    /** Removes the machines that have a record now from the unrecorded machines. */
+    void removeRecorded() {
         unrecorded.keySet().removeIf(name -> clusterState.machine(name) != null);
     }
 
@@ -86,7 +89,7 @@
         return releasedAt.keySet();
     }
 
-    /** Machines that failed and have no record, in the provider's order. */
+    /** Returns the failed machines that have no record, in the order of the provider's list. */
     Set<String> failedWithoutRecord() {
         Set<String> names = new LinkedHashSet<>();
         for (String name : failed) {
--- a/src/main/java/org/gullway/cloud/CloudProvisioner.java
+++ b/src/main/java/org/gullway/cloud/CloudProvisioner.java
@@ -15,8 +15,9 @@
 import org.gullway.transport.EventLoop;
 
 /**
- * Reconciles the cloud provider's machines with those that the autoscaler wants. Every controller refreshes the machine
- * types; only the leader lists, provisions, records and releases machines.
+ * Reconciles the machines of the cloud provider with those that the autoscaler requests. Every controller refreshes the
+ * machine types. Only the leader lists, provisions, records and releases machines, with one exception:
+ * {@link #releaseWithoutRecord}.
  */
 public final class CloudProvisioner implements PlanningStep {
     private final EventLoop loop;
@@ -31,8 +32,8 @@
     private final MachineRecorder recorder;
 
     /**
-     * @param timeOfDay the wall clock, by which records state when a machine was provisioned
-     * @param onChange is run when there may be something new to plan
+     * @param timeOfDay the wall clock, which gives the provisioning times in machine records
+     * @param onChange runs after each change that may require planning
      */
     public CloudProvisioner(
             EventLoop loop,
@@ -57,7 +58,7 @@
     }
 
     /**
-     * Sends the requests that are due.
+     * Sends the requests to the cloud provider that are due.
      *
      * @param leader whether this controller is the leader and holds a valid lease
      */
@@ -69,8 +70,8 @@
         }
         listing.refresh(now);
         releaser.releaseUnneeded();
-        // What a former leader provisioned and did not record shows only in the list: without it, it would be
-        // provisioned again.
+        // Machines that a former leader provisioned but did not record appear only in the provider's list. Planning
+        // before the first complete list would provision machines in their place again.
         if (listing.isCompletedOnce() && scaleOutExecutor.isPlanningDue(now)) {
             scaleOutExecutor.plan(now);
         }
@@ -82,14 +83,15 @@
     }
 
     /**
-     * Releases machines although nothing can be recorded, as the last means to end cancelled tasks in time. A leader
-     * that finds them in its records later removes them; to any other controller they are unresponsive machines.
+     * Releases machines without recording it, while the state store cannot be written. This is the last resort for
+     * ending cancelled tasks within their time limit. This controller removes the records of the machines when it plans
+     * as the leader again; any other controller treats the machines as unresponsive.
      */
     public void releaseWithoutRecord(Set<String> machines) {
         releaser.release(machines);
     }
 
-    /** Records what was provisioned, what failed and what was released. */
+    /** Updates the machine records after machines were provisioned, have failed, or were released. */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         recorder.plan(transaction, context);
--- a/src/main/java/org/gullway/cloud/MachineListing.java
+++ b/src/main/java/org/gullway/cloud/MachineListing.java
@@ -9,7 +9,7 @@
 import org.gullway.protocol.CloudMessages;
 import org.gullway.protocol.CloudMessages.ListedMachine;
 
-/** Fetches the cloud provider's list of machines regularly, page by page. */
+/** Fetches the cloud provider's machine list periodically, page by page. */
 final class MachineListing {
     private static final Duration INTERVAL = Duration.ofSeconds(4);
 
@@ -19,18 +19,21 @@
     private boolean inProgress;
     private boolean completedOnce;
 
-    /** @param listener gets each complete list */
+    /** @param listener receives each complete list */
     MachineListing(CloudClient client, Consumer<List<ListedMachine>> listener) {
         this.client = client;
         this.listener = listener;
     }
 
-    /** Whether at least one complete list was fetched. */
+    /** Returns whether at least one complete list was fetched. */
     boolean isCompletedOnce() {
         return completedOnce;
     }
 
-    /** Starts to fetch a new list if that is due. */
+    /**
+     * Starts to fetch a new list if the interval has passed, no other fetch is in progress and the rate limit allows
+     * it.
+     */
     void refresh(Instant now) {
         if (!inProgress && !startedAt.plus(INTERVAL).isAfter(now) && client.tryAcquire()) {
             startedAt = now;
--- a/src/main/java/org/gullway/cloud/MachineRecorder.java
+++ b/src/main/java/org/gullway/cloud/MachineRecorder.java
@@ -13,11 +13,14 @@
 import org.gullway.coordination.model.Transaction;
 
 /**
- * Changes the records of machines according to the inventory: adds provisioned ones, declares failed ones lost, and
- * removes released ones.
+ * Updates the machine records from the inventory: adds provisioned machines, declares failed machines lost, and removes
+ * released machines.
  */
 final class MachineRecorder implements PlanningStep {
-    /** Removals are gathered: machines of one shard cost one change together. */
+    /**
+     * Minimum time between removals. Removals are batched because machines of the same shard are removed by a single
+     * change.
+     */
     private static final Duration REMOVAL_INTERVAL = Duration.ofMillis(500);
 
     private final ClusterState clusterState;
@@ -40,7 +43,7 @@
     }
 
     private void addProvisionedMachines(Transaction transaction) {
-        inventory.forgetRecorded();
+        inventory.removeRecorded();
         Map<String, UnrecordedMachine> unrecorded = inventory.unrecorded();
         if (unrecorded.isEmpty()) {
             return;
--- a/src/main/java/org/gullway/cloud/MachineReleaser.java
+++ b/src/main/java/org/gullway/cloud/MachineReleaser.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Releases machines, one batch at a time. */
+/** Releases machines in batches, with at most one release request in flight. */
 final class MachineReleaser {
     private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
 
@@ -38,7 +38,7 @@
         this.onChange = onChange;
     }
 
-    /** Releases the machines that the autoscaler does not need, and those that failed. */
+    /** Releases the machines that the autoscaler no longer needs, and failed machines that have no record. */
     void releaseUnneeded() {
         if (releasing) {
             return;
@@ -49,7 +49,7 @@
         releaseBatch(names);
     }
 
-    /** Releases these machines, except those that were released already. */
+    /** Releases the given machines, except those that were released already. */
     void release(Set<String> machines) {
         if (releasing) {
             return;
--- a/src/main/java/org/gullway/cloud/MachineTypeRefresh.java
+++ b/src/main/java/org/gullway/cloud/MachineTypeRefresh.java
@@ -8,10 +8,10 @@
 import org.gullway.protocol.MachineType;
 import org.gullway.transport.EventLoop;
 
-/** Keeps the catalog of machine types up to date. */
+/** Refreshes the catalog of machine types periodically. */
 final class MachineTypeRefresh {
     private static final Duration INTERVAL = Duration.ofSeconds(30);
-    /** Nothing can be placed without machine types. */
+    /** Short because tasks cannot be placed without machine types. */
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
     private final EventLoop loop;
@@ -27,7 +27,7 @@
         this.onChange = onChange;
     }
 
-    /** Fetches the machine types if that is due. */
+    /** Fetches the machine types if the interval has passed and the rate limit allows it. */
     void refresh(Instant now) {
         Duration interval = catalog.isEmpty() ? RETRY_DELAY : INTERVAL;
         if (!requestedAt.plus(interval).isAfter(now) && client.tryAcquire()) {
--- a/src/main/java/org/gullway/cloud/ProvisioningOutcome.java
+++ b/src/main/java/org/gullway/cloud/ProvisioningOutcome.java
@@ -4,21 +4,21 @@
 import org.gullway.transport.HttpResponse;
 
 /**
- * How a provisioning request ended.
+ * The outcome of a provisioning request.
  *
  * @param machines names of the provisioned machines; empty unless the status is {@code PROVISIONED}
  * @param response the provider's response
  */
 record ProvisioningOutcome(Status status, List<String> machines, HttpResponse response) {
-    /** What is known of a provisioning request after its response, or the lack of one. */
+    /** What is known about a provisioning request after its response or time-out. */
     enum Status {
-        /** Carried out, possibly for fewer machines than were requested. */
+        /** The provider provisioned machines, possibly fewer than requested. */
         PROVISIONED,
-        /** The provider has none of these machines. */
+        /** The provider refused the request, which is treated as a lack of capacity for the requested machines. */
         REFUSED,
-        /** Carried out, but the names of the machines cannot be read. */
+        /** The provider processed the request, but the response with the names of the machines is malformed. */
         MALFORMED,
-        /** Possibly carried out; the same request has to be sent again. */
+        /** The provider may have processed the request; the same request must be sent again. */
         UNKNOWN
     }
 
@@ -26,7 +26,7 @@
         return new ProvisioningOutcome(Status.PROVISIONED, machines, response);
     }
 
-    static ProvisioningOutcome without(Status status, HttpResponse response) {
+    static ProvisioningOutcome withoutMachines(Status status, HttpResponse response) {
         return new ProvisioningOutcome(status, List.of(), response);
     }
 }
--- a/src/main/java/org/gullway/cloud/ScaleOutExecutor.java
+++ b/src/main/java/org/gullway/cloud/ScaleOutExecutor.java
@@ -13,12 +13,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends the autoscaler's provisioning requests, and repeats each until its outcome is known. */
+/** Sends the autoscaler's provisioning requests and repeats each request until its outcome is known. */
 final class ScaleOutExecutor {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOutExecutor.class);
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
-    /** Planning goes through the whole fleet: when processor time is short, it may take only a small part of it. */
-    private static final int PAUSE_PER_PLANNING_TIME = 20;
+    /**
+     * Minimum time from the start of one planning run to the next, as a multiple of the time that the run took.
+     * Planning iterates over the whole fleet; when CPU time is scarce, it must not take more than a small share of it.
+     */
+    private static final int PLANNING_INTERVAL_FACTOR = 20;
 
     private final EventLoop loop;
     private final CloudClient client;
@@ -29,14 +32,16 @@
     private final Runnable onChange;
     private final Deque<PendingRequest> pendingRequests = new ArrayDeque<>();
     private int requestCount;
-    private Instant planNotBefore = Instant.MIN;
+    private Instant nextPlanningAt = Instant.MIN;
 
-    /** A request whose outcome is unknown; it is repeated under the same id, so that it is carried out only once. */
+    /**
+     * A request whose outcome is unknown. It is repeated with the same id, so that the provider processes it only once.
+     */
     private record PendingRequest(String id, ProvisioningRequest request) {}
 
     /**
-     * @param isLeader whether this controller is the leader on record
-     * @param onChange is run after every outcome that may change what has to be planned
+     * @param isLeader whether this controller is the leader in the cluster state
+     * @param onChange runs after each request that has provisioned machines
      */
     ScaleOutExecutor(
             EventLoop loop,
@@ -55,16 +60,19 @@
         this.onChange = onChange;
     }
 
-    /** Whether the autoscaler may plan: all that was provisioned before is on record. */
+    /**
+     * Returns whether the autoscaler may plan: no request is pending, all provisioned machines are recorded, and the
+     * minimum interval has passed.
+     */
     boolean isPlanningDue(Instant now) {
-        return pendingRequests.isEmpty() && !inventory.hasUnrecorded() && !now.isBefore(planNotBefore);
+        return pendingRequests.isEmpty() && !inventory.hasUnrecorded() && !now.isBefore(nextPlanningAt);
     }
 
-    /** Plans and sends requests as far as the rate limit allows. */
+    /** Plans provisioning requests and sends as many of them as the rate limit allows. */
     void plan(Instant now) {
         List<ProvisioningRequest> requests = autoscaler.machinesToProvision(now);
         Duration planningTime = Duration.between(now, loop.now());
-        planNotBefore = now.plus(planningTime.multipliedBy(PAUSE_PER_PLANNING_TIME));
+        nextPlanningAt = now.plus(planningTime.multipliedBy(PLANNING_INTERVAL_FACTOR));
         for (ProvisioningRequest request : requests) {
             if (!client.tryAcquire()) {
                 return;
--- a/src/main/java/org/gullway/cloud/UnrecordedMachine.java
+++ b/src/main/java/org/gullway/cloud/UnrecordedMachine.java
@@ -5,7 +5,7 @@
 /**
  * A provisioned machine that has no record in the state store yet.
  *
- * @param provisionedAt null if the time of the transaction that records it shall be taken
+ * @param provisionedAt the provisioning time, or null if the record takes the time of its transaction
  */
 record UnrecordedMachine(String type, String zone, boolean spot, Instant provisionedAt) {
     Instant provisionedAtOr(Instant now) {
--- a/src/main/java/org/gullway/cloud/package-info.java
+++ b/src/main/java/org/gullway/cloud/package-info.java
@@ -1,2 +1,2 @@
-/** The cloud provider: machines are provisioned, listed and released as the autoscaler decides. */
+/** Access to the cloud provider: lists machines, and provisions and releases them as the autoscaler decides. */
 package org.gullway.cloud;
