--- a/src/test/java/org/gullway/fake/AgentProcess.java
+++ b/src/test/java/org/gullway/fake/AgentProcess.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.gullway.transport.EventLoop;
 
-/** The process of an agent, which may hang or be killed: what comes due while it hangs runs when it resumes. */
+/** The process of an agent, which may hang or be killed. Tasks that become due while it hangs run when it resumes. */
 final class AgentProcess {
     private final EventLoop loop;
     private final List<Runnable> deferred = new ArrayList<>();
@@ -28,28 +28,31 @@
         alive = false;
     }
 
-    /** Hangs for this span; the action comes before everything that was deferred. */
-    void hang(Duration span, Runnable onResume) {
+    /** Makes the process hang for the duration. When it resumes, it runs the action and then all deferred tasks. */
+    void hang(Duration duration, Runnable onResume) {
         hung = true;
-        loop.after(span, () -> {
+        loop.after(duration, () -> {
             hung = false;
             if (!alive) {
                 return;
             }
             onResume.run();
-            List<Runnable> missed = List.copyOf(deferred);
+            List<Runnable> deferredTasks = List.copyOf(deferred);
             deferred.clear();
-            missed.forEach(this::runIfAlive);
+            deferredTasks.forEach(this::runIfAlive);
         });
     }
 
-    /** Runs the task after the delay, later if the process hangs then; the returned handle cancels it. */
+    /**
+     * Runs the task after the delay, or when the process resumes if it hangs at that time. Running the returned handle
+     * cancels the task.
+     */
     Runnable after(Duration delay, Runnable task) {
-        return loop.after(delay, () -> runUnlessHung(task));
+        return loop.after(delay, () -> runWhenResponsive(task));
     }
 
-    /** Runs the task now, or on resuming; a killed process runs nothing. */
-    void runUnlessHung(Runnable task) {
+    /** Runs the task immediately, or when the process resumes if it hangs. A killed process runs no tasks. */
+    void runWhenResponsive(Runnable task) {
         if (hung) {
             deferred.add(task);
         } else {
--- a/src/test/java/org/gullway/fake/AgentTasks.java
+++ b/src/test/java/org/gullway/fake/AgentTasks.java
@@ -10,14 +10,14 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.transport.EventLoop;
 
-/** The tasks on one machine with their timers, and the commands that start, stop and forget them. */
+/** The tasks on one machine with their timers, and the execution of the commands that start, stop and forget tasks. */
 final class AgentTasks {
     private static final double CPU_TOLERANCE = 1e-6;
 
     private static final class Task {
         private final String id;
         private final long attempt;
-        /** Why the attempt ended; null while it runs. */
+        /** Why the attempt ended; null while it is running. */
         private String endCause;
 
         private Runnable cancelTimer = () -> {};
@@ -44,10 +44,10 @@
     private final String machine;
     private final double cpus;
     private final Runnable onTaskEnded;
-    /** By task and attempt. */
+    /** By task id and attempt, separated by {@code #}. */
     private final Map<String, Task> tasks = new LinkedHashMap<>();
 
-    /** @param onTaskEnded runs whenever a task completes or is stopped */
+    /** @param onTaskEnded runs after each task that completes, fails or is stopped */
     AgentTasks(
             EventLoop loop,
             AgentProcess process,
@@ -62,7 +62,7 @@
         this.onTaskEnded = onTaskEnded;
     }
 
-    /** Ends and forgets all tasks, as the end of the machine or of its lease does. */
+    /** Kills and forgets all tasks, as when the machine is terminated or its lease expires. */
     void killAll() {
         for (Task task : tasks.values()) {
             if (task.running()) {
@@ -73,7 +73,7 @@
         tasks.clear();
     }
 
-    /** No task makes progress until {@link #resumeAll}. */
+    /** Stops the progress of all tasks until {@link #resumeAll}. */
     void pauseAll() {
         for (Task task : tasks.values()) {
             if (task.running()) {
@@ -87,8 +87,8 @@
         tasks.values().stream().filter(Task::running).forEach(this::resume);
     }
 
-    /** Adds the status of each task. */
-    void addTo(ArrayNode statuses) {
+    /** Adds the status of each task to the array. */
+    void addStatuses(ArrayNode statuses) {
         for (Task task : tasks.values()) {
             ObjectNode status = statuses.addObject()
                     .put("leg", task.id)
@@ -127,7 +127,7 @@
 
     private void start(String key, Task task) {
         tasks.put(key, task);
-        task.endCause = refusal(task);
+        task.endCause = refusalCause(task);
         if (task.running()) {
             environment.onTaskStarted(machine, task.id);
             task.remaining = environment.runTime(task.job());
@@ -135,25 +135,25 @@
         }
     }
 
-    /** The cause by which the start is refused, or null. */
-    private String refusal(Task task) {
+    /** Returns why the start is refused, or null if it is accepted. */
+    private String refusalCause(Task task) {
         JobRequest job = environment.jobOf(task.job());
         if (job == null) {
             return "no_such";
         }
-        double used = 0;
+        double usedCpus = 0;
         for (Task other : tasks.values()) {
             if (other != task && other.running()) {
                 if (other.id.equals(task.id)) {
                     return "busy";
                 }
-                used += environment.jobOf(other.job()).cpus();
+                usedCpus += environment.jobOf(other.job()).cpus();
             }
         }
-        if (used + job.cpus() > cpus + CPU_TOLERANCE) {
+        if (usedCpus + job.cpus() > cpus + CPU_TOLERANCE) {
             return "full";
         }
-        // A completed task has its result: started again it exits as soon as it has its image.
+        // A completed task has its result. If it is started again, it exits once its image is present.
         return environment.isCompleted(task.id) ? "done" : null;
     }
 
--- a/src/test/java/org/gullway/fake/CommitLimits.java
+++ b/src/test/java/org/gullway/fake/CommitLimits.java
@@ -9,30 +9,30 @@
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpStatus;
 
-/** The limits of the state store's protocol for transactions, and counts of what was changed. */
+/** The limits that the state store's protocol sets for transactions, and counters of the changes by key prefix. */
 final class CommitLimits {
-    private static final int CONDITIONS_PER_CHANGE = 4;
-    private static final int MAX_BYTES = 64 * 1024;
+    private static final int MAX_CONDITIONS_PER_CHANGE = 4;
+    private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
 
     private final EventLoop loop;
-    /** Changes by the first two parts of their keys, such as live/jobs. */
+    /** Number of changes by the first two segments of the key, such as {@code live/jobs}. */
     private final Map<String, Integer> changes = new TreeMap<>();
 
     private int largestValueBytes;
     private double tokens = FakeStateStore.MAX_CHANGES_PER_SECOND;
-    private Instant tokensAt;
+    private Instant refilledAt;
 
     CommitLimits(EventLoop loop) {
         this.loop = loop;
-        this.tokensAt = loop.now();
+        this.refilledAt = loop.now();
     }
 
-    /** The status by which the transaction is refused, or OK. */
-    int check(ObjectNode body) {
+    /** Returns the HTTP status with which the transaction is rejected, or OK. */
+    int admit(ObjectNode body) {
         JsonNode then = body.path("then");
         boolean valid = then.size() <= FakeStateStore.MAX_CHANGES_PER_COMMIT
-                && body.path("guards").size() <= CONDITIONS_PER_CHANGE * FakeStateStore.MAX_CHANGES_PER_COMMIT
-                && body.toString().length() <= MAX_BYTES;
+                && body.path("guards").size() <= MAX_CONDITIONS_PER_CHANGE * FakeStateStore.MAX_CHANGES_PER_COMMIT
+                && body.toString().length() <= MAX_TRANSACTION_BYTES;
         for (JsonNode change : then) {
             int bytes = change.path("v").toString().length();
             largestValueBytes = Math.max(largestValueBytes, bytes);
@@ -44,10 +44,10 @@
         tokens = Math.min(
                 FakeStateStore.MAX_CHANGES_PER_SECOND,
                 tokens
-                        + Duration.between(tokensAt, loop.now()).toMillis()
+                        + Duration.between(refilledAt, loop.now()).toMillis()
                                 / 1000.0
                                 * FakeStateStore.MAX_CHANGES_PER_SECOND);
-        tokensAt = loop.now();
+        refilledAt = loop.now();
         if (tokens < then.size()) {
             return HttpStatus.TOO_MANY_REQUESTS;
         }
@@ -55,13 +55,13 @@
         return HttpStatus.OK;
     }
 
-    /** Counts a change of the key. */
+    /** Counts one change of the key. */
     void count(String key) {
         String[] parts = key.split("/", -1);
         changes.merge(parts.length > 1 ? parts[0] + "/" + parts[1] : parts[0], 1, Integer::sum);
     }
 
-    /** How often keys of this prefix were changed. */
+    /** Returns the number of changes of keys with this prefix. */
     int changeCount(String prefix) {
         return changes.entrySet().stream()
                 .filter(e -> e.getKey().startsWith(prefix))
--- a/src/test/java/org/gullway/fake/FakeAgent.java
+++ b/src/test/java/org/gullway/fake/FakeAgent.java
@@ -15,21 +15,21 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * An agent as its protocol describes it; its tasks only let time pass. This class keeps the agent's lease, epoch and
- * fencing token.
+ * A simulated agent that follows the agent protocol. Its tasks do no work and end after their run time. This class
+ * holds the agent's lease, epoch and fencing token.
  */
 public final class FakeAgent {
     private static final Duration LEASE_CHECK_INTERVAL = Duration.ofMillis(200);
 
-    /** What agents know of jobs, and who is notified when tasks start and end. */
+    /** Provides agents with job data and receives the starts and ends of tasks. */
     public interface Environment {
-        /** The description that users have uploaded, or null. */
+        /** Returns the job as submitted by its user, or null if the job is unknown. */
         JobRequest jobOf(String job);
 
-        /** How long a task of the job really runs. */
+        /** Returns the actual run time of a task of the job. */
         Duration runTime(String job);
 
-        /** Whether a task of the job that has run its time on this machine has failed. */
+        /** Returns whether a task of the job fails at the end of its run time on this machine. */
         default boolean taskFails(String machine, String job) {
             return false;
         }
@@ -41,27 +41,27 @@
         void onTaskStarted(String machine, String task);
 
         /**
-         * A task is no longer on the machine.
+         * Called when a task has ended on the machine.
          *
-         * @param done whether it has completed, and was not stopped or killed
+         * @param completed whether the task completed successfully; false if it failed, was stopped or was killed
          */
-        void onTaskEnded(String machine, String task, boolean done);
+        void onTaskEnded(String machine, String task, boolean completed);
     }
 
-    /** What a machine is, apart from its name. */
+    /** The type, zone and CPU count of a machine, and whether it is a spot machine. */
     public record Kind(String type, String zone, boolean spot, double cpus) {}
 
     /**
      * The machine of an agent.
      *
-     * @param address where controllers reach the agent
+     * @param address the address at which controllers reach the agent
      */
     public record Machine(String name, String address, Kind kind) {}
 
     /**
-     * The durations that the settings give an agent.
+     * The time settings of an agent.
      *
-     * @param lease how long it may run tasks after the heartbeat that was accepted last
+     * @param lease how long the agent may run tasks after it sent the last heartbeat that a controller accepted
      */
     public record Timing(Duration heartbeatInterval, Duration lease) {}
 
@@ -117,12 +117,12 @@
         return process.hung();
     }
 
-    /** The name of the controller that gets its heartbeats at present. */
+    /** Returns the name of the controller to which the agent currently sends its heartbeats. */
     public String heartbeatTarget() {
         return heartbeats.target();
     }
 
-    /** The machine is gone, with all that is on it. */
+    /** Terminates the machine and kills all of its tasks. */
     public void terminate() {
         if (process.alive()) {
             process.kill();
@@ -131,26 +131,26 @@
     }
 
     /**
-     * For so long nothing runs on the machine; its tasks stay on it. If its lease expires in that time it first kills
-     * them when it resumes; messages that have arrived are read after that.
+     * Makes the machine hang: for the duration no code runs on it, and its tasks make no progress. If the agent's lease
+     * expires in that time, the agent kills its tasks when it resumes, before it reads the messages that have arrived.
      */
-    public void hang(Duration span) {
+    public void hang(Duration duration) {
         if (!process.alive() || process.hung()) {
             return;
         }
         tasks.pauseAll();
-        process.hang(span, () -> {
-            endEpochIfLeaseExpired();
+        process.hang(duration, () -> {
+            startNewEpochIfLeaseExpired();
             tasks.resumeAll();
         });
     }
 
     private void checkLease() {
-        endEpochIfLeaseExpired();
+        startNewEpochIfLeaseExpired();
         process.after(LEASE_CHECK_INTERVAL, this::checkLease);
     }
 
-    private void endEpochIfLeaseExpired() {
+    private void startNewEpochIfLeaseExpired() {
         if (leaseRenewedAt.plus(lease).isBefore(loop.now())) {
             tasks.killAll();
             agentEpoch++;
@@ -159,31 +159,31 @@
         }
     }
 
-    private HeartbeatLoop.Outgoing nextHeartbeat() {
-        Instant sent = loop.now();
-        long sentInEpoch = agentEpoch;
-        return new HeartbeatLoop.Outgoing(
-                Cbor.encode(status()), response -> onHeartbeatAccepted(response, sent, sentInEpoch));
+    private HeartbeatLoop.OutgoingHeartbeat nextHeartbeat() {
+        Instant sentAt = loop.now();
+        long epochWhenSent = agentEpoch;
+        return new HeartbeatLoop.OutgoingHeartbeat(
+                Cbor.encode(status()), response -> onHeartbeatAccepted(response, sentAt, epochWhenSent));
     }
 
-    private void onHeartbeatAccepted(byte[] response, Instant sent, long sentInEpoch) {
+    private void onHeartbeatAccepted(byte[] response, Instant sentAt, long epochWhenSent) {
         try {
             ObjectNode node = Cbor.decode(response);
-            if (sentInEpoch != agentEpoch
+            if (epochWhenSent != agentEpoch
                     || !node.has("baton")
                     || node.path("baton").asLong() < fencingToken) {
                 return;
             }
-            leaseRenewedAt = sent;
+            leaseRenewedAt = sentAt;
             execute(node);
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Answers a command batch or a query, on resuming if the machine hangs. */
+    /** Responds to a command batch or a status query; if the machine hangs, when it resumes. */
     public void handle(HttpExchange exchange) {
-        process.runUnlessHung(() -> serve(exchange));
+        process.runWhenResponsive(() -> serve(exchange));
     }
 
     private void serve(HttpExchange exchange) {
@@ -207,7 +207,7 @@
         }
     }
 
-    /** Takes over the message's fencing token and carries out its commands. */
+    /** Adopts the fencing token of the message and executes its commands. */
     private void execute(ObjectNode message) {
         fencingToken = message.path("baton").asLong();
         JsonNode commands = message.path("calls");
@@ -228,7 +228,7 @@
                 .put("tally", ++sequence)
                 .put("baton", fencingToken)
                 .putNull("warning_s");
-        tasks.addTo(node.putArray("legs"));
+        tasks.addStatuses(node.putArray("legs"));
         return node;
     }
 }
--- a/src/test/java/org/gullway/fake/FakeCloud.java
+++ b/src/test/java/org/gullway/fake/FakeCloud.java
@@ -17,9 +17,12 @@
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpStatus;
 
-/** The cloud as its protocol describes it: provisions machines, whose agents come up after their boot time. */
+/**
+ * A simulated cloud provider that follows the provider protocol. The agent of a provisioned machine starts after the
+ * boot time.
+ */
 public final class FakeCloud {
-    /** Brings up the agent of a machine. */
+    /** Starts the agent of a machine that has booted. */
     @FunctionalInterface
     public interface Boot {
         FakeAgent start(String name, FakeAgent.Kind kind);
@@ -39,25 +42,25 @@
     private static final int PAGE_SIZE = 500;
 
     private final EventLoop loop;
-    private final List<MachineType> types;
+    private final List<MachineType> machineTypes;
     private final int capacity;
     private final Boot boot;
     private final TreeMap<String, Machine> machines = new TreeMap<>();
-    /** Names of the machines provisioned by each request: a repeated request gets the same ones. */
+    /** Names of the machines provisioned by each request, by request id; a repeated request gets the same names. */
     private final Map<String, List<String>> provisioned = new HashMap<>();
 
     private int provisionedCount;
     private Duration maxBootTime = Duration.ofDays(1);
 
-    /** @param capacity machines of each type, zone and kind */
-    public FakeCloud(EventLoop loop, List<MachineType> types, int capacity, Boot boot) {
+    /** @param capacity maximum number of machines of each type in each zone, separately for spot and other machines */
+    public FakeCloud(EventLoop loop, List<MachineType> machineTypes, int capacity, Boot boot) {
         this.loop = loop;
-        this.types = types;
+        this.machineTypes = machineTypes;
         this.capacity = capacity;
         this.boot = boot;
     }
 
-    /** The agents of all machines that are up, by the machines' names. */
+    /** Returns the agents of all running machines, ordered by machine name. */
     public List<FakeAgent> agents() {
         return machines.values().stream()
                 .map(machine -> machine.agent)
@@ -65,34 +68,34 @@
                 .toList();
     }
 
-    /** The agent of this machine, or null. */
+    /** Returns the agent of the machine, or null if the machine does not exist or is still booting. */
     public FakeAgent agent(String name) {
         Machine machine = machines.get(name);
         return machine == null ? null : machine.agent;
     }
 
-    /** From now on machines are up within this time, however long their type usually takes. */
-    public void setMaxBootTime(Duration longest) {
-        maxBootTime = longest;
+    /** Sets an upper bound on the boot time of machines that are provisioned from now on. */
+    public void setMaxBootTime(Duration limit) {
+        maxBootTime = limit;
     }
 
-    /** How many machines are provisioned now. */
+    /** Returns the number of machines that exist now. */
     public int machineCount() {
         return machines.size();
     }
 
-    /** How many machines were ever provisioned. */
+    /** Returns the number of machines provisioned since the start. */
     public int provisionedCount() {
         return provisionedCount;
     }
 
-    /** The cloud takes a spot machine back. */
+    /** Reclaims a spot machine: it is terminated and no longer listed. */
     public void reclaimSpot(FakeAgent agent) {
         agent.terminate();
         machines.remove(agent.name());
     }
 
-    /** Serves one request by the protocol. */
+    /** Handles one request of the provider protocol. */
     public void handle(HttpExchange exchange) {
         try {
             switch (exchange.path()) {
@@ -115,7 +118,7 @@
     private void listTypes(HttpExchange exchange) {
         ObjectNode node = Cbor.map();
         ArrayNode list = node.putArray("breeds");
-        for (MachineType type : types) {
+        for (MachineType type : machineTypes) {
             ObjectNode item = list.addObject()
                     .put("name", type.name())
                     .put("cpus", type.cpus())
@@ -149,18 +152,18 @@
         exchange.respond(HttpStatus.OK, Cbor.encode(node));
     }
 
-    /** Provisions as many machines as are asked for, within the capacity; returns their names. */
+    /** Provisions the requested number of machines, or as many as the capacity allows, and returns their names. */
     private List<String> provisionNew(JsonNode body) {
-        MachineType type = types.stream()
+        MachineType type = machineTypes.stream()
                 .filter(t -> t.name().equals(body.path("breed").asText()))
                 .findFirst()
                 .orElseThrow();
         FakeAgent.Kind kind = new FakeAgent.Kind(
                 type.name(), body.path("shore").asText(), body.path("driftwood").asBoolean(), type.cpus());
-        long present =
+        long existing =
                 machines.values().stream().filter(m -> m.kind.equals(kind)).count();
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < body.path("count").asInt() && present + i < capacity; i++) {
+        for (int i = 0; i < body.path("count").asInt() && existing + i < capacity; i++) {
             String name = String.format("vm-%06d", provisionedCount++);
             names.add(name);
             Machine machine = new Machine(kind, loop.now());
@@ -191,13 +194,15 @@
         ObjectNode node = Cbor.map();
         ArrayNode list = node.putArray("perches");
         String from = exchange.query().replaceAll(".*from=([^&]*).*", "$1");
-        var rest = machines.tailMap(from, false);
-        node.put("more", rest.size() > PAGE_SIZE);
-        rest.entrySet().stream().limit(PAGE_SIZE).forEach(entry -> add(list, entry.getKey(), entry.getValue()));
+        var remaining = machines.tailMap(from, false);
+        node.put("more", remaining.size() > PAGE_SIZE);
+        remaining.entrySet().stream()
+                .limit(PAGE_SIZE)
+                .forEach(entry -> addMachine(list, entry.getKey(), entry.getValue()));
         exchange.respond(HttpStatus.OK, Cbor.encode(node));
     }
 
-    private void add(ArrayNode list, String name, Machine machine) {
+    private void addMachine(ArrayNode list, String name, Machine machine) {
         list.addObject()
                 .put("name_id", name)
                 .put("endpoint", "10.1.0.1:9000")
--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -17,16 +17,16 @@
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpStatus;
 
-/** The state store as its protocol describes it, in memory: the endpoints, and the faults that tests switch on. */
+/** An in-memory state store that follows the state store protocol, with faults that tests can inject. */
 public final class FakeStateStore {
-    /** Limits of the settings; a transaction beyond them is refused. */
+    /** Limits from the settings. The store rejects transactions that exceed them. */
     public static final int MAX_CHANGES_PER_SECOND = 30;
 
     public static final int MAX_CHANGES_PER_COMMIT = 24;
     public static final int MAX_VALUE_BYTES = 16 * 1024;
 
     private static final Duration EXPIRY_CHECK_INTERVAL = Duration.ofMillis(20);
-    private static final Duration LATE_COMMIT_RETRY = Duration.ofMillis(500);
+    private static final Duration DELAYED_COMMIT_RETRY = Duration.ofMillis(500);
     private static final String DEFAULT_PAGE_SIZE = "1000";
 
     private final EventLoop loop;
@@ -46,7 +46,10 @@
         loop.every(EXPIRY_CHECK_INTERVAL, this::expire);
     }
 
-    /** In an outage everything is rejected, open watches stay open; afterwards leases have their full time again. */
+    /**
+     * Starts or ends an outage. During an outage all requests are rejected and open watches stay open; at its end every
+     * lease is renewed for its full duration.
+     */
     public void setDown(boolean value) {
         faults.setDown(value);
         if (!value) {
@@ -55,7 +58,9 @@
         }
     }
 
-    /** This client alone gets 503 to everything; its open watches wait, and its leases expire. */
+    /**
+     * Rejects all requests of this client with 503 while on. Its open watches are not answered, and its leases expire.
+     */
     public void rejectFrom(String client, boolean on) {
         faults.rejectFrom(client, on);
         if (!on) {
@@ -63,49 +68,57 @@
         }
     }
 
-    /** This share of transactions gets no response and is applied 2 to 12 s later, after newer ones. */
+    /**
+     * Delays this share of the transactions: they get no response and are applied 2 to 12 s later, possibly after newer
+     * transactions.
+     */
     public void delayCommits(double share, RandomGenerator random) {
         faults.delayCommits(share, random);
     }
 
-    /** This share of transactions is applied at once, and only its response is lost. */
+    /** Drops the responses of this share of the transactions, which are applied immediately. */
     public void dropResponses(double share, RandomGenerator random) {
         faults.dropResponses(share, random);
     }
 
-    /** The next transaction with a change of which this holds gets no response and is applied after the delay. */
+    /**
+     * Delays the next transaction that contains a matching change: it gets no response and is applied after the delay.
+     */
     public void delayNextCommit(Predicate<JsonNode> change, Duration delay) {
         faults.delayNextCommit(change, delay);
     }
 
-    /** From now on the responses to these requests, by client and exchange, are delayed; what they ask for is done at once. */
+    /**
+     * Delays the responses to requests that match the predicate on client and exchange. The requests are processed
+     * immediately.
+     */
     public void delayResponses(BiPredicate<String, HttpExchange> which, Duration delay) {
         faults.delayResponses(which, delay);
     }
 
-    /** Responses come up to so many milliseconds late, each by another time. */
+    /** Delays each response by a random time below this number of milliseconds. */
     public void addLatency(int maxMillis, RandomGenerator random) {
         faults.addLatency(maxMillis, random);
     }
 
-    /** Everything is served as usual again. */
+    /** Ends all faults, including an outage. */
     public void clearFaults() {
         faults.clear();
         setDown(false);
     }
 
-    /** Is given every value that is put under this key, at that very moment. */
+    /** Sets a listener that is called with each value put under this key, when the transaction is applied. */
     public void onPut(String key, Consumer<JsonNode> listener) {
         listeners.put(key, listener);
     }
 
-    /** The value of this key, or null. */
+    /** Returns the value of the key, or null if the key does not exist. */
     public JsonNode value(String key) {
         StoreContents.Entry entry = contents.entry(key);
         return entry == null ? null : entry.value();
     }
 
-    /** How often keys of this prefix were put or removed. */
+    /** Returns how many times keys with this prefix were put or removed. */
     public int changeCount(String prefix) {
         return limits.changeCount(prefix);
     }
@@ -127,10 +140,10 @@
         }
     }
 
-    /** Serves one request by the protocol. */
-    public void handle(HttpExchange received) {
-        String client = received instanceof SimulatedNetwork.Message message ? message.from() : "";
-        HttpExchange exchange = faults.delayed(client, received);
+    /** Handles one request of the state store protocol. */
+    public void handle(HttpExchange receivedExchange) {
+        String client = receivedExchange instanceof SimulatedNetwork.Message message ? message.from() : "";
+        HttpExchange exchange = faults.withDelay(client, receivedExchange);
         if (!faults.serves(client)) {
             exchange.respond(HttpStatus.SERVICE_UNAVAILABLE, new byte[0]);
             return;
@@ -168,21 +181,21 @@
     }
 
     private void receiveCommit(HttpExchange exchange, ObjectNode body) {
-        StoreFaults.CommitFate fate = faults.fateOf(body);
-        if (fate.isLate()) {
-            loop.after(fate.delay(), () -> commitLate(exchange, body));
+        StoreFaults.CommitHandling handling = faults.handlingOf(body);
+        if (handling.isDelayed()) {
+            loop.after(handling.delay(), () -> commitDelayed(exchange, body));
         } else {
-            commit(fate.answered() ? exchange : unanswered(exchange), body);
+            commit(handling.answered() ? exchange : withoutResponse(exchange), body);
         }
     }
 
-    /** The same exchange, of which no response reaches the sender. */
-    private static HttpExchange unanswered(HttpExchange exchange) {
+    /** Returns a copy of the exchange whose response does not reach the sender. */
+    private static HttpExchange withoutResponse(HttpExchange exchange) {
         return new SimulatedNetwork.Message(
                 "", exchange.method(), exchange.path(), exchange.query(), exchange.body(), response -> {});
     }
 
-    private ObjectNode item(String key, StoreContents.Entry entry) {
+    private ObjectNode itemOf(String key, StoreContents.Entry entry) {
         ObjectNode node = Cbor.map().put("k", key).put("mark", entry.version());
         node.set("v", entry.value());
         if (entry.lease() != 0) {
@@ -194,16 +207,16 @@
     private void get(HttpExchange exchange, String key) {
         StoreContents.Entry entry = contents.entry(key);
         if (entry == null) {
-            exchange.respond(HttpStatus.NOT_FOUND, Cbor.encode(revision()));
+            exchange.respond(HttpStatus.NOT_FOUND, Cbor.encode(revisionResponse()));
         } else {
-            exchange.respond(HttpStatus.OK, Cbor.encode(item(key, entry)));
+            exchange.respond(HttpStatus.OK, Cbor.encode(itemOf(key, entry)));
         }
     }
 
     private void list(HttpExchange exchange, Map<String, String> query) {
         String prefix = query.getOrDefault("under", "");
         int page = Integer.parseInt(query.getOrDefault("page", DEFAULT_PAGE_SIZE));
-        ObjectNode node = revision();
+        ObjectNode node = revisionResponse();
         ArrayNode items = node.putArray("items");
         boolean more = false;
         for (Map.Entry<String, StoreContents.Entry> entry : contents.entriesFrom(
@@ -216,28 +229,28 @@
                 more = true;
                 break;
             }
-            items.add(item(entry.getKey(), entry.getValue()));
+            items.add(itemOf(entry.getKey(), entry.getValue()));
         }
         exchange.respond(HttpStatus.OK, Cbor.encode(node.put("more", more)));
     }
 
-    /** Applies a transaction that nobody waits for any more; an outage delays it further. */
-    private void commitLate(HttpExchange exchange, ObjectNode body) {
+    /** Applies a delayed transaction, which gets no response. During an outage the transaction is delayed further. */
+    private void commitDelayed(HttpExchange exchange, ObjectNode body) {
         if (faults.isDown()) {
-            loop.after(LATE_COMMIT_RETRY, () -> commitLate(exchange, body));
+            loop.after(DELAYED_COMMIT_RETRY, () -> commitDelayed(exchange, body));
         } else {
-            commit(unanswered(exchange), body);
+            commit(withoutResponse(exchange), body);
         }
     }
 
     private void commit(HttpExchange exchange, ObjectNode body) {
-        int status = limits.check(body);
+        int status = limits.admit(body);
         if (status == HttpStatus.BAD_REQUEST) {
-            reject(exchange, "over a limit");
+            reject(exchange, "transaction exceeds a limit");
         } else if (status != HttpStatus.OK) {
             exchange.respond(status, new byte[0]);
-        } else if (namesUnknownLease(body)) {
-            reject(exchange, "no such lease");
+        } else if (refersToUnknownLease(body)) {
+            reject(exchange, "unknown lease");
         } else {
             commitIfUnchanged(exchange, body);
         }
@@ -247,7 +260,7 @@
         exchange.respond(HttpStatus.BAD_REQUEST, Cbor.encode(Cbor.map().put("error", reason)));
     }
 
-    private boolean namesUnknownLease(ObjectNode body) {
+    private boolean refersToUnknownLease(ObjectNode body) {
         for (JsonNode change : body.path("then")) {
             if (change.has("tether") && !leases.exists(change.path("tether").asLong())) {
                 return true;
@@ -267,12 +280,12 @@
         JsonNode changes = body.path("then");
         changes.forEach(change -> limits.count(StoreContents.keyOf(change)));
         contents.apply(changes);
-        exchange.respond(HttpStatus.OK, Cbor.encode(revision()));
+        exchange.respond(HttpStatus.OK, Cbor.encode(revisionResponse()));
         watches.answerDue();
         notifyListeners(changes);
     }
 
-    private ObjectNode revision() {
+    private ObjectNode revisionResponse() {
         return Cbor.map().put("logline", contents.revision());
     }
 
@@ -290,7 +303,7 @@
         watches.open(client, query.getOrDefault("under", ""), Long.parseLong(query.get("from")), timeout, exchange);
     }
 
-    /** Serves /grants (a new lease), /grants/id/renew, and the end of /grants/id. */
+    /** Handles /grants (grants a lease), /grants/id/renew (renews it) and /grants/id (ends it). */
     private void lease(HttpExchange exchange, String[] path) throws MalformedMessageException {
         if (path.length == 2) {
             long millis = Cbor.decode(exchange.body()).path("life_ms").asLong();
--- a/src/test/java/org/gullway/fake/FakesTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -16,25 +16,25 @@
 import org.gullway.transport.HttpStatus;
 import org.junit.jupiter.api.Test;
 
-/** The faults of the stand-ins behave as the protocol says, on which the fault schedules rely. */
+/** The simulated systems and their faults follow the protocols. The tests with fault schedules rely on this. */
 class FakesTest {
-    private static final String STATE = "10.2.0.1:2379";
-    private static final String MACHINE = "10.1.0.7:9000";
-    private static final String CONTROLLER = "10.0.0.1:8080";
-    private static final String OTHER = "10.0.0.2:8080";
+    private static final String STORE_ADDRESS = "10.2.0.1:2379";
+    private static final String MACHINE_ADDRESS = "10.1.0.7:9000";
+    private static final String CONTROLLER_ADDRESS = "10.0.0.1:8080";
+    private static final String OTHER_CONTROLLER_ADDRESS = "10.0.0.2:8080";
     private static final Duration LEASE = Duration.ofSeconds(20);
     private final SimulatedTime time = new SimulatedTime();
     private final SimulatedTime.SimulatedProcess loop = time.process();
     private final SimulatedNetwork network = new SimulatedNetwork(time, new SplittableRandom(3), 0);
     private final FakeStateStore store = new FakeStateStore(loop);
-    private final HttpClient one = network.client("perch-0", loop);
-    private final HttpClient two = network.client("perch-1", loop);
+    private final HttpClient firstClient = network.client("perch-0", loop);
+    private final HttpClient secondClient = network.client("perch-1", loop);
     private final List<String> events = new ArrayList<>();
     private int heartbeats;
     private long fencingToken = 1;
 
     FakesTest() {
-        network.listen(STATE, loop, store::handle);
+        network.listen(STORE_ADDRESS, loop, store::handle);
     }
 
     private void run(double seconds) {
@@ -43,7 +43,7 @@
 
     private List<Integer> call(HttpClient client, HttpRequest request) {
         List<Integer> statuses = new ArrayList<>();
-        client.call(STATE, request, response -> statuses.add(response.status()));
+        client.call(STORE_ADDRESS, request, response -> statuses.add(response.status()));
         return statuses;
     }
 
@@ -53,47 +53,50 @@
         return call(client, HttpRequest.post("/commit", Cbor.encode(node), Duration.ofSeconds(3)));
     }
 
-    private List<Integer> watch(HttpClient client, long from, int wait) {
+    private List<Integer> watch(HttpClient client, long from, int timeoutMillis) {
         return call(
-                client, HttpRequest.get("/watch?under=a/&from=" + from + "&block_ms=" + wait, Duration.ofMinutes(2)));
+                client,
+                HttpRequest.get("/watch?under=a/&from=" + from + "&block_ms=" + timeoutMillis, Duration.ofMinutes(2)));
     }
 
     @Test
-    void oneClientIsRejectedAndItsWatchesWaitBeyondTheirTime() {
-        List<Integer> own = watch(one, 0, 5000);
-        List<Integer> others = watch(two, 0, 5000);
+    void aRejectedClientGets503AndItsWatchesStayOpenPastTheirTimeout() {
+        List<Integer> rejectedWatch = watch(firstClient, 0, 5000);
+        List<Integer> otherWatch = watch(secondClient, 0, 5000);
         run(0.1);
         store.rejectFrom("perch-0", true);
-        assertThat(call(one, HttpRequest.get("/store/a/b", Duration.ofSeconds(2))))
+        assertThat(call(firstClient, HttpRequest.get("/store/a/b", Duration.ofSeconds(2))))
                 .isEmpty();
-        List<Integer> put = put(two, 1);
-        List<Integer> refused = put(one, 2);
+        List<Integer> put = put(secondClient, 1);
+        List<Integer> rejectedPut = put(firstClient, 2);
         run(30);
         assertThat(put).containsExactly(200);
-        assertThat(refused).containsExactly(503);
-        assertThat(others).containsExactly(200);
-        assertThat(own).isEmpty();
+        assertThat(rejectedPut).containsExactly(503);
+        assertThat(otherWatch).containsExactly(200);
+        assertThat(rejectedWatch).isEmpty();
         store.rejectFrom("perch-0", false);
         run(0.1);
-        assertThat(own).containsExactly(200);
+        assertThat(rejectedWatch).containsExactly(200);
     }
 
     @Test
     void theLeaseOfARejectedClientExpires() {
-        call(one, HttpRequest.post("/grants", Cbor.encode(Cbor.map().put("life_ms", 3000)), Duration.ofSeconds(2)));
+        call(
+                firstClient,
+                HttpRequest.post("/grants", Cbor.encode(Cbor.map().put("life_ms", 3000)), Duration.ofSeconds(2)));
         run(0.1);
         store.rejectFrom("perch-0", true);
         run(4);
         store.rejectFrom("perch-0", false);
-        List<Integer> renewed =
-                call(one, HttpRequest.post("/grants/1/renew", Cbor.encode(Cbor.map()), Duration.ofSeconds(2)));
+        List<Integer> renewal =
+                call(firstClient, HttpRequest.post("/grants/1/renew", Cbor.encode(Cbor.map()), Duration.ofSeconds(2)));
         run(0.1);
-        assertThat(renewed).containsExactly(404);
+        assertThat(renewal).containsExactly(404);
     }
 
     @Test
     void watchesStayOpenDuringAnOutage() {
-        List<Integer> watch = watch(one, 0, 2000);
+        List<Integer> watch = watch(firstClient, 0, 2000);
         run(0.1);
         store.setDown(true);
         run(10);
@@ -104,27 +107,27 @@
     }
 
     @Test
-    void aLateTransactionIsAppliedAfterANewerOne() {
+    void aDelayedTransactionIsAppliedAfterANewerOne() {
         store.delayCommits(1, new SplittableRandom(5));
-        List<Integer> late = put(one, 1);
+        List<Integer> delayedPut = put(firstClient, 1);
         run(0.1);
         store.delayCommits(0, new SplittableRandom(5));
-        List<Integer> newer = put(one, 2);
+        List<Integer> newerPut = put(firstClient, 2);
         run(1);
-        assertThat(newer).containsExactly(200);
+        assertThat(newerPut).containsExactly(200);
         assertThat(store.value("a/b").asInt()).isEqualTo(2);
         run(12);
-        assertThat(late).as("no response but the client's own timeout").containsExactly(0);
+        assertThat(delayedPut).as("no response but the client's own timeout").containsExactly(0);
         assertThat(store.value("a/b").asInt()).isEqualTo(1);
     }
 
     @Test
-    void aSlowStoreAnswersLate() {
+    void addedLatencyDelaysResponses() {
         store.addLatency(800, new SplittableRandom(5));
         List<Integer> statuses = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            two.call(
-                    STATE,
+            secondClient.call(
+                    STORE_ADDRESS,
                     HttpRequest.get("/store/a/b", Duration.ofSeconds(2)),
                     response -> statuses.add(response.status()));
         }
@@ -134,8 +137,8 @@
         assertThat(statuses).hasSize(20).containsOnly(404);
     }
 
-    /** Every job has tasks of a minute, whose starts and ends are recorded. */
-    private final class MinuteTasks implements FakeAgent.Environment {
+    /** Every job has tasks that run for one minute. Records their starts and ends. */
+    private final class OneMinuteTasks implements FakeAgent.Environment {
         @Override
         public JobRequest jobOf(String job) {
             return new JobRequest(
@@ -172,27 +175,29 @@
         }
 
         @Override
-        public void onTaskEnded(String machine, String task, boolean done) {
-            events.add(
-                    task + (done ? " done" : " stopped") + " at " + time.now().getEpochSecond());
+        public void onTaskEnded(String machine, String task, boolean completed) {
+            events.add(task + (completed ? " done" : " stopped") + " at "
+                    + time.now().getEpochSecond());
         }
     }
 
-    /** An agent with one task of a minute, whose heartbeats are answered under the present token. */
-    private FakeAgent working() {
-        network.listen(CONTROLLER, loop, exchange -> {
+    /**
+     * Starts an agent with one running task of one minute. A controller accepts its heartbeats with the current token.
+     */
+    private FakeAgent startAgentWithRunningTask() {
+        network.listen(CONTROLLER_ADDRESS, loop, exchange -> {
             heartbeats++;
             exchange.respond(HttpStatus.OK, Cbor.encode(Cbor.map().put("baton", fencingToken)));
         });
         FakeAgent agent = new FakeAgent(
                 loop,
                 network.client("vm-000007", loop),
-                new MinuteTasks(),
+                new OneMinuteTasks(),
                 new SplittableRandom(1),
-                new FakeAgent.Machine("vm-000007", MACHINE, new FakeAgent.Kind("small", "a", true, 16)),
-                Map.of("perch-0", CONTROLLER),
+                new FakeAgent.Machine("vm-000007", MACHINE_ADDRESS, new FakeAgent.Kind("small", "a", true, 16)),
+                Map.of("perch-0", CONTROLLER_ADDRESS),
                 new FakeAgent.Timing(Duration.ofSeconds(3), LEASE));
-        network.listen(MACHINE, loop, agent::handle);
+        network.listen(MACHINE_ADDRESS, loop, agent::handle);
         command(1, "start", "run-000001/0");
         run(1);
         assertThat(events).containsExactly("run-000001/0 began");
@@ -203,26 +208,26 @@
         ObjectNode node = Cbor.map().put("baton", fencingToken).put("flight", agentEpoch);
         node.putArray("calls").addObject().put("call", verb).put("leg", task).put("launch", 1);
         List<Integer> statuses = new ArrayList<>();
-        one.call(
-                MACHINE,
+        firstClient.call(
+                MACHINE_ADDRESS,
                 HttpRequest.post("/do", Cbor.encode(node), Duration.ofSeconds(30)),
                 response -> statuses.add(response.status()));
         return statuses;
     }
 
     @Test
-    void aMachineThatHangsWithinItsLeaseResumesTasksThenCommands() {
-        FakeAgent agent = working();
+    void aMachineThatHangsWithinItsLeaseResumesItsTasksAndThenExecutesCommands() {
+        FakeAgent agent = startAgentWithRunningTask();
         agent.hang(Duration.ofSeconds(12));
-        int before = heartbeats;
+        int heartbeatsBefore = heartbeats;
         List<Integer> start = command(1, "start", "run-000001/1");
         run(11);
-        assertThat(heartbeats).isEqualTo(before);
+        assertThat(heartbeats).isEqualTo(heartbeatsBefore);
         assertThat(start).isEmpty();
         assertThat(events).hasSize(1);
         run(2);
         assertThat(start).containsExactly(200);
-        assertThat(heartbeats).isGreaterThan(before);
+        assertThat(heartbeats).isGreaterThan(heartbeatsBefore);
         run(70);
         assertThat(events)
                 .containsExactly(
@@ -233,14 +238,16 @@
     }
 
     @Test
-    void aMachineThatHangsBeyondItsLeaseFirstEndsItsTasks() {
-        FakeAgent agent = working();
+    void aMachineThatHangsBeyondItsLeaseKillsItsTasksBeforeItReadsCommands() {
+        FakeAgent agent = startAgentWithRunningTask();
         agent.hang(Duration.ofSeconds(25));
         List<Integer> start = command(1, "start", "run-000001/1");
         run(24);
-        assertThat(events).as("the task is still there").hasSize(1);
+        assertThat(events)
+                .as("the task is not killed before the machine resumes")
+                .hasSize(1);
         run(2);
-        assertThat(start).as("of the former agent epoch").containsExactly(409);
+        assertThat(start).as("command for the previous agent epoch").containsExactly(409);
         assertThat(events).containsExactly("run-000001/0 began", "run-000001/0 stopped at 26");
         assertThat(command(2, "start", "run-000001/1")).isEmpty();
         run(1);
@@ -248,17 +255,17 @@
     }
 
     @Test
-    void aMachineWithAnOutboundPartitionCanBeCommanded() {
-        working();
+    void aMachineWithAnOutboundPartitionStillExecutesCommands() {
+        startAgentWithRunningTask();
         network.blockOutbound("vm-000007", true);
-        int before = heartbeats;
+        int heartbeatsBefore = heartbeats;
         List<Integer> stop = command(1, "halt", "run-000001/0");
         run(8);
-        assertThat(heartbeats).isEqualTo(before);
+        assertThat(heartbeats).isEqualTo(heartbeatsBefore);
         assertThat(stop).containsExactly(200);
         List<Integer> inspected = new ArrayList<>();
-        one.call(
-                MACHINE,
+        firstClient.call(
+                MACHINE_ADDRESS,
                 HttpRequest.get("/inspect", Duration.ofSeconds(2)),
                 response -> inspected.add(response.status()));
         run(1);
@@ -266,16 +273,16 @@
     }
 
     @Test
-    void heldHeartbeatsArriveElsewhere() {
-        working();
-        int[] arrived = new int[1];
-        network.listen(OTHER, loop, exchange -> arrived[0]++);
+    void heldHeartbeatsAreDeliveredToAnotherController() {
+        startAgentWithRunningTask();
+        int[] heartbeatsElsewhere = new int[1];
+        network.listen(OTHER_CONTROLLER_ADDRESS, loop, exchange -> heartbeatsElsewhere[0]++);
         network.holdRequests("vm-000007");
-        int before = heartbeats;
+        int heartbeatsBefore = heartbeats;
         run(15);
-        assertThat(heartbeats).isEqualTo(before);
-        network.release("vm-000007", OTHER);
+        assertThat(heartbeats).isEqualTo(heartbeatsBefore);
+        network.release("vm-000007", OTHER_CONTROLLER_ADDRESS);
         run(0.2);
-        assertThat(arrived[0]).isBetween(2, 5);
+        assertThat(heartbeatsElsewhere[0]).isBetween(2, 5);
     }
 }
--- a/src/test/java/org/gullway/fake/FaultyLink.java
+++ b/src/test/java/org/gullway/fake/FaultyLink.java
@@ -12,27 +12,28 @@
 import org.gullway.transport.HttpResponse;
 import org.gullway.transport.HttpStatus;
 
-/** A link between two parties, on which whole messages are held, lost, delayed, repeated or applied late. */
+/** A link between two parties on which messages are held back, lost, delayed or duplicated. */
 public final class FaultyLink {
     /**
-     * What happens to the messages on a link.
+     * The faults of the messages on a link.
      *
-     * @param lost share of requests that never arrive
-     * @param unanswered share of requests that are applied and whose response is lost
-     * @param late share of requests that are applied late, without a response
-     * @param latest the longest delay of late requests and of copies
-     * @param copied share of requests that are answered and arrive a second time
-     * @param slow share of the other requests whose responses are delayed
-     * @param slowest the longest delay of these responses
+     * @param lostShare share of requests that are lost
+     * @param responseLossShare share of requests that are processed and whose response is lost
+     * @param lateShare share of requests that are processed late and whose response is lost
+     * @param lateDelayRange the range of the random delay of late requests and of copies, which is added to a minimum
+     *     delay
+     * @param copiedShare share of requests that are answered and delivered a second time later
+     * @param slowShare share of the remaining requests, including the duplicated ones, whose responses are delayed
+     * @param maxResponseDelay the upper bound of the delay of these responses
      */
     public record Conditions(
-            double lost,
-            double unanswered,
-            double late,
-            Duration latest,
-            double copied,
-            double slow,
-            Duration slowest) {
+            double lostShare,
+            double responseLossShare,
+            double lateShare,
+            Duration lateDelayRange,
+            double copiedShare,
+            double slowShare,
+            Duration maxResponseDelay) {
         public static final Conditions NO_FAULTS = new Conditions(0, 0, 0, Duration.ZERO, 0, 0, Duration.ZERO);
     }
 
@@ -42,30 +43,36 @@
     private final RandomGenerator random;
     private final List<Runnable> held = new ArrayList<>();
     private Conditions conditions = Conditions.NO_FAULTS;
-    private boolean cut;
+    private boolean isCut;
 
-    /** A link without faults. */
+    /** Creates a link without faults. */
     public FaultyLink(EventLoop loop, RandomGenerator random) {
         this.loop = loop;
         this.random = random;
     }
 
-    /** From now on messages meet these conditions. */
-    public void set(Conditions next) {
-        conditions = next;
+    /** Sets the faults of the messages that are sent from now on. */
+    public void set(Conditions newConditions) {
+        conditions = newConditions;
     }
 
-    /** While it is cut messages are held; afterwards they arrive in order, also those whose sender has timed out. */
+    /**
+     * Cuts or restores the link. While it is cut, messages are held back; when it is restored, they arrive in order,
+     * even if their senders have timed out.
+     */
     public void cut(boolean on) {
-        cut = on;
+        isCut = on;
         if (!on) {
-            List<Runnable> arriving = List.copyOf(held);
+            List<Runnable> heldMessages = List.copyOf(held);
             held.clear();
-            arriving.forEach(Runnable::run);
+            heldMessages.forEach(Runnable::run);
         }
     }
 
-    /** A server's handler behind this link, which sees this name as the sender of what arrives. */
+    /**
+     * Returns a handler that passes requests through this link to a server's handler, which sees this name as their
+     * sender.
+     */
     public Consumer<HttpExchange> server(String from, Consumer<HttpExchange> handler) {
         return exchange -> deliver(
                 new SimulatedNetwork.Message(
@@ -78,11 +85,11 @@
                 handler);
     }
 
-    /** A handler that passes requests on through this link and another client. */
-    public Consumer<HttpExchange> forwarder(String address, HttpClient client, Duration limit) {
+    /** Returns a handler that forwards requests through this link to the address, by means of the client. */
+    public Consumer<HttpExchange> forwarder(String address, HttpClient client, Duration timeout) {
         return server(
                 "",
-                message -> client.call(address, request(message, limit), response -> {
+                message -> client.call(address, toRequest(message, timeout), response -> {
                     if (response.outcome() == HttpResponse.Outcome.ANSWERED) {
                         message.respond(response.status(), response.body());
                     } else if (response.outcome() != HttpResponse.Outcome.UNKNOWN) {
@@ -91,7 +98,7 @@
                 }));
     }
 
-    /** A client whose requests go through this link. */
+    /** Returns a client whose requests pass through this link. */
     public HttpClient client(HttpClient client) {
         return (address, request, callback) -> {
             Consumer<HttpResponse> once = once(callback);
@@ -100,12 +107,12 @@
                     SimulatedNetwork.Message.of("", request, once),
                     exchange -> client.call(
                             address,
-                            request(exchange, request.timeout()),
+                            toRequest(exchange, request.timeout()),
                             ((SimulatedNetwork.Message) exchange).reply()));
         };
     }
 
-    /** The callback for the first of a response, a repeated response and the timeout. */
+    /** Returns a callback that passes on only the first call, which is a response or the timeout. */
     private static Consumer<HttpResponse> once(Consumer<HttpResponse> callback) {
         boolean[] finished = new boolean[1];
         return response -> {
@@ -116,51 +123,52 @@
         };
     }
 
-    private static HttpRequest request(HttpExchange exchange, Duration limit) {
+    private static HttpRequest toRequest(HttpExchange exchange, Duration timeout) {
         String path = exchange.query().isEmpty() ? exchange.path() : exchange.path() + "?" + exchange.query();
-        return new HttpRequest(exchange.method(), path, exchange.body(), limit);
+        return new HttpRequest(exchange.method(), path, exchange.body(), timeout);
     }
 
     private void deliver(SimulatedNetwork.Message message, Consumer<HttpExchange> target) {
-        if (cut) {
+        if (isCut) {
             held.add(() -> target.accept(message));
             return;
         }
-        double chance = random.nextDouble();
-        if (chance < conditions.lost()) {
+        double draw = random.nextDouble();
+        if (draw < conditions.lostShare()) {
             return;
         }
-        chance -= conditions.lost();
-        if (chance < conditions.unanswered()) {
-            target.accept(unanswered(message));
+        draw -= conditions.lostShare();
+        if (draw < conditions.responseLossShare()) {
+            target.accept(withoutResponse(message));
             return;
         }
-        chance -= conditions.unanswered();
-        if (chance < conditions.late()) {
+        draw -= conditions.responseLossShare();
+        if (draw < conditions.lateShare()) {
             deliverLater(message, target);
             return;
         }
-        if (chance - conditions.late() < conditions.copied()) {
+        if (draw - conditions.lateShare() < conditions.copiedShare()) {
             deliverLater(message, target);
         }
-        target.accept(slow(message));
+        target.accept(withSlowResponse(message));
     }
 
     private void deliverLater(SimulatedNetwork.Message message, Consumer<HttpExchange> target) {
-        Duration delay =
-                MIN_DELAY.plusMillis(random.nextLong(1 + conditions.latest().toMillis()));
-        loop.after(delay, () -> target.accept(unanswered(message)));
+        Duration delay = MIN_DELAY.plusMillis(
+                random.nextLong(1 + conditions.lateDelayRange().toMillis()));
+        loop.after(delay, () -> target.accept(withoutResponse(message)));
     }
 
-    private static SimulatedNetwork.Message unanswered(SimulatedNetwork.Message message) {
+    private static SimulatedNetwork.Message withoutResponse(SimulatedNetwork.Message message) {
         return message.withReply(response -> {});
     }
 
-    private SimulatedNetwork.Message slow(SimulatedNetwork.Message message) {
-        if (random.nextDouble() >= conditions.slow()) {
+    private SimulatedNetwork.Message withSlowResponse(SimulatedNetwork.Message message) {
+        if (random.nextDouble() >= conditions.slowShare()) {
             return message;
         }
-        Duration delay = Duration.ofMillis(random.nextLong(conditions.slowest().toMillis()));
+        Duration delay =
+                Duration.ofMillis(random.nextLong(conditions.maxResponseDelay().toMillis()));
         return message.withReply(
                 response -> loop.after(delay, () -> message.reply().accept(response)));
     }
--- a/src/test/java/org/gullway/fake/FaultyLinkTest.java
+++ b/src/test/java/org/gullway/fake/FaultyLinkTest.java
@@ -14,9 +14,9 @@
 import org.gullway.transport.HttpStatus;
 import org.junit.jupiter.api.Test;
 
-/** Each kind of fault of a link does what its name says. */
+/** Each kind of fault affects the messages on a link as documented. */
 class FaultyLinkTest {
-    private static final Duration SECOND = Duration.ofSeconds(1);
+    private static final Duration ONE_SECOND = Duration.ofSeconds(1);
 
     private final SimulatedTime time = new SimulatedTime();
     private final FaultyLink link = new FaultyLink(time.process(), new SplittableRandom(7));
@@ -32,23 +32,23 @@
                 "", "GET", path, "", new byte[0], (HttpResponse response) -> answered.add(path)));
     }
 
-    private void run(Duration span) {
-        time.runUntil(time.now().plus(span));
+    private void run(Duration duration) {
+        time.runUntil(time.now().plus(duration));
     }
 
     @Test
-    void aGoodLinkDeliversAtOnce() {
+    void aLinkWithoutFaultsDeliversImmediately() {
         send("/a");
         assertThat(arrived).containsExactly("/a");
         assertThat(answered).containsExactly("/a");
     }
 
     @Test
-    void aCutLinkDeliversAfterwardsInOrder() {
+    void aCutLinkDeliversHeldMessagesInOrderWhenRestored() {
         link.cut(true);
         send("/a");
         send("/b");
-        run(SECOND);
+        run(ONE_SECOND);
         assertThat(arrived).isEmpty();
         link.cut(false);
         assertThat(arrived).containsExactly("/a", "/b");
@@ -56,58 +56,58 @@
 
     @Test
     void lostRequestsNeverArrive() {
-        link.set(new Conditions(1, 0, 0, SECOND, 0, 0, Duration.ZERO));
+        link.set(new Conditions(1, 0, 0, ONE_SECOND, 0, 0, Duration.ZERO));
         send("/a");
-        run(SECOND.multipliedBy(10));
+        run(ONE_SECOND.multipliedBy(10));
         assertThat(arrived).isEmpty();
     }
 
     @Test
-    void unansweredRequestsAreApplied() {
-        link.set(new Conditions(0, 1, 0, SECOND, 0, 0, Duration.ZERO));
+    void requestsWithLostResponsesAreProcessed() {
+        link.set(new Conditions(0, 1, 0, ONE_SECOND, 0, 0, Duration.ZERO));
         send("/a");
-        run(SECOND.multipliedBy(10));
+        run(ONE_SECOND.multipliedBy(10));
         assertThat(arrived).containsExactly("/a");
         assertThat(answered).isEmpty();
     }
 
     @Test
-    void lateRequestsAreAppliedLaterAndUnanswered() {
-        link.set(new Conditions(0, 0, 1, SECOND, 0, 0, Duration.ZERO));
+    void lateRequestsAreProcessedLaterAndGetNoResponse() {
+        link.set(new Conditions(0, 0, 1, ONE_SECOND, 0, 0, Duration.ZERO));
         send("/a");
         assertThat(arrived).isEmpty();
-        run(SECOND.multipliedBy(2));
+        run(ONE_SECOND.multipliedBy(2));
         assertThat(arrived).containsExactly("/a");
         assertThat(answered).isEmpty();
     }
 
     @Test
-    void copiedRequestsArriveTwiceAndAreAnsweredOnce() {
-        link.set(new Conditions(0, 0, 0, SECOND, 1, 0, Duration.ZERO));
+    void copiedRequestsArriveTwiceAndGetOneResponse() {
+        link.set(new Conditions(0, 0, 0, ONE_SECOND, 1, 0, Duration.ZERO));
         send("/a");
         assertThat(arrived).containsExactly("/a");
-        run(SECOND.multipliedBy(2));
+        run(ONE_SECOND.multipliedBy(2));
         assertThat(arrived).containsExactly("/a", "/a");
         assertThat(answered).containsExactly("/a");
     }
 
     @Test
     void slowResponsesArriveLater() {
-        link.set(new Conditions(0, 0, 0, Duration.ZERO, 0, 1, SECOND));
+        link.set(new Conditions(0, 0, 0, Duration.ZERO, 0, 1, ONE_SECOND));
         send("/a");
         assertThat(arrived).containsExactly("/a");
         assertThat(answered).isEmpty();
-        run(SECOND);
+        run(ONE_SECOND);
         assertThat(answered).containsExactly("/a");
     }
 
     @Test
     void aClientTimesOutOnALostRequest() {
-        link.set(new Conditions(1, 0, 0, SECOND, 0, 0, Duration.ZERO));
-        List<HttpResponse.Outcome> kinds = new ArrayList<>();
+        link.set(new Conditions(1, 0, 0, ONE_SECOND, 0, 0, Duration.ZERO));
+        List<HttpResponse.Outcome> outcomes = new ArrayList<>();
         link.client((address, request, callback) -> callback.accept(HttpResponse.answered(200, new byte[0])))
-                .call("127.0.0.1:1", HttpRequest.get("/a", SECOND), response -> kinds.add(response.outcome()));
-        run(SECOND.multipliedBy(2));
-        assertThat(kinds).containsExactly(HttpResponse.Outcome.UNKNOWN);
+                .call("127.0.0.1:1", HttpRequest.get("/a", ONE_SECOND), response -> outcomes.add(response.outcome()));
+        run(ONE_SECOND.multipliedBy(2));
+        assertThat(outcomes).containsExactly(HttpResponse.Outcome.UNKNOWN);
     }
 }
--- a/src/test/java/org/gullway/fake/ForwardingExchange.java
+++ b/src/test/java/org/gullway/fake/ForwardingExchange.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import org.gullway.transport.HttpExchange;
 
-/** An exchange that passes everything on to another one; subclasses change what they need. */
+/** An exchange that delegates to another exchange. Subclasses override individual methods. */
 public abstract class ForwardingExchange implements HttpExchange {
     private final HttpExchange exchange;
 
--- a/src/test/java/org/gullway/fake/HeartbeatLoop.java
+++ b/src/test/java/org/gullway/fake/HeartbeatLoop.java
@@ -16,22 +16,25 @@
 import org.gullway.transport.HttpResponse;
 import org.gullway.transport.HttpStatus;
 
-/** Sends an agent's heartbeats to one controller, and turns to another one when that redirects or does not answer. */
+/**
+ * Sends an agent's heartbeats to one controller, and switches to another controller after a redirect or a failed
+ * heartbeat.
+ */
 final class HeartbeatLoop {
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(4);
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
     private static final int MAX_REDIRECT_DELAY_MS = 500;
-    /** An event on the machine is reported at once, but not sooner than this after the last heartbeat. */
+    /** Minimum time between the last heartbeat and one that is sent early because of an event on the machine. */
     private static final Duration MIN_INTERVAL = Duration.ofMillis(500);
 
     /**
      * One heartbeat to send.
      *
-     * @param onAccepted is given the body of the response with which a controller accepts it
+     * @param onAccepted receives the body of the response with which a controller accepts the heartbeat
      */
-    // Bodies are passed on and never compared.
+    // Array equality is irrelevant: bodies are never compared.
     @SuppressWarnings("ArrayRecordComponent")
-    record Outgoing(byte[] body, Consumer<byte[]> onAccepted) {}
+    record OutgoingHeartbeat(byte[] body, Consumer<byte[]> onAccepted) {}
 
     private final EventLoop loop;
     private final AgentProcess process;
@@ -40,11 +43,11 @@
     private final Map<String, String> controllerAddresses;
     private final List<String> controllers;
     private final Duration interval;
-    private final Supplier<Outgoing> nextHeartbeat;
-    /** Index of the controller that gets the heartbeats. */
+    private final Supplier<OutgoingHeartbeat> nextHeartbeat;
+    /** Index of the controller to which heartbeats are sent. */
     private int target;
 
-    private Instant lastSent = Instant.MIN;
+    private Instant lastSentAt = Instant.MIN;
     private boolean inFlight;
     private Runnable cancelNext = () -> {};
 
@@ -55,7 +58,7 @@
             RandomGenerator random,
             Map<String, String> controllerAddresses,
             Duration interval,
-            Supplier<Outgoing> nextHeartbeat) {
+            Supplier<OutgoingHeartbeat> nextHeartbeat) {
         this.loop = loop;
         this.process = process;
         this.client = client;
@@ -71,16 +74,17 @@
         schedule(Duration.ZERO);
     }
 
-    /** The name of the controller that gets the heartbeats at present. */
+    /** Returns the name of the controller to which heartbeats are currently sent. */
     String target() {
         return controllers.get(target);
     }
 
-    /** Something has happened on the machine that is worth a heartbeat before its time. */
+    /** Schedules a heartbeat early because of an event on the machine, unless a heartbeat is in flight. */
     void sendSoon() {
         if (!inFlight) {
-            Duration since = lastSent.equals(Instant.MIN) ? interval : Duration.between(lastSent, loop.now());
-            Duration wait = MIN_INTERVAL.minus(since);
+            Duration sinceLastSent =
+                    lastSentAt.equals(Instant.MIN) ? interval : Duration.between(lastSentAt, loop.now());
+            Duration wait = MIN_INTERVAL.minus(sinceLastSent);
             schedule(wait.isNegative() ? Duration.ZERO : wait);
         }
     }
@@ -95,19 +99,22 @@
             return;
         }
         inFlight = true;
-        lastSent = loop.now();
-        Instant sent = loop.now();
+        lastSentAt = loop.now();
+        Instant sentAt = loop.now();
         String controller = target();
-        Outgoing heartbeat = nextHeartbeat.get();
+        OutgoingHeartbeat heartbeat = nextHeartbeat.get();
         client.call(
                 controllerAddresses.get(controller),
                 HttpRequest.post("/agent/beat", heartbeat.body(), RESPONSE_TIMEOUT),
-                response -> process.runUnlessHung(() -> onResponse(controller, sent, heartbeat, response)));
+                response -> process.runWhenResponsive(() -> onResponse(controller, sentAt, heartbeat, response)));
     }
 
-    private void onResponse(String controller, Instant sent, Outgoing heartbeat, HttpResponse received) {
-        // A machine that hung reads responses only now, and drops those that came after its timeout.
-        HttpResponse response = loop.now().isAfter(sent.plus(RESPONSE_TIMEOUT)) ? HttpResponse.unknown() : received;
+    private void onResponse(
+            String controller, Instant sentAt, OutgoingHeartbeat heartbeat, HttpResponse receivedResponse) {
+        // A machine that has hung processes responses late. A response processed after the timeout of its heartbeat is
+        // treated as a timeout.
+        HttpResponse response =
+                loop.now().isAfter(sentAt.plus(RESPONSE_TIMEOUT)) ? HttpResponse.unknown() : receivedResponse;
         inFlight = false;
         if (response.outcome() == HttpResponse.Outcome.ANSWERED && response.status() == HttpStatus.OK) {
             heartbeat.onAccepted().accept(response.body());
@@ -115,7 +122,7 @@
             return;
         }
         Optional<String> redirect =
-                redirectIn(response).filter(name -> !name.equals(controller) && controllers.contains(name));
+                redirectTarget(response).filter(name -> !name.equals(controller) && controllers.contains(name));
         if (redirect.isPresent()) {
             target = controllers.indexOf(redirect.get());
             schedule(Duration.ofMillis(random.nextInt(MAX_REDIRECT_DELAY_MS)));
@@ -125,8 +132,8 @@
         }
     }
 
-    /** The controller that the response names as responsible. */
-    private static Optional<String> redirectIn(HttpResponse response) {
+    /** Returns the controller that the response names as responsible, if it is a redirect. */
+    private static Optional<String> redirectTarget(HttpResponse response) {
         if (response.status() != HttpStatus.MISDIRECTED) {
             return Optional.empty();
         }
--- a/src/test/java/org/gullway/fake/NetworkPartitions.java
+++ b/src/test/java/org/gullway/fake/NetworkPartitions.java
@@ -3,15 +3,15 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Which parties of the simulated network cannot reach each other at present, and in which direction. */
+/** The partitions of the simulated network: which parties cannot reach each other, and in which direction. */
 final class NetworkPartitions {
-    private static final String ANYBODY = "*";
+    private static final String ANY_PARTY = "*";
 
-    /** Directed cuts as "from>to"; a party is an address or a client's name. */
+    /** Directed cuts as "from>to". A party is an address, the name of a client, or {@link #ANY_PARTY}. */
     private final Set<String> cuts = new HashSet<>();
 
-    private final Set<String> withoutResponses = new HashSet<>();
-    private final Set<String> withoutOutbound = new HashSet<>();
+    private final Set<String> clientsWithoutResponses = new HashSet<>();
+    private final Set<String> clientsWithoutOutbound = new HashSet<>();
 
     void cut(String from, String to) {
         cuts.add(from + ">" + to);
@@ -23,30 +23,30 @@
 
     void heal() {
         cuts.clear();
-        withoutResponses.clear();
-        withoutOutbound.clear();
+        clientsWithoutResponses.clear();
+        clientsWithoutOutbound.clear();
     }
 
     boolean isCut(String from, String to) {
         return cuts.contains(from + ">" + to)
-                || cuts.contains(from + ">" + ANYBODY)
-                || cuts.contains(ANYBODY + ">" + to);
+                || cuts.contains(from + ">" + ANY_PARTY)
+                || cuts.contains(ANY_PARTY + ">" + to);
     }
 
     void dropResponses(String client, boolean on) {
-        set(withoutResponses, client, on);
+        set(clientsWithoutResponses, client, on);
     }
 
     boolean dropsResponses(String client) {
-        return withoutResponses.contains(client);
+        return clientsWithoutResponses.contains(client);
     }
 
     void blockOutbound(String client, boolean on) {
-        set(withoutOutbound, client, on);
+        set(clientsWithoutOutbound, client, on);
     }
 
     boolean blocksOutbound(String client) {
-        return withoutOutbound.contains(client);
+        return clientsWithoutOutbound.contains(client);
     }
 
     private static void set(Set<String> clients, String client, boolean on) {
--- a/src/test/java/org/gullway/fake/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/fake/SimulatedNetwork.java
@@ -15,44 +15,44 @@
 import org.gullway.transport.HttpResponse;
 
 /**
- * A network that delays messages, holds them back during cuts and delivers them afterwards, loses responses, and now and
- * then delivers a request a second time.
+ * A simulated network. It delays messages, holds them back during a partition and delivers them afterwards, loses
+ * responses, and occasionally delivers a request twice.
  */
 public final class SimulatedNetwork {
-    /** Share of the connections that were open before a cut, over which a request is still sent. */
+    /** Probability that a client has a connection from before a partition, over fault it still sends a request. */
     private static final double OPEN_CONNECTION_SHARE = 0.7;
 
     private static final int MIN_LATENCY_NANOS = 300_000;
     private static final int LATENCY_RANGE_NANOS = 3_000_000;
-    private static final int MAX_LATE_MS = 9000;
+    private static final int MAX_FAULT_DELAY_MS = 9000;
     private static final int MIN_COPY_DELAY_MS = 20;
     private static final int COPY_DELAY_RANGE_MS = 20_000;
     private static final int MIN_LATE_COPY_DELAY_MS = 500;
     private static final int MIN_REQUEST_DELAY_MS = 2000;
     private static final int REQUEST_DELAY_RANGE_MS = 14_000;
-    private static final Duration RETRY_DURING_CUT = Duration.ofMillis(500);
+    private static final Duration RETRY_INTERVAL_DURING_CUT = Duration.ofMillis(500);
 
     private record Host(SimulatedTime.SimulatedProcess process, Consumer<HttpExchange> handler) {}
 
-    /** A request on its way from a client to an address, with the receiver of its response. */
+    /** A request in transit from a client to an address, with the callback for its response. */
     private record Delivery(
             String from,
             SimulatedTime.SimulatedProcess sender,
             String address,
             HttpRequest request,
             Consumer<HttpResponse> onResponse) {
-        /** A copy whose response reaches nobody. */
-        Delivery unanswered(String to) {
+        /** Returns a copy of the request to the given address whose response is dropped. */
+        Delivery withoutResponse(String to) {
             return new Delivery(from, sender, to, request, response -> {});
         }
     }
 
-    /** Requests that are delivered again, up to so much later, to any of these addresses. */
-    private record LateCopies(PathFault which, Duration maxDelay, List<String> addresses) {
+    /** A fault that delivers a copy of a request to a random one of the addresses after a random delay. */
+    private record LateCopies(PathFault fault, Duration maxDelay, List<String> addresses) {
         private static final LateCopies NONE = new LateCopies(PathFault.NONE, Duration.ZERO, List.of());
     }
 
-    /** Sees every request as it is sent and every response as it arrives. */
+    /** Is notified of every request that is sent, and of its response, failure or timeout. */
     public interface TrafficListener {
         TrafficListener NONE = new TrafficListener() {
             @Override
@@ -68,26 +68,26 @@
     }
 
     private final SimulatedTime time;
-    private final SimulatedTime.SimulatedProcess wires;
+    private final SimulatedTime.SimulatedProcess networkProcess;
     private final RandomGenerator random;
     private final double faultShare;
     private final Map<String, Host> hosts = new HashMap<>();
     private final NetworkPartitions partitions = new NetworkPartitions();
-    private TrafficListener traffic = TrafficListener.NONE;
+    private TrafficListener trafficListener = TrafficListener.NONE;
 
     private final Set<String> heldClients = new HashSet<>();
     private final List<Delivery> heldRequests = new ArrayList<>();
     private LateCopies lateCopies = LateCopies.NONE;
-    private PathFault recorded = PathFault.NONE;
+    private PathFault copyRecording = PathFault.NONE;
     private final List<Delivery> recordedCopies = new ArrayList<>();
     private PathFault delayedRequests = PathFault.NONE;
     private String delayedResponsePath = "";
     private Duration responseDelay = Duration.ZERO;
 
-    /** @param faultShare share of messages that are late, or repeated */
+    /** @param faultShare share of requests that are delayed, and share of requests that are delivered twice */
     public SimulatedNetwork(SimulatedTime time, RandomGenerator random, double faultShare) {
         this.time = time;
-        this.wires = time.process();
+        this.networkProcess = time.process();
         this.random = random;
         this.faultShare = faultShare;
     }
@@ -96,12 +96,12 @@
         return time;
     }
 
-    /** From now on the listener sees all traffic. */
+    /** Sets the listener of all traffic. */
     public void observe(TrafficListener listener) {
-        traffic = listener;
+        trafficListener = listener;
     }
 
-    /** Requests for this address are served by the handler. */
+    /** Registers the handler of requests to the address. */
     public void listen(String address, SimulatedTime.SimulatedProcess process, Consumer<HttpExchange> handler) {
         hosts.put(address, new Host(process, handler));
     }
@@ -110,9 +110,7 @@
         hosts.remove(address);
     }
 
-    // Faults
-
-    /** Nothing passes in this direction; a party is an address, a client's name, or * for all. */
+    /** Blocks all messages in this direction. A party is an address, a client's name, or {@code *} for all. */
     public void cut(String from, String to) {
         partitions.cut(from, to);
     }
@@ -121,93 +119,96 @@
         partitions.heal(from, to);
     }
 
-    /** Ends all faults but the share of late and repeated messages; what was held back is lost. */
+    /** Ends all faults except the random delays and duplicates. Requests that were held back are lost. */
     public void heal() {
         partitions.heal();
         heldClients.clear();
         heldRequests.clear();
         lateCopies = LateCopies.NONE;
-        recorded = PathFault.NONE;
+        copyRecording = PathFault.NONE;
         recordedCopies.clear();
         delayedRequests = PathFault.NONE;
         responseDelay = Duration.ZERO;
     }
 
-    /** Responses to requests for exactly this path, apart from its query, come so much later. */
-    public void delayResponses(String path, Duration by) {
+    /** Delays the responses to requests for exactly this path, ignoring the query. */
+    public void delayResponses(String path, Duration delay) {
         delayedResponsePath = path;
-        responseDelay = by;
+        responseDelay = delay;
     }
 
-    /** Requests of this client arrive, but no response reaches it. */
+    /** Drops all responses to this client while on; its requests still arrive. */
     public void dropResponses(String client, boolean on) {
         partitions.dropResponses(client, on);
     }
 
-    /** This client cannot open a connection to anybody, while requests to it are served and answered. */
+    /** Prevents this client from opening connections while on; requests to its address are still answered. */
     public void blockOutbound(String client, boolean on) {
         partitions.blockOutbound(client, on);
     }
 
-    /** Requests of this client are held back until {@link #release}; it gets no response. */
+    /** Holds back all requests of this client until {@link #release}. The client gets no responses. */
     public void holdRequests(String client) {
         heldClients.add(client);
     }
 
-    /** What was held back arrives, in order, at this address; the client has long timed out and gets no response. */
+    /**
+     * Delivers the client's held requests to this address, in order. The client has timed out and gets no responses.
+     */
     public void release(String client, String address) {
         heldClients.remove(client);
         for (Delivery delivery : List.copyOf(heldRequests)) {
             if (delivery.from().equals(client)) {
                 heldRequests.remove(delivery);
-                deliver(delivery.unanswered(address), latency());
+                deliver(delivery.withoutResponse(address), latency());
             }
         }
     }
 
-    /** From now on this share of the requests for a path is delivered again, up to so much later, to any of these. */
+    /**
+     * Delivers a copy of this share of the requests for a path to a random one of the addresses, up to about the
+     * maximum delay later.
+     */
     public void duplicateLate(double share, String path, Duration maxDelay, List<String> addresses) {
         lateCopies = new LateCopies(new PathFault(share, path), maxDelay, addresses);
     }
 
-    /** From now on a copy of this share of the requests for a path is kept until {@link #replayCopies}. */
+    /** Records a copy of this share of the requests for a path, for {@link #replayCopies}. */
     public void recordCopies(double share, String path) {
-        recorded = new PathFault(share, path);
+        copyRecording = new PathFault(share, path);
     }
 
-    /** All copies that were kept arrive at each of these addresses; the responses reach nobody. */
+    /** Delivers all recorded copies to each of these addresses. Their responses are dropped. */
     public void replayCopies(List<String> addresses) {
         for (Delivery copy : recordedCopies) {
-            addresses.forEach(address -> deliver(copy.unanswered(address), latency()));
+            addresses.forEach(address -> deliver(copy.withoutResponse(address), latency()));
         }
         recordedCopies.clear();
     }
 
     /**
-     * From now on this share of the requests for a path is held up on its way for 2 to 16 s: the sender gets no response,
-     * and the request arrives once.
+     * Delays this share of the requests for a path by 2 to 16 s. Each of them arrives once, and its sender gets no
+     * response.
      */
     public void delayRequests(double share, String path) {
         delayedRequests = new PathFault(share, path);
     }
 
-    // Messages
-
-    /** A client of this name, whose callbacks run in the process. */
+    /** Returns a client with this name whose callbacks run in the process. */
     public HttpClient client(String from, SimulatedTime.SimulatedProcess process) {
         return (address, request, callback) -> {
-            traffic.sent(from, address, request);
+            trafficListener.sent(from, address, request);
             send(new Delivery(from, process, address, request, once(from, address, callback)));
         };
     }
 
-    /** The callback for the first of a response and the timeout. */
+    /** Returns a callback that passes on only the first call, fault is a response or the timeout. */
     private Consumer<HttpResponse> once(String from, String address, Consumer<HttpResponse> callback) {
         boolean[] finished = new boolean[1];
         return response -> {
             if (!finished[0]) {
                 finished[0] = true;
-                traffic.answered(from, address, response);
+                trafficListener.answered(from, address, response);
                 callback.accept(response);
             }
         };
@@ -228,34 +229,34 @@
         delivery.sender().after(timeout, () -> delivery.onResponse().accept(HttpResponse.unknown()));
         if (heldClients.contains(delivery.from())) {
             heldRequests.add(delivery);
-        } else if (delayedRequests.strikes(delivery.request(), random)) {
+        } else if (delayedRequests.affects(delivery.request(), random)) {
             Duration delay = Duration.ofMillis(MIN_REQUEST_DELAY_MS + random.nextInt(REQUEST_DELAY_RANGE_MS));
-            deliver(delivery.unanswered(delivery.address()), delay);
+            deliver(delivery.withoutResponse(delivery.address()), delay);
         } else {
             deliverWithCopies(delivery);
         }
     }
 
     private void deliverWithCopies(Delivery delivery) {
-        if (recorded.strikes(delivery.request(), random)) {
+        if (copyRecording.affects(delivery.request(), random)) {
             recordedCopies.add(delivery);
         }
         Duration delay = latency();
         if (random.nextDouble() < faultShare) {
-            delay = Duration.ofMillis(random.nextInt(MAX_LATE_MS));
+            delay = Duration.ofMillis(random.nextInt(MAX_FAULT_DELAY_MS));
         }
         deliver(delivery, delay);
-        if (lateCopies.which().strikes(delivery.request(), random)) {
+        if (lateCopies.fault().affects(delivery.request(), random)) {
             String address = lateCopies
                     .addresses()
                     .get(random.nextInt(lateCopies.addresses().size()));
             long copyDelay = MIN_LATE_COPY_DELAY_MS
                     + random.nextLong(lateCopies.maxDelay().toMillis());
-            deliver(delivery.unanswered(address), Duration.ofMillis(copyDelay));
+            deliver(delivery.withoutResponse(address), Duration.ofMillis(copyDelay));
         }
         if (random.nextDouble() < faultShare) {
             Duration copyDelay = Duration.ofMillis(MIN_COPY_DELAY_MS + random.nextInt(COPY_DELAY_RANGE_MS));
-            deliver(delivery.unanswered(delivery.address()), copyDelay);
+            deliver(delivery.withoutResponse(delivery.address()), copyDelay);
         }
     }
 
@@ -264,9 +265,9 @@
     }
 
     private void deliver(Delivery delivery, Duration delay) {
-        wires.after(delay, () -> {
+        networkProcess.after(delay, () -> {
             if (partitions.isCut(delivery.from(), delivery.address())) {
-                deliver(delivery, RETRY_DURING_CUT);
+                deliver(delivery, RETRY_INTERVAL_DURING_CUT);
                 return;
             }
             Host host = hosts.get(delivery.address());
@@ -275,7 +276,7 @@
                 return;
             }
             Message message = message(delivery);
-            runIn(host.process(), () -> host.handler().accept(message));
+            runInProcess(host.process(), () -> host.handler().accept(message));
         });
     }
 
@@ -283,23 +284,23 @@
         HttpRequest request = delivery.request();
         return Message.of(delivery.from(), request, response -> {
             boolean delayed = request.path().split("\\?", -1)[0].equals(delayedResponsePath);
-            wires.after(delayed ? responseDelay : Duration.ZERO, () -> respond(delivery, response));
+            networkProcess.after(delayed ? responseDelay : Duration.ZERO, () -> respond(delivery, response));
         });
     }
 
     private void respond(Delivery delivery, HttpResponse response) {
-        wires.after(latency(), () -> {
-            // A response held back by a cut comes after the sender has timed out, which is the same as never.
+        networkProcess.after(latency(), () -> {
+            // During a partition the response is dropped: if held back, it would arrive after the sender has timed out.
             if (!partitions.isCut(delivery.from(), delivery.address())
                     && !partitions.dropsResponses(delivery.from())
                     && !delivery.sender().killed()) {
-                runIn(delivery.sender(), () -> delivery.onResponse().accept(response));
+                runInProcess(delivery.sender(), () -> delivery.onResponse().accept(response));
             }
         });
     }
 
-    /** Runs the task at once, or when the process goes on if it is frozen. */
-    private static void runIn(SimulatedTime.SimulatedProcess process, Runnable task) {
+    /** Runs the task immediately, or when the process resumes if it is frozen. */
+    private static void runInProcess(SimulatedTime.SimulatedProcess process, Runnable task) {
         if (process.isFrozen()) {
             process.execute(task);
         } else {
@@ -308,12 +309,12 @@
     }
 
     /** One request on the simulated network, with the name of the client that sent it. */
-    // Bodies are passed on and never compared.
+    // Array equality is irrelevant: bodies are never compared.
     @SuppressWarnings("ArrayRecordComponent")
     public record Message(
             String from, String method, String path, String query, byte[] body, Consumer<HttpResponse> reply)
             implements HttpExchange {
-        /** The request as its receiver sees it. */
+        /** Creates the message that the receiver of the request gets. */
         static Message of(String from, HttpRequest request, Consumer<HttpResponse> reply) {
             int question = request.path().indexOf('?');
             String path = question < 0 ? request.path() : request.path().substring(0, question);
@@ -321,9 +322,9 @@
             return new Message(from, request.method(), path, query, request.body(), reply);
         }
 
-        /** The same request with another receiver of its response. */
-        Message withReply(Consumer<HttpResponse> other) {
-            return new Message(from, method, path, query, body, other);
+        /** Returns the same request with another callback for its response. */
+        Message withReply(Consumer<HttpResponse> newReply) {
+            return new Message(from, method, path, query, body, newReply);
         }
 
         @Override
--- a/src/test/java/org/gullway/fake/SimulatedTime.java
+++ b/src/test/java/org/gullway/fake/SimulatedTime.java
@@ -5,21 +5,21 @@
 import java.util.PriorityQueue;
 import org.gullway.transport.EventLoop;
 
-/** Virtual time: runs the tasks that are due, in order, and jumps to the time of the next one. */
+/** Virtual time. Runs tasks in the order of their due times and advances the clock to the due time of each task. */
 public final class SimulatedTime {
-    private record Due(Instant at, long order, Runnable task) implements Comparable<Due> {
+    private record ScheduledTask(Instant at, long sequence, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledTask other) {
             int byTime = at.compareTo(other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
     private Instant now = Instant.EPOCH;
-    private long order;
+    private long sequence;
 
-    /** The loop of one process; after {@link #kill()} nothing of it runs any more. */
+    /** The event loop of one simulated process. After {@link #kill()} it runs no more tasks. */
     public final class SimulatedProcess implements EventLoop {
         private boolean killed;
         private Instant frozenUntil = Instant.EPOCH;
@@ -37,25 +37,30 @@
         @Override
         public Runnable after(Duration delay, Runnable task) {
             boolean[] cancelled = new boolean[1];
-            queue.add(new Due(
-                    now.plus(delay.isNegative() ? Duration.ZERO : delay), order++, () -> runOrWait(task, cancelled)));
+            queue.add(new ScheduledTask(
+                    now.plus(delay.isNegative() ? Duration.ZERO : delay),
+                    sequence++,
+                    () -> runOrPostpone(task, cancelled)));
             return () -> cancelled[0] = true;
         }
 
-        private void runOrWait(Runnable task, boolean[] cancelled) {
+        private void runOrPostpone(Runnable task, boolean[] cancelled) {
             if (killed || cancelled[0]) {
                 return;
             }
             if (isFrozen()) {
-                queue.add(new Due(frozenUntil, order++, () -> runOrWait(task, cancelled)));
+                queue.add(new ScheduledTask(frozenUntil, sequence++, () -> runOrPostpone(task, cancelled)));
             } else {
                 task.run();
             }
         }
 
-        /** It runs nothing for this span while the clocks go on; then all that came due in it, in order. */
-        public void freeze(Duration span) {
-            frozenUntil = now.plus(span);
+        /**
+         * Freezes the process for the duration while the clock advances. Afterwards it runs the tasks that became due,
+         * in order.
+         */
+        public void freeze(Duration duration) {
+            frozenUntil = now.plus(duration);
         }
 
         public boolean isFrozen() {
@@ -81,15 +86,18 @@
 
     public void runUntil(Instant end) {
         while (!queue.isEmpty() && !queue.peek().at().isAfter(end)) {
-            Due due = queue.poll();
-            now = due.at().isAfter(now) ? due.at() : now;
-            due.task().run();
+            ScheduledTask next = queue.poll();
+            now = next.at().isAfter(now) ? next.at() : now;
+            next.task().run();
         }
         now = end.isAfter(now) ? end : now;
     }
 
-    /** The present task takes this long; what comes due in that time runs after it. */
-    public void advance(Duration span) {
-        now = now.plus(span);
+    /**
+     * Advances the clock within the current task, as if the task took this long. Tasks that become due meanwhile run
+     * after it.
+     */
+    public void advance(Duration duration) {
+        now = now.plus(duration);
     }
 }
--- a/src/test/java/org/gullway/fake/StoreContents.java
+++ b/src/test/java/org/gullway/fake/StoreContents.java
@@ -6,12 +6,12 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The keys of the state store at its present revision, and all events that led to it. */
+/** The keys of the state store at its current revision, and the history of all changes. */
 final class StoreContents {
     /**
-     * The present value of a key.
+     * The current value of a key.
      *
-     * @param version the revision at which it was written
+     * @param version the revision at which the value was written
      * @param lease the lease to which the key is attached, or 0
      */
     record Entry(JsonNode value, long version, long lease) {}
@@ -19,7 +19,7 @@
     /**
      * One change of a key.
      *
-     * @param value the value put, or null if the key was removed
+     * @param value the value that was put, or null if the key was removed
      */
     record Event(String key, JsonNode value, long revision) {}
 
@@ -31,17 +31,17 @@
         return revision;
     }
 
-    /** The entry of this key, or null. */
+    /** Returns the entry of the key, or null if the key does not exist. */
     Entry entry(String key) {
         return entries.get(key);
     }
 
-    /** All entries from this key on, in order. */
+    /** Returns all entries from this key on, in key order. */
     SortedMap<String, Entry> entriesFrom(String key, boolean inclusive) {
         return entries.tailMap(key, inclusive);
     }
 
-    /** Keys whose versions are not those of the conditions. */
+    /** Returns the keys whose current versions differ from the conditions. */
     List<String> failedConditions(JsonNode conditions) {
         List<String> failed = new ArrayList<>();
         for (JsonNode condition : conditions) {
@@ -54,7 +54,7 @@
         return failed;
     }
 
-    /** Makes all changes at one new revision; without a change the revision stays. */
+    /** Applies all changes at one new revision. Without changes the revision stays the same. */
     void apply(JsonNode changes) {
         if (!changes.isEmpty()) {
             revision++;
@@ -79,7 +79,7 @@
         return change.path(change.has("remove") ? "remove" : "put").asText();
     }
 
-    /** Removes all keys attached to the lease, at one new revision; whether there were any. */
+    /** Removes all keys attached to the lease, at one new revision. Returns false if there were none. */
     boolean removeAttached(long lease) {
         List<String> keys = entries.entrySet().stream()
                 .filter(entry -> entry.getValue().lease() == lease)
@@ -96,7 +96,7 @@
         return true;
     }
 
-    /** Whether a key with this prefix has changed after this revision. */
+    /** Returns whether a key with this prefix has changed after the revision. */
     boolean changedAfter(long from, String prefix) {
         for (int i = events.size() - 1; i >= 0 && events.get(i).revision() > from; i--) {
             if (events.get(i).key().startsWith(prefix)) {
@@ -106,7 +106,7 @@
         return false;
     }
 
-    /** All events after this revision. */
+    /** Returns all events after the revision. */
     List<Event> eventsAfter(long from) {
         int first = events.size();
         while (first > 0 && events.get(first - 1).revision() > from) {
--- a/src/test/java/org/gullway/fake/StoreFaults.java
+++ b/src/test/java/org/gullway/fake/StoreFaults.java
@@ -11,16 +11,16 @@
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpExchange;
 
-/** The faults of the state store that are on at present, and what they do to requests and transactions. */
+/** The active faults of the state store, and their effect on requests and transactions. */
 final class StoreFaults {
     private static final int MIN_COMMIT_DELAY_MS = 2000;
     private static final int COMMIT_DELAY_RANGE_MS = 10_000;
 
-    /** What becomes of a transaction: it is applied after the delay, and its response may be lost. */
-    record CommitFate(Duration delay, boolean answered) {
-        private static final CommitFate NORMAL = new CommitFate(Duration.ZERO, true);
+    /** How a transaction is processed: the delay before it is applied, and whether its response is sent. */
+    record CommitHandling(Duration delay, boolean answered) {
+        private static final CommitHandling NORMAL = new CommitHandling(Duration.ZERO, true);
 
-        boolean isLate() {
+        boolean isDelayed() {
             return !delay.isZero();
         }
     }
@@ -28,10 +28,10 @@
     private final EventLoop loop;
     private final Set<String> rejectedClients = new HashSet<>();
     private boolean down;
-    private double lateShare;
-    private RandomGenerator lateRandom;
-    private double lostShare;
-    private RandomGenerator lostRandom;
+    private double delayedShare;
+    private RandomGenerator delayRandom;
+    private double droppedShare;
+    private RandomGenerator dropRandom;
     private Predicate<JsonNode> delayedChange;
     private Duration commitDelay;
     private BiPredicate<String, HttpExchange> delayedResponses = (client, exchange) -> false;
@@ -64,13 +64,13 @@
     }
 
     void delayCommits(double share, RandomGenerator random) {
-        lateShare = share;
-        lateRandom = random;
+        delayedShare = share;
+        delayRandom = random;
     }
 
     void dropResponses(double share, RandomGenerator random) {
-        lostShare = share;
-        lostRandom = random;
+        droppedShare = share;
+        dropRandom = random;
     }
 
     void delayNextCommit(Predicate<JsonNode> change, Duration delay) {
@@ -88,43 +88,43 @@
         latencyRandom = random;
     }
 
-    /** Ends all faults but an outage. */
+    /** Ends all faults except an outage. */
     void clear() {
         rejectedClients.clear();
-        lateShare = 0;
-        lostShare = 0;
+        delayedShare = 0;
+        droppedShare = 0;
         delayedChange = null;
         latencyMillis = 0;
         delayedResponses = (client, exchange) -> false;
     }
 
-    /** The exchange with the delay that its response has at present. */
-    HttpExchange delayed(String client, HttpExchange exchange) {
+    /** Returns an exchange that delays its response as the active faults require. */
+    HttpExchange withDelay(String client, HttpExchange exchange) {
         if (delayedResponses.test(client, exchange)) {
-            return new LateExchange(loop, exchange, responseDelay);
+            return new DelayedExchange(loop, exchange, responseDelay);
         }
         return latencyMillis == 0
                 ? exchange
-                : new LateExchange(loop, exchange, Duration.ofMillis(latencyRandom.nextInt(latencyMillis)));
+                : new DelayedExchange(loop, exchange, Duration.ofMillis(latencyRandom.nextInt(latencyMillis)));
     }
 
-    /** Decides what becomes of the transaction with this body. */
-    CommitFate fateOf(ObjectNode body) {
-        if (delayedChange != null && anyChange(body, delayedChange)) {
+    /** Decides how the transaction with this body is processed. */
+    CommitHandling handlingOf(ObjectNode body) {
+        if (delayedChange != null && anyChangeMatches(body, delayedChange)) {
             delayedChange = null;
-            return new CommitFate(commitDelay, false);
+            return new CommitHandling(commitDelay, false);
         }
-        if (lateShare > 0 && lateRandom.nextDouble() < lateShare) {
-            return new CommitFate(
-                    Duration.ofMillis(MIN_COMMIT_DELAY_MS + lateRandom.nextInt(COMMIT_DELAY_RANGE_MS)), false);
+        if (delayedShare > 0 && delayRandom.nextDouble() < delayedShare) {
+            return new CommitHandling(
+                    Duration.ofMillis(MIN_COMMIT_DELAY_MS + delayRandom.nextInt(COMMIT_DELAY_RANGE_MS)), false);
         }
-        if (lostShare > 0 && lostRandom.nextDouble() < lostShare) {
-            return new CommitFate(Duration.ZERO, false);
+        if (droppedShare > 0 && dropRandom.nextDouble() < droppedShare) {
+            return new CommitHandling(Duration.ZERO, false);
         }
-        return CommitFate.NORMAL;
+        return CommitHandling.NORMAL;
     }
 
-    private static boolean anyChange(ObjectNode body, Predicate<JsonNode> which) {
+    private static boolean anyChangeMatches(ObjectNode body, Predicate<JsonNode> which) {
         for (JsonNode change : body.path("then")) {
             if (which.test(change)) {
                 return true;
@@ -133,12 +133,12 @@
         return false;
     }
 
-    /** An exchange whose response comes later; what it asks for is done at once. */
-    private static final class LateExchange extends ForwardingExchange {
+    /** An exchange whose response is delayed. The request itself is processed immediately. */
+    private static final class DelayedExchange extends ForwardingExchange {
         private final EventLoop loop;
         private final Duration delay;
 
-        LateExchange(EventLoop loop, HttpExchange exchange, Duration delay) {
+        DelayedExchange(EventLoop loop, HttpExchange exchange, Duration delay) {
             super(exchange);
             this.loop = loop;
             this.delay = delay;
--- a/src/test/java/org/gullway/fake/StoreLeases.java
+++ b/src/test/java/org/gullway/fake/StoreLeases.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import org.gullway.transport.EventLoop;
 
-/** The leases of the state store with their ends. */
+/** The leases of the state store and their expiry times. */
 final class StoreLeases {
-    private record Lease(Duration duration, Instant end) {}
+    private record Lease(Duration duration, Instant expiresAt) {}
 
     private final EventLoop loop;
     private final Map<Long, Lease> leases = new HashMap<>();
@@ -29,7 +29,7 @@
         return leases.containsKey(id);
     }
 
-    /** The lease starts anew, with its full duration. */
+    /** Renews the lease for its full duration. */
     void renew(long id) {
         leases.computeIfPresent(id, (key, lease) -> startingNow(lease.duration()));
     }
@@ -44,7 +44,7 @@
 
     List<Long> expired() {
         return leases.entrySet().stream()
-                .filter(lease -> !loop.now().isBefore(lease.getValue().end()))
+                .filter(entry -> !loop.now().isBefore(entry.getValue().expiresAt()))
                 .map(Map.Entry::getKey)
                 .toList();
     }
--- a/src/test/java/org/gullway/fake/StoreWatches.java
+++ b/src/test/java/org/gullway/fake/StoreWatches.java
@@ -11,7 +11,9 @@
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpStatus;
 
-/** The open watches of the state store: each is answered at the next change under its prefix, or at its timeout. */
+/**
+ * The open watches of the state store. A watch is answered after the next change under its prefix or at its timeout.
+ */
 final class StoreWatches {
     private static final class Watch {
         private final String client;
@@ -34,14 +36,14 @@
     private final Predicate<String> servesClient;
     private final List<Watch> open = new ArrayList<>();
 
-    /** @param servesClient clients whose watches are answered at present */
+    /** @param servesClient whether the watches of a client may be answered now */
     StoreWatches(EventLoop loop, StoreContents contents, Predicate<String> servesClient) {
         this.loop = loop;
         this.contents = contents;
         this.servesClient = servesClient;
     }
 
-    /** Opens a watch of all changes under the prefix after this revision. */
+    /** Opens a watch for all changes under the prefix after the revision. */
     void open(String client, String prefix, long from, Duration timeout, HttpExchange exchange) {
         Watch watch = new Watch(client, prefix, from, exchange);
         watch.cancelTimeout = loop.after(timeout, () -> {
@@ -52,7 +54,7 @@
         answerDue();
     }
 
-    /** Answers the watches that have a change to show or have timed out. */
+    /** Answers the watches that have changes to report or have timed out. */
     void answerDue() {
         for (Watch watch : List.copyOf(open)) {
             if (servesClient.test(watch.client)
