--- a/src/main/java/org/gullway/storage/CommitPacing.java
+++ b/src/main/java/org/gullway/storage/CommitPacing.java
@@ -61,7 +61,7 @@
      * second. The request limit is not checked here; it determines the pause after a committed transaction.
      */
     boolean allowsCommit() {
-        return !loop.now().isBefore(pausedUntil) && changeLimit.hasBatch();
+        return !loop.now().isBefore(pausedUntil) && changeLimit.hasTokensForBatch();
     }
 
     /** Consumes the rate limit tokens of a transaction that is being sent. */
--- a/src/test/java/org/gullway/ScavengerClassTest.java
+++ b/src/test/java/org/gullway/ScavengerClassTest.java
@@ -64,8 +64,8 @@
                 .as("tiny jobs done")
                 .isGreaterThanOrEqualTo(700);
         assertThat(cluster.startedTasks()).as("the array's tasks as well").isGreaterThan(2000);
-        assertThat(cluster.store.largestValue()).isLessThanOrEqualTo(FakeStateStore.VALUE_BYTES);
-        assertThat(cluster.store.changes("live/jobs"))
+        assertThat(cluster.store.largestValueBytes()).isLessThanOrEqualTo(FakeStateStore.MAX_VALUE_BYTES);
+        assertThat(cluster.store.changeCount("live/jobs"))
                 .as("changes for %s jobs", cluster.users().size())
                 .isLessThan(5 * cluster.users().size() + 4 * 240);
     }
