--- a/src/test/java/org/gullway/BadInputTest.java
+++ b/src/test/java/org/gullway/BadInputTest.java
@@ -72,7 +72,7 @@
     }
 
     private static int send(SimulatedCluster cluster, HttpRequest request) {
-        HttpClient client = cluster.network.client("users", cluster.time.process());
+        HttpClient client = cluster.network.client("users", cluster.time.newProcess());
         int[] status = new int[1];
         client.call(cluster.address("perch-0"), request, response -> status[0] = response.status());
         cluster.run(Duration.ofSeconds(2));
@@ -253,7 +253,7 @@
                 for (String controller : cluster.nodes()) {
                     List<HttpResponse> responses = new ArrayList<>();
                     cluster.network
-                            .client("users", cluster.time.process())
+                            .client("users", cluster.time.newProcess())
                             .call(
                                     cluster.address(controller),
                                     HttpRequest.post("/v2/runs", Cbor.encode(altered), Duration.ofSeconds(5)),
--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -214,7 +214,7 @@
     void aControllerIsUnhealthyOnceItsMembershipExpired(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(60));
         String node = cluster.nodes().get(seed % 3);
-        var prober = cluster.network.client("prober", cluster.time.process());
+        var prober = cluster.network.client("prober", cluster.time.newProcess());
         List<Instant> readyWithoutMembership = new ArrayList<>();
         cutFromStore(cluster, node, Duration.ofSeconds(30));
         for (int i = 0; i < 1500; i++) {
--- a/src/test/java/org/gullway/LateCommitResponseTest.java
+++ b/src/test/java/org/gullway/LateCommitResponseTest.java
@@ -43,7 +43,7 @@
 
         Submitter(SimulatedCluster cluster) {
             this.time = cluster.time;
-            this.process = cluster.time.process();
+            this.process = cluster.time.newProcess();
             this.client = cluster.network.client("users", process);
         }
 
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -43,7 +43,7 @@
     final StoreRequestLog storeRequests = new StoreRequestLog(time);
     final ResponseLog responses = new ResponseLog(time);
     final List<String> violations;
-    private final SimulatedTime.SimulatedProcess loop = time.process();
+    private final SimulatedTime.SimulatedProcess loop = time.newProcess();
     private final SimulatedControllers controllers;
     private final TestUsers users;
     private final SimulatedJobs jobs;
--- a/src/test/java/org/gullway/SimulatedControllers.java
+++ b/src/test/java/org/gullway/SimulatedControllers.java
@@ -45,7 +45,7 @@
         this.shape = shape;
         this.responses = responses;
         this.onViolation = onViolation;
-        this.loop = network.time().process();
+        this.loop = network.time().newProcess();
         for (int i = 0; i < CONTROLLERS; i++) {
             publicAddresses.put("perch-" + i, "10.0.0." + (i + 1) + ":" + PUBLIC_PORT);
         }
@@ -82,7 +82,7 @@
         if (running.containsKey(name)) {
             return;
         }
-        SimulatedTime.SimulatedProcess process = network.time().process();
+        SimulatedTime.SimulatedProcess process = network.time().newProcess();
         running.put(name, process);
         Settings settings = settings(name);
         Controller controller = new Controller(
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -36,7 +36,7 @@
     private static final AgentCommand STOP = AgentCommand.stop(new TaskId("run-000002", 0), 1, Duration.ZERO);
 
     private final ClusterState clusterState = TestFixtures.clusterState();
-    private final SimulatedTime.SimulatedProcess loop = new SimulatedTime().process();
+    private final SimulatedTime.SimulatedProcess loop = new SimulatedTime().newProcess();
     private final Metrics metrics = new Metrics();
     private final InvariantMonitor invariants = new InvariantMonitor(metrics);
     private final List<String> violations = new ArrayList<>();
--- a/src/test/java/org/gullway/StatusQueryLimitsTest.java
+++ b/src/test/java/org/gullway/StatusQueryLimitsTest.java
@@ -29,7 +29,7 @@
 
     private static void send(
             SimulatedCluster cluster, String node, HttpRequest request, Consumer<HttpResponse> callback) {
-        HttpClient client = cluster.network.client("users", cluster.time.process());
+        HttpClient client = cluster.network.client("users", cluster.time.newProcess());
         client.call(cluster.address(node), request, callback);
     }
 
--- a/src/test/java/org/gullway/StoreOutageDetectorTest.java
+++ b/src/test/java/org/gullway/StoreOutageDetectorTest.java
@@ -33,7 +33,7 @@
 
         HealthChecks(SimulatedCluster cluster) {
             this.cluster = cluster;
-            SimulatedTime.SimulatedProcess process = cluster.time.process();
+            SimulatedTime.SimulatedProcess process = cluster.time.newProcess();
             this.balancer = cluster.network.client("balancer", process);
             process.every(CHECK_INTERVAL, () -> cluster.nodes().forEach(this::check));
         }
--- a/src/test/java/org/gullway/agent/HeartbeatAdmissionTest.java
+++ b/src/test/java/org/gullway/agent/HeartbeatAdmissionTest.java
@@ -14,7 +14,7 @@
 
 class HeartbeatAdmissionTest {
     private final SimulatedTime time = new SimulatedTime();
-    private final SimulatedTime.SimulatedProcess loop = time.process();
+    private final SimulatedTime.SimulatedProcess loop = time.newProcess();
     private final List<Integer> responses = new ArrayList<>();
     private int handled;
 
--- a/src/test/java/org/gullway/api/JobLookupTest.java
+++ b/src/test/java/org/gullway/api/JobLookupTest.java
@@ -21,7 +21,7 @@
     private static final Duration STORE_LATENCY = Duration.ofMillis(500);
 
     private final SimulatedTime time = new SimulatedTime();
-    private final SimulatedTime.SimulatedProcess loop = time.process();
+    private final SimulatedTime.SimulatedProcess loop = time.newProcess();
     private final SimulatedNetwork network = new SimulatedNetwork(time, new SplittableRandom(1), 0);
     private final TokenBucket rateLimit = new TokenBucket(loop, 4, 1);
     private final FinalStateCache finalStates = new FinalStateCache(new ClusterState());
--- a/src/test/java/org/gullway/api/LinearizableResponsesTest.java
+++ b/src/test/java/org/gullway/api/LinearizableResponsesTest.java
@@ -39,7 +39,7 @@
     private final Map<String, JobStatus> finalStates = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
     private final LinearizableResponses responses = new LinearizableResponses(
-            new SimulatedTime().process(), id -> Optional.ofNullable(finalStates.get(id)), violations::add);
+            new SimulatedTime().newProcess(), id -> Optional.ofNullable(finalStates.get(id)), violations::add);
     /** The kinds of responses that can also report that there is no such job. */
     private final List<BiConsumer<UserRequest, JobLookupResult>> kindsAllowingNotFound = List.of(
             (request, result) -> responses.respondToQueries(List.of(request), result),
--- a/src/test/java/org/gullway/fake/FakesTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -24,7 +24,7 @@
     private static final String OTHER_CONTROLLER_ADDRESS = "10.0.0.2:8080";
     private static final Duration LEASE = Duration.ofSeconds(20);
     private final SimulatedTime time = new SimulatedTime();
-    private final SimulatedTime.SimulatedProcess loop = time.process();
+    private final SimulatedTime.SimulatedProcess loop = time.newProcess();
     private final SimulatedNetwork network = new SimulatedNetwork(time, new SplittableRandom(3), 0);
     private final FakeStateStore store = new FakeStateStore(loop);
     private final HttpClient firstClient = network.client("perch-0", loop);
--- a/src/test/java/org/gullway/fake/FaultyLinkTest.java
+++ b/src/test/java/org/gullway/fake/FaultyLinkTest.java
@@ -19,7 +19,7 @@
     private static final Duration ONE_SECOND = Duration.ofSeconds(1);
 
     private final SimulatedTime time = new SimulatedTime();
-    private final FaultyLink link = new FaultyLink(time.process(), new SplittableRandom(7));
+    private final FaultyLink link = new FaultyLink(time.newProcess(), new SplittableRandom(7));
     private final List<String> arrived = new ArrayList<>();
     private final List<String> answered = new ArrayList<>();
     private final Consumer<HttpExchange> server = link.server("perch-0", exchange -> {
--- a/src/test/java/org/gullway/fake/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/fake/SimulatedNetwork.java
@@ -87,7 +87,7 @@
     /** @param faultShare share of requests that are delayed, and share of requests that are delivered twice */
     public SimulatedNetwork(SimulatedTime time, RandomGenerator random, double faultShare) {
         this.time = time;
-        this.networkProcess = time.process();
+        this.networkProcess = time.newProcess();
         this.random = random;
         this.faultShare = faultShare;
     }
--- a/src/test/java/org/gullway/fake/SimulatedTime.java
+++ b/src/test/java/org/gullway/fake/SimulatedTime.java
@@ -76,7 +76,7 @@
         }
     }
 
-    public SimulatedProcess process() {
+    public SimulatedProcess newProcess() {
         return new SimulatedProcess();
     }
 
--- a/src/test/java/org/gullway/storage/ReplicatedStateTest.java
+++ b/src/test/java/org/gullway/storage/ReplicatedStateTest.java
@@ -25,8 +25,8 @@
 class ReplicatedStateTest {
     private static final String STORE_ADDRESS = "10.2.0.1:2379";
     private final SimulatedTime time = new SimulatedTime();
-    private final SimulatedTime.SimulatedProcess storeProcess = time.process();
-    private final SimulatedTime.SimulatedProcess controllerProcess = time.process();
+    private final SimulatedTime.SimulatedProcess storeProcess = time.newProcess();
+    private final SimulatedTime.SimulatedProcess controllerProcess = time.newProcess();
     private final SimulatedNetwork network = new SimulatedNetwork(time, new SplittableRandom(2), 0);
     private final FakeStateStore store = new FakeStateStore(storeProcess);
     private final ClusterState clusterState = new ClusterState();
@@ -98,7 +98,7 @@
         test.time.runUntil(test.time.now().plusMillis(millisBeforeRestart));
         test.network.delayResponses("/store", Duration.ofMillis(700));
         test.controllerProcess.kill();
-        SimulatedTime.SimulatedProcess process = test.time.process();
+        SimulatedTime.SimulatedProcess process = test.time.newProcess();
         ReplicatedState restarted = new ReplicatedState(
                 process,
                 new StateStoreClient(test.network.client("perch-0", process), STORE_ADDRESS),
