--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -80,7 +80,7 @@
         }
 
         @Override
-        public void answered(String from, String address, HttpResponse response) {
+        public void completed(String from, String address, HttpResponse response) {
             add("answered", from, address, codeOf(response.outcome()), Integer.toString(response.status()));
             add(response.body());
         }
--- a/src/test/java/org/gullway/fake/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/fake/SimulatedNetwork.java
@@ -59,12 +59,12 @@
             public void sent(String from, String address, HttpRequest request) {}
 
             @Override
-            public void answered(String from, String address, HttpResponse response) {}
+            public void completed(String from, String address, HttpResponse response) {}
         };
 
         void sent(String from, String address, HttpRequest request);
 
-        void answered(String from, String address, HttpResponse response);
+        void completed(String from, String address, HttpResponse response);
     }
 
     private final SimulatedTime time;
@@ -208,7 +208,7 @@
         return response -> {
             if (!finished[0]) {
                 finished[0] = true;
-                trafficListener.answered(from, address, response);
+                trafficListener.completed(from, address, response);
                 callback.accept(response);
             }
         };
