--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -148,13 +148,13 @@
         SpareServer server = spareServers.isEmpty() ? newServer() : spareServers.remove();
         FakeAgent machine = new FakeAgent(
                 loop,
-                link(name + ">controllers").client(client),
+                link(name + ">controllers").wrapClient(client),
                 machines.up(name, kind),
                 random.split(),
                 new FakeAgent.Machine(name, server.address, kind),
                 publicAddresses,
                 new FakeAgent.Timing(setup.heartbeatInterval(), setup.lease()));
-        server.handler = link("controllers>" + name).server("", machine::handle);
+        server.handler = link("controllers>" + name).wrapHandler("", machine::handle);
         return machine;
     }
 
@@ -167,7 +167,7 @@
 
     /** The client with which users reach the controllers. */
     HttpClient userClient() {
-        return link("users>controllers").client(client);
+        return link("users>controllers").wrapClient(client);
     }
 
     private FaultyLink link(String name) {
@@ -183,8 +183,8 @@
                 OPERATOR_SETTINGS,
                 "<gullway><membership-lease-s>" + setup.membership().toSeconds() + "</membership-lease-s></gullway>");
         for (String name : nodes()) {
-            String storeAddress = transport.listen(link(name + ">state").server(name, store::handle));
-            String cloudAddress = transport.listen(link(name + ">cloud").server(name, cloud::handle));
+            String storeAddress = transport.listen(link(name + ">state").wrapHandler(name, store::handle));
+            String cloudAddress = transport.listen(link(name + ">cloud").wrapHandler(name, cloud::handle));
             List<Settings.Peer> seeds = new ArrayList<>();
             for (String peer : nodes()) {
                 if (!peer.equals(name)) {
--- a/src/test/java/org/gullway/fake/FaultyLink.java
+++ b/src/test/java/org/gullway/fake/FaultyLink.java
@@ -73,7 +73,7 @@
      * Returns a handler that passes requests through this link to a server's handler, which sees this name as their
      * sender.
      */
-    public Consumer<HttpExchange> server(String from, Consumer<HttpExchange> handler) {
+    public Consumer<HttpExchange> wrapHandler(String from, Consumer<HttpExchange> handler) {
         return exchange -> deliver(
                 new SimulatedNetwork.Message(
                         from,
@@ -87,7 +87,7 @@
 
     /** Returns a handler that forwards requests through this link to the address, by means of the client. */
     public Consumer<HttpExchange> forwarder(String address, HttpClient client, Duration timeout) {
-        return server(
+        return wrapHandler(
                 "",
                 message -> client.call(address, toRequest(message, timeout), response -> {
                     if (response.outcome() == HttpResponse.Outcome.ANSWERED) {
@@ -99,7 +99,7 @@
     }
 
     /** Returns a client whose requests pass through this link. */
-    public HttpClient client(HttpClient client) {
+    public HttpClient wrapClient(HttpClient client) {
         return (address, request, callback) -> {
             Consumer<HttpResponse> once = once(callback);
             loop.after(request.timeout(), () -> once.accept(HttpResponse.unknown()));
--- a/src/test/java/org/gullway/fake/FaultyLinkTest.java
+++ b/src/test/java/org/gullway/fake/FaultyLinkTest.java
@@ -22,7 +22,7 @@
     private final FaultyLink link = new FaultyLink(time.newProcess(), new SplittableRandom(7));
     private final List<String> arrived = new ArrayList<>();
     private final List<String> answered = new ArrayList<>();
-    private final Consumer<HttpExchange> server = link.server("perch-0", exchange -> {
+    private final Consumer<HttpExchange> server = link.wrapHandler("perch-0", exchange -> {
         arrived.add(exchange.path());
         exchange.respond(HttpStatus.OK, new byte[0]);
     });
@@ -105,7 +105,7 @@
     void aClientTimesOutOnALostRequest() {
         link.set(new Conditions(1, 0, 0, ONE_SECOND, 0, 0, Duration.ZERO));
         List<HttpResponse.Outcome> outcomes = new ArrayList<>();
-        link.client((address, request, callback) -> callback.accept(HttpResponse.answered(200, new byte[0])))
+        link.wrapClient((address, request, callback) -> callback.accept(HttpResponse.answered(200, new byte[0])))
                 .call("127.0.0.1:1", HttpRequest.get("/a", ONE_SECOND), response -> outcomes.add(response.outcome()));
         run(ONE_SECOND.multipliedBy(2));
         assertThat(outcomes).containsExactly(HttpResponse.Outcome.UNKNOWN);
