--- a/src/main/java/org/gullway/cloud/CloudClient.java
+++ b/src/main/java/org/gullway/cloud/CloudClient.java
@@ -24,9 +24,9 @@
 public final class CloudClient {
     private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
-    private static final String MACHINE_TYPES = "/flavors";
-    private static final String MACHINES = "/rentals";
-    private static final String RELEASE = "/rentals/return";
+    private static final String MACHINE_TYPES_PATH = "/flavors";
+    private static final String MACHINES_PATH = "/rentals";
+    private static final String RELEASE_PATH = "/rentals/return";
 
     private final HttpClient httpClient;
     private final String address;
@@ -57,8 +57,8 @@
     void fetchMachineTypes(Consumer<Optional<List<MachineType>>> callback) {
         httpClient.call(
                 address,
-                HttpRequest.get(MACHINE_TYPES, TIMEOUT),
-                response -> callback.accept(decode(response, CloudMessages::decodeTypes, MACHINE_TYPES)));
+                HttpRequest.get(MACHINE_TYPES_PATH, TIMEOUT),
+                response -> callback.accept(decode(response, CloudMessages::decodeTypes, MACHINE_TYPES_PATH)));
     }
 
     /**
@@ -68,11 +68,11 @@
      * @param callback gets an empty value if the request fails
      */
     void fetchMachines(String after, Consumer<Optional<CloudMessages.Page>> callback) {
-        String path = MACHINES + "?from=" + after + "&page=" + CloudMessages.PAGE_SIZE;
+        String path = MACHINES_PATH + "?from=" + after + "&page=" + CloudMessages.PAGE_SIZE;
         httpClient.call(
                 address,
                 HttpRequest.get(path, TIMEOUT),
-                response -> callback.accept(decode(response, CloudMessages::decodePage, MACHINES)));
+                response -> callback.accept(decode(response, CloudMessages::decodePage, MACHINES_PATH)));
     }
 
     private static <T> Optional<T> decode(HttpResponse response, Decoder<T> decoder, String path) {
@@ -97,7 +97,7 @@
                 requestId, request.type(), request.zone(), request.spot(), request.count());
         httpClient.call(
                 address,
-                HttpRequest.post(MACHINES, body, TIMEOUT),
+                HttpRequest.post(MACHINES_PATH, body, TIMEOUT),
                 response -> callback.accept(outcome(requestId, response)));
     }
 
@@ -108,7 +108,7 @@
             } catch (MalformedMessageException e) {
                 LOG.error(
                         "malformed response from cloud provider path={} request={} error={}",
-                        MACHINES,
+                        MACHINES_PATH,
                         requestId,
                         e.getMessage());
                 return ProvisioningOutcome.withoutMachines(ProvisioningOutcome.Status.MALFORMED, response);
@@ -122,6 +122,7 @@
 
     /** Releases machines and passes the provider's response to the callback. */
     void release(List<String> machines, Consumer<HttpResponse> callback) {
-        httpClient.call(address, HttpRequest.post(RELEASE, CloudMessages.encodeRelease(machines), TIMEOUT), callback);
+        httpClient.call(
+                address, HttpRequest.post(RELEASE_PATH, CloudMessages.encodeRelease(machines), TIMEOUT), callback);
     }
 }
--- a/src/main/java/org/gullway/cloud/CloudProvisioner.java
+++ b/src/main/java/org/gullway/cloud/CloudProvisioner.java
@@ -70,8 +70,8 @@
         }
         listing.refresh(now);
         releaser.releaseUnneeded();
-        // Machines that a former leader provisioned but did not record appear only in the provider's list. Planning
-        // before the first complete list would provision machines in their place again.
+        // Machines that a former leader provisioned but did not record appear only in the provider's list. Until this
+        // controller has fetched a complete list, planning would provision duplicates of them.
         if (listing.isCompletedOnce() && scaleOutExecutor.isPlanningDue(now)) {
             scaleOutExecutor.plan(now);
         }
@@ -84,8 +84,9 @@
 
     /**
      * Releases machines without recording it, while the state store cannot be written. This is the last resort for
-     * ending cancelled tasks within their time limit. This controller removes the records of the machines when it plans
-     * as the leader again; any other controller treats the machines as unresponsive.
+     * ending cancelled tasks within their time limit. This controller removes the records of the machines if it becomes
+     * the leader while its inventory still lists them as released; any other controller treats the machines as
+     * unresponsive.
      */
     public void releaseWithoutRecord(Set<String> machines) {
         releaser.release(machines);
--- a/src/main/java/org/gullway/cloud/MachineRecorder.java
+++ b/src/main/java/org/gullway/cloud/MachineRecorder.java
@@ -26,7 +26,7 @@
     private final ClusterState clusterState;
     private final CloudInventory inventory;
     private final Incarnation self;
-    private int shardAssignments;
+    private int assignmentCount;
     private Instant removedAt = Instant.MIN;
 
     MachineRecorder(ClusterState clusterState, CloudInventory inventory, Incarnation self) {
@@ -49,9 +49,7 @@
             return;
         }
         ShardAssignment assignment = new ShardAssignment(
-                clusterState,
-                transaction,
-                Long.toString(self.number(), Character.MAX_RADIX) + "-" + ++shardAssignments);
+                clusterState, transaction, Long.toString(self.number(), Character.MAX_RADIX) + "-" + ++assignmentCount);
         for (Map.Entry<String, UnrecordedMachine> entry : unrecorded.entrySet()) {
             UnrecordedMachine machine = entry.getValue();
             Instant provisionedAt = machine.provisionedAtOr(transaction.timeOfDay());
--- a/src/main/java/org/gullway/cloud/MachineReleaser.java
+++ b/src/main/java/org/gullway/cloud/MachineReleaser.java
@@ -38,7 +38,10 @@
         this.onChange = onChange;
     }
 
-    /** Releases the machines that the autoscaler no longer needs, and failed machines that have no record. */
+    /**
+     * Releases up to one batch of the machines that the autoscaler no longer needs and of failed machines without a
+     * record. Does nothing if a release is in flight or the rate limit is reached.
+     */
     void releaseUnneeded() {
         if (releasing) {
             return;
@@ -49,7 +52,10 @@
         releaseBatch(names);
     }
 
-    /** Releases the given machines, except those that were released already. */
+    /**
+     * Releases up to one batch of the given machines, except those that were released already. Does nothing if a
+     * release is in flight or the rate limit is reached.
+     */
     void release(Set<String> machines) {
         if (releasing) {
             return;
@@ -82,7 +88,7 @@
     private void logRelease(String name) {
         MachineRecord machine = clusterState.machine(name);
         LOG.debug(
-                "releasing a machine machine={} lifecycle={} revision={} fencing_token={}",
+                "sending release request machine={} lifecycle={} revision={} fencing_token={}",
                 name,
                 machine == null ? "none" : machine.lifecycle(),
                 clusterState.machineVersion(name),
--- a/src/main/java/org/gullway/cloud/MachineTypeRefresh.java
+++ b/src/main/java/org/gullway/cloud/MachineTypeRefresh.java
@@ -11,14 +11,17 @@
 /** Refreshes the catalog of machine types periodically. */
 final class MachineTypeRefresh {
     private static final Duration INTERVAL = Duration.ofSeconds(30);
-    /** Short because tasks cannot be placed without machine types. */
+    /**
+     * Interval while the catalog is empty, and delay after a failed request. Short because tasks cannot be placed
+     * without machine types.
+     */
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
     private final EventLoop loop;
     private final CloudClient client;
     private final MachineTypeCatalog catalog;
     private final Runnable onChange;
-    private Instant requestedAt = Instant.MIN;
+    private Instant intervalStartedAt = Instant.MIN;
 
     MachineTypeRefresh(EventLoop loop, CloudClient client, MachineTypeCatalog catalog, Runnable onChange) {
         this.loop = loop;
@@ -30,8 +33,8 @@
     /** Fetches the machine types if the interval has passed and the rate limit allows it. */
     void refresh(Instant now) {
         Duration interval = catalog.isEmpty() ? RETRY_DELAY : INTERVAL;
-        if (!requestedAt.plus(interval).isAfter(now) && client.tryAcquire()) {
-            requestedAt = now;
+        if (!intervalStartedAt.plus(interval).isAfter(now) && client.tryAcquire()) {
+            intervalStartedAt = now;
             client.fetchMachineTypes(this::onResponse);
         }
     }
@@ -41,7 +44,8 @@
             catalog.update(types.get());
             onChange.run();
         } else {
-            requestedAt = loop.now().minus(INTERVAL).plus(RETRY_DELAY);
+            // Makes the next request due after the retry delay, or immediately if the catalog is empty.
+            intervalStartedAt = loop.now().minus(INTERVAL).plus(RETRY_DELAY);
         }
     }
 }
--- a/src/main/java/org/gullway/cloud/ProvisioningOutcome.java
+++ b/src/main/java/org/gullway/cloud/ProvisioningOutcome.java
@@ -16,9 +16,12 @@
         PROVISIONED,
         /** The provider refused the request, which is treated as a lack of capacity for the requested machines. */
         REFUSED,
-        /** The provider processed the request, but the response with the names of the machines is malformed. */
+        /**
+         * The provider processed the request, but its response with the names of the machines is malformed. The
+         * machines are recorded when they appear in the provider's list.
+         */
         MALFORMED,
-        /** The provider may have processed the request; the same request must be sent again. */
+        /** The request was not processed, or its outcome is unknown. It must be sent again with the same id. */
         UNKNOWN
     }
 
--- a/src/main/java/org/gullway/cloud/ScaleOutExecutor.java
+++ b/src/main/java/org/gullway/cloud/ScaleOutExecutor.java
@@ -13,13 +13,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends the autoscaler's provisioning requests and repeats each request until its outcome is known. */
+/**
+ * Sends the autoscaler's provisioning requests, and repeats each request until its outcome is known or this controller
+ * is no longer the leader.
+ */
 final class ScaleOutExecutor {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOutExecutor.class);
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
     /**
      * Minimum time from the start of one planning run to the next, as a multiple of the time that the run took.
-     * Planning iterates over the whole fleet; when CPU time is scarce, it must not take more than a small share of it.
+     * Planning iterates over the whole fleet, and this interval limits it to 1/20 of the time even when the CPU is
+     * slow.
      */
     private static final int PLANNING_INTERVAL_FACTOR = 20;
 
@@ -35,7 +39,7 @@
     private Instant nextPlanningAt = Instant.MIN;
 
     /**
-     * A request whose outcome is unknown. It is repeated with the same id, so that the provider processes it only once.
+     * A request whose outcome is unknown. It is repeated with the same id so that the provider processes it only once.
      */
     private record PendingRequest(String id, ProvisioningRequest request) {}
 
@@ -68,7 +72,10 @@
         return pendingRequests.isEmpty() && !inventory.hasUnrecorded() && !now.isBefore(nextPlanningAt);
     }
 
-    /** Plans provisioning requests and sends as many of them as the rate limit allows. */
+    /**
+     * Plans provisioning requests and sends as many of them as the rate limit allows. The next planning run plans the
+     * others again.
+     */
     void plan(Instant now) {
         List<ProvisioningRequest> requests = autoscaler.machinesToProvision(now);
         Duration planningTime = Duration.between(now, loop.now());
--- a/src/main/java/org/gullway/transport/ConnectionPool.java
+++ b/src/main/java/org/gullway/transport/ConnectionPool.java
@@ -62,7 +62,7 @@
      * Returns whether an abandoned attempt forbids another connection to the address. Always false for essential
      * addresses.
      */
-    boolean isAbandoned(String address) {
+    boolean blocksNewConnection(String address) {
         return abandonedConnects.containsKey(address) && !essential.contains(address);
     }
 
--- a/src/main/java/org/gullway/transport/HttpExchange.java
+++ b/src/main/java/org/gullway/transport/HttpExchange.java
@@ -22,6 +22,6 @@
         respond(status, new byte[0]);
     }
 
-    /** Rejects the request temporarily, with a {@code Retry-After} header. */
+    /** Responds without a body, with a {@code Retry-After} header that asks the client to retry after the duration. */
     void reject(int status, Duration retryAfter);
 }
--- a/src/main/java/org/gullway/transport/HttpResponse.java
+++ b/src/main/java/org/gullway/transport/HttpResponse.java
@@ -14,11 +14,11 @@
     /** Whether a response was received, and if not, whether the request may have been processed. */
     public enum Outcome {
         ANSWERED,
-        /** The request was not sent, so it was certainly not processed. */
+        /** No connection to the peer was established, so the request was certainly not processed. */
         NOT_SENT,
         /**
-         * The request was not sent because the local socket budget is used up; says nothing about the reachability of
-         * the peer.
+         * The request was not sent because the local socket budget is used up. Does not indicate that the peer is
+         * unreachable.
          */
         NO_SOCKET,
         /** No complete response was received. The request may have been processed, or may still be processed later. */
--- a/src/main/java/org/gullway/transport/HttpServer.java
+++ b/src/main/java/org/gullway/transport/HttpServer.java
@@ -24,7 +24,10 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
-/** An HTTP server that passes complete requests to a handler on the event loop. */
+/**
+ * An HTTP server that reads each request completely and passes it to a handler on the event loop. The handler gets a
+ * null body if the body exceeds the limit or could not be read.
+ */
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
@@ -124,8 +127,8 @@
         int colon = address.lastIndexOf(':');
         InetSocketAddress socketAddress =
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-        // Undertow's builder is not used: its handlers match each request's Host header against a pattern. This is
-        // slowest before the JIT compiler has compiled the code, and no handler of this server needs the header.
+        // Undertow's builder is not used: its handlers match each request's Host header against a pattern. That slows
+        // down the first requests after start-up, before the code is compiled, and no handler needs the header.
         HttpOpenListener listener = new HttpOpenListener(buffers, SERVER_OPTIONS);
         listener.setRootHandler(exchange -> {
             countConnection(socketBudget, exchange.getConnection());
@@ -169,17 +172,17 @@
             exchange.getRequestReceiver()
                     .receivePartialBytes(
                             new BodyOfUnknownLength(socketBudget, bodyLimit, handler),
-                            (ex, error) -> rejectBody(ex, socketBudget, handler));
+                            (ex, error) -> dispatchWithoutBody(ex, socketBudget, handler));
             return;
         }
         exchange.setMaxEntitySize(bodyLimit);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
                         (ex, bytes) -> dispatch(ex, bytes, socketBudget, handler),
-                        (ex, error) -> rejectBody(ex, socketBudget, handler));
+                        (ex, error) -> dispatchWithoutBody(ex, socketBudget, handler));
     }
 
-    private static void rejectBody(HttpServerExchange exchange, SocketBudget socketBudget, Handler handler) {
+    private static void dispatchWithoutBody(HttpServerExchange exchange, SocketBudget socketBudget, Handler handler) {
         exchange.setPersistent(false);
         dispatch(exchange, null, socketBudget, handler);
     }
--- a/src/main/java/org/gullway/transport/TokenBucket.java
+++ b/src/main/java/org/gullway/transport/TokenBucket.java
@@ -5,8 +5,8 @@
 
 /**
  * Limits the rate of this controller's requests to a service that has one rate limit for all controllers together.
- * Tokens accrue at a share of that limit, up to the tokens of one second. The service rejects what all controllers
- * together send beyond its limit.
+ * Tokens accrue at a share of that limit, up to the tokens of one second. The shares of the controllers may add up to
+ * more than the limit; the service rejects the requests beyond it.
  */
 public final class TokenBucket {
     private static final double DEFAULT_SHARE = 0.6;
@@ -48,14 +48,13 @@
     }
 
     /**
-     * Returns whether a token is available. The balance may become negative by {@link #consume}; later tokens offset
-     * it.
+     * Returns whether a token is available.
      */
     public boolean hasToken() {
         return refill() >= 1;
     }
 
-    /** Returns whether there are tokens for a batch of requests: a quarter of the tokens of one second. */
+    /** Returns whether there are enough tokens for several requests: a quarter of the tokens of one second. */
     public boolean hasTokensForBatch() {
         return refill() >= Math.max(1, tokensPerSecond / BATCH_DIVISOR);
     }
@@ -68,7 +67,10 @@
         return tokens;
     }
 
-    /** Returns the time until a token is available plus a short delay, in which further requests can join the batch. */
+    /**
+     * Returns the time until a token is available, plus a short delay in which the caller can collect further requests
+     * to send them together.
+     */
     public Duration batchingDelay() {
         double missing = 1 - refill();
         return Duration.ofMillis(missing <= 0 ? BATCHING_MS : BATCHING_MS + (long) (1000 * missing / tokensPerSecond));
@@ -80,6 +82,7 @@
         return missing <= 0 ? Duration.ZERO : Duration.ofMillis((long) Math.ceil(1000 * missing / tokensPerSecond));
     }
 
+    /** Takes tokens, even if there are not enough; later tokens first make up for the deficit. */
     public void consume(int count) {
         tokens -= count;
     }
--- a/src/main/java/org/gullway/transport/UndertowHttpClient.java
+++ b/src/main/java/org/gullway/transport/UndertowHttpClient.java
@@ -51,7 +51,9 @@
         private final Consumer<HttpResponse> callback;
         private final ByteArrayOutputStream received = new ByteArrayOutputStream(512);
         private final Runnable cancelTimer;
+        /** The connection in use; null before it is established and after it was returned to the pool. */
         private ClientConnection connection;
+
         private boolean connecting;
         private boolean finished;
 
@@ -68,7 +70,7 @@
                 send(idle);
                 return;
             }
-            if (connections.isAbandoned(address)) {
+            if (connections.blocksNewConnection(address)) {
                 finish(HttpResponse.notSent());
                 return;
             }
@@ -221,10 +223,10 @@
             boolean closeRequested = "close"
                     .equalsIgnoreCase(
                             exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
-            ClientConnection reusable = connection;
+            ClientConnection usedConnection = connection;
             if (!finished && !closeRequested) {
                 connection = null;
-                connections.putIdle(address, reusable);
+                connections.putIdle(address, usedConnection);
             }
             finish(response);
         }
--- a/src/main/java/org/gullway/transport/package-info.java
+++ b/src/main/java/org/gullway/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP over sockets, and timers, independent of the scheduler. All callbacks run on the thread of one event loop and
- * must not block it.
+ * HTTP over sockets, timers, and limits on sockets and request rates. Depends on no other package of the system. All
+ * callbacks run on the thread of one event loop and must not block it.
  */
 package org.gullway.transport;
--- a/src/test/java/org/gullway/fake/AgentTasks.java
+++ b/src/test/java/org/gullway/fake/AgentTasks.java
@@ -127,7 +127,7 @@
 
     private void start(String key, Task task) {
         tasks.put(key, task);
-        task.endCause = refusalCause(task);
+        task.endCause = immediateEndCause(task);
         if (task.running()) {
             environment.onTaskStarted(machine, task.id);
             task.remaining = environment.runTime(task.job());
@@ -135,8 +135,8 @@
         }
     }
 
-    /** Returns why the start is refused, or null if it is accepted. */
-    private String refusalCause(Task task) {
+    /** Returns the cause with which the task ends immediately, or null if it runs. */
+    private String immediateEndCause(Task task) {
         JobRequest job = environment.jobOf(task.job());
         if (job == null) {
             return "no_such";
@@ -153,7 +153,8 @@
         if (usedCpus + job.cpus() > cpus + CPU_TOLERANCE) {
             return "full";
         }
-        // A completed task has its result. If it is started again, it exits once its image is present.
+        // A task that has already completed, on any machine, has its result and exits as soon as it is started. A real
+        // task fetches its image first.
         return environment.isCompleted(task.id) ? "done" : null;
     }
 
--- a/src/test/java/org/gullway/fake/CommitLimits.java
+++ b/src/test/java/org/gullway/fake/CommitLimits.java
@@ -9,9 +9,14 @@
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpStatus;
 
-/** The limits that the state store's protocol sets for transactions, and counters of the changes by key prefix. */
+/**
+ * The limits that the state store's protocol sets for transactions, and counters of the changes by key prefix. Sizes in
+ * bytes are approximated by the length of the JSON text, although messages are encoded as CBOR.
+ */
 final class CommitLimits {
-    private static final int MAX_CONDITIONS_PER_CHANGE = 4;
+    /** The maximum number of conditions, as a multiple of the maximum number of changes. */
+    private static final int CONDITION_LIMIT_FACTOR = 4;
+
     private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
 
     private final EventLoop loop;
@@ -31,7 +36,7 @@
     int admit(ObjectNode body) {
         JsonNode then = body.path("then");
         boolean valid = then.size() <= FakeStateStore.MAX_CHANGES_PER_COMMIT
-                && body.path("guards").size() <= MAX_CONDITIONS_PER_CHANGE * FakeStateStore.MAX_CHANGES_PER_COMMIT
+                && body.path("guards").size() <= CONDITION_LIMIT_FACTOR * FakeStateStore.MAX_CHANGES_PER_COMMIT
                 && body.toString().length() <= MAX_TRANSACTION_BYTES;
         for (JsonNode change : then) {
             int bytes = change.path("v").toString().length();
@@ -61,7 +66,7 @@
         changes.merge(parts.length > 1 ? parts[0] + "/" + parts[1] : parts[0], 1, Integer::sum);
     }
 
-    /** Returns the number of changes of keys with this prefix. */
+    /** Returns the number of changes of keys with this prefix, which has at most two segments. */
     int changeCount(String prefix) {
         return changes.entrySet().stream()
                 .filter(e -> e.getKey().startsWith(prefix))
--- a/src/test/java/org/gullway/fake/FakeAgent.java
+++ b/src/test/java/org/gullway/fake/FakeAgent.java
@@ -163,7 +163,7 @@
         Instant sentAt = loop.now();
         long epochWhenSent = agentEpoch;
         return new HeartbeatLoop.OutgoingHeartbeat(
-                Cbor.encode(status()), response -> onHeartbeatAccepted(response, sentAt, epochWhenSent));
+                Cbor.encode(nextStatus()), response -> onHeartbeatAccepted(response, sentAt, epochWhenSent));
     }
 
     private void onHeartbeatAccepted(byte[] response, Instant sentAt, long epochWhenSent) {
@@ -181,14 +181,14 @@
         }
     }
 
-    /** Responds to a command batch or a status query; if the machine hangs, when it resumes. */
+    /** Responds to a command batch or a status query. If the machine hangs, it responds when it resumes. */
     public void handle(HttpExchange exchange) {
         process.runWhenResponsive(() -> serve(exchange));
     }
 
     private void serve(HttpExchange exchange) {
         if (exchange.path().equals("/inspect")) {
-            exchange.respond(HttpStatus.OK, Cbor.encode(status()));
+            exchange.respond(HttpStatus.OK, Cbor.encode(nextStatus()));
             return;
         }
         try {
@@ -197,10 +197,10 @@
                 exchange.respond(HttpStatus.BAD_REQUEST, new byte[0]);
             } else if (node.path("baton").asLong() < fencingToken
                     || node.path("flight").asLong() != agentEpoch) {
-                exchange.respond(HttpStatus.CONFLICT, Cbor.encode(status()));
+                exchange.respond(HttpStatus.CONFLICT, Cbor.encode(nextStatus()));
             } else {
                 execute(node);
-                exchange.respond(HttpStatus.OK, Cbor.encode(status()));
+                exchange.respond(HttpStatus.OK, Cbor.encode(nextStatus()));
             }
         } catch (MalformedMessageException e) {
             exchange.respond(HttpStatus.BAD_REQUEST, new byte[0]);
@@ -217,7 +217,7 @@
         }
     }
 
-    private ObjectNode status() {
+    private ObjectNode nextStatus() {
         ObjectNode node = Cbor.map()
                 .put("perch", machine.name())
                 .put("endpoint", machine.address())
--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -19,7 +19,7 @@
 
 /** An in-memory state store that follows the state store protocol, with faults that tests can inject. */
 public final class FakeStateStore {
-    /** Limits from the settings. The store rejects transactions that exceed them. */
+    /** Limits of the state store's protocol: changes per second, changes per transaction, and bytes per value. */
     public static final int MAX_CHANGES_PER_SECOND = 30;
 
     public static final int MAX_CHANGES_PER_COMMIT = 24;
@@ -54,7 +54,7 @@
         faults.setDown(value);
         if (!value) {
             leases.renewAll();
-            watches.answerDue();
+            watches.answerDueWatches();
         }
     }
 
@@ -64,7 +64,7 @@
     public void rejectFrom(String client, boolean on) {
         faults.rejectFrom(client, on);
         if (!on) {
-            watches.answerDue();
+            watches.answerDueWatches();
         }
     }
 
@@ -118,7 +118,9 @@
         return entry == null ? null : entry.value();
     }
 
-    /** Returns how many times keys with this prefix were put or removed. */
+    /**
+     * Returns the number of changes in committed transactions to keys with this prefix, which has at most two segments.
+     */
     public int changeCount(String prefix) {
         return limits.changeCount(prefix);
     }
@@ -136,7 +138,7 @@
     private void endLease(long id) {
         leases.remove(id);
         if (contents.removeAttached(id)) {
-            watches.answerDue();
+            watches.answerDueWatches();
         }
     }
 
@@ -250,7 +252,7 @@
         } else if (status != HttpStatus.OK) {
             exchange.respond(status, new byte[0]);
         } else if (refersToUnknownLease(body)) {
-            reject(exchange, "unknown lease");
+            reject(exchange, "transaction refers to an unknown lease");
         } else {
             commitIfUnchanged(exchange, body);
         }
@@ -281,7 +283,7 @@
         changes.forEach(change -> limits.count(StoreContents.keyOf(change)));
         contents.apply(changes);
         exchange.respond(HttpStatus.OK, Cbor.encode(revisionResponse()));
-        watches.answerDue();
+        watches.answerDueWatches();
         notifyListeners(changes);
     }
 
--- a/src/test/java/org/gullway/fake/FakesTest.java
+++ b/src/test/java/org/gullway/fake/FakesTest.java
@@ -16,7 +16,10 @@
 import org.gullway.transport.HttpStatus;
 import org.junit.jupiter.api.Test;
 
-/** The simulated systems and their faults follow the protocols. The tests with fault schedules rely on this. */
+/**
+ * Tests that the simulated systems follow their protocols and that injected faults behave as documented. All tests that
+ * inject faults rely on this.
+ */
 class FakesTest {
     private static final String STORE_ADDRESS = "10.2.0.1:2379";
     private static final String MACHINE_ADDRESS = "10.1.0.7:9000";
@@ -65,6 +68,7 @@
         List<Integer> otherWatch = watch(secondClient, 0, 5000);
         run(0.1);
         store.rejectFrom("perch-0", true);
+        // There is no response before simulated time advances.
         assertThat(call(firstClient, HttpRequest.get("/store/a/b", Duration.ofSeconds(2))))
                 .isEmpty();
         List<Integer> put = put(secondClient, 1);
@@ -117,7 +121,9 @@
         assertThat(newerPut).containsExactly(200);
         assertThat(store.value("a/b").asInt()).isEqualTo(2);
         run(12);
-        assertThat(delayedPut).as("no response but the client's own timeout").containsExactly(0);
+        assertThat(delayedPut)
+                .as("status 0: the client times out without a response")
+                .containsExactly(0);
         assertThat(store.value("a/b").asInt()).isEqualTo(1);
     }
 
@@ -249,6 +255,7 @@
         run(2);
         assertThat(start).as("command for the previous agent epoch").containsExactly(409);
         assertThat(events).containsExactly("run-000001/0 began", "run-000001/0 stopped at 26");
+        // There is no response before simulated time advances.
         assertThat(command(2, "start", "run-000001/1")).isEmpty();
         run(1);
         assertThat(events).hasSize(3);
--- a/src/test/java/org/gullway/fake/FaultyLink.java
+++ b/src/test/java/org/gullway/fake/FaultyLink.java
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Cuts or restores the link. While it is cut, messages are held back; when it is restored, they arrive in order,
-     * even if their senders have timed out.
+     * Cuts or restores the link. While it is cut, new requests are held back. When it is restored, they are delivered
+     * in order without further faults, even if their senders have timed out.
      */
     public void cut(boolean on) {
         isCut = on;
@@ -85,7 +85,10 @@
                 handler);
     }
 
-    /** Returns a handler that forwards requests through this link to the address, by means of the client. */
+    /**
+     * Returns a handler that uses the client to forward requests through this link to the address. A request that could
+     * not be sent is answered with 503; a request with unknown outcome is not answered.
+     */
     public Consumer<HttpExchange> forwarder(String address, HttpClient client, Duration timeout) {
         return wrapHandler(
                 "",
--- a/src/test/java/org/gullway/fake/HeartbeatLoop.java
+++ b/src/test/java/org/gullway/fake/HeartbeatLoop.java
@@ -111,8 +111,8 @@
 
     private void onResponse(
             String controller, Instant sentAt, OutgoingHeartbeat heartbeat, HttpResponse receivedResponse) {
-        // A machine that has hung processes responses late. A response processed after the timeout of its heartbeat is
-        // treated as a timeout.
+        // After a hang, an agent processes responses late. A response processed after the timeout of its heartbeat
+        // counts as a timeout.
         HttpResponse response =
                 loop.now().isAfter(sentAt.plus(RESPONSE_TIMEOUT)) ? HttpResponse.unknown() : receivedResponse;
         inFlight = false;
--- a/src/test/java/org/gullway/fake/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/fake/SimulatedNetwork.java
@@ -19,8 +19,8 @@
  * responses, and occasionally delivers a request twice.
  */
 public final class SimulatedNetwork {
-    /** Probability that a client has a connection from before a partition, over fault it still sends a request. */
-    private static final double OPEN_CONNECTION_SHARE = 0.7;
+    /** Probability that a client has an open connection from before a partition, over which it sends the request. */
+    private static final double OPEN_CONNECTION_PROBABILITY = 0.7;
 
     private static final int MIN_LATENCY_NANOS = 300_000;
     private static final int LATENCY_RANGE_NANOS = 3_000_000;
@@ -110,7 +110,10 @@
         hosts.remove(address);
     }
 
-    /** Blocks all messages in this direction. A party is an address, a client's name, or {@code *} for all. */
+    /**
+     * Cuts requests from one party to another: they are held back or not sent, and their responses are dropped. A party
+     * is an address, the name of a client, or {@code *} for all parties.
+     */
     public void cut(String from, String to) {
         partitions.cut(from, to);
     }
@@ -119,7 +122,10 @@
         partitions.heal(from, to);
     }
 
-    /** Ends all faults except the random delays and duplicates. Requests that were held back are lost. */
+    /**
+     * Ends all faults except the random delays and duplicates. Requests held by {@link #holdRequests} are lost;
+     * requests held back by a cut are delivered.
+     */
     public void heal() {
         partitions.heal();
         heldClients.clear();
@@ -142,7 +148,7 @@
         partitions.dropResponses(client, on);
     }
 
-    /** Prevents this client from opening connections while on; requests to its address are still answered. */
+    /** Blocks all requests of this client while on; requests to its address are still answered. */
     public void blockOutbound(String client, boolean on) {
         partitions.blockOutbound(client, on);
     }
@@ -202,7 +208,7 @@
         };
     }
 
-    /** Returns a callback that passes on only the first call, fault is a response or the timeout. */
+    /** Returns a callback that passes on only the first call, which is a response or the timeout. */
     private Consumer<HttpResponse> once(String from, String address, Consumer<HttpResponse> callback) {
         boolean[] finished = new boolean[1];
         return response -> {
@@ -215,7 +221,7 @@
     }
 
     private void send(Delivery delivery) {
-        boolean hasOpenConnection = random.nextDouble() < OPEN_CONNECTION_SHARE;
+        boolean hasOpenConnection = random.nextDouble() < OPEN_CONNECTION_PROBABILITY;
         Duration timeout = delivery.request().timeout();
         if (partitions.blocksOutbound(delivery.from())
                 || (partitions.isCut(delivery.from(), delivery.address()) && !hasOpenConnection)) {
@@ -290,7 +296,7 @@
 
     private void respond(Delivery delivery, HttpResponse response) {
         networkProcess.after(latency(), () -> {
-            // During a partition the response is dropped: if held back, it would arrive after the sender has timed out.
+            // A cut drops the response: if held back, it would arrive after the sender has timed out.
             if (!partitions.isCut(delivery.from(), delivery.address())
                     && !partitions.dropsResponses(delivery.from())
                     && !delivery.sender().killed()) {
@@ -334,6 +340,7 @@
 
         @Override
         public void reject(int status, Duration retryAfter) {
+            // Simulated messages have no headers, so Retry-After is dropped.
             respond(status, new byte[0]);
         }
     }
--- a/src/test/java/org/gullway/fake/StoreWatches.java
+++ b/src/test/java/org/gullway/fake/StoreWatches.java
@@ -12,21 +12,22 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * The open watches of the state store. A watch is answered after the next change under its prefix or at its timeout.
+ * The open watches of the state store. A watch is answered as soon as there is a change under its prefix after its
+ * revision, and at its timeout without one. The watches of a client that is not served stay open.
  */
 final class StoreWatches {
     private static final class Watch {
         private final String client;
         private final String prefix;
-        private final long from;
+        private final long afterRevision;
         private final HttpExchange exchange;
         private Runnable cancelTimeout = () -> {};
         private boolean timedOut;
 
-        Watch(String client, String prefix, long from, HttpExchange exchange) {
+        Watch(String client, String prefix, long afterRevision, HttpExchange exchange) {
             this.client = client;
             this.prefix = prefix;
-            this.from = from;
+            this.afterRevision = afterRevision;
             this.exchange = exchange;
         }
     }
@@ -44,21 +45,21 @@
     }
 
     /** Opens a watch for all changes under the prefix after the revision. */
-    void open(String client, String prefix, long from, Duration timeout, HttpExchange exchange) {
-        Watch watch = new Watch(client, prefix, from, exchange);
+    void open(String client, String prefix, long afterRevision, Duration timeout, HttpExchange exchange) {
+        Watch watch = new Watch(client, prefix, afterRevision, exchange);
         watch.cancelTimeout = loop.after(timeout, () -> {
             watch.timedOut = true;
-            answerDue();
+            answerDueWatches();
         });
         open.add(watch);
-        answerDue();
+        answerDueWatches();
     }
 
     /** Answers the watches that have changes to report or have timed out. */
-    void answerDue() {
+    void answerDueWatches() {
         for (Watch watch : List.copyOf(open)) {
             if (servesClient.test(watch.client)
-                    && (watch.timedOut || contents.changedAfter(watch.from, watch.prefix))) {
+                    && (watch.timedOut || contents.changedAfter(watch.afterRevision, watch.prefix))) {
                 open.remove(watch);
                 watch.cancelTimeout.run();
                 answer(watch);
@@ -69,7 +70,7 @@
     private void answer(Watch watch) {
         ObjectNode node = Cbor.map().put("logline", contents.revision());
         ArrayNode events = node.putArray("events");
-        for (StoreContents.Event event : contents.eventsAfter(watch.from)) {
+        for (StoreContents.Event event : contents.eventsAfter(watch.afterRevision)) {
             if (event.key().startsWith(watch.prefix)) {
                 ObjectNode item = events.addObject().put("mark", event.revision());
                 if (event.value() == null) {
--- a/src/test/java/org/gullway/transport/ConnectionPoolTest.java
+++ b/src/test/java/org/gullway/transport/ConnectionPoolTest.java
@@ -42,7 +42,9 @@
         assertThat(pool.openCount()).isEqualTo(10);
         socketBudget.onAcceptedChange(-20);
         openAndReturn("10.1.0.98:9000", "more");
-        assertThat(closed).as("while the budget allows more").hasSize(1);
+        assertThat(closed)
+                .as("no further connection is closed while the budget is not used up")
+                .hasSize(1);
     }
 
     /** Partitioned machines take at most one socket each and never use the sockets reserved for the state store. */
@@ -51,10 +53,10 @@
         String unresponsive = "10.1.0.7:9000";
         assertThat(pool.tryReserve(unresponsive)).isTrue();
         pool.abandon(unresponsive);
-        assertThat(pool.isAbandoned(unresponsive)).isTrue();
+        assertThat(pool.blocksNewConnection(unresponsive)).isTrue();
         pool.onAbandonedConnectEnded(unresponsive);
         pool.onConnectFailed();
-        assertThat(pool.isAbandoned(unresponsive)).isFalse();
+        assertThat(pool.blocksNewConnection(unresponsive)).isFalse();
         assertThat(pool.openCount()).isZero();
         socketBudget.onAcceptedChange(80);
         for (int i = 0; i < 50; i++) {
@@ -62,7 +64,7 @@
         }
         assertThat(pool.openCount()).isEqualTo(socketBudget.maxOutgoing());
         pool.abandon(STORE_ADDRESS);
-        assertThat(pool.isAbandoned(STORE_ADDRESS)).isFalse();
+        assertThat(pool.blocksNewConnection(STORE_ADDRESS)).isFalse();
         assertThat(pool.tryReserve(STORE_ADDRESS)).isTrue();
     }
 
@@ -80,12 +82,13 @@
     }
 
     @Test
-    void connectionsCloseAfterTheirResponseNearTheAcceptLimit() {
+    void reportsWhenTheAcceptLimitIsNearAndLeavesAReserve() {
         socketBudget.onAcceptedChange(60);
         assertThat(socketBudget.isNearAcceptLimit()).isFalse();
         socketBudget.onAcceptedChange(9);
         assertThat(socketBudget.isNearAcceptLimit()).isTrue();
         socketBudget.onAcceptedChange(socketBudget.maxAccepted() - 69);
+        // 85 of 100 sockets are not reserved; the minimum of outgoing connections takes one socket of the reserve.
         assertThat(socketBudget.maxAccepted() + socketBudget.maxOutgoing())
                 .as("accepted and outgoing connections together leave a reserve")
                 .isLessThanOrEqualTo(86);
