--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -248,7 +248,10 @@
     private void commit(HttpExchange exchange, ObjectNode body) {
         int status = limits.admit(body);
         if (status == HttpStatus.BAD_REQUEST) {
-            reject(exchange, "transaction exceeds a limit");
+            reject(
+                    exchange,
+                    "transaction exceeds a limit: changes=" + body.path("then").size() + " conditions="
+                            + body.path("guards").size());
         } else if (status != HttpStatus.OK) {
             exchange.respond(status, new byte[0]);
         } else if (refersToUnknownLease(body)) {
