--- a/src/main/java/org/gullway/cloud/ProvisioningOutcome.java
+++ b/src/main/java/org/gullway/cloud/ProvisioningOutcome.java
@@ -10,7 +10,7 @@
  * @param response the provider's response
  */
 record ProvisioningOutcome(Status status, List<String> machines, HttpResponse response) {
-    /** What is known about a provisioning request after its response or time-out. */
+    /** What is known about a provisioning request after its response or timeout. */
     enum Status {
         /** The provider provisioned machines, possibly fewer than requested. */
         PROVISIONED,
--- a/src/main/java/org/gullway/transport/EventLoop.java
+++ b/src/main/java/org/gullway/transport/EventLoop.java
@@ -9,8 +9,8 @@
  */
 public interface EventLoop {
     /**
-     * Returns the time of the monotonic clock. It is unrelated to the wall clock, which is passed as an {@code
-     * InstantSource}.
+     * Returns the time of the monotonic clock. It is unrelated to the wall clock, which is passed as an
+     * {@code InstantSource}.
      */
     Instant now();
 
--- a/src/main/java/org/gullway/transport/TokenBucket.java
+++ b/src/main/java/org/gullway/transport/TokenBucket.java
@@ -47,9 +47,7 @@
         return refill() >= tokensPerSecond / SURPLUS_DIVISOR;
     }
 
-    /**
-     * Returns whether a token is available.
-     */
+    /** Returns whether a token is available. */
     public boolean hasToken() {
         return refill() >= 1;
     }
