--- a/src/test/java/org/gullway/fake/FaultyLink.java
+++ b/src/test/java/org/gullway/fake/FaultyLink.java
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Cuts or restores the link. While it is cut, messages are held back; when it is restored, they arrive in order,
-     * even if their senders have timed out.
+     * Cuts or restores the link. While it is cut, new requests are held back. When it is restored, they are delivered
+     * in order without further faults, even if their senders have timed out.
      */
     public void cut(boolean on) {
         isCut = on;
@@ -73,7 +73,7 @@
      * Returns a handler that passes requests through this link to a server's handler, which sees this name as their
      * sender.
      */
-    public Consumer<HttpExchange> server(String from, Consumer<HttpExchange> handler) {
+    public Consumer<HttpExchange> wrapHandler(String from, Consumer<HttpExchange> handler) {
         return exchange -> deliver(
                 new SimulatedNetwork.Message(
                         from,
@@ -85,9 +85,12 @@
                 handler);
     }
 
-    /** Returns a handler that forwards requests through this link to the address, by means of the client. */
+    /**
+     * Returns a handler that uses the client to forward requests through this link to the address. A request that could
+     * not be sent is answered with 503; a request with unknown outcome is not answered.
+     */
     public Consumer<HttpExchange> forwarder(String address, HttpClient client, Duration timeout) {
-        return server(
+        return wrapHandler(
                 "",
                 message -> client.call(address, toRequest(message, timeout), response -> {
                     if (response.outcome() == HttpResponse.Outcome.ANSWERED) {
@@ -99,7 +102,7 @@
     }
 
     /** Returns a client whose requests pass through this link. */
-    public HttpClient client(HttpClient client) {
+    public HttpClient wrapClient(HttpClient client) {
         return (address, request, callback) -> {
             Consumer<HttpResponse> once = once(callback);
             loop.after(request.timeout(), () -> once.accept(HttpResponse.unknown()));
