--- a/src/test/java/org/gullway/fake/FakeStateStore.java
+++ b/src/test/java/org/gullway/fake/FakeStateStore.java
@@ -248,14 +248,11 @@
     private void commit(HttpExchange exchange, ObjectNode body) {
         int status = limits.admit(body);
         if (status == HttpStatus.BAD_REQUEST) {
-            reject(
-                    exchange,
-                    "transaction exceeds a limit: changes=" + body.path("then").size() + " conditions="
-                            + body.path("guards").size());
+            reject(exchange, "over a limit");
         } else if (status != HttpStatus.OK) {
             exchange.respond(status, new byte[0]);
         } else if (refersToUnknownLease(body)) {
-            reject(exchange, "transaction refers to an unknown lease");
+            reject(exchange, "no such lease");
         } else {
             commitIfUnchanged(exchange, body);
         }
