--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -57,8 +57,8 @@
      * Called when this controller holds a valid lease. From then on heartbeats can also be accepted while it holds
      * none.
      */
-    public void onLeaseAcquired() {
-        leaseRenewalGate.onLeaseAcquired();
+    public void onValidLease() {
+        leaseRenewalGate.onValidLease();
     }
 
     /** Responds to one heartbeat. */
--- a/src/main/java/org/gullway/agent/LeaseRenewalGate.java
+++ b/src/main/java/org/gullway/agent/LeaseRenewalGate.java
@@ -26,7 +26,7 @@
      * Called when this controller holds a valid lease. From then on it can also renew agents' leases while it holds
      * none.
      */
-    void onLeaseAcquired() {
+    void onValidLease() {
         heldLeaseBefore = true;
     }
 
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -188,7 +188,7 @@
         leadershipLog.observe(
                 clusterState.leader(), clusterState.fencingToken(), clusterState.version(StoreKeys.LEADER));
         heldLeaseBefore = true;
-        requests.heartbeatHandler().onLeaseAcquired();
+        requests.heartbeatHandler().onValidLease();
         agents.leaseRenewal().reset();
         agents.cancellationEnforcer().onLeaseRegained(replicatedState.knownThrough());
         publicListener.openIfReady(now);
