--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -169,7 +169,7 @@
         agents.reconciler().onLeaseStatus(replicatedState.holdsValidLease(), startedAt);
         if (!replicatedState.holdsValidLease()) {
             if (heldLeaseBefore) {
-                messaging.peerExchange().pollPeersDuringOutage(startedAt);
+                messaging.peerExchange().pollPeersIfDue(startedAt);
                 enforceCancellations(startedAt);
             }
             return;
--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -22,7 +22,7 @@
  * lost messages.
  */
 public final class PeerExchange {
-    private static final Duration OUTAGE_POLL_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration POLL_INTERVAL = Duration.ofSeconds(1);
     private final EventLoop loop;
     private final PeerClient client;
     private final PeerMessageTargets targets;
@@ -111,11 +111,11 @@
 
     /**
      * Asks all other controllers whether the state store responds to them and which cancellations they know. To be
-     * called while the state store does not respond to this controller; a call within {@link #OUTAGE_POLL_INTERVAL} of
+     * called while the state store does not respond to this controller; a call within {@link #POLL_INTERVAL} of
      * the previous poll does nothing.
      */
-    public void pollPeersDuringOutage(Instant now) {
-        if (lastPolledAt.plus(OUTAGE_POLL_INTERVAL).isAfter(now)) {
+    public void pollPeersIfDue(Instant now) {
+        if (lastPolledAt.plus(POLL_INTERVAL).isAfter(now)) {
             return;
         }
         lastPolledAt = now;
