--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -82,7 +82,7 @@
         if (holdsValidLease) {
             respond(exchange, agentReconciler.onHeartbeat(heartbeat, loop.now()));
         } else {
-            respondDuringOutage(exchange, heartbeat);
+            respondWithoutValidLease(exchange, heartbeat);
         }
     }
 
@@ -93,7 +93,7 @@
         return Heartbeat.parse(exchange.body(), agentReconciler::lastMessage);
     }
 
-    private void respondDuringOutage(HttpExchange exchange, Heartbeat heartbeat) {
+    private void respondWithoutValidLease(HttpExchange exchange, Heartbeat heartbeat) {
         if (leaseRenewalGate.mayRenewDuringOutage(heartbeat, loop.now())) {
             List<AgentCommand> stops = cancellationEnforcer.stopCommands(heartbeat);
             exchange.respond(HttpStatus.OK, responseEncoder.encode(clusterState.fencingToken(), stops));
--- a/src/main/java/org/gullway/agent/LeaseRenewalGate.java
+++ b/src/main/java/org/gullway/agent/LeaseRenewalGate.java
@@ -40,8 +40,8 @@
      * @param holdsValidLease whether this controller holds a valid lease
      */
     boolean rejectsAllHeartbeats(boolean holdsValidLease, Instant now) {
-        Instant knownThrough = cancellationWatermark.knownThrough(replicatedState.knownThrough());
-        return !leaseRenewal.mayRenew(knownThrough, now) || (!holdsValidLease && !heldLeaseBefore);
+        Instant cancellationsKnownThrough = cancellationWatermark.knownThrough(replicatedState.knownThrough());
+        return !leaseRenewal.mayRenew(cancellationsKnownThrough, now) || (!holdsValidLease && !heldLeaseBefore);
     }
 
     /** Returns whether this agent's lease may be renewed although this controller itself holds no valid lease. */
--- a/src/main/java/org/gullway/api/CancellationHandler.java
+++ b/src/main/java/org/gullway/api/CancellationHandler.java
@@ -33,7 +33,7 @@
      * @param readRevision revision at which the job was read from the state store by key; 0 if the job was found in the
      *     cluster state instead
      */
-    private record Cancellation(String job, long readRevision) {}
+    private record Cancellation(String jobId, long readRevision) {}
 
     CancellationHandler(RequestContext context, JobLookup jobLookup) {
         this.context = context;
@@ -78,7 +78,7 @@
     /** Adds as many pending cancellations to the transaction as it has capacity for. */
     void plan(Transaction transaction) {
         for (Cancellation cancellation : pending.changes()) {
-            JobRecord job = transaction.job(cancellation.job());
+            JobRecord job = transaction.job(cancellation.jobId());
             if (job != null && !job.isCancelled() && transaction.hasCapacityFor(MAX_CHANGES_PER_JOB)) {
                 transaction.putJob(job.withCancellation(transaction.timeOfDay()));
             }
@@ -94,7 +94,7 @@
     }
 
     private Optional<Consumer<UserRequest>> completion(Cancellation cancellation) {
-        String id = cancellation.job();
+        String id = cancellation.jobId();
         Optional<JobStatus> finalState = context.finalStates().find(id);
         if (finalState.isPresent()) {
             JobLookupResult result = Found.ofFinalState(finalState.get());
--- a/src/main/java/org/gullway/api/JobLookup.java
+++ b/src/main/java/org/gullway/api/JobLookup.java
@@ -52,7 +52,7 @@
          * Returns the maximum number of requests to the state store for this read. The final state is read only if
          * there is no live record.
          */
-        int storeRequests() {
+        int maxStoreRequests() {
             return knownEnded ? 1 : 2;
         }
     }
@@ -90,7 +90,7 @@
             read.knownEnded |= knownEnded;
         } else if (sent.containsKey(id)) {
             sent.get(id).lateCallers.add(caller);
-        } else if (rateLimit.timeUntilAvailable(queuedStoreRequests() + 1).compareTo(MAX_RATE_LIMIT_DELAY) > 0) {
+        } else if (rateLimit.timeUntilAvailable(maxQueuedStoreRequests() + 1).compareTo(MAX_RATE_LIMIT_DELAY) > 0) {
             caller.onFailure().run();
         } else {
             SharedRead read = new SharedRead(id, knownEnded);
@@ -100,8 +100,8 @@
         }
     }
 
-    private int queuedStoreRequests() {
-        return queued.values().stream().mapToInt(SharedRead::storeRequests).sum();
+    private int maxQueuedStoreRequests() {
+        return queued.values().stream().mapToInt(SharedRead::maxStoreRequests).sum();
     }
 
     /** Sends queued reads after a short delay, so that lookups of the same job that arrive together share one read. */
--- a/src/main/java/org/gullway/api/JobLookupResult.java
+++ b/src/main/java/org/gullway/api/JobLookupResult.java
@@ -6,15 +6,15 @@
 sealed interface JobLookupResult {
     String id();
 
-    ReadFreshness freshness();
+    StateFreshness freshness();
 
     /** Returns whether the job has reached a final state, so that this result never changes again. */
     boolean isFinal();
 
     /** The job was accepted and has this status. */
-    record Found(JobStatus status, ReadFreshness freshness) implements JobLookupResult {
+    record Found(JobStatus status, StateFreshness freshness) implements JobLookupResult {
         static Found ofFinalState(JobStatus status) {
-            return new Found(status, ReadFreshness.ofFinalState());
+            return new Found(status, StateFreshness.ofFinalState());
         }
 
         @Override
@@ -29,7 +29,7 @@
     }
 
     /** There is no job with this id. A later submission may create it, so this result is never final. */
-    record NotFound(String id, ReadFreshness freshness) implements JobLookupResult {
+    record NotFound(String id, StateFreshness freshness) implements JobLookupResult {
         @Override
         public boolean isFinal() {
             return false;
--- a/src/main/java/org/gullway/api/JobReader.java
+++ b/src/main/java/org/gullway/api/JobReader.java
@@ -124,12 +124,12 @@
 
     private static Found found(Read read, JobStatus status, long revision) {
         if (status.state().isFinal()) {
-            return new Found(status, new ReadFreshness(ReadFreshness.Source.FINAL_STATE, revision, read.sentAt()));
+            return new Found(status, new StateFreshness(StateFreshness.Source.FINAL_STATE, revision, read.sentAt()));
         }
         return new Found(status, freshness(read, revision));
     }
 
-    private static ReadFreshness freshness(Read read, long revision) {
-        return new ReadFreshness(ReadFreshness.Source.READ, revision, read.sentAt());
+    private static StateFreshness freshness(Read read, long revision) {
+        return new StateFreshness(StateFreshness.Source.READ, revision, read.sentAt());
     }
 }
--- a/src/main/java/org/gullway/api/LinearizableResponses.java
+++ b/src/main/java/org/gullway/api/LinearizableResponses.java
@@ -119,14 +119,14 @@
     }
 
     private String describe(JobLookupResult result, UserRequest request) {
-        ReadFreshness freshness = result.freshness();
+        StateFreshness freshness = result.freshness();
         Instant now = loop.now();
         String state = result instanceof Found found ? found.status().state().wireName() : "not_found";
-        String age = freshness.source() == ReadFreshness.Source.FINAL_STATE
+        String freshnessFields = freshness.source() == StateFreshness.Source.FINAL_STATE
                 ? ""
-                : " revision=" + freshness.revision() + " state_age_ms=" + millisBetween(freshness.validFrom(), now);
-        return "job=" + result.id() + " state=" + state + " source=" + freshness.source() + age + " request_age_ms="
-                + millisBetween(request.arrivedAt(), now);
+                : " revision=" + freshness.revision() + " state_age_ms=" + millisBetween(freshness.notOlderThan(), now);
+        return "job=" + result.id() + " state=" + state + " source=" + freshness.source() + freshnessFields
+                + " request_age_ms=" + millisBetween(request.arrivedAt(), now);
     }
 
     private static long millisBetween(Instant from, Instant to) {
--- a/src/main/java/org/gullway/api/PendingRequests.java
+++ b/src/main/java/org/gullway/api/PendingRequests.java
@@ -48,8 +48,8 @@
      *
      * @param change supplies the change to be committed; called only for the first pending request for the job
      */
-    void add(String job, UserRequest request, Supplier<T> change) {
-        entries.computeIfAbsent(job, id -> new Entry<>(change.get(), loop.now(), new ArrayList<>()))
+    void add(String jobId, UserRequest request, Supplier<T> change) {
+        entries.computeIfAbsent(jobId, id -> new Entry<>(change.get(), loop.now(), new ArrayList<>()))
                 .requests()
                 .add(request);
     }
@@ -64,13 +64,13 @@
     }
 
     /** Returns a copy of the ids of all jobs that have pending requests. */
-    Collection<String> jobs() {
+    Collection<String> jobIds() {
         return List.copyOf(entries.keySet());
     }
 
     /** Removes and returns the pending requests for a job; the list is empty if there are none. */
-    List<UserRequest> remove(String job) {
-        Entry<T> entry = entries.remove(job);
+    List<UserRequest> remove(String jobId) {
+        Entry<T> entry = entries.remove(jobId);
         return entry == null ? List.of() : entry.requests();
     }
 
@@ -83,13 +83,13 @@
      */
     void complete(boolean holdsValidLease, Function<T, Optional<Consumer<UserRequest>>> completion) {
         Instant now = loop.now();
-        for (String job : jobs()) {
-            Entry<T> entry = entries.get(job);
+        for (String jobId : jobIds()) {
+            Entry<T> entry = entries.get(jobId);
             Optional<Consumer<UserRequest>> action = completion.apply(entry.change());
             if (action.isPresent()) {
-                remove(job).forEach(action.get());
+                remove(jobId).forEach(action.get());
             } else if (!holdsValidLease || entry.arrivedAt().plus(TIMEOUT).isBefore(now)) {
-                remove(job).forEach(UserResponses::rejectTemporarily);
+                remove(jobId).forEach(UserResponses::rejectTemporarily);
             }
         }
     }
--- a/src/main/java/org/gullway/api/ReadFreshness.java
+++ b/src/main/java/org/gullway/api/StateFreshness.java
@@ -8,10 +8,10 @@
  *
  * @param source how the state became known
  * @param revision revision of the state store at which the state was read or written; 0 for a final state from memory
- * @param validFrom when the request to the state store that read or wrote the state was sent; the state was current at
+ * @param notOlderThan when the request to the state store that read or wrote the state was sent; the state was current at
  *     some moment from then on
  */
-record ReadFreshness(Source source, long revision, Instant validFrom) {
+record StateFreshness(Source source, long revision, Instant notOlderThan) {
     /** How a job's state became known. */
     enum Source {
         /** The job's final state was found in memory or in the state store; it never changes again. */
@@ -25,12 +25,12 @@
     }
 
     /** Returns the freshness of a final state from memory, which is fresh for every request. */
-    static ReadFreshness ofFinalState() {
-        return new ReadFreshness(Source.FINAL_STATE, 0, Instant.MIN);
+    static StateFreshness ofFinalState() {
+        return new StateFreshness(Source.FINAL_STATE, 0, Instant.MIN);
     }
 
     /** Returns whether a response to a request that arrived at this moment may contain the state. */
     boolean isFreshFor(Instant arrivedAt) {
-        return source == Source.FINAL_STATE || !validFrom.isBefore(arrivedAt);
+        return source == Source.FINAL_STATE || !notOlderThan.isBefore(arrivedAt);
     }
 }
--- a/src/main/java/org/gullway/api/StatusQuery.java
+++ b/src/main/java/org/gullway/api/StatusQuery.java
@@ -54,8 +54,8 @@
     }
 
     /** Sets the action that cancels the timeout of this query; it runs when the query is completed. */
-    void cancelOnCompletion(Runnable timeoutHandle) {
-        cancelTimeout = timeoutHandle;
+    void setTimeoutCancellation(Runnable action) {
+        cancelTimeout = action;
     }
 
     /** Counts a version check that found this job stale in the cluster state, and returns the number of such checks. */
--- a/src/main/java/org/gullway/api/StatusQueryHandler.java
+++ b/src/main/java/org/gullway/api/StatusQueryHandler.java
@@ -81,7 +81,7 @@
     private StatusQuery enqueue(String id, Origin origin) {
         StatusQuery query = new StatusQuery(id, origin, verifier.keyCount(id), context.responses(), context.metrics());
         queue.addLast(query);
-        query.cancelOnCompletion(context.loop().after(TIMEOUT, () -> {
+        query.setTimeoutCancellation(context.loop().after(TIMEOUT, () -> {
             queue.disallowJoining(query);
             query.reject();
         }));
--- a/src/main/java/org/gullway/api/StatusVerifier.java
+++ b/src/main/java/org/gullway/api/StatusVerifier.java
@@ -32,7 +32,7 @@
     private static final int KEYS_OF_UNKNOWN_JOB = 2;
 
     private static final int MAX_CHECKS_IN_FLIGHT = 4;
-    private static final Duration BUSY_RETRY_DELAY = Duration.ofMillis(200);
+    private static final Duration RATE_LIMIT_RETRY_DELAY = Duration.ofMillis(200);
     /**
      * Number of version checks that find a job stale in the cluster state before it is looked up in the state store.
      * Usually the watch delivers the newest version of the job before its second check.
@@ -47,9 +47,9 @@
     private final StatusQueryQueue queue;
     private final int maxKeysPerCheck;
     /** When each version check that has no outcome yet was sent, the oldest first. */
-    private final Deque<Instant> checksInFlight = new ArrayDeque<>();
+    private final Deque<Instant> checkSendTimes = new ArrayDeque<>();
 
-    private Instant storeBusyUntil = Instant.MIN;
+    private Instant rateLimitedUntil = Instant.MIN;
     private boolean checkScheduled;
 
     /**
@@ -58,7 +58,7 @@
      * @param status the job's status in the cluster state when the check was sent; empty if the job was not there
      */
     private record BatchedQuery(StatusQuery query, Optional<JobStatus> status) {
-        JobLookupResult toResult(ReadFreshness freshness) {
+        JobLookupResult toResult(StateFreshness freshness) {
             return status.isPresent() ? new Found(status.get(), freshness) : new NotFound(query.id(), freshness);
         }
     }
@@ -86,8 +86,8 @@
 
     /** Returns whether an additional query would probably not be answered within the timeout. */
     boolean isOverloaded(Duration timeout) {
-        if (checksInFlight.size() >= MAX_CHECKS_IN_FLIGHT
-                && checksInFlight.peekFirst().plus(timeout).isBefore(loop.now())) {
+        if (checkSendTimes.size() >= MAX_CHECKS_IN_FLIGHT
+                && checkSendTimes.peekFirst().plus(timeout).isBefore(loop.now())) {
             return true;
         }
         int checks = 1 + queue.keyCount() / maxKeysPerCheck;
@@ -96,14 +96,14 @@
 
     /** Schedules a version check of the queued queries. A short delay batches queries that arrive together. */
     void scheduleCheck() {
-        if (checkScheduled || checksInFlight.size() >= MAX_CHECKS_IN_FLIGHT || queue.isEmpty()) {
+        if (checkScheduled || checkSendTimes.size() >= MAX_CHECKS_IN_FLIGHT || queue.isEmpty()) {
             return;
         }
         checkScheduled = true;
         Duration batchingDelay = replicatedState.versionCheckDelay();
-        Duration busyDelay =
-                storeBusyUntil.isAfter(loop.now()) ? Duration.between(loop.now(), storeBusyUntil) : Duration.ZERO;
-        loop.after(batchingDelay.compareTo(busyDelay) > 0 ? batchingDelay : busyDelay, () -> {
+        Duration retryDelay =
+                rateLimitedUntil.isAfter(loop.now()) ? Duration.between(loop.now(), rateLimitedUntil) : Duration.ZERO;
+        loop.after(batchingDelay.compareTo(retryDelay) > 0 ? batchingDelay : retryDelay, () -> {
             checkScheduled = false;
             sendCheck();
             scheduleCheck();
@@ -116,9 +116,9 @@
             return;
         }
         Instant sentAt = loop.now();
-        checksInFlight.add(sentAt);
+        checkSendTimes.add(sentAt);
         replicatedState.checkVersions(batch.keys(), read -> {
-            checksInFlight.remove(sentAt);
+            checkSendTimes.remove(sentAt);
             switch (read.kind()) {
                 case COMPARED -> complete(batch, read, sentAt);
                 case BUSY -> retryLater(batch);
@@ -159,13 +159,13 @@
     }
 
     private void complete(Batch batch, VersionCheckResult read, Instant sentAt) {
-        ReadFreshness freshness = new ReadFreshness(ReadFreshness.Source.VERSION_CHECK, read.revision(), sentAt);
+        StateFreshness freshness = new StateFreshness(StateFreshness.Source.VERSION_CHECK, read.revision(), sentAt);
         for (BatchedQuery batched : batch.queries()) {
             complete(batched, freshness, read.staleKeys());
         }
     }
 
-    private void complete(BatchedQuery batched, ReadFreshness freshness, Set<String> staleKeys) {
+    private void complete(BatchedQuery batched, StateFreshness freshness, Set<String> staleKeys) {
         StatusQuery query = batched.query();
         String id = query.id();
         boolean ended = staleKeys.contains(StoreKeys.finalState(id));
@@ -185,7 +185,7 @@
      * that they are checked before queries that arrived later. Queries that time out meanwhile are not checked again.
      */
     private void retryLater(Batch batch) {
-        storeBusyUntil = loop.now().plus(BUSY_RETRY_DELAY);
+        rateLimitedUntil = loop.now().plus(RATE_LIMIT_RETRY_DELAY);
         List<BatchedQuery> queries = batch.queries();
         for (int i = queries.size() - 1; i >= 0; i--) {
             queue.addFirst(queries.get(i).query());
--- a/src/main/java/org/gullway/api/SubmissionHandler.java
+++ b/src/main/java/org/gullway/api/SubmissionHandler.java
@@ -110,7 +110,7 @@
      * store's response to the commit can arrive late, after the job was cancelled and submitted again. All other
      * requests get the job's current state.
      */
-    void onCommitted(JobRecord job, ReadFreshness freshness) {
+    void onCommitted(JobRecord job, StateFreshness freshness) {
         String id = job.request().id();
         List<UserRequest> requests = pending.remove(id);
         if (requests.isEmpty()) {
@@ -145,7 +145,7 @@
      * @param failedConditions keys whose conditions failed in a transaction
      */
     void onConflict(Set<String> failedConditions) {
-        for (String id : pending.jobs()) {
+        for (String id : pending.jobIds()) {
             if (failedConditions.contains(StoreKeys.finalState(id))) {
                 pending.remove(id).forEach(request -> statusQueries.respondToRepeatedSubmission(id, request));
             }
--- a/src/main/java/org/gullway/api/UserApi.java
+++ b/src/main/java/org/gullway/api/UserApi.java
@@ -58,10 +58,10 @@
         // Lookups for submissions and cancellations have a rate limit of their own, so that status queries cannot delay
         // them.
         JobLookup queryLookup = newJobLookup(context, replicatedState.queryReadLimit(), cancellationEnforcer);
-        JobLookup requestLookup = newJobLookup(context, replicatedState.mutationReadLimit(), cancellationEnforcer);
+        JobLookup mutationLookup = newJobLookup(context, replicatedState.mutationReadLimit(), cancellationEnforcer);
         this.statusQueries = new StatusQueryHandler(context, queryLookup, conditionsPerTransaction);
-        this.submissions = new SubmissionHandler(context, admission, requestLookup, statusQueries);
-        this.cancellations = new CancellationHandler(context, requestLookup);
+        this.submissions = new SubmissionHandler(context, admission, mutationLookup, statusQueries);
+        this.cancellations = new CancellationHandler(context, mutationLookup);
     }
 
     private static JobLookup newJobLookup(
@@ -108,7 +108,7 @@
      * @param sentAt when the transaction was sent
      */
     public void onCommitted(Transaction transaction, long revision, Instant sentAt) {
-        ReadFreshness freshness = new ReadFreshness(ReadFreshness.Source.COMMIT, revision, sentAt);
+        StateFreshness freshness = new StateFreshness(StateFreshness.Source.COMMIT, revision, sentAt);
         transaction.changes().forEach((key, value) -> {
             if (value instanceof FinalState finalState) {
                 String id = key.substring(StoreKeys.finalState("").length());
--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -26,7 +26,7 @@
     private final EventLoop loop;
     private final PeerClient client;
     private final PeerMessageTargets targets;
-    private final StoreOutageMonitor outageMonitor;
+    private final StoreStatusExchange storeStatusExchange;
     private final CancellationExchange cancellationExchange;
     private final Runnable triggerSchedulingCycle;
     private Instant lastPolledAt = Instant.MIN;
@@ -47,7 +47,7 @@
         this.loop = loop;
         this.client = new PeerClient(httpClient, peers);
         this.targets = targets;
-        this.outageMonitor = new StoreOutageMonitor(loop, client, storeKnownThrough);
+        this.storeStatusExchange = new StoreStatusExchange(loop, client, storeKnownThrough);
         this.cancellationExchange = new CancellationExchange(loop, client, self, targets);
         this.triggerSchedulingCycle = triggerSchedulingCycle;
     }
@@ -61,7 +61,7 @@
     public void handle(HttpExchange exchange) {
         targets.leaseRenewal().onExternalContact(loop.now());
         if (exchange.path().equals(PeerPaths.STORE_STATUS)) {
-            outageMonitor.respond(exchange);
+            storeStatusExchange.respond(exchange);
             return;
         }
         try {
@@ -96,7 +96,7 @@
 
     /** Returns whether all other controllers have recently reported that the state store does not respond to them. */
     public boolean isStoreOutageReportedByAllPeers() {
-        return outageMonitor.isReportedByAllPeers();
+        return storeStatusExchange.isReportedByAllPeers();
     }
 
     /** Offers free resources to another controller. */
@@ -119,7 +119,7 @@
             return;
         }
         lastPolledAt = now;
-        outageMonitor.poll();
+        storeStatusExchange.poll();
         cancellationExchange.poll(now);
     }
 }
--- a/src/main/java/org/gullway/peer/StoreOutageMonitor.java
+++ b/src/main/java/org/gullway/peer/StoreStatusExchange.java
@@ -13,7 +13,7 @@
  * Detects outages of the state store that affect all controllers, and tells peers whether the state store responds to
  * this controller.
  */
-final class StoreOutageMonitor {
+final class StoreStatusExchange {
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     private final EventLoop loop;
     private final PeerClient client;
@@ -21,7 +21,7 @@
     private final StoreOutageDetector outageDetector;
 
     /** @param storeKnownThrough returns when the latest request that the state store has answered was sent */
-    StoreOutageMonitor(EventLoop loop, PeerClient client, Supplier<Instant> storeKnownThrough) {
+    StoreStatusExchange(EventLoop loop, PeerClient client, Supplier<Instant> storeKnownThrough) {
         this.loop = loop;
         this.client = client;
         this.storeKnownThrough = storeKnownThrough;
--- a/src/test/java/org/gullway/api/LinearizableResponsesTest.java
+++ b/src/test/java/org/gullway/api/LinearizableResponsesTest.java
@@ -66,16 +66,16 @@
         return statuses.get(0);
     }
 
-    private static ReadFreshness confirmedFrom(Instant validFrom) {
-        return new ReadFreshness(ReadFreshness.Source.VERSION_CHECK, 7, validFrom);
+    private static StateFreshness confirmedFrom(Instant notOlderThan) {
+        return new StateFreshness(StateFreshness.Source.VERSION_CHECK, 7, notOlderThan);
     }
 
-    private static JobLookupResult found(Instant validFrom) {
-        return new JobLookupResult.Found(PENDING, confirmedFrom(validFrom));
+    private static JobLookupResult found(Instant notOlderThan) {
+        return new JobLookupResult.Found(PENDING, confirmedFrom(notOlderThan));
     }
 
-    private static JobLookupResult notFound(Instant validFrom) {
-        return new JobLookupResult.NotFound(JOB, confirmedFrom(validFrom));
+    private static JobLookupResult notFound(Instant notOlderThan) {
+        return new JobLookupResult.NotFound(JOB, confirmedFrom(notOlderThan));
     }
 
     @Property(tries = 60, seed = "241")
