--- a/src/main/java/org/gullway/agent/CommandSender.java
+++ b/src/main/java/org/gullway/agent/CommandSender.java
@@ -61,7 +61,10 @@
         this.triggerSchedulingCycle = triggerSchedulingCycle;
     }
 
-    /** Sends commands to the agent of a machine that this controller commands. */
+    /**
+     * Sends a command batch to the agent of a machine that is assigned to this controller. A batch without commands is
+     * a probe and is sent too: the agent responds with its state.
+     */
     public void send(CommandBatch batch) {
         send(
                 batch,
@@ -70,8 +73,8 @@
     }
 
     /**
-     * Sends the due stop commands for tasks of cancelled jobs while the state store is unavailable. They go to the
-     * agents directly, even if another controller commands the machine.
+     * Sends the due stop commands for tasks of cancelled jobs to all machines that may run them, including machines
+     * that are assigned to other controllers. Called while this controller holds no valid lease.
      */
     public void sendCancellationStops(Instant now) {
         cancellationEnforcer
--- a/src/main/java/org/gullway/agent/HeartbeatAdmission.java
+++ b/src/main/java/org/gullway/agent/HeartbeatAdmission.java
@@ -11,8 +11,8 @@
 
 /**
  * Limits the share of the event loop's time that is spent on heartbeats, and queues the heartbeats that exceed it.
- * After a restart of all controllers every agent sends a heartbeat at once. Without the limit, the responses of the
- * state store, and with them every transaction, would wait until all these heartbeats are handled.
+ * After a restart of all controllers all agents send a heartbeat simultaneously. Without the limit, the responses of
+ * the state store, and with them every transaction, would wait until all these heartbeats are handled.
  */
 public final class HeartbeatAdmission {
     private static final Duration MAX_BUDGET = Duration.ofMillis(20);
@@ -22,7 +22,7 @@
      * up to two thirds of the event loop's time.
      */
     private static final int REFILL_FACTOR = 2;
-    /** A heartbeat queued for longer is rejected. Shorter than the timeout with which agents wait for a response. */
+    /** Heartbeats queued for longer are rejected. This limit is below the agents' timeout for a heartbeat response. */
     private static final Duration MAX_QUEUE_TIME = Duration.ofMillis(3500);
 
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -21,8 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Responds to heartbeats of agents. A response with status 200 renews the agent's lease, so no such response is sent
- * while this controller may lack a cancellation that another controller has confirmed.
+ * Responds to heartbeats of agents. A response with status 200 renews the agent's lease. It is sent only while {@link
+ * LeaseRenewalPolicy} ensures that the agent ends the tasks of cancelled jobs in time, even of cancellations that this
+ * controller does not know yet.
  */
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
@@ -54,8 +55,8 @@
     }
 
     /**
-     * Called when this controller holds a valid lease. From then on heartbeats can also be accepted while it holds
-     * none.
+     * Called in every scheduling cycle in which this controller holds a valid membership lease. After the first call,
+     * heartbeats can also be accepted while the membership lease is not valid.
      */
     public void onValidLease() {
         leaseRenewalGate.onValidLease();
@@ -66,8 +67,8 @@
         Instant now = loop.now();
         boolean holdsValidLease = leaseRenewalGate.holdsValidLease();
         if (leaseRenewalGate.rejectsAllHeartbeats(holdsValidLease, now)) {
-            // The body is not parsed: after a restart all agents retry every second, and their heartbeats must not
-            // delay this controller in joining the cluster.
+            // Rejected without parsing the body: after a restart of all controllers every agent retries each second,
+            // and parsing these heartbeats would delay this controller in joining the cluster.
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
             return;
         }
--- a/src/main/java/org/gullway/agent/LeaseRenewalGate.java
+++ b/src/main/java/org/gullway/agent/LeaseRenewalGate.java
@@ -6,7 +6,10 @@
 import org.gullway.protocol.Heartbeat;
 import org.gullway.storage.ReplicatedState;
 
-/** Decides whether a response to a heartbeat may renew the agent's lease, also while the state store is unavailable. */
+/**
+ * Decides whether a response to a heartbeat may renew the agent's lease. This is also possible while this controller's
+ * own membership lease is not valid.
+ */
 final class LeaseRenewalGate {
     private final ReplicatedState replicatedState;
     private final CancellationWatermark cancellationWatermark;
@@ -23,8 +26,8 @@
     }
 
     /**
-     * Called when this controller holds a valid lease. From then on it can also renew agents' leases while it holds
-     * none.
+     * Called in every scheduling cycle in which this controller holds a valid membership lease. After the first call,
+     * agents' leases can also be renewed while the membership lease is not valid.
      */
     void onValidLease() {
         heldLeaseBefore = true;
@@ -37,14 +40,14 @@
     /**
      * Returns whether every heartbeat has to be rejected now, regardless of its content.
      *
-     * @param holdsValidLease whether this controller holds a valid lease
+     * @param holdsValidLease whether this controller holds a valid membership lease
      */
     boolean rejectsAllHeartbeats(boolean holdsValidLease, Instant now) {
         Instant cancellationsKnownThrough = cancellationWatermark.knownThrough(replicatedState.knownThrough());
         return !leaseRenewal.mayRenew(cancellationsKnownThrough, now) || (!holdsValidLease && !heldLeaseBefore);
     }
 
-    /** Returns whether this agent's lease may be renewed although this controller itself holds no valid lease. */
+    /** Returns whether this agent's lease may be renewed although this controller's membership lease is not valid. */
     boolean mayRenewDuringOutage(Heartbeat heartbeat, Instant now) {
         return leaseRenewal.mayRenewDuringOutage(heartbeat, now);
     }
--- a/src/main/java/org/gullway/api/CancellationHandler.java
+++ b/src/main/java/org/gullway/api/CancellationHandler.java
@@ -11,12 +11,12 @@
 import org.gullway.storage.ReplicatedState;
 
 /**
- * Handles cancellation requests from users. Each request is answered only after the cancellation has been committed to
- * the state store.
+ * Handles cancellation requests from users. A cancellation is confirmed only after it has been committed to the state
+ * store.
  */
 final class CancellationHandler {
     /**
-     * Keys that one cancellation can change. A cancelled job without live attempts ends at once, which changes two
+     * Keys that one cancellation can change. A cancelled job without live attempts ends immediately, which changes two
      * keys: its live record and its final state.
      */
     private static final int MAX_CHANGES_PER_JOB = 2;
--- a/src/main/java/org/gullway/api/FinalStateCache.java
+++ b/src/main/java/org/gullway/api/FinalStateCache.java
@@ -10,7 +10,7 @@
 /**
  * Finds final states of jobs in memory: an LRU cache holds those of ended jobs, and the cluster state holds those of
  * cancelled jobs that have not ended yet. Final states never change, so a response can contain one without a read of
- * the state store.
+ * the state store. The task counts of a cancelled job that has not ended yet may be outdated.
  */
 final class FinalStateCache {
     private static final int MAX_ENTRIES = 10_000;
--- a/src/main/java/org/gullway/api/JobLookup.java
+++ b/src/main/java/org/gullway/api/JobLookup.java
@@ -13,9 +13,9 @@
 import org.gullway.transport.TokenBucket;
 
 /**
- * Looks up the states of jobs in the state store when the cluster state does not contain them. Lookups of the same job
- * share one read. All reads are subject to a rate limit; a lookup that would have to wait for longer than
- * {@link #MAX_RATE_LIMIT_DELAY} fails at once.
+ * Looks up jobs in the state store that are missing from the cluster state or stale there. Lookups of the same job
+ * share one read. All reads are subject to a rate limit; a lookup that would have to wait for longer than {@link
+ * #MAX_RATE_LIMIT_DELAY} fails immediately.
  */
 final class JobLookup {
     private static final Duration MAX_RATE_LIMIT_DELAY = Duration.ofSeconds(1);
@@ -75,7 +75,7 @@
         lookUp(id, false, new Caller(onResult, onFailure));
     }
 
-    /** Looks up a job that is known to have ended. */
+    /** Looks up the final state of a job that is known to have ended. Same callbacks as {@link #lookUp}. */
     void lookUpEnded(String id, Consumer<JobLookupResult> onResult, Runnable onFailure) {
         lookUp(id, true, new Caller(onResult, onFailure));
     }
@@ -104,7 +104,10 @@
         return queued.values().stream().mapToInt(SharedRead::maxStoreRequests).sum();
     }
 
-    /** Sends queued reads after a short delay, so that lookups of the same job that arrive together share one read. */
+    /**
+     * Sends queued reads once the rate limit allows it. An additional short delay lets lookups of the same job that
+     * arrive together share one read.
+     */
     private void scheduleSend() {
         if (!queued.isEmpty() && !sendScheduled) {
             sendScheduled = true;
--- a/src/main/java/org/gullway/api/JobLookupResult.java
+++ b/src/main/java/org/gullway/api/JobLookupResult.java
@@ -8,7 +8,10 @@
 
     StateFreshness freshness();
 
-    /** Returns whether the job has reached a final state, so that this result never changes again. */
+    /**
+     * Returns whether the job's state is final and so never changes again. The task counts of a cancelled job can still
+     * change until it has ended.
+     */
     boolean isFinal();
 
     /** The job was accepted and has this status. */
--- a/src/main/java/org/gullway/api/JobReader.java
+++ b/src/main/java/org/gullway/api/JobReader.java
@@ -22,7 +22,7 @@
 /**
  * Reads the state of one job from the state store by key: first its live record and, if there is none, its final state.
  * When a job ends, its final state replaces its live record, and never the other way round. If both reads, in this
- * order, find nothing, the job does not exist.
+ * order, find nothing, the job did not exist at the time of the first read.
  */
 final class JobReader {
     private static final Logger LOG = LoggerFactory.getLogger(JobReader.class);
@@ -59,7 +59,10 @@
         readLiveRecord(new Read(id, loop.now(), onResult, onFailure));
     }
 
-    /** Reads a job that is known to have ended. */
+    /**
+     * Reads the final state of a job that is known to have ended, without a read of its live record. The result is
+     * {@link NotFound} if there is no final state.
+     */
     void readEnded(String id, Consumer<JobLookupResult> onResult, Runnable onFailure) {
         readFinalState(new Read(id, loop.now(), onResult, onFailure));
     }
@@ -111,8 +114,8 @@
     private JobStatus statusOfRecord(String id, JsonNode value) {
         try {
             JobRecord job = (JobRecord) RecordCodec.decode(StoreKeys.job(id), value);
-            // The response tells the user of a cancellation before the watch delivers it to this controller, so the
-            // cancellation enforcer has to know it now.
+            // The response may tell the user of a cancellation that the watch has not delivered to this controller yet,
+            // so the cancellation enforcer has to know it before the response is sent.
             cancellationEnforcer.add(job, loop.now());
             return job.status();
         } catch (MalformedMessageException e) {
--- a/src/main/java/org/gullway/api/PendingRequests.java
+++ b/src/main/java/org/gullway/api/PendingRequests.java
@@ -20,7 +20,10 @@
  * @param <T> the change to be committed for one job
  */
 final class PendingRequests<T> {
-    /** After this time a request is rejected; short enough that the user can still try another controller. */
+    /**
+     * Time after which all pending requests for a job are rejected, counted from the first of them. It is short enough
+     * that the users can still try another controller.
+     */
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
     private static final int MAX_JOBS = 500;
@@ -75,7 +78,7 @@
     }
 
     /**
-     * Completes the requests whose outcome is known. Rejects the others after their timeout, or at once if this
+     * Completes the requests whose outcome is known. Rejects the others after their timeout, or immediately if this
      * controller holds no valid lease.
      *
      * @param holdsValidLease whether this controller holds a valid lease and can commit changes
--- a/src/main/java/org/gullway/api/RequestMetrics.java
+++ b/src/main/java/org/gullway/api/RequestMetrics.java
@@ -11,9 +11,11 @@
      */
     void submissionAccepted(Duration latency);
 
-    /** Counts status queries that were answered. */
+    /** Counts answered status queries, including repeated submissions that were queued as status queries. */
     void statusQueriesAnswered(int count);
 
-    /** Counts status queries that were rejected temporarily. */
+    /**
+     * Counts temporarily rejected status queries, including repeated submissions that were queued as status queries.
+     */
     void statusQueriesRejected(int count);
 }
--- a/src/main/java/org/gullway/api/StateFreshness.java
+++ b/src/main/java/org/gullway/api/StateFreshness.java
@@ -8,8 +8,8 @@
  *
  * @param source how the state became known
  * @param revision revision of the state store at which the state was read or written; 0 for a final state from memory
- * @param notOlderThan when the request to the state store that read or wrote the state was sent; the state was current at
- *     some moment from then on
+ * @param notOlderThan when the request to the state store that read or wrote the state was sent; the state was current
+ *     at some moment from then on
  */
 record StateFreshness(Source source, long revision, Instant notOlderThan) {
     /** How a job's state became known. */
@@ -29,7 +29,7 @@
         return new StateFreshness(Source.FINAL_STATE, 0, Instant.MIN);
     }
 
-    /** Returns whether a response to a request that arrived at this moment may contain the state. */
+    /** Returns whether a response to a request that arrived at {@code arrivedAt} may contain the state. */
     boolean isFreshFor(Instant arrivedAt) {
         return source == Source.FINAL_STATE || !notOlderThan.isBefore(arrivedAt);
     }
--- a/src/main/java/org/gullway/api/StatusQuery.java
+++ b/src/main/java/org/gullway/api/StatusQuery.java
@@ -5,11 +5,11 @@
 
 /** A query for the status of one job, shared by all requests that get the same response. */
 final class StatusQuery {
-    /** The kind of request that caused the query. Queries of repeated submissions are answered before all others. */
+    /** The kind of request that caused the query. Queries of repeated submissions are checked before all others. */
     enum Origin {
         /** A user asked for the status of the job. */
         STATUS_REQUEST,
-        /** A user submitted a job that was accepted earlier. The user may not know yet that it was accepted. */
+        /** A user submitted a job that already has a record or a final state, and may not know that it was accepted. */
         REPEATED_SUBMISSION
     }
 
@@ -53,7 +53,7 @@
         requests.add(request);
     }
 
-    /** Sets the action that cancels the timeout of this query; it runs when the query is completed. */
+    /** Sets the action that cancels the timeout of this query. It runs when the query is completed. */
     void setTimeoutCancellation(Runnable action) {
         cancelTimeout = action;
     }
--- a/src/main/java/org/gullway/api/StatusQueryQueue.java
+++ b/src/main/java/org/gullway/api/StatusQueryQueue.java
@@ -7,13 +7,17 @@
 import java.util.Optional;
 
 /**
- * Queries that wait for a version check by the state store. Those of repeated submissions are polled first; queries of
- * the same origin are polled in the order of arrival.
+ * Queries that wait for a version check by the state store. Queries of repeated submissions are polled before all
+ * others. New queries are added at the end, as are queries whose check found the job stale; queries whose check was
+ * rejected by the rate limit of the state store are put back at the head.
  */
 final class StatusQueryQueue {
     private final Deque<StatusQuery> repeatedSubmissions = new ArrayDeque<>();
     private final Deque<StatusQuery> statusRequests = new ArrayDeque<>();
-    /** By job: the query that no version check has included yet, so that further requests for the job can join it. */
+    /**
+     * By job: the query that further requests for the job can join. A query cannot be joined once a version check
+     * includes it, because that check may have been sent before the request arrived.
+     */
     private final Map<String, StatusQuery> joinableByJob = new HashMap<>();
 
     private int keyCount;
--- a/src/main/java/org/gullway/api/StatusVerifier.java
+++ b/src/main/java/org/gullway/api/StatusVerifier.java
@@ -46,7 +46,7 @@
     private final JobLookup jobLookup;
     private final StatusQueryQueue queue;
     private final int maxKeysPerCheck;
-    /** When each version check that has no outcome yet was sent, the oldest first. */
+    /** Send times of the version checks that have no outcome yet, the oldest first. */
     private final Deque<Instant> checkSendTimes = new ArrayDeque<>();
 
     private Instant rateLimitedUntil = Instant.MIN;
@@ -94,7 +94,10 @@
         return replicatedState.timeUntilVersionChecks(checks).compareTo(timeout) >= 0;
     }
 
-    /** Schedules a version check of the queued queries. A short delay batches queries that arrive together. */
+    /**
+     * Schedules a version check of the queued queries. The delay batches queries that arrive together, and is longer
+     * after the state store has rejected a check because of its rate limit.
+     */
     void scheduleCheck() {
         if (checkScheduled || checkSendTimes.size() >= MAX_CHECKS_IN_FLIGHT || queue.isEmpty()) {
             return;
@@ -181,8 +184,9 @@
     }
 
     /**
-     * Puts the queries of a batch back at the head of the queue after the state store rejected the check as busy, so
-     * that they are checked before queries that arrived later. Queries that time out meanwhile are not checked again.
+     * Puts the queries of a batch back at the head of the queue after the state store rejected the check because of its
+     * rate limit, so that they are checked before queries that arrived later. Queries that time out meanwhile are not
+     * checked again.
      */
     private void retryLater(Batch batch) {
         rateLimitedUntil = loop.now().plus(RATE_LIMIT_RETRY_DELAY);
--- a/src/main/java/org/gullway/api/SubmissionHandler.java
+++ b/src/main/java/org/gullway/api/SubmissionHandler.java
@@ -26,7 +26,9 @@
 final class SubmissionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
     private static final Duration OVERLOADED_RETRY_AFTER = UserResponses.RETRY_AFTER.multipliedBy(2);
-    /** Changes reserved for a job that a transaction changes for the first time, see {@link Transaction#canPutJob}. */
+    /**
+     * Required capacity for changes, the same as for the first change of any job, see {@link Transaction#canPutJob}.
+     */
     private static final int CAPACITY_PER_JOB = 2;
 
     private static final String INFEASIBLE = "no machine type, zone or team limit allows this job";
@@ -50,7 +52,7 @@
         this.pending = new PendingRequests<>(context.loop());
     }
 
-    /** Parses a submission and responds to it, at once or after the job has been committed. */
+    /** Parses a submission and responds to it, immediately or after the job has been committed. */
     void submit(UserRequest request) {
         JobRequest job;
         try {
@@ -105,10 +107,10 @@
     }
 
     /**
-     * Responds to the submissions of a job whose record has been committed. The committed state is the response only to
-     * requests that arrived before the transaction was sent, and only while the committed version is the newest: the
-     * store's response to the commit can arrive late, after the job was cancelled and submitted again. All other
-     * requests get the job's current state.
+     * Responds to the pending submissions of a job whose record has been committed. A request gets the committed state
+     * if it arrived before the transaction was sent and the cluster state has no newer version of the record. All other
+     * requests get the job's current state: the store's response to the commit can arrive late, after the job was
+     * cancelled and submitted again, and the committed state is outdated by then.
      */
     void onCommitted(JobRecord job, StateFreshness freshness) {
         String id = job.request().id();
@@ -139,8 +141,8 @@
     }
 
     /**
-     * Responds to the pending submissions of jobs that have already ended, which shows in a failed condition on their
-     * final state.
+     * Responds to the pending submissions of jobs that have already ended. A failed condition on the key of a job's
+     * final state means that the job has ended.
      *
      * @param failedConditions keys whose conditions failed in a transaction
      */
--- a/src/main/java/org/gullway/api/UserApi.java
+++ b/src/main/java/org/gullway/api/UserApi.java
@@ -75,17 +75,17 @@
         return new JobLookup(context.loop(), rateLimit, context.finalStates(), reader);
     }
 
-    /** Responds to a submission, at once or after the job has been committed. */
+    /** Responds to a submission, immediately or after the job has been committed. */
     public void submit(HttpExchange exchange) {
         submissions.submit(withArrivalTime(exchange));
     }
 
-    /** Responds to a cancellation, at once or after it has been committed. */
+    /** Responds to a cancellation, immediately or after it has been committed. */
     public void cancel(String id, HttpExchange exchange) {
         cancellations.cancel(id, withArrivalTime(exchange));
     }
 
-    /** Responds to a status query, at once or after the state store has confirmed the job's state. */
+    /** Responds to a status query, immediately or after the state store has confirmed the job's state. */
     public void queryStatus(String id, HttpExchange exchange) {
         statusQueries.query(id, withArrivalTime(exchange));
     }
@@ -102,7 +102,8 @@
     }
 
     /**
-     * Responds to the pending requests for jobs that a committed transaction has accepted or ended.
+     * Responds to the pending requests whose outcome is known after a transaction has been committed. Also rejects
+     * requests as {@link #completePending} does.
      *
      * @param revision revision of the state store at which the transaction was committed
      * @param sentAt when the transaction was sent
@@ -121,8 +122,8 @@
     }
 
     /**
-     * Responds to the pending submissions of jobs that have already ended, which shows in a failed condition on their
-     * final state.
+     * Responds to the pending submissions of jobs that have already ended. A failed condition on the key of a job's
+     * final state means that the job has ended.
      *
      * @param failedConditions keys whose conditions failed in a transaction
      */
--- a/src/main/java/org/gullway/peer/CancellationExchange.java
+++ b/src/main/java/org/gullway/peer/CancellationExchange.java
@@ -16,7 +16,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Exchanges known cancellations with the other controllers while the state store is unavailable. */
+/**
+ * Exchanges known cancellations with the other controllers. A controller asks for them while it holds no valid lease.
+ */
 final class CancellationExchange {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationExchange.class);
 
--- a/src/main/java/org/gullway/peer/PeerClient.java
+++ b/src/main/java/org/gullway/peer/PeerClient.java
@@ -29,12 +29,15 @@
         return addressByName.keySet();
     }
 
-    /** Sends resource offers and ignores the response. */
+    /** Sends resource offers and ignores the response. Does nothing if the peer is not configured. */
     void sendOffers(String peer, List<ResourceOffer> offers) {
         send(peer, PeerPaths.OFFERS, ResourceOffer.encode(offers));
     }
 
-    /** Sends attempt completions, in several messages if necessary, and ignores the responses. */
+    /**
+     * Sends attempt completions, in several messages if necessary, and ignores the responses. Does nothing if the peer
+     * is not configured.
+     */
     void sendCompletions(String peer, List<AttemptCompletion> completions) {
         for (int from = 0; from < completions.size(); from += AttemptCompletion.MAX_PER_MESSAGE) {
             int to = Math.min(completions.size(), from + AttemptCompletion.MAX_PER_MESSAGE);
--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -18,8 +18,8 @@
 
 /**
  * Exchanges messages with the other controllers: resource offers, attempt completions and, while the state store does
- * not respond, known cancellations. Responses to offers and completions are ignored, since later heartbeats make up for
- * lost messages.
+ * not respond, reports of its status and known cancellations. Responses to offers and completions are ignored: if a
+ * message is lost, later heartbeats show the same free resources or ended attempts again.
  */
 public final class PeerExchange {
     private static final Duration POLL_INTERVAL = Duration.ofSeconds(1);
@@ -33,7 +33,7 @@
 
     /**
      * @param targets the components that process messages of other controllers
-     * @param storeKnownThrough returns when the latest request that the state store has answered was sent
+     * @param storeKnownThrough returns the send time of the last watch or full read that the state store has answered
      * @param triggerSchedulingCycle requests a scheduling cycle; called after every message that may require one
      */
     public PeerExchange(
@@ -110,9 +110,9 @@
     }
 
     /**
-     * Asks all other controllers whether the state store responds to them and which cancellations they know. To be
-     * called while the state store does not respond to this controller; a call within {@link #POLL_INTERVAL} of
-     * the previous poll does nothing.
+     * Asks all other controllers whether the state store responds to them and which cancellations they know. Called
+     * while this controller holds no valid lease. A call within {@link #POLL_INTERVAL} of the previous poll does
+     * nothing.
      */
     public void pollPeersIfDue(Instant now) {
         if (lastPolledAt.plus(POLL_INTERVAL).isAfter(now)) {
--- a/src/main/java/org/gullway/peer/StoreStatusExchange.java
+++ b/src/main/java/org/gullway/peer/StoreStatusExchange.java
@@ -10,8 +10,8 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Detects outages of the state store that affect all controllers, and tells peers whether the state store responds to
- * this controller.
+ * Exchanges with the other controllers whether the state store responds to each of them, to recognize an outage that
+ * affects all controllers.
  */
 final class StoreStatusExchange {
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -20,7 +20,9 @@
     private final Supplier<Instant> storeKnownThrough;
     private final StoreOutageDetector outageDetector;
 
-    /** @param storeKnownThrough returns when the latest request that the state store has answered was sent */
+    /**
+     * @param storeKnownThrough returns the send time of the last watch or full read that the state store has answered
+     */
     StoreStatusExchange(EventLoop loop, PeerClient client, Supplier<Instant> storeKnownThrough) {
         this.loop = loop;
         this.client = client;
--- a/src/test/java/org/gullway/agent/HeartbeatAdmissionTest.java
+++ b/src/test/java/org/gullway/agent/HeartbeatAdmissionTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void handlesHeartbeatsAtOnceWithinTheBudget() {
+    void handlesHeartbeatsImmediatelyWithinTheBudget() {
         HeartbeatAdmission admission = admission(Duration.ofMillis(1));
         for (int i = 0; i < 100; i++) {
             admission.admit(heartbeat());
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Without a limit, 1000 heartbeats that arrive at once would occupy the event loop for 3 s, and all other tasks
-     * would wait behind them.
+     * Without a limit, 1000 heartbeats that arrive simultaneously would occupy the event loop for 3 s, and all other
+     * tasks would wait behind them.
      */
     @Test
     void manySimultaneousHeartbeatsDoNotDelayOtherTasks() {
--- a/src/test/java/org/gullway/api/JobLookupTest.java
+++ b/src/test/java/org/gullway/api/JobLookupTest.java
@@ -77,7 +77,9 @@
     }
 
     /**
-     * Without shared reads each caller would cause a read, and without the rate limit all reads would be sent at once.
+     * Without shared reads each caller would cause a read, and without the rate limit all reads would be sent
+     * immediately. The test looks up 20 jobs with 3 callers each; a read serves the 3 callers of a job and takes 2
+     * requests to the state store. Lookups that the rate limit would delay for too long fail immediately.
      */
     @Test
     void lookupsOfOneJobShareAReadAndAllReadsObeyTheRateLimit() {
@@ -87,7 +89,7 @@
             }
         }
         assertThat(outcomes)
-                .as("lookups that failed at once")
+                .as("lookups that failed immediately")
                 .hasSizeGreaterThan(30)
                 .containsOnly("failed");
         int failed = outcomes.size();
--- a/src/test/java/org/gullway/api/LinearizableResponsesTest.java
+++ b/src/test/java/org/gullway/api/LinearizableResponsesTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every kind of response that contains a job's state, or reports its absence, is withheld if that state is older than
- * the request, and the withheld response is reported as a violation.
+ * A response of any kind that contains a job's state, or reports its absence, is withheld if that information is older
+ * than the request, and the withheld response is reported as a violation.
  */
 class LinearizableResponsesTest {
     private static final String JOB = "run-000001";
@@ -40,19 +40,19 @@
     private final List<String> violations = new ArrayList<>();
     private final LinearizableResponses responses = new LinearizableResponses(
             new SimulatedTime().process(), id -> Optional.ofNullable(finalStates.get(id)), violations::add);
-    /** The kinds of responses that can also report that there is no such job. */
-    private final List<BiConsumer<UserRequest, JobLookupResult>> kindsAllowingNotFound = List.of(
+    /** Functions that respond to a request with a lookup result, and that also accept the result "not found". */
+    private final List<BiConsumer<UserRequest, JobLookupResult>> notFoundResponders = List.of(
             (request, result) -> responses.respondToQueries(List.of(request), result),
             responses::respondToCancellation,
             (request, result) -> responses.respondInfeasible(request, result, "too large"));
 
-    private List<BiConsumer<UserRequest, JobLookupResult>> allKinds() {
-        List<BiConsumer<UserRequest, JobLookupResult>> all = new ArrayList<>(kindsAllowingNotFound);
+    private List<BiConsumer<UserRequest, JobLookupResult>> allResponders() {
+        List<BiConsumer<UserRequest, JobLookupResult>> all = new ArrayList<>(notFoundResponders);
         all.add((request, result) -> responses.respondAccepted(request, (JobLookupResult.Found) result));
         return all;
     }
 
-    private int status(BiConsumer<UserRequest, JobLookupResult> kind, JobLookupResult result) {
+    private int respondAndGetStatus(BiConsumer<UserRequest, JobLookupResult> responder, JobLookupResult result) {
         List<Integer> statuses = new ArrayList<>();
         SimulatedNetwork.Message exchange = new SimulatedNetwork.Message(
                 "users",
@@ -61,30 +61,30 @@
                 "",
                 new byte[0],
                 (HttpResponse response) -> statuses.add(response.status()));
-        kind.accept(new UserRequest(exchange, ARRIVED_AT), result);
+        responder.accept(new UserRequest(exchange, ARRIVED_AT), result);
         assertThat(statuses).as("exactly one response").hasSize(1);
         return statuses.get(0);
     }
 
-    private static StateFreshness confirmedFrom(Instant notOlderThan) {
+    private static StateFreshness freshness(Instant notOlderThan) {
         return new StateFreshness(StateFreshness.Source.VERSION_CHECK, 7, notOlderThan);
     }
 
     private static JobLookupResult found(Instant notOlderThan) {
-        return new JobLookupResult.Found(PENDING, confirmedFrom(notOlderThan));
+        return new JobLookupResult.Found(PENDING, freshness(notOlderThan));
     }
 
     private static JobLookupResult notFound(Instant notOlderThan) {
-        return new JobLookupResult.NotFound(JOB, confirmedFrom(notOlderThan));
+        return new JobLookupResult.NotFound(JOB, freshness(notOlderThan));
     }
 
     @Property(tries = 60, seed = "241")
     void responseIsSentOnlyIfItsStateIsNotOlderThanTheRequest(
-            @ForAll @IntRange(min = -5, max = 5) int millis, @ForAll boolean known) {
-        JobLookupResult result = known ? found(ARRIVED_AT.plusMillis(millis)) : notFound(ARRIVED_AT.plusMillis(millis));
-        for (BiConsumer<UserRequest, JobLookupResult> kind : known ? allKinds() : kindsAllowingNotFound) {
+            @ForAll @IntRange(min = -5, max = 5) int millis, @ForAll boolean found) {
+        JobLookupResult result = found ? found(ARRIVED_AT.plusMillis(millis)) : notFound(ARRIVED_AT.plusMillis(millis));
+        for (BiConsumer<UserRequest, JobLookupResult> responder : found ? allResponders() : notFoundResponders) {
             violations.clear();
-            int status = status(kind, result);
+            int status = respondAndGetStatus(responder, result);
             if (millis < 0) {
                 assertThat(status).isEqualTo(503);
                 assertThat(violations)
@@ -100,44 +100,48 @@
 
     @Test
     void finalStateIsSentRegardlessOfItsAgeAndReplacesAnOlderResult() {
-        for (BiConsumer<UserRequest, JobLookupResult> kind : allKinds()) {
-            assertThat(status(kind, JobLookupResult.Found.ofFinalState(CANCELLED)))
+        for (BiConsumer<UserRequest, JobLookupResult> responder : allResponders()) {
+            assertThat(respondAndGetStatus(responder, JobLookupResult.Found.ofFinalState(CANCELLED)))
                     .isEqualTo(200);
         }
         finalStates.put(JOB, CANCELLED);
-        for (BiConsumer<UserRequest, JobLookupResult> kind : kindsAllowingNotFound) {
-            assertThat(status(kind, found(ARRIVED_AT.minus(Duration.ofSeconds(1)))))
+        for (BiConsumer<UserRequest, JobLookupResult> responder : notFoundResponders) {
+            assertThat(respondAndGetStatus(responder, found(ARRIVED_AT.minus(Duration.ofSeconds(1)))))
+                    .isEqualTo(200);
+            assertThat(respondAndGetStatus(responder, notFound(ARRIVED_AT.plusSeconds(1))))
                     .isEqualTo(200);
-            assertThat(status(kind, notFound(ARRIVED_AT.plusSeconds(1)))).isEqualTo(200);
         }
         assertThat(violations).isEmpty();
     }
 
-    /** The freshness check runs for every response, on controllers that have only a small fraction of a processor. */
+    /**
+     * The freshness check runs for every response, on controllers that have only a small fraction of a processor, so it
+     * must not allocate much memory.
+     */
     @Test
-    void freshnessCheckAllocatesLittleMemoryBesideTheResponseBody() {
+    void freshnessCheckAllocatesLittleMemoryInAdditionToTheResponseBody() {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         SimulatedNetwork.Message exchange =
                 new SimulatedNetwork.Message("users", "GET", "/v2/runs/" + JOB, "", new byte[0], response -> {});
         UserRequest request = new UserRequest(exchange, ARRIVED_AT);
         List<UserRequest> requests = List.of(request);
         JobLookupResult result = found(ARRIVED_AT);
-        long responseBytes = 0;
-        long bodyBytes = 0;
+        long allocatedByResponses = 0;
+        long allocatedByBodies = 0;
         for (int i = -MEASURED_RESPONSES; i < MEASURED_RESPONSES; i++) {
             if (i == 0) {
                 // The first half is the warm-up: now all classes are loaded.
-                responseBytes = 0;
-                bodyBytes = 0;
+                allocatedByResponses = 0;
+                allocatedByBodies = 0;
             }
             long before = threads.getCurrentThreadAllocatedBytes();
             responses.respondToQueries(requests, result);
             long between = threads.getCurrentThreadAllocatedBytes();
             exchange.respond(200, Cbor.encode(PENDING.toNode()));
-            responseBytes += between - before;
-            bodyBytes += threads.getCurrentThreadAllocatedBytes() - between;
+            allocatedByResponses += between - before;
+            allocatedByBodies += threads.getCurrentThreadAllocatedBytes() - between;
         }
-        assertThat((responseBytes - bodyBytes) / MEASURED_RESPONSES)
+        assertThat((allocatedByResponses - allocatedByBodies) / MEASURED_RESPONSES)
                 .as("bytes allocated per response")
                 .isLessThan(MAX_BYTES_PER_RESPONSE);
     }
