--- a/src/main/java/org/gullway/agent/StartGate.java
+++ b/src/main/java/org/gullway/agent/StartGate.java
@@ -44,7 +44,7 @@
             // The lease can expire while a long scheduling cycle sends commands, so this is not reported as a violated
             // invariant.
             LOG.debug(
-                    "start denied: the lease is no longer valid machine={} task={} attempt={}",
+                    "start denied: this controller holds no valid lease machine={} task={} attempt={}",
                     batch.machine(),
                     start.task(),
                     start.attempt());
--- a/src/main/java/org/gullway/api/JobReader.java
+++ b/src/main/java/org/gullway/api/JobReader.java
@@ -119,7 +119,8 @@
             cancellationEnforcer.add(job, loop.now());
             return job.status();
         } catch (MalformedMessageException e) {
-            LOG.error("could not decode a job record error=\"{}\"", e.getMessage());
+            LOG.error(
+                    "could not decode a job record; reporting a derived state job={} error=\"{}\"", id, e.getMessage());
             JobState state = value.hasNonNull("cancelled") ? JobState.CANCELLED : JobState.PENDING;
             return new JobStatus(id, state, 0, 0);
         }
--- a/src/main/java/org/gullway/api/LinearizableResponses.java
+++ b/src/main/java/org/gullway/api/LinearizableResponses.java
@@ -91,7 +91,7 @@
             if (result.freshness().isFreshFor(request.arrivedAt())) {
                 request.exchange().respond(response.status(), response.body());
             } else {
-                onViolation.accept(describe(result, request));
+                onViolation.accept("response withheld: state is older than the request " + describe(result, request));
                 UserResponses.rejectTemporarily(request);
             }
         }
