--- a/src/main/java/org/gullway/agent/CommandSender.java
+++ b/src/main/java/org/gullway/agent/CommandSender.java
@@ -138,6 +138,7 @@
         };
     }
 
+    /** Parses a command response, which has the format of a heartbeat and lists the agent's tasks. */
     private void parseResponse(CommandBatch batch, HttpResponse response, Consumer<Heartbeat> onResponse) {
         try {
             onResponse.accept(Heartbeat.parse(response.body(), agentReconciler::lastMessage));
--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Responds to heartbeats of agents. A response with status 200 renews the agent's lease. It is sent only while {@link
- * LeaseRenewalPolicy} ensures that the agent ends the tasks of cancelled jobs in time, even of cancellations that this
- * controller does not know yet.
+ * Responds to heartbeats of agents. A response with status 200 renews the agent's lease. It is sent only while
+ * {@link LeaseRenewalPolicy} ensures that the agent ends the tasks of cancelled jobs in time, even if this controller
+ * does not know of their cancellation yet.
  */
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
--- a/src/main/java/org/gullway/api/JobLookup.java
+++ b/src/main/java/org/gullway/api/JobLookup.java
@@ -14,8 +14,8 @@
 
 /**
  * Looks up jobs in the state store that are missing from the cluster state or stale there. Lookups of the same job
- * share one read. All reads are subject to a rate limit; a lookup that would have to wait for longer than {@link
- * #MAX_RATE_LIMIT_DELAY} fails immediately.
+ * share one read. All reads are subject to a rate limit; a lookup that would have to wait for longer than
+ * {@link #MAX_RATE_LIMIT_DELAY} fails immediately.
  */
 final class JobLookup {
     private static final Duration MAX_RATE_LIMIT_DELAY = Duration.ofSeconds(1);
--- a/src/main/java/org/gullway/api/SubmissionHandler.java
+++ b/src/main/java/org/gullway/api/SubmissionHandler.java
@@ -108,9 +108,9 @@
 
     /**
      * Responds to the pending submissions of a job whose record has been committed. A request gets the committed state
-     * if it arrived before the transaction was sent and the cluster state has no newer version of the record. All other
-     * requests get the job's current state: the store's response to the commit can arrive late, after the job was
-     * cancelled and submitted again, and the committed state is outdated by then.
+     * if it arrived before the transaction was sent and the cluster state contains exactly the committed version of the
+     * record. All other requests get the job's current state: the store's response to the commit can arrive late, after
+     * the job was cancelled and submitted again, and the committed state is outdated by then.
      */
     void onCommitted(JobRecord job, StateFreshness freshness) {
         String id = job.request().id();
