--- a/src/main/java/org/gullway/api/StatusVerifier.java
+++ b/src/main/java/org/gullway/api/StatusVerifier.java
@@ -120,10 +120,10 @@
         }
         Instant sentAt = loop.now();
         checkSendTimes.add(sentAt);
-        replicatedState.checkVersions(batch.keys(), read -> {
+        replicatedState.checkVersions(batch.keys(), result -> {
             checkSendTimes.remove(sentAt);
-            switch (read.kind()) {
-                case COMPARED -> complete(batch, read, sentAt);
+            switch (result.kind()) {
+                case COMPARED -> complete(batch, result, sentAt);
                 case BUSY -> retryLater(batch);
                 case FAILED -> batch.queries()
                         .forEach(batched -> batched.query().reject());
@@ -161,10 +161,10 @@
         }
     }
 
-    private void complete(Batch batch, VersionCheckResult read, Instant sentAt) {
-        StateFreshness freshness = new StateFreshness(StateFreshness.Source.VERSION_CHECK, read.revision(), sentAt);
+    private void complete(Batch batch, VersionCheckResult result, Instant sentAt) {
+        StateFreshness freshness = new StateFreshness(StateFreshness.Source.VERSION_CHECK, result.revision(), sentAt);
         for (BatchedQuery batched : batch.queries()) {
-            complete(batched, freshness, read.staleKeys());
+            complete(batched, freshness, result.staleKeys());
         }
     }
 
