--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -21,8 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Responds to heartbeats of agents. A response with status 200 renews the agent's lease, so no such response is sent
- * while this controller may lack a cancellation that another controller has confirmed.
+ * Responds to heartbeats of agents. A response with status 200 renews the agent's lease. It is sent only while
+ * {@link LeaseRenewalPolicy} ensures that the agent ends the tasks of cancelled jobs in time, even if this controller
+ * does not know of their cancellation yet.
  */
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
@@ -54,11 +55,11 @@
     }
 
     /**
-     * Called when this controller holds a valid lease. From then on heartbeats can also be accepted while it holds
-     * none.
+     * Called in every scheduling cycle in which this controller holds a valid membership lease. After the first call,
+     * heartbeats can also be accepted while the membership lease is not valid.
      */
-    public void onLeaseAcquired() {
-        leaseRenewalGate.onLeaseAcquired();
+    public void onValidLease() {
+        leaseRenewalGate.onValidLease();
     }
 
     /** Responds to one heartbeat. */
@@ -66,8 +67,8 @@
         Instant now = loop.now();
         boolean holdsValidLease = leaseRenewalGate.holdsValidLease();
         if (leaseRenewalGate.rejectsAllHeartbeats(holdsValidLease, now)) {
-            // The body is not parsed: after a restart all agents retry every second, and their heartbeats must not
-            // delay this controller in joining the cluster.
+            // Rejected without parsing the body: after a restart of all controllers every agent retries each second,
+            // and parsing these heartbeats would delay this controller in joining the cluster.
             exchange.reject(HttpStatus.SERVICE_UNAVAILABLE, RETRY_AFTER);
             return;
         }
@@ -82,7 +83,7 @@
         if (holdsValidLease) {
             respond(exchange, agentReconciler.onHeartbeat(heartbeat, loop.now()));
         } else {
-            respondDuringOutage(exchange, heartbeat);
+            respondWithoutValidLease(exchange, heartbeat);
         }
     }
 
@@ -93,7 +94,7 @@
         return Heartbeat.parse(exchange.body(), agentReconciler::lastMessage);
     }
 
-    private void respondDuringOutage(HttpExchange exchange, Heartbeat heartbeat) {
+    private void respondWithoutValidLease(HttpExchange exchange, Heartbeat heartbeat) {
         if (leaseRenewalGate.mayRenewDuringOutage(heartbeat, loop.now())) {
             List<AgentCommand> stops = cancellationEnforcer.stopCommands(heartbeat);
             exchange.respond(HttpStatus.OK, responseEncoder.encode(clusterState.fencingToken(), stops));
--- a/src/main/java/org/gullway/api/UserApi.java
+++ b/src/main/java/org/gullway/api/UserApi.java
@@ -58,10 +58,10 @@
         // Lookups for submissions and cancellations have a rate limit of their own, so that status queries cannot delay
         // them.
         JobLookup queryLookup = newJobLookup(context, replicatedState.queryReadLimit(), cancellationEnforcer);
-        JobLookup requestLookup = newJobLookup(context, replicatedState.mutationReadLimit(), cancellationEnforcer);
+        JobLookup mutationLookup = newJobLookup(context, replicatedState.mutationReadLimit(), cancellationEnforcer);
         this.statusQueries = new StatusQueryHandler(context, queryLookup, conditionsPerTransaction);
-        this.submissions = new SubmissionHandler(context, admission, requestLookup, statusQueries);
-        this.cancellations = new CancellationHandler(context, requestLookup);
+        this.submissions = new SubmissionHandler(context, admission, mutationLookup, statusQueries);
+        this.cancellations = new CancellationHandler(context, mutationLookup);
     }
 
     private static JobLookup newJobLookup(
@@ -75,17 +75,17 @@
         return new JobLookup(context.loop(), rateLimit, context.finalStates(), reader);
     }
 
-    /** Responds to a submission, at once or after the job has been committed. */
+    /** Responds to a submission, immediately or after the job has been committed. */
     public void submit(HttpExchange exchange) {
         submissions.submit(withArrivalTime(exchange));
     }
 
-    /** Responds to a cancellation, at once or after it has been committed. */
+    /** Responds to a cancellation, immediately or after it has been committed. */
     public void cancel(String id, HttpExchange exchange) {
         cancellations.cancel(id, withArrivalTime(exchange));
     }
 
-    /** Responds to a status query, at once or after the state store has confirmed the job's state. */
+    /** Responds to a status query, immediately or after the state store has confirmed the job's state. */
     public void queryStatus(String id, HttpExchange exchange) {
         statusQueries.query(id, withArrivalTime(exchange));
     }
@@ -102,13 +102,14 @@
     }
 
     /**
-     * Responds to the pending requests for jobs that a committed transaction has accepted or ended.
+     * Responds to the pending requests whose outcome is known after a transaction has been committed. Also rejects
+     * requests as {@link #completePending} does.
      *
      * @param revision revision of the state store at which the transaction was committed
      * @param sentAt when the transaction was sent
      */
     public void onCommitted(Transaction transaction, long revision, Instant sentAt) {
-        ReadFreshness freshness = new ReadFreshness(ReadFreshness.Source.COMMIT, revision, sentAt);
+        StateFreshness freshness = new StateFreshness(StateFreshness.Source.COMMIT, revision, sentAt);
         transaction.changes().forEach((key, value) -> {
             if (value instanceof FinalState finalState) {
                 String id = key.substring(StoreKeys.finalState("").length());
@@ -121,8 +122,8 @@
     }
 
     /**
-     * Responds to the pending submissions of jobs that have already ended, which shows in a failed condition on their
-     * final state.
+     * Responds to the pending submissions of jobs that have already ended. A failed condition on the key of a job's
+     * final state means that the job has ended.
      *
      * @param failedConditions keys whose conditions failed in a transaction
      */
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -169,7 +169,7 @@
         agents.reconciler().onLeaseStatus(replicatedState.holdsValidLease(), startedAt);
         if (!replicatedState.holdsValidLease()) {
             if (heldLeaseBefore) {
-                messaging.peerExchange().pollPeersDuringOutage(startedAt);
+                messaging.peerExchange().pollPeersIfDue(startedAt);
                 enforceCancellations(startedAt);
             }
             return;
@@ -188,7 +188,7 @@
         leadershipLog.observe(
                 clusterState.leader(), clusterState.fencingToken(), clusterState.version(StoreKeys.LEADER));
         heldLeaseBefore = true;
-        requests.heartbeatHandler().onLeaseAcquired();
+        requests.heartbeatHandler().onValidLease();
         agents.leaseRenewal().reset();
         agents.cancellationEnforcer().onLeaseRegained(replicatedState.knownThrough());
         publicListener.openIfReady(now);
--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -18,22 +18,22 @@
 
 /**
  * Exchanges messages with the other controllers: resource offers, attempt completions and, while the state store does
- * not respond, known cancellations. Responses to offers and completions are ignored, since later heartbeats make up for
- * lost messages.
+ * not respond, reports of its status and known cancellations. Responses to offers and completions are ignored: if a
+ * message is lost, later heartbeats show the same free resources or ended attempts again.
  */
 public final class PeerExchange {
-    private static final Duration OUTAGE_POLL_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration POLL_INTERVAL = Duration.ofSeconds(1);
     private final EventLoop loop;
     private final PeerClient client;
     private final PeerMessageTargets targets;
-    private final StoreOutageMonitor outageMonitor;
+    private final StoreStatusExchange storeStatusExchange;
     private final CancellationExchange cancellationExchange;
     private final Runnable triggerSchedulingCycle;
     private Instant lastPolledAt = Instant.MIN;
 
     /**
      * @param targets the components that process messages of other controllers
-     * @param storeKnownThrough returns when the latest request that the state store has answered was sent
+     * @param storeKnownThrough returns the send time of the last watch or full read that the state store has answered
      * @param triggerSchedulingCycle requests a scheduling cycle; called after every message that may require one
      */
     public PeerExchange(
@@ -47,7 +47,7 @@
         this.loop = loop;
         this.client = new PeerClient(httpClient, peers);
         this.targets = targets;
-        this.outageMonitor = new StoreOutageMonitor(loop, client, storeKnownThrough);
+        this.storeStatusExchange = new StoreStatusExchange(loop, client, storeKnownThrough);
         this.cancellationExchange = new CancellationExchange(loop, client, self, targets);
         this.triggerSchedulingCycle = triggerSchedulingCycle;
     }
@@ -61,7 +61,7 @@
     public void handle(HttpExchange exchange) {
         targets.leaseRenewal().onExternalContact(loop.now());
         if (exchange.path().equals(PeerPaths.STORE_STATUS)) {
-            outageMonitor.respond(exchange);
+            storeStatusExchange.respond(exchange);
             return;
         }
         try {
@@ -96,7 +96,7 @@
 
     /** Returns whether all other controllers have recently reported that the state store does not respond to them. */
     public boolean isStoreOutageReportedByAllPeers() {
-        return outageMonitor.isReportedByAllPeers();
+        return storeStatusExchange.isReportedByAllPeers();
     }
 
     /** Offers free resources to another controller. */
@@ -110,16 +110,16 @@
     }
 
     /**
-     * Asks all other controllers whether the state store responds to them and which cancellations they know. To be
-     * called while the state store does not respond to this controller; a call within {@link #OUTAGE_POLL_INTERVAL} of
-     * the previous poll does nothing.
+     * Asks all other controllers whether the state store responds to them and which cancellations they know. Called
+     * while this controller holds no valid lease. A call within {@link #POLL_INTERVAL} of the previous poll does
+     * nothing.
      */
-    public void pollPeersDuringOutage(Instant now) {
-        if (lastPolledAt.plus(OUTAGE_POLL_INTERVAL).isAfter(now)) {
+    public void pollPeersIfDue(Instant now) {
+        if (lastPolledAt.plus(POLL_INTERVAL).isAfter(now)) {
             return;
         }
         lastPolledAt = now;
-        outageMonitor.poll();
+        storeStatusExchange.poll();
         cancellationExchange.poll(now);
     }
 }
--- a/src/main/java/org/gullway/peer/StoreOutageMonitor.java
+++ b/src/main/java/org/gullway/peer/StoreStatusExchange.java
@@ -10,18 +10,20 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Detects outages of the state store that affect all controllers, and tells peers whether the state store responds to
- * this controller.
+ * Exchanges with the other controllers whether the state store responds to each of them, to recognize an outage that
+ * affects all controllers.
  */
-final class StoreOutageMonitor {
+final class StoreStatusExchange {
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     private final EventLoop loop;
     private final PeerClient client;
     private final Supplier<Instant> storeKnownThrough;
     private final StoreOutageDetector outageDetector;
 
-    /** @param storeKnownThrough returns when the latest request that the state store has answered was sent */
-    StoreOutageMonitor(EventLoop loop, PeerClient client, Supplier<Instant> storeKnownThrough) {
+    /**
+     * @param storeKnownThrough returns the send time of the last watch or full read that the state store has answered
+     */
+    StoreStatusExchange(EventLoop loop, PeerClient client, Supplier<Instant> storeKnownThrough) {
         this.loop = loop;
         this.client = client;
         this.storeKnownThrough = storeKnownThrough;
