--- a/src/main/java/org/gullway/agent/StartGate.java
+++ b/src/main/java/org/gullway/agent/StartGate.java
@@ -52,7 +52,7 @@
         }
         Optional<String> denialReason = authorization.denialReason(batch, start);
         if (denialReason.isPresent()) {
-            invariants.onViolation(describe(batch, start, denialReason.get()));
+            invariants.reportViolation(describe(batch, start, denialReason.get()));
             return false;
         }
         return true;
--- a/src/main/java/org/gullway/controller/RequestComponents.java
+++ b/src/main/java/org/gullway/controller/RequestComponents.java
@@ -64,7 +64,7 @@
                 monitoring.metrics(),
                 CONDITIONS_PER_CHANGE * environment.settings().stateChangesPerCommit(),
                 agents.cancellationEnforcer(),
-                monitoring.invariantMonitor()::onViolation,
+                monitoring.invariantMonitor()::reportViolation,
                 environment.requestCycle());
     }
 }
--- a/src/main/java/org/gullway/observability/InvariantMonitor.java
+++ b/src/main/java/org/gullway/observability/InvariantMonitor.java
@@ -24,7 +24,7 @@
     }
 
     /** Logs and counts a violation, and passes its description to the listener. */
-    public void onViolation(String description) {
+    public void reportViolation(String description) {
         LOG.error("invariant violated description={}", description);
         metrics.invariantViolated();
         listener.accept(description);
