--- a/src/main/java/org/gullway/Main.java
+++ b/src/main/java/org/gullway/Main.java
@@ -16,20 +16,21 @@
     private static final int EXIT_START_FAILED = 1;
     private static final int EXIT_INVALID_SETTINGS = 2;
 
-    /** Starts the daemon. Empty unless valid settings have been read and a start was requested, rather than a check. */
+    /** The action that starts the daemon. Empty if no valid settings have been read or if only a check was requested. */
     private Optional<Runnable> startAction = Optional.empty();
 
     /** Reads the command line and the settings, then starts the daemon. Exits with a status above 0 on failure. */
     public static void main(String[] args) {
         configureLogging(System.getenv());
+        // Must precede the first use of XNIO, which would otherwise set up a management server.
         DisabledMBeanServerBuilder.install();
         Main main = new Main();
-        int exitCode = main.prepare(args);
+        int exitCode = main.processCommandLine(args);
         if (exitCode != EXIT_OK) {
             System.exit(exitCode);
         }
-        // This must be the last step of the main thread. If the main thread loaded classes while the event loop reads
-        // from sockets for the first time, the Java virtual machine could crash.
+        // Must be the last step of the main thread: the Java virtual machine can crash if the main thread loads classes
+        // while the event loop reads from sockets for the first time.
         main.start();
     }
 
@@ -55,12 +56,14 @@
     }
 
     /** Parses the command line and reads the settings files that it names. Returns the exit code. */
-    int prepare(String... arguments) {
-        Optional<StartOptions> options = StartOptions.parseWithoutLibrary(arguments);
-        return options.isPresent() ? prepare(options.get()) : CommandLineInterface.execute(arguments, this::prepare);
+    int processCommandLine(String... arguments) {
+        Optional<StartOptions> options = StartOptions.parsePlatformCommandLine(arguments);
+        return options.isPresent()
+                ? readSettings(options.get())
+                : CommandLineInterface.execute(arguments, this::readSettings);
     }
 
-    private int prepare(StartOptions options) {
+    private int readSettings(StartOptions options) {
         final Settings settings;
         final OperatorSettings operatorSettings;
         try {
--- a/src/main/java/org/gullway/cli/StartOptions.java
+++ b/src/main/java/org/gullway/cli/StartOptions.java
@@ -6,8 +6,8 @@
 /**
  * The options with which the process is started.
  *
- * @param config the platform's settings (TOML)
- * @param operatorSettings the operators' own settings (XML); null if none were given
+ * @param config the settings file that the platform provides (TOML)
+ * @param operatorSettings the optional settings file that the operators provide (XML), or null
  * @param checkOnly whether to exit once both files have been read and checked
  */
 public record StartOptions(Path config, Path operatorSettings, boolean checkOnly) {
@@ -15,14 +15,14 @@
     static final String OPERATOR_SETTINGS = "--operator-settings";
 
     /**
-     * Parses a command line of the form with which the platform starts controllers: {@code --config FILE}, optionally
-     * followed by {@code --operator-settings FILE}. All other command lines are parsed by {@link CommandLineInterface}
-     * with the picocli library. The classes of that library cannot be in the class-data sharing archive, so loading
-     * them would slow down every start.
+     * Parses the exact command line with which the platform starts controllers: {@code --config FILE}, optionally
+     * followed by {@code --operator-settings FILE}. {@link CommandLineInterface} parses all other command lines with the
+     * picocli library. It is not used for every start because its classes cannot be in the class-data sharing archive,
+     * and loading them without the archive takes time.
      *
      * @return the options, or empty if the command line has another form
      */
-    public static Optional<StartOptions> parseWithoutLibrary(String[] arguments) {
+    public static Optional<StartOptions> parsePlatformCommandLine(String[] arguments) {
         if (arguments.length == 2 && arguments[0].equals(CONFIG)) {
             return Optional.of(new StartOptions(Path.of(arguments[1]), null, false));
         }
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -22,10 +22,12 @@
 import org.gullway.transport.HttpExchange;
 
 /**
- * One controller: creates its components and runs its control loop. Every event that may require action (a heartbeat, a
+ * The controller that runs in this process: creates its components and runs its control loop. Every event that may require action (a heartbeat, a
  * request, a change in the state store, a timer) requests a scheduling cycle. A cycle compares the desired state with the
- * actual state, sends the commands that are due, and commits the changes that are due. While this controller holds no
- * valid lease, a cycle commits nothing and sends agents nothing but the stops of cancelled tasks.
+ * actual state, sends the commands that are due, and commits the changes that are due.
+ *
+ * <p>This requires a valid membership lease and a fresh cluster state, see {@link ReplicatedState#holdsValidLease}. While
+ * the lease is invalid, but was valid before, a cycle only polls the peers and enforces cancellations.
  */
 public final class Controller {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
@@ -44,13 +46,13 @@
     private final FleetComponents fleet;
     private final MessagingComponents messaging;
     private final RequestComponents requests;
-    private final PublicListener publicListener;
+    private final PublicAddressOpener publicAddressOpener;
     private final SchedulingCycle schedulingCycle;
-    private boolean heldLeaseBefore;
+    private boolean hasHeldValidLease;
 
     /**
-     * @param timeOfDay the wall clock, whose drift stays within the bound that the platform states
-     * @param seed the seed of all random decisions; no two processes may have the same seed
+     * @param timeOfDay the wall clock; the platform guarantees a bound for its drift, which is not among the settings
+     * @param seed the seed of all random decisions; must differ between processes, since their incarnations depend on it
      */
     public Controller(
             Settings settings,
@@ -81,7 +83,7 @@
                 environment, replicatedState, agents, scheduling.bestEffortQueue(), monitoring);
         this.requests = RequestComponents.create(
                 environment, replicatedState, placement, agents, monitoring, random.split(), this::isHealthy);
-        this.publicListener = new PublicListener(
+        this.publicAddressOpener = new PublicAddressOpener(
                 clusterState, placement.machineTypes(), messaging.peerExchange().peerNames());
         this.schedulingCycle = new SchedulingCycle(
                 environment, replicatedState, agents.completionBuffer(), requests.userApi(), monitoring.metrics());
@@ -89,14 +91,19 @@
     }
 
     /**
-     * Creates the incarnation of this process. Its number contains the wall-clock time, so that the number grows with each
-     * restart, and random bits, which distinguish processes that start within the same millisecond.
+     * Creates the incarnation of this process. The upper bits of its number are the wall-clock time, so that the number
+     * grows with each restart. The lower bits are random, to distinguish processes that start in the same millisecond. The
+     * mask keeps the number non-negative.
      */
     private static Incarnation newIncarnation(String node, InstantSource timeOfDay, RandomGenerator random) {
         long number = timeOfDay.millis() << INCARNATION_RANDOM_BITS | random.nextInt(1 << INCARNATION_RANDOM_BITS);
         return new Incarnation(node, number & Long.MAX_VALUE);
     }
 
+    /**
+     * Adds the steps in the order of their precedence: each step sees the changes of the steps before it, and uses only the
+     * capacity of the transaction that they have left.
+     */
     private void addPlanningSteps() {
         CompletionBuffer completionBuffer = agents.completionBuffer();
         schedulingCycle
@@ -117,11 +124,11 @@
      * Starts to read the state store, to join the cluster as a member, and to run the periodic tasks.
      *
      * @param openPublicAddress opens the public address; is run once, while this controller holds a valid lease, see
-     *     {@link PublicListener}. Until then the public address accepts no connections, since the heartbeats of many
+     *     {@link PublicAddressOpener}. Until then the public address accepts no connections, since the heartbeats of many
      *     agents could prevent a controller on a small machine from joining.
      */
     public void start(Runnable openPublicAddress) {
-        publicListener.setOpenAction(openPublicAddress);
+        publicAddressOpener.setOpenAction(openPublicAddress);
         replicatedState.start();
         loop.every(TICK_INTERVAL, this::tick);
         loop.every(environment.operatorSettings().logInterval(), this::logMetrics);
@@ -143,21 +150,22 @@
     }
 
     /**
-     * Returns whether health checks succeed now. A controller that held a valid lease before also stays healthy during an
-     * outage of the state store that all controllers share: users get status 503 and retry their requests here.
+     * Returns whether health checks succeed now. During an outage of the state store that affects all controllers, health
+     * checks succeed if this controller held a valid lease before the outage; users then get status 503 and retry their
+     * requests here. Health checks fail until the machine types are known.
      */
     private boolean isHealthy() {
         boolean canServe = replicatedState.holdsValidLease()
-                || (heldLeaseBefore && messaging.peerExchange().isStoreOutageReportedByAllPeers());
+                || (hasHeldValidLease && messaging.peerExchange().isStoreOutageReportedByAllPeers());
         return canServe && !placement.machineTypes().isEmpty();
     }
 
-    private boolean isLeader() {
-        return schedulingCycle.isLeader();
+    private boolean isRecordedLeader() {
+        return schedulingCycle.isRecordedLeader();
     }
 
     private void tick() {
-        fleet.cloudProvisioner().reconcile(isLeader() && replicatedState.holdsValidLease());
+        fleet.cloudProvisioner().reconcile(isRecordedLeader() && replicatedState.holdsValidLease());
         agents.reconciler().evictStaleAgents(loop.now());
         scheduling.backoff().retainJobsOf(clusterState);
         cycleThrottle.requestCycle();
@@ -168,13 +176,13 @@
         requests.userApi().completePending();
         agents.reconciler().onLeaseStatus(replicatedState.holdsValidLease(), startedAt);
         if (!replicatedState.holdsValidLease()) {
-            if (heldLeaseBefore) {
+            if (hasHeldValidLease) {
                 messaging.peerExchange().pollPeersDuringOutage(startedAt);
                 enforceCancellations(startedAt);
             }
             return;
         }
-        onValidLease(startedAt);
+        onCycleWithValidLease(startedAt);
         sendDueMessages(startedAt);
         if (replicatedState.canCommit()) {
             schedulingCycle.run(startedAt);
@@ -184,14 +192,15 @@
         monitoring.metrics().cycleFinished(elapsed);
     }
 
-    private void onValidLease(Instant now) {
+    /** Called in every cycle with a valid lease, so the called methods must tolerate repeated calls. */
+    private void onCycleWithValidLease(Instant now) {
         leadershipLog.observe(
                 clusterState.leader(), clusterState.fencingToken(), clusterState.version(StoreKeys.LEADER));
-        heldLeaseBefore = true;
+        hasHeldValidLease = true;
         requests.heartbeatHandler().onLeaseAcquired();
         agents.leaseRenewal().reset();
         agents.cancellationEnforcer().onLeaseRegained(replicatedState.knownThrough());
-        publicListener.openIfReady(now);
+        publicAddressOpener.openIfReady(now);
     }
 
     private void sendDueMessages(Instant now) {
@@ -201,8 +210,9 @@
     }
 
     /**
-     * Ends the tasks of cancelled jobs while this controller holds no valid lease. Stopping tasks is safe without the
-     * state store, and the cancellation limit applies during an outage of the state store too.
+     * Sends stops for the tasks of cancelled jobs, and releases machines that have not confirmed the stops in time. Called
+     * while this controller holds no valid lease: stopping tasks is safe without the state store, and the cancellation
+     * limit (how long a cancelled job may still have tasks) also applies during an outage of the state store.
      */
     private void enforceCancellations(Instant now) {
         messaging.commandSender().sendCancellationStops(now);
@@ -224,6 +234,6 @@
         if (!replicatedState.holdsValidLease()) {
             return ClusterSummary.Role.NO_VALID_LEASE;
         }
-        return isLeader() ? ClusterSummary.Role.LEADER : ClusterSummary.Role.MEMBER;
+        return isRecordedLeader() ? ClusterSummary.Role.LEADER : ClusterSummary.Role.MEMBER;
     }
 }
--- a/src/main/java/org/gullway/controller/CycleThrottle.java
+++ b/src/main/java/org/gullway/controller/CycleThrottle.java
@@ -5,9 +5,9 @@
 import org.gullway.transport.EventLoop;
 
 /**
- * Runs the requested scheduling cycles with pauses in between. One cycle serves all requests made during a pause. A pause
- * is proportional to the duration of the cycle before it, within limits, so that heartbeats and users' requests get their
- * share of the CPU time.
+ * Runs scheduling cycles on request, but not during a pause. One cycle serves all requests made during a pause. The owner
+ * of this object starts a pause after a cycle with {@link #startPause}. A pause is proportional to the duration of the
+ * cycle, within limits, so that heartbeats and users' requests get their share of the CPU time.
  */
 final class CycleThrottle {
     private static final Duration MIN_PAUSE = Duration.ofMillis(10);
@@ -17,6 +17,7 @@
     private final EventLoop loop;
     private final Runnable cycle;
     private boolean cyclePending;
+    /** When the last pause ends or ended; {@link Instant#MIN} before the first pause. */
     private Instant pauseEnd = Instant.MIN;
 
     CycleThrottle(EventLoop loop, Runnable cycle) {
--- a/src/main/java/org/gullway/controller/PublicListener.java
+++ b/src/main/java/org/gullway/controller/PublicAddressOpener.java
@@ -9,9 +9,10 @@
 /**
  * Opens the public address of a starting controller once the other controllers are members too, or after a limited wait.
  * If one controller opened its public address before the others, it would receive the heartbeats of all agents at once,
- * and the load could make it lose its membership.
+ * and the load could make it lose its membership. A peer that does not join delays the
+ * opening only by the limited wait.
  */
-final class PublicListener {
+final class PublicAddressOpener {
     private static final Duration MAX_WAIT_FOR_PEERS = Duration.ofMillis(2500);
 
     private final ClusterState clusterState;
@@ -20,9 +21,9 @@
     /** Opens the public address; null until the controller starts, and again after the address was opened. */
     private Runnable openAction;
 
-    private Instant readySince;
+    private Instant waitingForPeersSince;
 
-    PublicListener(ClusterState clusterState, MachineTypeCatalog machineTypes, Set<String> peerNames) {
+    PublicAddressOpener(ClusterState clusterState, MachineTypeCatalog machineTypes, Set<String> peerNames) {
         this.clusterState = clusterState;
         this.machineTypes = machineTypes;
         this.peerNames = peerNames;
@@ -41,11 +42,11 @@
         if (openAction == null || machineTypes.isEmpty()) {
             return;
         }
-        if (readySince == null) {
-            readySince = now;
+        if (waitingForPeersSince == null) {
+            waitingForPeersSince = now;
         }
         if (clusterState.members().keySet().containsAll(peerNames)
-                || readySince.plus(MAX_WAIT_FOR_PEERS).isBefore(now)) {
+                || waitingForPeersSince.plus(MAX_WAIT_FOR_PEERS).isBefore(now)) {
             openAction.run();
             openAction = null;
         }
--- a/src/main/java/org/gullway/controller/ReplicatedStateFactory.java
+++ b/src/main/java/org/gullway/controller/ReplicatedStateFactory.java
@@ -6,14 +6,14 @@
 import org.gullway.storage.ReplicatedState;
 import org.gullway.storage.StateStoreClient;
 
-/** Creates the replicated state, with the limits of the state store that the settings contain. */
+/** Creates the replicated state from the state store's address, the rate limits and the lease durations in the settings. */
 final class ReplicatedStateFactory {
-    private static final Duration MIN_WATCH_WAIT = Duration.ofMillis(250);
-    private static final Duration MAX_WATCH_WAIT = Duration.ofSeconds(1);
+    private static final Duration MIN_LONG_POLL_TIMEOUT = Duration.ofMillis(250);
+    private static final Duration MAX_LONG_POLL_TIMEOUT = Duration.ofSeconds(1);
     /**
-     * A watch may wait for the renewal window divided by this number. An agent's lease is renewed only while the age
-     * of the cluster state is within the renewal window, which is about the cancellation limit minus the duration of an
-     * agent's lease.
+     * How many watches can time out, one after the other, within the renewal window (the cancellation limit minus the
+     * duration of an agent's lease), unless the minimum or maximum timeout applies. Agents' leases are renewed only while
+     * the cluster state is not older than the renewal window, so each watch may take only a small part of the window.
      */
     private static final int WATCHES_PER_RENEWAL_WINDOW = 8;
 
@@ -28,7 +28,7 @@
                 new Membership(
                         environment.self(), environment.operatorSettings().membershipLease()),
                 rateLimits(settings),
-                watchWait(settings),
+                longPollTimeout(settings),
                 environment.requestCycle());
     }
 
@@ -39,12 +39,12 @@
                 settings.peers().size() + 1);
     }
 
-    private static Duration watchWait(Settings settings) {
-        Duration wait =
+    private static Duration longPollTimeout(Settings settings) {
+        Duration timeout =
                 settings.cancellationLimit().minus(settings.agentLease()).dividedBy(WATCHES_PER_RENEWAL_WINDOW);
-        if (wait.compareTo(MAX_WATCH_WAIT) > 0) {
-            return MAX_WATCH_WAIT;
+        if (timeout.compareTo(MAX_LONG_POLL_TIMEOUT) > 0) {
+            return MAX_LONG_POLL_TIMEOUT;
         }
-        return wait.compareTo(MIN_WATCH_WAIT) < 0 ? MIN_WATCH_WAIT : wait;
+        return timeout.compareTo(MIN_LONG_POLL_TIMEOUT) < 0 ? MIN_LONG_POLL_TIMEOUT : timeout;
     }
 }
--- a/src/main/java/org/gullway/controller/RequestComponents.java
+++ b/src/main/java/org/gullway/controller/RequestComponents.java
@@ -11,6 +11,7 @@
 
 /** The components that handle requests to the public address. */
 record RequestComponents(UserApi userApi, HeartbeatHandler heartbeatHandler, RequestRouter router) {
+    /** The state store allows this many conditions in a transaction for each change that it allows. */
     private static final int CONDITIONS_PER_CHANGE = 4;
 
     /**
--- a/src/main/java/org/gullway/controller/RequestRouter.java
+++ b/src/main/java/org/gullway/controller/RequestRouter.java
@@ -46,6 +46,7 @@
     void route(HttpExchange exchange) {
         String path = exchange.path();
         if (!path.equals(HEARTBEAT_PATH)) {
+            // Requests of users and health checks show that the zone of this controller is not partitioned.
             leaseRenewal.onExternalContact(loop.now());
         }
         if (path.equals(HEALTH_CHECK_PATH)) {
--- a/src/main/java/org/gullway/controller/SchedulingCycle.java
+++ b/src/main/java/org/gullway/controller/SchedulingCycle.java
@@ -17,7 +17,10 @@
 import org.gullway.storage.ReplicatedState;
 import org.gullway.transport.EventLoop;
 
-/** Runs the planning steps within a time budget. The steps add their changes to one transaction, which is then committed. */
+/**
+ * The planning part of a scheduling cycle. Runs planning steps until the time budget is used up; the step in progress is
+ * always completed. The steps add their changes to one transaction, which is then committed.
+ */
 final class SchedulingCycle {
     private static final Duration TIME_BUDGET = Duration.ofMillis(150);
 
@@ -31,6 +34,7 @@
     private final UserApi userApi;
     private final Metrics metrics;
     private final CycleSteps steps = new CycleSteps(TIME_BUDGET);
+    /** Set by {@link #run} for the steps, which are added before the transaction exists; not used between cycles. */
     private Transaction currentTransaction;
 
     SchedulingCycle(
@@ -73,11 +77,14 @@
     }
 
     private PlanningContext context() {
-        return new PlanningContext(loop.now(), isLeader(), replicatedState::hasSurplusChanges);
+        return new PlanningContext(loop.now(), isRecordedLeader(), replicatedState::hasSurplusChanges);
     }
 
-    /** Returns whether this process is the leader on record. */
-    boolean isLeader() {
+    /**
+     * Returns whether the cluster state records this process as the leader. This may be true although its membership lease
+     * has expired.
+     */
+    boolean isRecordedLeader() {
         return self.equals(clusterState.leader());
     }
 
@@ -85,10 +92,11 @@
      * Plans the changes that are due and commits them. Must be called only while {@link ReplicatedState#canCommit()}
      * returns true.
      *
-     * @param startedAt when the cycle started; the time budget and the latency of the commit count from then on
+     * @param startedAt when the scheduling cycle started, which is before its commands were sent; the start of the time
+     *     budget and of the measured latency of the transaction
      */
     void run(Instant startedAt) {
-        replicatedState.updateChangeShare(isLeader());
+        replicatedState.updateChangeShare(isRecordedLeader());
         Transaction transaction = new Transaction(
                 clusterState, self, limits.withMaxChanges(replicatedState.availableChanges()), timeOfDay.instant());
         currentTransaction = transaction;
@@ -104,9 +112,9 @@
     private void claimOrConfirmLeadership(Transaction transaction) {
         if (clusterState.leader() == null) {
             transaction.put(StoreKeys.LEADER, self);
-        } else if (isLeader()) {
-            // A former leader whose membership lease expired may become a member again before the watch delivers the
-            // record of the new leader. This condition then makes its transaction fail.
+        } else if (isRecordedLeader()) {
+            // The transaction must fail if another controller is the leader by now. This controller may not know: after
+            // its membership lease expired, it may become a member again before the watch delivers the new leader.
             transaction.requireUnchanged(StoreKeys.LEADER);
         }
     }
@@ -115,7 +123,8 @@
         Instant sentAt = loop.now();
         replicatedState.commit(transaction, result -> {
             Duration elapsed = Duration.between(startedAt, loop.now());
-            metrics.commitFinished(result.committed(), transaction.changes().keySet(), elapsed);
+            metrics.transactionFinished(
+                    result.committed(), transaction.changes().keySet(), elapsed);
             if (result.committed()) {
                 userApi.onCommitted(transaction, result.revision(), sentAt);
             } else {
--- a/src/main/java/org/gullway/observability/ClusterSummary.java
+++ b/src/main/java/org/gullway/observability/ClusterSummary.java
@@ -13,7 +13,7 @@
         int machines,
         int schedulableMachines,
         int cordonedMachines) {
-    /** The role of a controller; without a valid lease, it counts as neither the leader nor a member. */
+    /** The role of a controller: the leader, any other member, or a controller that holds no valid membership lease. */
     public enum Role {
         LEADER("leader"),
         MEMBER("member"),
--- a/src/main/java/org/gullway/observability/InvariantMonitor.java
+++ b/src/main/java/org/gullway/observability/InvariantMonitor.java
@@ -5,8 +5,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs and counts violations of invariants. Each violation shows a defect of this program. The component that detects the
- * violation prevents its consequence, for example by withholding a command or a response.
+ * Logs and counts violations of invariants that other components detect. A violation always indicates a bug in this
+ * program. The component that detects it prevents its consequence, for example by withholding a command or a response.
  */
 public final class InvariantMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(InvariantMonitor.class);
--- a/src/main/java/org/gullway/observability/LeadershipLog.java
+++ b/src/main/java/org/gullway/observability/LeadershipLog.java
@@ -16,7 +16,7 @@
      * Compares the leader and the fencing token with those of the previous call and logs what has changed.
      *
      * @param leader the leader on record, or null if there is none
-     * @param revision the revision of the state store at which the leader was recorded; 0 if there is none
+     * @param revision the revision of the state store at which the leader was recorded; 0 if there is no leader
      */
     public void observe(Incarnation leader, long fencingToken, long revision) {
         if (!Objects.equals(leader, previousLeader)) {
--- a/src/main/java/org/gullway/observability/Metrics.java
+++ b/src/main/java/org/gullway/observability/Metrics.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts events since the start of the process and records latencies since the last log line. Logs both in one line per
- * log interval.
+ * Logs counters and latencies in one line per log interval. Counters are cumulative since the start of the process, except
+ * that the numbers of accepted submissions and of cycles, like all latencies, cover the time since the last log line.
  */
 public final class Metrics implements RequestMetrics {
     private static final Logger LOG = LoggerFactory.getLogger(Metrics.class);
@@ -36,7 +36,9 @@
     private static final String QUERIES_REJECTED = "status.queries.rejected";
     private static final String INVARIANT_VIOLATIONS = "invariant.violations";
 
+    /** A longer latency is recorded as this value. */
     private static final long MAX_RECORDED_MS = 60_000;
+
     private static final int SIGNIFICANT_DIGITS = 2;
 
     private long commits;
@@ -45,7 +47,7 @@
     private long shardChanges;
     private long otherChanges;
     private long commandBatches;
-    private long resourceOffers;
+    private long offerBatches;
     private long queriesAnswered;
     private long queriesRejected;
     private long invariantViolations;
@@ -67,13 +69,13 @@
     }
 
     /**
-     * Counts a transaction whose outcome is known. Its keys are counted whether or not it was committed.
+     * Counts a transaction whose outcome is known. Its latency and its keys are recorded whether or not it was committed.
      *
      * @param committed whether the transaction was committed; if it was not, it counts as a conflict
      * @param keys the keys that the transaction changes
      * @param latency the time from the start of the transaction's scheduling cycle until the outcome was known
      */
-    public void commitFinished(boolean committed, Set<String> keys, Duration latency) {
+    public void transactionFinished(boolean committed, Set<String> keys, Duration latency) {
         if (committed) {
             commits++;
         } else {
@@ -102,7 +104,7 @@
     }
 
     public void offerBatchSent() {
-        resourceOffers++;
+        offerBatches++;
     }
 
     @Override
@@ -128,7 +130,7 @@
             registerCounter(SHARD_CHANGES, metrics -> metrics.shardChanges);
             registerCounter(OTHER_CHANGES, metrics -> metrics.otherChanges);
             registerCounter(COMMAND_BATCHES, metrics -> metrics.commandBatches);
-            registerCounter(RESOURCE_OFFERS, metrics -> metrics.resourceOffers);
+            registerCounter(RESOURCE_OFFERS, metrics -> metrics.offerBatches);
             registerCounter(QUERIES_ANSWERED, metrics -> metrics.queriesAnswered);
             registerCounter(QUERIES_REJECTED, metrics -> metrics.queriesRejected);
             registerCounter(INVARIANT_VIOLATIONS, metrics -> metrics.invariantViolations);
--- a/src/test/java/org/gullway/MainTest.java
+++ b/src/test/java/org/gullway/MainTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests that invalid settings end the start with exit code 2 and with one line that names the field or the file. */
+/** Tests that invalid settings are rejected with exit code 2 and with one line that names the field or the file. */
 class MainTest {
     @TempDir
     private Path directory;
@@ -28,7 +28,7 @@
         System.setErr(new PrintStream(errors, true, StandardCharsets.UTF_8));
         try {
             Result result = run(errors, "--config", config.toString(), "--operator-settings", operator.toString());
-            // The platform does not use this form, which the command line library parses. The result must be the same.
+            // Options with "=" are parsed by picocli, unlike those above. The result of both parsers must be the same.
             assertThat(run(errors, "--check", "--config=" + config, "--operator-settings=" + operator))
                     .isEqualTo(result);
             return result;
@@ -39,7 +39,7 @@
 
     private static Result run(ByteArrayOutputStream errors, String... arguments) {
         errors.reset();
-        int exitCode = new Main().prepare(arguments);
+        int exitCode = new Main().processCommandLine(arguments);
         return new Result(exitCode, errors.toString(StandardCharsets.UTF_8));
     }
 
@@ -92,7 +92,7 @@
 
     @ParameterizedTest
     @CsvSource({"node_name = ", "= = =", "[[[", "'node_name = \"a\"\nnode_name = \"b\"'"})
-    void errorNamesTheFileThatIsNotToml(String toml) throws IOException {
+    void errorForInvalidTomlNamesTheFile(String toml) throws IOException {
         assertRejected(run(toml, "<gullway/>"), "site.toml");
     }
 
