--- a/src/main/java/org/gullway/cli/CommandLineInterface.java
+++ b/src/main/java/org/gullway/cli/CommandLineInterface.java
@@ -12,7 +12,7 @@
         name = "gullway",
         mixinStandardHelpOptions = true,
         versionProvider = CommandLineInterface.ManifestVersion.class,
-        description = "Schedules users' jobs on provisioned machines. One process runs on every controller.")
+        description = "Schedules users' jobs on provisioned machines. One process runs on every controller node.")
 public final class CommandLineInterface implements Callable<Integer> {
     private final ToIntFunction<StartOptions> action;
 
@@ -20,10 +20,13 @@
             names = StartOptions.CONFIG,
             required = true,
             paramLabel = "FILE",
-            description = "the platform's settings (TOML)")
+            description = "settings file that the platform provides (TOML)")
     private Path config;
 
-    @Option(names = StartOptions.OPERATOR_SETTINGS, paramLabel = "FILE", description = "operators' own settings (XML)")
+    @Option(
+            names = StartOptions.OPERATOR_SETTINGS,
+            paramLabel = "FILE",
+            description = "optional settings file that the operators provide (XML)")
     private Path operatorSettings;
 
     @Option(names = "--check", description = "check the settings and exit")
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -107,17 +107,17 @@
     private void addPlanningSteps() {
         CompletionBuffer completionBuffer = agents.completionBuffer();
         schedulingCycle
-                .addStep("user requests", requests.userApi())
-                .addStep("agents", agents.reconciler())
-                .addStep("finished jobs", (transaction, context) -> completionBuffer.planFinishedJobs(transaction))
-                .addStep("quota", scheduling.quotaPartitioner())
-                .addStep("reconciliation", scheduling.reconciliation())
-                .addLeaderStep("provisioned machines", fleet.cloudProvisioner())
-                .addLeaderStep("reserved", scheduling.reservedScheduler())
-                .addLeaderStep("scavenger", scheduling.scavengerScheduler())
-                .addStep("best effort", scheduling.bestEffortQueue())
+                .addStep("user_requests", requests.userApi())
+                .addStep("agent_reconciliation", agents.reconciler())
+                .addStep("finished_jobs", (transaction, context) -> completionBuffer.planFinishedJobs(transaction))
+                .addStep("quota_partitions", scheduling.quotaPartitioner())
+                .addStep("failover_reconciliation", scheduling.reconciliation())
+                .addLeaderStep("machine_records", fleet.cloudProvisioner())
+                .addLeaderStep("reserved_jobs", scheduling.reservedScheduler())
+                .addLeaderStep("scavenger_preemption", scheduling.scavengerScheduler())
+                .addStep("best_effort_jobs", scheduling.bestEffortQueue())
                 .addStep("completions", completionBuffer)
-                .addLeaderStep("scaling", fleet.autoscaler());
+                .addLeaderStep("autoscaling", fleet.autoscaler());
     }
 
     /**
--- a/src/main/java/org/gullway/controller/Daemon.java
+++ b/src/main/java/org/gullway/controller/Daemon.java
@@ -101,7 +101,7 @@
                             .set(Options.REUSE_ADDRESSES, true)
                             .getMap());
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot start the event loop: " + e.getMessage(), e);
+            throw new UncheckedIOException("cannot create the XNIO worker of the event loop: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/org/gullway/observability/LeadershipLog.java
+++ b/src/main/java/org/gullway/observability/LeadershipLog.java
@@ -22,7 +22,7 @@
         if (!Objects.equals(leader, previousLeader)) {
             logLeader(leader, fencingToken, revision);
         } else if (fencingToken != previousFencingToken) {
-            LOG.debug("fencing token changed fencing_token={}", fencingToken);
+            LOG.debug("new fencing token on record fencing_token={}", fencingToken);
         }
         previousLeader = leader;
         previousFencingToken = fencingToken;
