--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -22,12 +22,13 @@
 import org.gullway.transport.HttpExchange;
 
 /**
- * The controller that runs in this process: creates its components and runs its control loop. Every event that may require action (a heartbeat, a
- * request, a change in the state store, a timer) requests a scheduling cycle. A cycle compares the desired state with the
- * actual state, sends the commands that are due, and commits the changes that are due.
+ * A controller, which creates its components and runs its control loop. Every event that may require action (a heartbeat,
+ * a request, a change in the state store, a timer) requests a scheduling cycle. A cycle compares the desired state with
+ * the actual state, sends the commands that are due, and commits the changes that are due.
  *
- * <p>This requires a valid membership lease and a fresh cluster state, see {@link ReplicatedState#holdsValidLease}. While
- * the lease is invalid, but was valid before, a cycle only polls the peers and enforces cancellations.
+ * <p>Commands and commits require a valid membership lease and a fresh cluster state, see {@link
+ * ReplicatedState#holdsValidLease}. If the lease was valid before and is not any more, a cycle polls the peers and enforces
+ * cancellations instead.
  */
 public final class Controller {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
