--- a/src/main/java/org/gullway/Main.java
+++ b/src/main/java/org/gullway/Main.java
@@ -16,7 +16,9 @@
     private static final int EXIT_START_FAILED = 1;
     private static final int EXIT_INVALID_SETTINGS = 2;
 
-    /** The action that starts the daemon. Empty if no valid settings have been read or if only a check was requested. */
+    /**
+     * The action that starts the daemon. Empty if no valid settings have been read or if only a check was requested.
+     */
     private Optional<Runnable> startAction = Optional.empty();
 
     /** Reads the command line and the settings, then starts the daemon. Exits with a status above 0 on failure. */
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -22,13 +22,13 @@
 import org.gullway.transport.HttpExchange;
 
 /**
- * A controller, which creates its components and runs its control loop. Every event that may require action (a heartbeat,
- * a request, a change in the state store, a timer) requests a scheduling cycle. A cycle compares the desired state with
- * the actual state, sends the commands that are due, and commits the changes that are due.
+ * A controller, which creates its components and runs its control loop. Every event that may require action (a
+ * heartbeat, a request, a change in the state store, a timer) requests a scheduling cycle. A cycle compares the desired
+ * state with the actual state, sends the commands that are due, and commits the changes that are due.
  *
- * <p>Commands and commits require a valid membership lease and a fresh cluster state, see {@link
- * ReplicatedState#holdsValidLease}. If the lease was valid before and is not any more, a cycle polls the peers and enforces
- * cancellations instead.
+ * <p>Commands and commits require a valid membership lease and a fresh cluster state, see
+ * {@link ReplicatedState#holdsValidLease}. If the lease was valid before and is not any more, a cycle polls the peers
+ * and enforces cancellations instead.
  */
 public final class Controller {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
@@ -53,7 +53,7 @@
 
     /**
      * @param timeOfDay the wall clock; the platform guarantees a bound for its drift, which is not among the settings
-     * @param seed the seed of all random decisions; must differ between processes, since their incarnations depend on it
+     * @param seed the seed of all random decisions; must differ between processes, as does the incarnation
      */
     public Controller(
             Settings settings,
@@ -93,8 +93,8 @@
 
     /**
      * Creates the incarnation of this process. The upper bits of its number are the wall-clock time, so that the number
-     * grows with each restart. The lower bits are random, to distinguish processes that start in the same millisecond. The
-     * mask keeps the number non-negative.
+     * grows with each restart. The lower bits are random, to distinguish processes that start in the same millisecond.
+     * The mask keeps the number non-negative.
      */
     private static Incarnation newIncarnation(String node, InstantSource timeOfDay, RandomGenerator random) {
         long number = timeOfDay.millis() << INCARNATION_RANDOM_BITS | random.nextInt(1 << INCARNATION_RANDOM_BITS);
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Adds the steps in the order of their precedence: each step sees the changes of the steps before it, and uses only the
-     * capacity of the transaction that they have left.
+     * Adds the steps in the order of their precedence: each step sees the changes of the steps before it, and uses only
+     * the capacity of the transaction that they have left.
      */
     private void addPlanningSteps() {
         CompletionBuffer completionBuffer = agents.completionBuffer();
@@ -125,8 +125,8 @@
      * Starts to read the state store, to join the cluster as a member, and to run the periodic tasks.
      *
      * @param openPublicAddress opens the public address; is run once, while this controller holds a valid lease, see
-     *     {@link PublicAddressOpener}. Until then the public address accepts no connections, since the heartbeats of many
-     *     agents could prevent a controller on a small machine from joining.
+     *     {@link PublicAddressOpener}. Until then the public address accepts no connections, since the heartbeats of
+     *     many agents could prevent a controller on a small machine from joining.
      */
     public void start(Runnable openPublicAddress) {
         publicAddressOpener.setOpenAction(openPublicAddress);
@@ -151,9 +151,9 @@
     }
 
     /**
-     * Returns whether health checks succeed now. During an outage of the state store that affects all controllers, health
-     * checks succeed if this controller held a valid lease before the outage; users then get status 503 and retry their
-     * requests here. Health checks fail until the machine types are known.
+     * Returns whether health checks succeed now. During an outage of the state store that affects all controllers,
+     * health checks succeed if this controller held a valid lease before the outage; users then get status 503 and
+     * retry their requests here. Health checks fail until the machine types are known.
      */
     private boolean isHealthy() {
         boolean canServe = replicatedState.holdsValidLease()
@@ -211,9 +211,10 @@
     }
 
     /**
-     * Sends stops for the tasks of cancelled jobs, and releases machines that have not confirmed the stops in time. Called
-     * while this controller holds no valid lease: stopping tasks is safe without the state store, and the cancellation
-     * limit (how long a cancelled job may still have tasks) also applies during an outage of the state store.
+     * Sends stops for the tasks of cancelled jobs, and releases machines that have not confirmed the stops in time.
+     * Called while this controller holds no valid lease: stopping tasks is safe without the state store, and the
+     * cancellation limit (how long a cancelled job may still have tasks) also applies during an outage of the state
+     * store.
      */
     private void enforceCancellations(Instant now) {
         messaging.commandSender().sendCancellationStops(now);
--- a/src/main/java/org/gullway/controller/CycleThrottle.java
+++ b/src/main/java/org/gullway/controller/CycleThrottle.java
@@ -5,9 +5,9 @@
 import org.gullway.transport.EventLoop;
 
 /**
- * Runs scheduling cycles on request, but not during a pause. One cycle serves all requests made during a pause. The owner
- * of this object starts a pause after a cycle with {@link #startPause}. A pause is proportional to the duration of the
- * cycle, within limits, so that heartbeats and users' requests get their share of the CPU time.
+ * Runs scheduling cycles on request, but not during a pause. One cycle serves all requests made during a pause. The
+ * owner of this object starts a pause after a cycle with {@link #startPause}. A pause is proportional to the duration
+ * of the cycle, within limits, so that heartbeats and users' requests get their share of the CPU time.
  */
 final class CycleThrottle {
     private static final Duration MIN_PAUSE = Duration.ofMillis(10);
--- a/src/main/java/org/gullway/controller/Daemon.java
+++ b/src/main/java/org/gullway/controller/Daemon.java
@@ -32,8 +32,8 @@
     private Daemon() {}
 
     /**
-     * Starts a controller. On return the peer address is open. The controller then joins the cluster and opens its public
-     * address on other threads; if the public address cannot be opened, the process exits.
+     * Starts a controller. On return the peer address is open. The controller then joins the cluster and opens its
+     * public address on other threads; if the public address cannot be opened, the process exits.
      *
      * @throws java.io.UncheckedIOException if the event loop cannot be started or the peer address cannot be opened
      */
--- a/src/main/java/org/gullway/controller/PublicAddressOpener.java
+++ b/src/main/java/org/gullway/controller/PublicAddressOpener.java
@@ -7,9 +7,10 @@
 import org.gullway.coordination.placement.MachineTypeCatalog;
 
 /**
- * Opens the public address of a starting controller once the other controllers are members too, or after a limited wait.
- * If one controller opened its public address before the others, it would receive the heartbeats of all agents at once,
- * and the load could make it lose its membership. A peer that does not join delays the opening only by the limited wait.
+ * Opens the public address of a starting controller once the other controllers are members too, or after a limited
+ * wait. If one controller opened its public address before the others, it would receive the heartbeats of all agents at
+ * once, and the load could make it lose its membership. A peer that does not join delays the opening only by the
+ * limited wait.
  */
 final class PublicAddressOpener {
     private static final Duration MAX_WAIT_FOR_PEERS = Duration.ofMillis(2500);
--- a/src/main/java/org/gullway/controller/ReplicatedStateFactory.java
+++ b/src/main/java/org/gullway/controller/ReplicatedStateFactory.java
@@ -6,14 +6,17 @@
 import org.gullway.storage.ReplicatedState;
 import org.gullway.storage.StateStoreClient;
 
-/** Creates the replicated state from the state store's address, the rate limits and the lease durations in the settings. */
+/**
+ * Creates the replicated state from the state store's address, the rate limits and the lease durations in the settings.
+ */
 final class ReplicatedStateFactory {
     private static final Duration MIN_LONG_POLL_TIMEOUT = Duration.ofMillis(250);
     private static final Duration MAX_LONG_POLL_TIMEOUT = Duration.ofSeconds(1);
     /**
      * How many watches can time out, one after the other, within the renewal window (the cancellation limit minus the
-     * duration of an agent's lease), unless the minimum or maximum timeout applies. Agents' leases are renewed only while
-     * the cluster state is not older than the renewal window, so each watch may take only a small part of the window.
+     * duration of an agent's lease), unless the minimum or maximum timeout applies. Agents' leases are renewed only
+     * while the cluster state is not older than the renewal window, so each watch may take only a small part of the
+     * window.
      */
     private static final int WATCHES_PER_RENEWAL_WINDOW = 8;
 
--- a/src/main/java/org/gullway/controller/SchedulingCycle.java
+++ b/src/main/java/org/gullway/controller/SchedulingCycle.java
@@ -18,8 +18,8 @@
 import org.gullway.transport.EventLoop;
 
 /**
- * The planning part of a scheduling cycle. Runs planning steps until the time budget is used up; the step in progress is
- * always completed. The steps add their changes to one transaction, which is then committed.
+ * The planning part of a scheduling cycle. Runs planning steps until the time budget is used up; the step in progress
+ * is always completed. The steps add their changes to one transaction, which is then committed.
  */
 final class SchedulingCycle {
     private static final Duration TIME_BUDGET = Duration.ofMillis(150);
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Appends a step. Steps run in the order in which they were added, except that the cycle after one that exceeded its
-     * time budget begins with the first step that did not run.
+     * Appends a step. Steps run in the order in which they were added, except that the cycle after one that exceeded
+     * its time budget begins with the first step that did not run.
      */
     SchedulingCycle addStep(String name, PlanningStep step) {
         steps.add(name, () -> step.plan(currentTransaction, context()));
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Returns whether the cluster state records this process as the leader. This may be true although its membership lease
-     * has expired.
+     * Returns whether the cluster state records this process as the leader. This may be true although its membership
+     * lease has expired.
      */
     boolean isRecordedLeader() {
         return self.equals(clusterState.leader());
--- a/src/main/java/org/gullway/observability/Metrics.java
+++ b/src/main/java/org/gullway/observability/Metrics.java
@@ -14,8 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs counters and latencies in one line per log interval. Counters are cumulative since the start of the process, except
- * that the numbers of accepted submissions and of cycles, like all latencies, cover the time since the last log line.
+ * Logs counters and latencies in one line per log interval. Counters are cumulative since the start of the process,
+ * except that the numbers of accepted submissions and of cycles, like all latencies, cover the time since the last log
+ * line.
  */
 public final class Metrics implements RequestMetrics {
     private static final Logger LOG = LoggerFactory.getLogger(Metrics.class);
@@ -69,7 +70,8 @@
     }
 
     /**
-     * Counts a transaction whose outcome is known. Its latency and its keys are recorded whether or not it was committed.
+     * Counts a transaction whose outcome is known. Its latency and its keys are recorded whether or not it was
+     * committed.
      *
      * @param committed whether the transaction was committed; if it was not, it counts as a conflict
      * @param keys the keys that the transaction changes
