--- a/src/main/java/org/gullway/controller/Daemon.java
+++ b/src/main/java/org/gullway/controller/Daemon.java
@@ -31,7 +31,12 @@
 
     private Daemon() {}
 
-    /** Starts a controller. Returns once its event loop runs. */
+    /**
+     * Starts a controller. On return the peer address is open. The controller then joins the cluster and opens its
+     * public address on other threads; if the public address cannot be opened, the process exits.
+     *
+     * @throws java.io.UncheckedIOException if the event loop cannot be started or the peer address cannot be opened
+     */
     public static void start(Settings settings, OperatorSettings operatorSettings) {
         XnioWorker worker = newXnioWorker();
         ByteBufferPool buffers =
@@ -96,7 +101,7 @@
                             .set(Options.REUSE_ADDRESSES, true)
                             .getMap());
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot start the event loop: " + e.getMessage(), e);
+            throw new UncheckedIOException("cannot create the XNIO worker of the event loop: " + e.getMessage(), e);
         }
     }
 }
