--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -236,7 +236,7 @@
 
     private Outcome outcome() {
         if (length.afterwards().compareTo(SERVICE_SPAN) >= 0) {
-            invariants.violations.addAll(ServiceCheck.unserved(users.all()));
+            invariants.violations.addAll(StartedJobsCheck.violations(users.all()));
         }
         invariants.violations.addAll(cluster.logLines(List.of("invariant violated")));
         return new Outcome(
--- a/src/test/java/org/gullway/ServiceCheck.java
+++ b/src/test/java/org/gullway/StartedJobsCheck.java
@@ -10,7 +10,7 @@
  * Checks that at least half of the jobs of each priority, of each team, and of those with the largest tasks were
  * started.
  */
-final class ServiceCheck {
+final class StartedJobsCheck {
     private static final double MIN_SERVED_SHARE = 0.5;
 
     private static final class Count {
@@ -18,10 +18,10 @@
         private int started;
     }
 
-    private ServiceCheck() {}
+    private StartedJobsCheck() {}
 
     /** The kinds of jobs of which less than half has started, each with its figures. */
-    static List<String> unserved(List<TestUser> users) {
+    static List<String> violations(List<TestUser> users) {
         double largest =
                 users.stream().mapToDouble(user -> user.request.cpus()).max().orElse(0);
         Map<String, Count> counts = new LinkedHashMap<>();
@@ -35,13 +35,13 @@
                 }
             }
         }
-        List<String> unserved = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         counts.forEach((name, count) -> {
             if (count.started < MIN_SERVED_SHARE * count.jobs) {
-                unserved.add("half_served: " + name + ": " + count.started + " of " + count.jobs + " jobs began");
+                violations.add("half_served: " + name + ": " + count.started + " of " + count.jobs + " jobs began");
             }
         });
-        return unserved;
+        return violations;
     }
 
     private static void count(Map<String, Count> counts, String name, TestUser user) {
--- a/src/test/java/org/gullway/ServiceCheckTest.java
+++ b/src/test/java/org/gullway/StartedJobsCheckTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The check of service names just the groups that were not served. */
-class ServiceCheckTest {
+class StartedJobsCheckTest {
     private static List<String> unservedWithMachines(int capacity) {
         SimulatedCluster cluster = new SimulatedCluster(5, 0, capacity);
         cluster.submit(1, "red", Priority.HIGH, 1, 4, Duration.ofSeconds(2));
         cluster.submit(2, "blue", Priority.NORMAL, 1, 8, Duration.ofSeconds(2));
         cluster.submit(3, "blue", Priority.IDLE, 1, 2, Duration.ofSeconds(2)).cancel();
         cluster.run(Duration.ofSeconds(60));
-        return ServiceCheck.unserved(cluster.users());
+        return StartedJobsCheck.violations(cluster.users());
     }
 
     @Test
