--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -127,7 +127,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             play("rough-" + seed, random.nextLong(), 0.01, 3, cluster -> {
                 SimulatedScenariosTest.submitJobs(cluster, random.split(), 25, Duration.ofMinutes(2));
-                SimulatedScenariosTest.playFaults(cluster, random);
+                SimulatedScenariosTest.runWithRandomFaults(cluster, random);
             });
         }
         for (int seed = 101; seed <= 100 + ZONE_BOUND_SCENARIOS; seed++) {
@@ -135,7 +135,7 @@
             play("bound-" + seed, random.nextLong(), 0.01, 3, cluster -> {
                 SimulatedScenariosTest.submitJobs(cluster, random.split(), 10, Duration.ofMinutes(2));
                 SimulatedScenariosTest.submitZoneBoundJobs(cluster, random.split(), 11, 15, Duration.ofMinutes(2));
-                SimulatedScenariosTest.playFaults(cluster, random);
+                SimulatedScenariosTest.runWithRandomFaults(cluster, random);
             });
         }
     }
--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -70,7 +70,7 @@
         cluster.network.recordCopies(0, "/agent/beat");
         TestUser cancelled = cluster.submit(3, "red", Priority.HIGH, 1, 20, Duration.ofSeconds(60), onType("large"));
         cluster.run(seconds(1.5));
-        assertThat(cluster.invariants.running()).isEqualTo(1);
+        assertThat(cluster.invariants.runningTasks()).isEqualTo(1);
         cluster.network.blockOutbound(agent.name(), true);
         cluster.network.cut("*", agent.address());
         cancelled.cancel();
@@ -121,7 +121,7 @@
                     i, i <= 3 ? "red" : "blue", i % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 2, 4, seconds(120));
         }
         cluster.run(Duration.ofSeconds(25));
-        assertThat(cluster.invariants.running())
+        assertThat(cluster.invariants.runningTasks())
                 .as("both teams are at their quota")
                 .isEqualTo(22);
         for (int i = 12; i <= 23; i++) {
--- a/src/test/java/org/gullway/FaultScenarios.java
+++ b/src/test/java/org/gullway/FaultScenarios.java
@@ -25,7 +25,7 @@
             cluster.submit(i, i < 4 ? "red" : "blue", i % 2 == 0 ? Priority.HIGH : Priority.NORMAL, 2, 4, runTime);
         }
         cluster.run(Duration.ofSeconds(25));
-        assertThat(cluster.invariants.running())
+        assertThat(cluster.invariants.runningTasks())
                 .as("tasks that run when the faults begin")
                 .isEqualTo(16);
         return cluster;
--- a/src/test/java/org/gullway/InvariantChecker.java
+++ b/src/test/java/org/gullway/InvariantChecker.java
@@ -63,18 +63,18 @@
         }
     }
 
-    boolean isCompleted(String task) {
+    boolean isTaskCompleted(String task) {
         return jobs.get(ObservedJob.jobOf(task)).isCompleted(task);
     }
 
-    boolean allCompleted(String id) {
+    boolean allTasksCompleted(String id) {
         ObservedJob job = jobs.get(id);
         return job.completedTasks() == job.request.tasks();
     }
 
     /** Tasks that are on a machine now. */
-    long running() {
-        return placement.running();
+    long runningTasks() {
+        return placement.runningTasks();
     }
 
     /** Starts of tasks until now. */
@@ -167,7 +167,7 @@
     }
 
     /** Checks all jobs for starvation, if all faults are over; to be called every second. */
-    void checkWaitingJobs(Predicate<String> isUp, Instant now) {
+    void checkStarvation(Predicate<String> isUp, Instant now) {
         if (faultsEnded) {
             jobs.values().forEach(job -> starvation.check(job, isUp, now));
         }
--- a/src/test/java/org/gullway/InvariantCheckerTest.java
+++ b/src/test/java/org/gullway/InvariantCheckerTest.java
@@ -239,14 +239,14 @@
     @Test
     void aJobStarvesBesideFreeResources() {
         String id = job(1, 1, SimulatedCluster.Bounds.in("b"));
-        invariants.checkWaitingJobs(machine -> true, at(1));
+        invariants.checkStarvation(machine -> true, at(1));
         invariants.onFaultsEnded(at(2));
-        invariants.checkWaitingJobs(machine -> true, at(3));
-        invariants.checkWaitingJobs(machine -> !machine.equals("b1"), at(50));
-        invariants.checkWaitingJobs(machine -> true, at(60));
-        invariants.checkWaitingJobs(machine -> true, at(150));
+        invariants.checkStarvation(machine -> true, at(3));
+        invariants.checkStarvation(machine -> !machine.equals("b1"), at(50));
+        invariants.checkStarvation(machine -> true, at(60));
+        invariants.checkStarvation(machine -> true, at(150));
         assertThat(invariants.violations).isEmpty();
-        invariants.checkWaitingJobs(machine -> true, at(151));
+        invariants.checkStarvation(machine -> true, at(151));
         assertViolates("left_waiting: " + id);
     }
 
@@ -258,12 +258,12 @@
         }
         anywhere(2, 1);
         invariants.onFaultsEnded(at(2));
-        invariants.checkWaitingJobs(machine -> true, at(3));
-        invariants.checkWaitingJobs(machine -> true, at(200));
+        invariants.checkStarvation(machine -> true, at(3));
+        invariants.checkStarvation(machine -> true, at(200));
         assertThat(invariants.violations).isEmpty();
         invariants.onTaskEnded("a2", running + "/0", true);
-        invariants.checkWaitingJobs(machine -> true, at(201));
-        invariants.checkWaitingJobs(machine -> true, at(292));
+        invariants.checkStarvation(machine -> true, at(201));
+        invariants.checkStarvation(machine -> true, at(292));
         assertViolates("left_waiting: run-000002");
     }
 }
--- a/src/test/java/org/gullway/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/MachineFaultCombinationsTest.java
@@ -147,7 +147,7 @@
                     bounds.get(i % 5));
         }
         cluster.run(Duration.ofSeconds(25));
-        assertThat(cluster.invariants.running()).isPositive();
+        assertThat(cluster.invariants.runningTasks()).isPositive();
         String zone = seed % 2 == 0 ? "a" : "b";
         cluster.cloud.agents().stream()
                 .filter(w -> w.kind().zone().equals(zone))
--- a/src/test/java/org/gullway/PlacementRules.java
+++ b/src/test/java/org/gullway/PlacementRules.java
@@ -109,14 +109,14 @@
     }
 
     /** How many tasks of the job are on a machine now. */
-    long running(String job) {
+    long runningTasks(String job) {
         return placementsOf(job).values().stream()
                 .filter(placed -> !placed.isEmpty())
                 .count();
     }
 
     /** How many tasks are on a machine now. */
-    long running() {
-        return placements.keySet().stream().mapToLong(this::running).sum();
+    long runningTasks() {
+        return placements.keySet().stream().mapToLong(this::runningTasks).sum();
     }
 }
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -88,7 +88,7 @@
         network.listen(STORE, loop, exchange -> storeRequests.handle(exchange, store::handle));
         network.listen(CLOUD, loop, cloud::handle);
         controllers.startAll();
-        loop.every(Duration.ofSeconds(1), () -> invariants.checkWaitingJobs(this::isUp, time.now()));
+        loop.every(Duration.ofSeconds(1), () -> invariants.checkStarvation(this::isUp, time.now()));
     }
 
     private static List<MachineType> machineTypes() {
--- a/src/test/java/org/gullway/SimulatedScenariosTest.java
+++ b/src/test/java/org/gullway/SimulatedScenariosTest.java
@@ -95,14 +95,15 @@
         assertThat(cluster.startedTasks()).isEqualTo(before).isEqualTo(6);
     }
 
-    private static void playFaultsAndCheck(long seed, SimulatedCluster cluster, SplittableRandom random) {
-        playFaults(cluster, random);
+    private static void assertInvariantsUnderRandomFaults(
+            long seed, SimulatedCluster cluster, SplittableRandom random) {
+        runWithRandomFaults(cluster, random);
         assertThat(cluster.violations).as("seed %d", seed).isEmpty();
         assertThat(cluster.unfinished()).as("seed %d", seed).isEmpty();
     }
 
     /** Several faults at random moments, a span without faults at the end, and repeated submissions throughout. */
-    static void playFaults(SimulatedCluster cluster, SplittableRandom random) {
+    static void runWithRandomFaults(SimulatedCluster cluster, SplittableRandom random) {
         int faults = 2 + random.nextInt(5);
         for (int i = 0; i < faults; i++) {
             Duration span = Duration.ofMillis(500 + random.nextInt(30_000));
@@ -124,7 +125,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         SimulatedCluster cluster = new SimulatedCluster(random.nextLong(), 0.01, 3);
         submitJobs(cluster, random.split(), 25, Duration.ofMinutes(2));
-        playFaultsAndCheck(seed, cluster, random);
+        assertInvariantsUnderRandomFaults(seed, cluster, random);
     }
 
     @Property(tries = 20, seed = "20261202")
@@ -133,6 +134,6 @@
         SimulatedCluster cluster = new SimulatedCluster(random.nextLong(), 0.01, 3);
         submitJobs(cluster, random.split(), 10, Duration.ofMinutes(2));
         submitZoneBoundJobs(cluster, random.split(), 11, 15, Duration.ofMinutes(2));
-        playFaultsAndCheck(seed, cluster, random);
+        assertInvariantsUnderRandomFaults(seed, cluster, random);
     }
 }
--- a/src/test/java/org/gullway/StarvationRule.java
+++ b/src/test/java/org/gullway/StarvationRule.java
@@ -44,7 +44,7 @@
         return job.acceptedAt() != null
                 && !job.isFinished()
                 && !job.isCancellationRequested()
-                && job.completedTasks() + placements.running(job.id()) < request.tasks()
+                && job.completedTasks() + placements.runningTasks(job.id()) < request.tasks()
                 && quotas.allowsOneMore(request)
                 && placements.machines().stream()
                         .anyMatch(machine -> isUp.test(machine) && placements.isFeasible(request, machine));
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -152,7 +152,7 @@
 
     @Override
     public boolean isCompleted(String task) {
-        return invariants.isCompleted(task);
+        return invariants.isTaskCompleted(task);
     }
 
     @Override
@@ -166,7 +166,7 @@
         history.add(job(task), loop.now(), () -> task + (done ? " is done on " : " is ended on ") + machine);
         invariants.onTaskEnded(machine, task, done);
         TestUser user = users.get(job(task));
-        if (done && invariants.allCompleted(user.request.id())) {
+        if (done && invariants.allTasksCompleted(user.request.id())) {
             onDone.accept(user);
         }
     }
