--- a/src/test/java/org/gullway/AvailabilityRules.java
+++ b/src/test/java/org/gullway/AvailabilityRules.java
@@ -11,21 +11,21 @@
 import java.util.Set;
 import org.gullway.transport.HttpStatus;
 
-/** An accepted job is not forgotten: it stays known, and queries about it are answered. */
+/** Checks that an accepted job stays known to all controllers and that queries about the job are answered. */
 final class AvailabilityRules {
-    /** A job about which no query is answered for so long after all faults is forgotten. */
+    /** After all faults have ended, at least one query about each job must be answered within this time. */
     private static final Duration MAX_UNANSWERED_AFTER_FAULTS = Duration.ofSeconds(75);
-    /** The same while most other queries are answered, whatever faults there are. */
-    private static final Duration MAX_UNANSWERED_ALONE = Duration.ofSeconds(90);
+    /** During faults, the limit that applies to a job while most queries about other jobs are answered. */
+    private static final Duration MAX_UNANSWERED_IF_OTHERS_ARE_ANSWERED = Duration.ofSeconds(90);
 
-    private record Query(Instant sent, String job, boolean answered) {}
+    private record Query(Instant sentAt, String job, boolean answered) {}
 
     private final List<String> violations;
     private final Deque<Query> recentQueries = new ArrayDeque<>();
-    /** When the last query that was answered had been sent, by job. */
-    private final Map<String, Instant> lastAnswered = new HashMap<>();
+    /** Send time of the last answered query, by job id. */
+    private final Map<String, Instant> lastAnsweredQuery = new HashMap<>();
 
-    private final Set<String> violated = new HashSet<>();
+    private final Set<String> reportedJobs = new HashSet<>();
     private Instant faultsEndedAt;
 
     AvailabilityRules(List<String> violations) {
@@ -36,33 +36,33 @@
         faultsEndedAt = now;
     }
 
-    /** A query about an accepted job has ended, with an answer or without; 404 is no answer. */
-    void onQueried(ObservedJob job, int status, Instant sent, Instant now) {
+    /** Handles the end of a query about an accepted job. Only status 200 counts as an answer; 404 is a violation. */
+    void onQueried(ObservedJob job, int status, Instant sentAt, Instant now) {
         String id = job.id();
         if (status == HttpStatus.NOT_FOUND) {
             violations.add("forgotten: " + id + " gets 404 at " + now);
         }
         if (status == HttpStatus.OK) {
-            lastAnswered.put(id, sent);
+            lastAnsweredQuery.put(id, sentAt);
         }
-        Instant oldest = sent.minus(MAX_UNANSWERED_ALONE);
-        recentQueries.add(new Query(sent, id, status == HttpStatus.OK));
-        while (recentQueries.peek().sent().isBefore(oldest)) {
+        Instant oldest = sentAt.minus(MAX_UNANSWERED_IF_OTHERS_ARE_ANSWERED);
+        recentQueries.add(new Query(sentAt, id, status == HttpStatus.OK));
+        while (recentQueries.peek().sentAt().isBefore(oldest)) {
             recentQueries.remove();
         }
-        if (violated.contains(id)) {
+        if (reportedJobs.contains(id)) {
             return;
         }
-        Instant answered = lastAnswered.getOrDefault(id, job.acceptedAt());
+        Instant lastAnswer = lastAnsweredQuery.getOrDefault(id, job.acceptedAt());
         if (faultsEndedAt != null
-                && later(answered, faultsEndedAt)
+                && later(lastAnswer, faultsEndedAt)
                         .plus(MAX_UNANSWERED_AFTER_FAULTS)
-                        .isBefore(sent)) {
-            violations.add("forgotten: nothing is answered about " + id + " at " + now);
-            violated.add(id);
-        } else if (!answered.isAfter(oldest) && mostOthersAnswered(id)) {
-            violations.add("forgotten: " + id + " alone is not answered at " + now);
-            violated.add(id);
+                        .isBefore(sentAt)) {
+            violations.add("forgotten: no query about " + id + " is answered at " + now);
+            reportedJobs.add(id);
+        } else if (!lastAnswer.isAfter(oldest) && mostOthersAnswered(id)) {
+            violations.add("forgotten: only queries about " + id + " are not answered at " + now);
+            reportedJobs.add(id);
         }
     }
 
@@ -79,7 +79,7 @@
         return one.isAfter(other) ? one : other;
     }
 
-    /** A repeated submission of a job that is known was answered with this status. */
+    /** Handles the response to a repeated submission of an accepted job. */
     void onResubmitted(String id, int status, Instant now) {
         if (status == HttpStatus.CREATED || status == HttpStatus.BAD_REQUEST || status == HttpStatus.UNPROCESSABLE) {
             violations.add("forgotten: " + id + " submitted again gets " + status + " at " + now);
--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -134,7 +134,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             play("bound-" + seed, random.nextLong(), 0.01, 3, cluster -> {
                 SimulatedScenariosTest.submitJobs(cluster, random.split(), 10, Duration.ofMinutes(2));
-                SimulatedScenariosTest.submitZoneBoundJobs(cluster, random.split(), 11, 15, Duration.ofMinutes(2));
+                SimulatedScenariosTest.submitConstrainedJobs(cluster, random.split(), 11, 15, Duration.ofMinutes(2));
                 SimulatedScenariosTest.runWithRandomFaults(cluster, random);
             });
         }
--- a/src/test/java/org/gullway/CancellationRules.java
+++ b/src/test/java/org/gullway/CancellationRules.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Within a limit after the response that confirms a cancellation, none of the job's tasks is on a machine any more. */
+/** Checks that no task of a cancelled job runs once a limit has passed since the response that confirmed the cancellation. */
 final class CancellationRules {
     private final List<String> violations;
     private final Duration limit;
@@ -28,14 +28,17 @@
         }
     }
 
-    /** At the limit; a task that is on no machine then can only come by a start, which is checked at that moment. */
-    void checkLimit(String job, PlacementRules placements, Instant now) {
+    /**
+     * Checks the tasks that run when the limit has passed. Tasks that start later are checked by {@link #onTaskStarted}.
+     */
+    void checkRunningTasksAtLimit(String job, PlacementRules placements, Instant now) {
         placements.forEachRunning(
-                job, (task, on) -> violations.add("ran_cancelled: " + task + " is on " + on + " at " + now));
+                job,
+                (task, machines) -> violations.add("ran_cancelled: " + task + " is on " + machines + " at " + now));
     }
 
-    /** A request to cancel was answered with 200 and this state. */
-    void onAnswered(String job, String state, Instant now) {
+    /** Handles a response to a cancellation with status 200, which must contain a final state. */
+    void onCancellationAnswered(String job, String state, Instant now) {
         if (!ObservedJob.isFinal(state)) {
             violations.add("went_back: the cancellation of " + job + " is answered with " + state + " at " + now);
         }
--- a/src/test/java/org/gullway/InvalidSubmissionRules.java
+++ b/src/test/java/org/gullway/InvalidSubmissionRules.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.gullway.transport.HttpStatus;
 
-/** Invalid submissions are refused with the right status, and leave no job. */
+/** Checks that invalid submissions are rejected with the expected status and do not create a job. */
 final class InvalidSubmissionRules {
     private final List<String> violations;
 
@@ -11,19 +11,19 @@
         this.violations = violations;
     }
 
-    /** Such a submission was answered with this status; whether the response is final, so that no retry is due. */
-    boolean onAnswered(String id, int expected, int status) {
+    /** Handles the response to an invalid submission. Returns whether the response is final; otherwise, the user retries. */
+    boolean onInvalidSubmission(String id, int expectedStatus, int status) {
         boolean accepted = status == HttpStatus.OK || status == HttpStatus.CREATED;
-        boolean refused = status == HttpStatus.BAD_REQUEST || status == HttpStatus.UNPROCESSABLE;
+        boolean rejected = status == HttpStatus.BAD_REQUEST || status == HttpStatus.UNPROCESSABLE;
         if (accepted) {
-            violations.add("accepted: " + id + " gets " + status + " instead of " + expected);
-        } else if (refused && status != expected) {
-            violations.add("wrong_refusal: " + id + " gets " + status + " instead of " + expected);
+            violations.add("accepted: " + id + " gets " + status + " instead of " + expectedStatus);
+        } else if (rejected && status != expectedStatus) {
+            violations.add("wrong_refusal: " + id + " gets " + status + " instead of " + expectedStatus);
         }
-        return accepted || refused;
+        return accepted || rejected;
     }
 
-    /** A query about a job that no one submitted was answered with this status. */
+    /** Handles the response to a query about a job whose submission was invalid; status 200 is a violation. */
     void onUnknownJobQueried(String id, int status) {
         if (status == HttpStatus.OK) {
             violations.add("invented: " + id);
--- a/src/test/java/org/gullway/InvariantChecker.java
+++ b/src/test/java/org/gullway/InvariantChecker.java
@@ -12,50 +12,50 @@
 import org.gullway.protocol.Settings;
 
 /**
- * The rules of the protocol, checked from outside: by the tasks on the machines and the responses to users. Each family of
- * rules is a class of its own; this one passes every event on to those that it concerns.
+ * Checks the invariants of the protocol from outside: from the tasks on the machines and the responses to users. Each group
+ * of invariants has a class of its own, to which this class forwards the events.
  */
 final class InvariantChecker {
-    /** Every violation seen, in order: the name of its rule and what was seen. */
+    /** All violations in order of detection, each with the name of the violated rule and a description. */
     final List<String> violations = new ArrayList<>();
 
     private final Map<String, ObservedJob> jobs = new LinkedHashMap<>();
-    private final PlacementRules placement = new PlacementRules(violations);
+    private final PlacementRules placements = new PlacementRules(violations);
     private final QuotaRules quota;
-    private final CancellationRules cancellation;
+    private final CancellationRules cancellations;
     private final ReportedStateRules reportedStates = new ReportedStateRules(violations);
     private final AvailabilityRules availability = new AvailabilityRules(violations);
     private final InvalidSubmissionRules invalidSubmissions = new InvalidSubmissionRules(violations);
     private final StarvationRule starvation;
     private boolean faultsEnded;
-    private int starts;
+    private int startedTasks;
 
-    /** @param cancellationLimit how long after a confirmed cancellation tasks of the job may still run */
+    /** @param cancellationLimit how long tasks of a job may still run after its cancellation was confirmed to the user */
     InvariantChecker(Duration cancellationLimit, Map<String, Settings.Team> teams) {
         quota = new QuotaRules(violations, teams);
-        cancellation = new CancellationRules(violations, cancellationLimit);
-        starvation = new StarvationRule(violations, placement, quota);
+        cancellations = new CancellationRules(violations, cancellationLimit);
+        starvation = new StarvationRule(violations, placements, quota);
     }
 
-    // Machines
+    // Events on machines
 
     void onMachineUp(String name, FakeAgent.Kind kind) {
-        placement.onMachineUp(name, kind);
+        placements.onMachineUp(name, kind);
     }
 
     void onTaskStarted(String machine, String task, Instant now) {
-        starts++;
+        startedTasks++;
         ObservedJob job = jobs.get(ObservedJob.jobOf(task));
         job.onTaskStarted(now);
         starvation.onTaskStarted(job);
-        placement.onTaskStarted(job, machine, task, now);
-        cancellation.onTaskStarted(job, machine, task, now);
+        placements.onTaskStarted(job, machine, task, now);
+        cancellations.onTaskStarted(job, machine, task, now);
         quota.onTaskStarted(job.request, now);
     }
 
     void onTaskEnded(String machine, String task, boolean done) {
         ObservedJob job = jobs.get(ObservedJob.jobOf(task));
-        if (placement.onTaskEnded(job, machine, task)) {
+        if (placements.onTaskEnded(job, machine, task)) {
             quota.onTaskEnded(job.request);
         }
         if (done) {
@@ -72,17 +72,17 @@
         return job.completedTasks() == job.request.tasks();
     }
 
-    /** Tasks that are on a machine now. */
+    /** Number of tasks that run now. */
     long runningTasks() {
-        return placement.runningTasks();
+        return placements.runningTasks();
     }
 
-    /** Starts of tasks until now. */
+    /** Number of tasks started until now; a restarted task counts again. */
     int startedTasks() {
-        return starts;
+        return startedTasks;
     }
 
-    // Users
+    // Requests and responses of users
 
     void onSubmitted(JobRequest request) {
         jobs.put(request.id(), new ObservedJob(request));
@@ -100,76 +100,76 @@
         return jobs.get(id).isCancellationRequested();
     }
 
-    /** Whether a final state was reported to the user. */
+    /** Returns whether a final state was reported to the user. */
     boolean isFinished(String id) {
         return jobs.get(id).isFinished();
     }
 
-    /** The final state that was reported to the user, or empty. */
+    /** Returns the final state that was reported to the user, or an empty string. */
     String reportedState(String id) {
         return jobs.get(id).reportedState();
     }
 
-    /** When a task of the job started first; null if none has. */
+    /** Returns when the first task of the job started, or null if none has started. */
     Instant firstStartOf(String id) {
         return jobs.get(id).firstStart();
     }
 
-    /** A user got this state; returns whether it is the first response that confirms the cancellation. */
-    boolean onStateReported(String id, String state, Instant asked, Instant now) {
-        return reportedStates.onStateReported(jobs.get(id), state, asked, now);
+    /** Handles a state in a response to the user. Returns whether it is the first response that confirms a cancellation. */
+    boolean onStateReported(String id, String state, Instant sentAt, Instant now) {
+        return reportedStates.onStateReported(jobs.get(id), state, sentAt, now);
     }
 
-    /** A request to cancel was answered with 200 and this state. */
+    /** Handles a response to a cancellation with status 200. */
     void onCancellationAnswered(String id, String state, Instant now) {
-        cancellation.onAnswered(id, state, now);
+        cancellations.onCancellationAnswered(id, state, now);
     }
 
     Duration cancellationLimit() {
-        return cancellation.limit();
+        return cancellations.limit();
     }
 
-    /** To be called when the limit has passed since the cancellation was confirmed. */
+    /** Checks the running tasks of a cancelled job. Must be called when the limit has passed since the confirmation. */
     void checkCancellationLimit(String id, Instant now) {
-        cancellation.checkLimit(id, placement, now);
+        cancellations.checkRunningTasksAtLimit(id, placements, now);
     }
 
-    /** Starts of tasks after the response that confirmed the cancellation of their job. */
+    /** Number of tasks that started after the cancellation of their job was confirmed to the user. */
     int startsAfterCancellation() {
-        return cancellation.startsAfterCancellation();
+        return cancellations.startsAfterCancellation();
     }
 
-    /** A query about an accepted job has ended, with an answer or without; 404 is no answer. */
-    void onQueried(String id, int status, Instant asked, Instant now) {
-        availability.onQueried(jobs.get(id), status, asked, now);
+    /** Handles the end of a query about an accepted job, with or without an answer. */
+    void onQueried(String id, int status, Instant sentAt, Instant now) {
+        availability.onQueried(jobs.get(id), status, sentAt, now);
     }
 
-    /** A repeated submission of a job that is known was answered with this status. */
+    /** Handles the response to a repeated submission of an accepted job. */
     void onResubmitted(String id, int status, Instant now) {
         availability.onResubmitted(id, status, now);
     }
 
-    /** An invalid submission was answered with this status; whether the response is final, so that no retry is due. */
-    boolean onInvalidSubmission(String id, int expected, int status) {
-        return invalidSubmissions.onAnswered(id, expected, status);
+    /** Handles the response to an invalid submission. Returns whether the response is final; otherwise, the user retries. */
+    boolean onInvalidSubmission(String id, int expectedStatus, int status) {
+        return invalidSubmissions.onInvalidSubmission(id, expectedStatus, status);
     }
 
-    /** A query about a job that no one submitted was answered with this status. */
+    /** Handles the response to a query about a job whose submission was invalid. */
     void onUnknownJobQueried(String id, int status) {
         invalidSubmissions.onUnknownJobQueried(id, status);
     }
 
-    // Afterwards
+    // Checks after the faults
 
     void onFaultsEnded(Instant now) {
         faultsEnded = true;
         availability.onFaultsEnded(now);
     }
 
-    /** Checks all jobs for starvation, if all faults are over; to be called every second. */
-    void checkStarvation(Predicate<String> isUp, Instant now) {
+    /** Checks all jobs for starvation once all faults have ended. Must be called every second. */
+    void checkStarvation(Predicate<String> isMachineUp, Instant now) {
         if (faultsEnded) {
-            jobs.values().forEach(job -> starvation.check(job, isUp, now));
+            jobs.values().forEach(job -> starvation.check(job, isMachineUp, now));
         }
     }
 }
--- a/src/test/java/org/gullway/InvariantCheckerTest.java
+++ b/src/test/java/org/gullway/InvariantCheckerTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each rule is broken once on purpose, since a check that never finds anything proves nothing. */
+/** Violates each rule on purpose, since a check that can never fail would prove nothing. */
 class InvariantCheckerTest {
     private static final Duration CANCEL = Duration.ofSeconds(40);
     private final InvariantChecker invariants =
             new InvariantChecker(CANCEL, Map.of("red", new Settings.Team("red", 8, 24, 0, 0)));
 
     @BeforeEach
-    void machines() {
+    void addMachines() {
         invariants.onMachineUp("a1", new FakeAgent.Kind("small", "a", false, 16));
         invariants.onMachineUp("a2", new FakeAgent.Kind("large", "a", true, 32));
         invariants.onMachineUp("b1", new FakeAgent.Kind("small", "b", false, 16));
@@ -30,7 +30,7 @@
         return Instant.EPOCH.plusSeconds(second);
     }
 
-    private String job(int number, int tasks, SimulatedCluster.Bounds bounds) {
+    private String submitJob(int number, int tasks, SimulatedCluster.Bounds bounds) {
         String id = String.format("run-%06d", number);
         invariants.onSubmitted(new JobRequest(
                 id,
@@ -57,44 +57,46 @@
         return id;
     }
 
-    private String anywhere(int number, int tasks) {
-        return job(number, tasks, new SimulatedCluster.Bounds(null, null, false, false, true));
+    private String submitWithoutConstraints(int number, int tasks) {
+        return submitJob(number, tasks, new SimulatedCluster.Bounds(null, null, false, false, true));
     }
 
-    private void assertViolates(String rule) {
+    private void assertViolatesOnly(String rule) {
         assertThat(invariants.violations).singleElement().asString().startsWith(rule);
     }
 
     @Test
-    void typeZoneAndKind() {
-        String typed = job(1, 4, new SimulatedCluster.Bounds(List.of("small"), "a", false, false, false));
+    void violationsOfTypeZoneAndSpotConstraints() {
+        String typed = submitJob(1, 4, new SimulatedCluster.Bounds(List.of("small"), "a", false, false, false));
         invariants.onTaskStarted("a1", typed + "/0", at(1));
         assertThat(invariants.violations).isEmpty();
         invariants.onTaskStarted("a2", typed + "/1", at(1));
-        assertViolates("wrong_place: run-000001/1 on a2: a spot machine");
+        assertViolatesOnly("wrong_place: run-000001/1 on a2: a spot machine");
         invariants.violations.clear();
         invariants.onTaskStarted("b1", typed + "/2", at(1));
-        assertViolates("wrong_place: run-000001/2 on b1: in zone b");
+        assertViolatesOnly("wrong_place: run-000001/2 on b1: in zone b");
         invariants.violations.clear();
         invariants.onTaskStarted(
-                "a2", job(2, 1, new SimulatedCluster.Bounds(List.of("small"), null, false, false, true)) + "/0", at(1));
-        assertViolates("wrong_place: run-000002/0 on a2: of type large");
+                "a2",
+                submitJob(2, 1, new SimulatedCluster.Bounds(List.of("small"), null, false, false, true)) + "/0",
+                at(1));
+        assertViolatesOnly("wrong_place: run-000002/0 on a2: of type large");
     }
 
     @Test
-    void oneZone() {
-        String id = job(1, 3, SimulatedCluster.Bounds.ONE_ZONE);
+    void aSecondZoneForASingleZoneJob() {
+        String id = submitJob(1, 3, SimulatedCluster.Bounds.ONE_ZONE);
         invariants.onTaskStarted("a1", id + "/0", at(1));
         invariants.onTaskStarted("a2", id + "/1", at(1));
         invariants.onTaskEnded("a1", id + "/0", true);
         assertThat(invariants.violations).isEmpty();
         invariants.onTaskStarted("b1", id + "/2", at(2));
-        assertViolates("wrong_place: run-000001/2 on b1: in zone b");
+        assertViolatesOnly("wrong_place: run-000001/2 on b1: in zone b");
     }
 
     @Test
-    void oneZoneMayChangeOnceNoTaskRuns() {
-        String id = job(1, 2, SimulatedCluster.Bounds.ONE_ZONE);
+    void theZoneOfASingleZoneJobMayChangeOnceNoTaskRuns() {
+        String id = submitJob(1, 2, SimulatedCluster.Bounds.ONE_ZONE);
         invariants.onTaskStarted("a1", id + "/0", at(1));
         invariants.onTaskEnded("a1", id + "/0", false);
         invariants.onTaskStarted("b1", id + "/0", at(2));
@@ -102,34 +104,34 @@
     }
 
     @Test
-    void spread() {
-        String id = job(1, 5, SimulatedCluster.Bounds.SPREAD);
+    void tooManyTasksOfASpreadJobInOneZone() {
+        String id = submitJob(1, 5, SimulatedCluster.Bounds.SPREAD);
         for (int i = 0; i < 3; i++) {
             invariants.onTaskStarted("a1", id + "/" + i, at(1));
         }
         assertThat(invariants.violations).isEmpty();
         invariants.onTaskStarted("a2", id + "/3", at(1));
-        assertViolates("wrong_place: run-000001/3 on a2: the task beyond half");
+        assertViolatesOnly("wrong_place: run-000001/3 on a2: more than half of the tasks in zone a");
     }
 
     @Test
-    void aTaskTwiceAndATeamBeyondItsQuota() {
-        String id = anywhere(1, 9);
+    void aTaskThatRunsTwiceAndATeamAboveItsQuota() {
+        String id = submitWithoutConstraints(1, 9);
         invariants.onTaskStarted("a1", id + "/0", at(1));
         invariants.onTaskStarted("b1", id + "/0", at(1));
-        assertViolates("ran_twice: run-000001/0");
+        assertViolatesOnly("ran_twice: run-000001/0");
         invariants.violations.clear();
         for (int i = 1; i < 5; i++) {
             invariants.onTaskStarted("a2", id + "/" + i, at(1));
         }
         assertThat(invariants.violations).isEmpty();
         invariants.onTaskStarted("a2", id + "/5", at(1));
-        assertViolates("quota: red uses 28.0");
+        assertViolatesOnly("quota: red uses 28.0");
     }
 
     @Test
-    void cancelledTasksAtTheLimitAndAfterIt() {
-        String id = anywhere(1, 3);
+    void tasksOfACancelledJobThatRunAtOrStartAfterTheLimit() {
+        String id = submitWithoutConstraints(1, 3);
         invariants.onTaskStarted("a1", id + "/0", at(1));
         invariants.onCancellationRequested(id);
         assertThat(invariants.onStateReported(id, "aborted", at(2), at(2))).isTrue();
@@ -138,80 +140,80 @@
         invariants.onTaskEnded("a1", id + "/1", false);
         assertThat(invariants.violations).isEmpty();
         invariants.checkCancellationLimit(id, at(42));
-        assertViolates("ran_cancelled: run-000001/0 is on [a1]");
+        assertViolatesOnly("ran_cancelled: run-000001/0 is on [a1]");
         invariants.violations.clear();
         invariants.onTaskStarted("a1", id + "/2", at(43));
-        assertViolates("ran_cancelled: run-000001/2 starts");
+        assertViolatesOnly("ran_cancelled: run-000001/2 starts");
     }
 
     @Test
-    void finalStates() {
-        String id = anywhere(1, 1);
+    void incorrectOrChangedFinalStates() {
+        String id = submitWithoutConstraints(1, 1);
         invariants.onStateReported(id, "done", at(1), at(1));
-        assertViolates("not_done: run-000001/0");
+        assertViolatesOnly("not_done: run-000001/0");
         invariants.violations.clear();
         invariants.onStateReported(id, "running", at(0), at(2));
         assertThat(invariants.violations)
-                .as("sent before the final state was reported")
+                .as("violations by an answer to a query sent before the final state was reported")
                 .isEmpty();
         invariants.onStateReported(id, "running", at(2), at(2));
-        assertViolates("went_back: run-000001 was done, then running");
+        assertViolatesOnly("went_back: run-000001 was done, then running");
         invariants.violations.clear();
         invariants.onCancellationRequested(id);
         invariants.onStateReported(id, "aborted", at(0), at(3));
-        assertViolates("went_back: run-000001 was done, then aborted");
+        assertViolatesOnly("went_back: run-000001 was done, then aborted");
         invariants.violations.clear();
         invariants.onCancellationAnswered(id, "running", at(3));
-        assertViolates("went_back: the cancellation of run-000001");
+        assertViolatesOnly("went_back: the cancellation of run-000001");
         invariants.violations.clear();
-        invariants.onStateReported(anywhere(2, 1), "aborted", at(1), at(1));
-        assertViolates("went_back: run-000002 is cancelled by nobody");
+        invariants.onStateReported(submitWithoutConstraints(2, 1), "aborted", at(1), at(1));
+        assertViolatesOnly("went_back: run-000002 is cancelled without a request");
     }
 
     @Test
-    void missingAnswers() {
-        String id = anywhere(1, 1);
+    void unansweredQueriesAndUnknownJobs() {
+        String id = submitWithoutConstraints(1, 1);
         invariants.onQueried(id, 404, at(1), at(1));
-        assertViolates("forgotten: run-000001 gets 404");
+        assertViolatesOnly("forgotten: run-000001 gets 404");
         invariants.violations.clear();
         invariants.onFaultsEnded(at(10));
         invariants.onQueried(id, 503, at(84), at(84));
         assertThat(invariants.violations).isEmpty();
         invariants.onQueried(id, 503, at(86), at(86));
-        assertViolates("forgotten: nothing is answered about run-000001");
+        assertViolatesOnly("forgotten: no query about run-000001 is answered");
     }
 
     @Test
-    void missingAnswersForOneJobAlone() {
-        String one = anywhere(1, 1);
-        String other = anywhere(2, 1);
+    void unansweredQueriesAboutOneJobWhileOthersAreAnswered() {
+        String unanswered = submitWithoutConstraints(1, 1);
+        String answered = submitWithoutConstraints(2, 1);
         for (int second = 1; second < 90; second += 5) {
-            invariants.onQueried(one, 503, at(second), at(second));
-            invariants.onQueried(other, 200, at(second), at(second));
+            invariants.onQueried(unanswered, 503, at(second), at(second));
+            invariants.onQueried(answered, 200, at(second), at(second));
         }
         assertThat(invariants.violations).isEmpty();
-        invariants.onQueried(one, 503, at(91), at(91));
-        assertViolates("forgotten: run-000001 alone");
+        invariants.onQueried(unanswered, 503, at(91), at(91));
+        assertViolatesOnly("forgotten: only queries about run-000001 are not answered");
     }
 
     @Test
-    void afterAllFaultsAnswersAboutOtherJobsDoNotExcuse() {
-        String one = anywhere(1, 1);
-        String other = anywhere(2, 1);
+    void afterAllFaultsQueriesAboutEachJobMustBeAnswered() {
+        String answered = submitWithoutConstraints(1, 1);
+        String unanswered = submitWithoutConstraints(2, 1);
         invariants.onFaultsEnded(at(10));
         for (int second = 12; second < 85; second += 5) {
-            invariants.onQueried(one, 200, at(second), at(second));
-            invariants.onQueried(other, second < 15 ? 200 : 503, at(second), at(second));
+            invariants.onQueried(answered, 200, at(second), at(second));
+            invariants.onQueried(unanswered, second < 15 ? 200 : 503, at(second), at(second));
         }
         assertThat(invariants.violations).isEmpty();
-        invariants.onQueried(one, 200, at(88), at(88));
-        invariants.onQueried(other, 503, at(88), at(88));
-        assertViolates("forgotten: nothing is answered about run-000002");
+        invariants.onQueried(answered, 200, at(88), at(88));
+        invariants.onQueried(unanswered, 503, at(88), at(88));
+        assertViolatesOnly("forgotten: no query about run-000002 is answered");
     }
 
     @Test
-    void submissions() {
-        String id = anywhere(1, 1);
+    void responsesToRepeatedAndInvalidSubmissions() {
+        String id = submitWithoutConstraints(1, 1);
         invariants.onResubmitted(id, 200, at(1));
         invariants.onResubmitted(id, 503, at(1));
         assertThat(invariants.onInvalidSubmission("run-000002", 400, 503))
@@ -222,23 +224,23 @@
                 .isTrue();
         assertThat(invariants.violations).isEmpty();
         invariants.onResubmitted(id, 422, at(1));
-        assertViolates("forgotten: run-000001 submitted again gets 422");
+        assertViolatesOnly("forgotten: run-000001 submitted again gets 422");
         invariants.violations.clear();
         invariants.onInvalidSubmission("run-000002", 422, 201);
-        assertViolates("accepted: run-000002");
+        assertViolatesOnly("accepted: run-000002");
         invariants.violations.clear();
         invariants.onInvalidSubmission("run-000002", 422, 400);
-        assertViolates("wrong_refusal: run-000002");
+        assertViolatesOnly("wrong_refusal: run-000002");
         invariants.violations.clear();
         invariants.onUnknownJobQueried("run-000002", 404);
         assertThat(invariants.violations).isEmpty();
         invariants.onUnknownJobQueried("run-000002", 200);
-        assertViolates("invented: run-000002");
+        assertViolatesOnly("invented: run-000002");
     }
 
     @Test
-    void aJobStarvesBesideFreeResources() {
-        String id = job(1, 1, SimulatedCluster.Bounds.in("b"));
+    void aJobWaitsTooLongDespiteFreeCapacity() {
+        String id = submitJob(1, 1, SimulatedCluster.Bounds.in("b"));
         invariants.checkStarvation(machine -> true, at(1));
         invariants.onFaultsEnded(at(2));
         invariants.checkStarvation(machine -> true, at(3));
@@ -247,16 +249,16 @@
         invariants.checkStarvation(machine -> true, at(150));
         assertThat(invariants.violations).isEmpty();
         invariants.checkStarvation(machine -> true, at(151));
-        assertViolates("left_waiting: " + id);
+        assertViolatesOnly("left_waiting: " + id);
     }
 
     @Test
-    void aJobThatWaitsForItsTeamsQuotaDoesNotStarve() {
-        String running = anywhere(1, 6);
+    void waitingForTheQuotaOfTheTeamIsNotAViolation() {
+        String running = submitWithoutConstraints(1, 6);
         for (int i = 0; i < 6; i++) {
             invariants.onTaskStarted("a2", running + "/" + i, at(1));
         }
-        anywhere(2, 1);
+        submitWithoutConstraints(2, 1);
         invariants.onFaultsEnded(at(2));
         invariants.checkStarvation(machine -> true, at(3));
         invariants.checkStarvation(machine -> true, at(200));
@@ -264,6 +266,6 @@
         invariants.onTaskEnded("a2", running + "/0", true);
         invariants.checkStarvation(machine -> true, at(201));
         invariants.checkStarvation(machine -> true, at(292));
-        assertViolates("left_waiting: run-000002");
+        assertViolatesOnly("left_waiting: run-000002");
     }
 }
--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -60,9 +60,9 @@
         assertThat(cluster.store.changeCount("live/shares"))
                 .as("changes of quota partitions in 150 s")
                 .isLessThan(3 * 150);
-        assertThat(cluster.store.largestValue())
+        assertThat(cluster.store.largestValueBytes())
                 .as("bytes of the largest record")
-                .isLessThanOrEqualTo(FakeStateStore.VALUE_BYTES);
+                .isLessThanOrEqualTo(FakeStateStore.MAX_VALUE_BYTES);
     }
 
     /**
--- a/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
@@ -18,17 +18,17 @@
 import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.Priority;
 
-/** Pairs of faults around a change of leader; each schedule drives them into their worst order. */
+/** Pairs of faults around a leader failover, at times that provoke the most critical order of events. */
 class LeaderFaultCombinationsTest {
-    private static final Duration LONG = Duration.ofSeconds(200);
+    private static final Duration LONG_RUN_TIME = Duration.ofSeconds(200);
 
     /**
-     * A leader is cut from the state store and its peers while agents and users still reach it, and jobs are cancelled
-     * through the new leader.
+     * The leader reaches neither the state store nor its peers, while agents and users still reach it. Jobs are cancelled
+     * through another controller, and one of the others is elected leader.
      */
     @Property(tries = 4, seed = "101")
-    void leaderReachesOnlyAgentsAndUsersWhileTheNewOneCancels(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+    void leaderReachesNeitherStoreNorPeersWhileJobsAreCancelled(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         String leader = cluster.leader();
         partitionFromStore(cluster, leader, Duration.ofSeconds(70));
         cluster.partitionPeers(leader, true);
@@ -40,10 +40,10 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(70));
     }
 
-    /** All controllers are down for longer than a lease of agents, with cancellations before and during that time. */
+    /** All controllers are down for longer than an agent lease. Jobs are cancelled before and during that time. */
     @Property(tries = 4, seed = "102")
-    void allControllersDownForLongerThanALease(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+    void allControllersAreDownForLongerThanAnAgentLease(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         cluster.users().subList(0, 2).forEach(TestUser::cancel);
         cluster.run(seconds(0.2 + seed % 5));
         for (int i = 0; i < 3; i++) {
@@ -54,24 +54,24 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
 
-    /** Heartbeats are held back until a new leader has acted, and then arrive there. */
+    /** The leader crashes, and jobs are cancelled. Heartbeats from before the crash arrive at the new leader 13 to 32 s late. */
     @Property(tries = 6, seed = "104")
-    void heartbeatsHeldUntilANewLeaderHasActed(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void delayedHeartbeatsArriveAtANewLeader(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(60));
         String leader = cluster.leader();
-        List<FakeAgent> held = cluster.cloud.agents().stream().limit(4).toList();
-        held.forEach(agent -> cluster.network.holdRequests(agent.name()));
+        List<FakeAgent> delayedAgents = cluster.cloud.agents().stream().limit(4).toList();
+        delayedAgents.forEach(agent -> cluster.network.holdRequests(agent.name()));
         cluster.after(seconds(3.5), () -> cluster.crash(leader, Duration.ofSeconds(30)));
         cluster.after(Duration.ofSeconds(5), () -> cluster.users().subList(0, 4).forEach(TestUser::cancel));
         submitSteadily(cluster, 9, 6);
         cluster.after(
                 Duration.ofSeconds(13 + seed % 20),
-                () -> held.forEach(agent -> cluster.network.release(
+                () -> delayedAgents.forEach(agent -> cluster.network.release(
                         agent.name(), cluster.address(cluster.leader() == null ? "perch-0" : cluster.leader()))));
         assertRecoversAfter(cluster, Duration.ofSeconds(50));
     }
 
-    /** Controllers take over from each other in turn, then all crash, and one restarts, also within a second. */
+    /** Three leaders crash one after another. Then all controllers crash, and one of them restarts within a second. */
     @Property(tries = 6, seed = "109")
     void repeatedFailoversThenAllCrashAndOneRestarts(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(60));
@@ -89,11 +89,11 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
 
-    /** The tasks of each job end far apart, with changes of leader in between. */
+    /** The tasks of each job run one after another, and leaders crash in between. */
     @Property(tries = 6, seed = "110")
-    void tasksOfOneJobEndFarApartAcrossAChangeOfLeader(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void tasksOfOneJobRunOneAfterAnotherAcrossFailovers(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        // The limits of the teams let their tasks run one after another.
+        // The quotas of the teams allow only one task of each team at a time.
         cluster.submit(1, "red", Priority.HIGH, 3, 16, Duration.ofSeconds(15));
         cluster.submit(2, "blue", Priority.NORMAL, 3, 32, Duration.ofSeconds(11));
         cluster.submit(3, "blue", Priority.HIGH, 2, 32, Duration.ofSeconds(13));
@@ -106,15 +106,15 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(10));
     }
 
-    /** The leader crashes while machines with long tasks are partitioned in both directions, or inbound only. */
+    /** The leader crashes while machines with running tasks are partitioned, in both directions or inbound only. */
     @Property(tries = 6, seed = "121")
     void leaderCrashesWhileMachinesWithLongTasksArePartitioned(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         String leader = cluster.leader();
-        Duration span = Duration.ofSeconds(8 + seed % 45);
+        Duration duration = Duration.ofSeconds(8 + seed % 45);
         List<FakeAgent> agents = cluster.cloud.agents();
-        agents.stream().limit(2).forEach(agent -> partition(cluster, agent, span));
-        agents.stream().skip(2).limit(2).forEach(agent -> partitionInbound(cluster, agent, span));
+        agents.stream().limit(2).forEach(agent -> partition(cluster, agent, duration));
+        agents.stream().skip(2).limit(2).forEach(agent -> partitionInbound(cluster, agent, duration));
         cluster.run(seconds(seed % 4));
         cluster.crash(leader, Duration.ofSeconds(1 + seed % 50));
         submitSteadily(cluster, 9, 6);
@@ -124,9 +124,9 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(60));
     }
 
-    /** Ten changes of leader in two minutes, some of them during an outage of the state store. */
+    /** The leader crashes ten times in two minutes, also during an outage of the state store. */
     @Property(tries = 6, seed = "124")
-    void tenFailoversInTwoMinutesAlsoInAnOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void tenLeaderCrashesInTwoMinutesAlsoInAStoreOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(70));
         submitSteadily(cluster, 9, 20);
         scheduleStoreOutage(cluster, Duration.ofSeconds(30), Duration.ofSeconds(15 + seed % 12));
--- a/src/test/java/org/gullway/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/MachineFaultCombinationsTest.java
@@ -18,14 +18,15 @@
 import org.gullway.protocol.Priority;
 
 /**
- * Pairs of faults around machines that fail, hang or are partitioned; each schedule drives them into their worst order.
+ * Pairs of faults around machines that fail, hang or are partitioned, at times that provoke the most critical order of
+ * events.
  */
 class MachineFaultCombinationsTest {
-    private static final Duration LONG = Duration.ofSeconds(200);
+    private static final Duration LONG_RUN_TIME = Duration.ofSeconds(200);
 
     /**
-     * A team is at its quota when the leader changes, some of its machines are unresponsive, and a cancellation falls into
-     * that time.
+     * A team uses its whole quota, and more of its jobs wait. Some machines are partitioned, the leader crashes, and jobs
+     * are cancelled.
      */
     @Property(tries = 6, seed = "106")
     void teamAtItsQuotaWithFailoverUnresponsiveMachinesAndCancellation(
@@ -48,7 +49,7 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(45));
     }
 
-    /** Heartbeats arrive after newer ones, also those of an earlier agent epoch or attempt. */
+    /** Heartbeats arrive after newer ones, also heartbeats of an earlier agent epoch or with an earlier attempt of a task. */
     @Property(tries = 6, seed = "108")
     void heartbeatsOfEarlierAgentEpochsArriveAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(50));
@@ -60,15 +61,15 @@
                     Duration.ofSeconds(4).plus(SimulatedCluster.LEASE).plusMillis(500),
                     () -> cluster.network.blockOutbound(agent.name(), false));
         });
-        // Urgent work that has others stopped, so that attempts follow each other on one machine.
+        // Jobs of high priority preempt other tasks, so that one machine runs several attempts of a task.
         submitSteadily(cluster, 9, 12);
         cluster.after(Duration.ofSeconds(30), () -> cluster.crash(cluster.leader(), Duration.ofMillis(200)));
         assertRecoversAfter(cluster, Duration.ofSeconds(70));
     }
 
-    /** A command or its response is delayed by a machine that hangs for seconds and then resumes. */
+    /** Machines hang for up to 11 s while commands or their responses are in flight, and then resume. */
     @Property(tries = 6, seed = "111")
-    void machineHangsWithPendingCommandsAndResumes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void machinesHangWithCommandsInFlightAndResume(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(60));
         for (int i = 0; i < 3; i++) {
             submitSteadily(cluster, 9 + 3 * i, 3);
@@ -88,10 +89,10 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(10));
     }
 
-    /** Machines hang until after their lease has expired, with tasks of cancelled jobs on them. */
+    /** Machines with tasks of cancelled jobs hang until 30 s after the cancellation limit, when their leases have expired. */
     @Property(tries = 6, seed = "112")
-    void machineHangsBeyondItsLeaseWithCancelledTasks(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+    void machinesWithCancelledTasksHangBeyondTheirLease(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         cluster.users().subList(0, 6).forEach(TestUser::cancel);
         cluster.run(Duration.ofMillis(seed % 20));
         cluster.cloud.agents().forEach(agent -> agent.hang(SimulatedCluster.CANCEL.plusSeconds(30)));
@@ -99,7 +100,7 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(80));
     }
 
-    /** Agents cannot open connections to any controller, while direct commands still reach them. */
+    /** Agents cannot send requests to any controller, while commands still reach them. */
     @Property(tries = 6, seed = "113")
     void machinesWithAnOutboundPartition(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(70));
@@ -113,22 +114,25 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(60));
     }
 
-    /** A zone with agents and a controller is partitioned for longer than a lease. */
+    /** A zone with agents and a controller is partitioned for longer than an agent lease, and jobs are cancelled. */
     @Property(tries = 6, seed = "123")
-    void zonePartitionLongerThanALeaseWithCancellations(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+    void zonePartitionLongerThanAnAgentLeaseWithCancellations(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         String zone = seed % 2 == 0 ? "a" : "b";
-        Duration span = SimulatedCluster.LEASE.plusSeconds(2 + seed % 40);
+        Duration duration = SimulatedCluster.LEASE.plusSeconds(2 + seed % 40);
         cluster.partitionZone(zone, true);
-        cluster.after(span, () -> cluster.partitionZone(zone, false));
+        cluster.after(duration, () -> cluster.partitionZone(zone, false));
         submitSteadily(cluster, 9, 6);
         cluster.after(seconds(seed % 20), () -> cluster.users().subList(0, 4).forEach(TestUser::cancel));
-        cluster.after(span, () -> cluster.crash(cluster.nodes().get(seed % 3), Duration.ofSeconds(1)));
-        assertRecoversAfter(cluster, span.plusSeconds(5));
+        cluster.after(duration, () -> cluster.crash(cluster.nodes().get(seed % 3), Duration.ofSeconds(1)));
+        assertRecoversAfter(cluster, duration.plusSeconds(5));
     }
 
-    /** Machines terminate, are partitioned and are reclaimed, in a zone to which jobs are bound, and the leader crashes. */
-    private static void assertZoneBoundJobsSurvive(int seed, List<Priority> priorities) {
+    /**
+     * Starts jobs with zone constraints. Then machines in one zone terminate or are partitioned, spot machines are
+     * reclaimed, and the leader crashes. All jobs must finish.
+     */
+    private static void assertZoneConstrainedJobsFinish(int seed, List<Priority> priorities) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         List<Bounds> bounds = List.of(
                 Bounds.in("a"),
@@ -150,30 +154,30 @@
         assertThat(cluster.invariants.runningTasks()).isPositive();
         String zone = seed % 2 == 0 ? "a" : "b";
         cluster.cloud.agents().stream()
-                .filter(w -> w.kind().zone().equals(zone))
+                .filter(agent -> agent.kind().zone().equals(zone))
                 .limit(2)
                 .forEach(FakeAgent::terminate);
         cluster.after(Duration.ofSeconds(4), () -> cluster.cloud.agents().stream()
-                .filter(w -> w.kind().zone().equals(zone))
+                .filter(agent -> agent.kind().zone().equals(zone))
                 .limit(2)
-                .forEach(w -> partition(cluster, w, Duration.ofSeconds(30))));
+                .forEach(agent -> partition(cluster, agent, Duration.ofSeconds(30))));
         cluster.after(Duration.ofSeconds(6), () -> cluster.cloud.agents().stream()
-                .filter(w -> w.kind().spot())
+                .filter(agent -> agent.kind().spot())
                 .limit(2)
                 .forEach(cluster.cloud::reclaimSpot));
         cluster.after(Duration.ofSeconds(9), () -> cluster.crash(cluster.leader(), Duration.ofSeconds(1)));
         assertRecoversAfter(cluster, Duration.ofSeconds(45));
     }
 
-    /** Reserved jobs that are bound to zones, also arrays, lose machines in several ways. */
+    /** Reserved jobs with zone constraints lose machines to termination, partitions and spot reclaims. */
     @Property(tries = 6, seed = "105")
-    void reservedJobsBoundToOneZoneLoseMachines(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        assertZoneBoundJobsSurvive(seed, List.of(Priority.PROD, Priority.HIGH));
+    void reservedJobsWithZoneConstraintsLoseMachines(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        assertZoneConstrainedJobsFinish(seed, List.of(Priority.PROD, Priority.HIGH));
     }
 
-    /** Best-effort jobs that are bound to zones, also arrays, lose machines in several ways. */
+    /** Best-effort jobs with zone constraints lose machines to termination, partitions and spot reclaims. */
     @Property(tries = 6, seed = "125")
-    void bestEffortJobsBoundToOneZoneLoseMachines(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        assertZoneBoundJobsSurvive(seed, List.of(Priority.NORMAL, Priority.IDLE));
+    void bestEffortJobsWithZoneConstraintsLoseMachines(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        assertZoneConstrainedJobsFinish(seed, List.of(Priority.NORMAL, Priority.IDLE));
     }
 }
--- a/src/test/java/org/gullway/PlacementRules.java
+++ b/src/test/java/org/gullway/PlacementRules.java
@@ -11,13 +11,13 @@
 import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.JobRequest;
 
-/** A task runs on one machine at a time, and on none that its job excludes. */
+/** Checks that a task runs on only one machine at a time, and only on machines that meet the constraints of its job. */
 final class PlacementRules {
     private static final double CPU_TOLERANCE = 1e-6;
 
     private final List<String> violations;
     private final Map<String, FakeAgent.Kind> machines = new HashMap<>();
-    /** Machines on which a task is now, by job and task. */
+    /** The machines on which a task runs now, by job id and task id. */
     private final Map<String, Map<String, Set<String>>> placements = new HashMap<>();
 
     private final Map<String, Double> usedCpus = new HashMap<>();
@@ -31,33 +31,36 @@
     }
 
     void onTaskStarted(ObservedJob job, String machine, String task, Instant now) {
-        Set<String> current = placements
+        Set<String> runningOn = placements
                 .computeIfAbsent(job.id(), id -> new HashMap<>())
                 .computeIfAbsent(task, id -> new HashSet<>());
-        if (!current.isEmpty()) {
-            violations.add("ran_twice: " + task + " starts on " + machine + " while on " + current + " at " + now);
+        if (!runningOn.isEmpty()) {
+            violations.add("ran_twice: " + task + " starts on " + machine + " while on " + runningOn + " at " + now);
         }
         violatedConstraint(job.request, machines.get(machine))
-                .ifPresent(violated ->
-                        violations.add("wrong_place: " + task + " on " + machine + ": " + violated + " at " + now));
-        current.add(machine);
+                .ifPresent(constraint ->
+                        violations.add("wrong_place: " + task + " on " + machine + ": " + constraint + " at " + now));
+        runningOn.add(machine);
         usedCpus.merge(machine, job.request.cpus(), Double::sum);
     }
 
-    /** Whether the task was on this machine. */
+    /** Removes the task from the machine. Returns whether the task ran there. */
     boolean onTaskEnded(ObservedJob job, String machine, String task) {
-        boolean present = placementsOf(job.id()).getOrDefault(task, Set.of()).remove(machine);
-        if (present) {
+        boolean removed = placementsOf(job.id()).getOrDefault(task, Set.of()).remove(machine);
+        if (removed) {
             usedCpus.merge(machine, -job.request.cpus(), Double::sum);
         }
-        return present;
+        return removed;
     }
 
     private Map<String, Set<String>> placementsOf(String job) {
         return placements.getOrDefault(job, Map.of());
     }
 
-    /** Why no task of the job may start on such a machine, given where its others are; empty if one may. */
+    /**
+     * Returns the constraint that forbids a task of the job on a machine of this kind, given the machines of its running
+     * tasks; empty if there is none.
+     */
     private Optional<String> violatedConstraint(JobRequest request, FakeAgent.Kind kind) {
         if (kind.spot() && !request.spotAllowed()) {
             return Optional.of("a spot machine");
@@ -69,21 +72,21 @@
             return Optional.of("in zone " + kind.zone());
         }
         int inZone = 0;
-        int elsewhere = 0;
-        for (Set<String> placed : placementsOf(request.id()).values()) {
-            for (String machine : placed) {
+        int inOtherZones = 0;
+        for (Set<String> machinesOfTask : placementsOf(request.id()).values()) {
+            for (String machine : machinesOfTask) {
                 if (machines.get(machine).zone().equals(kind.zone())) {
                     inZone++;
                 } else {
-                    elsewhere++;
+                    inOtherZones++;
                 }
             }
         }
-        if (request.singleZone() && elsewhere > 0) {
+        if (request.singleZone() && inOtherZones > 0) {
             return Optional.of("in zone " + kind.zone() + ", its other tasks are not");
         }
         if (request.spreadAcrossZones() && inZone + 1 > (request.tasks() + 1) / 2) {
-            return Optional.of("the task beyond half of them in zone " + kind.zone());
+            return Optional.of("more than half of the tasks in zone " + kind.zone());
         }
         return Optional.empty();
     }
@@ -92,30 +95,30 @@
         return machines.keySet();
     }
 
-    /** Whether a task of the job could start on this machine. */
-    boolean isFeasible(JobRequest request, String machine) {
+    /** Returns whether the machine has enough free CPUs for a task of the job and meets the constraints of the job. */
+    boolean canStartTask(JobRequest request, String machine) {
         FakeAgent.Kind kind = machines.get(machine);
         return usedCpus.getOrDefault(machine, 0.0) + request.cpus() <= kind.cpus() + CPU_TOLERANCE
                 && violatedConstraint(request, kind).isEmpty();
     }
 
-    /** Calls the action for every task of the job that is on machines now, with these. */
+    /** Calls the action for every running task of the job, with the machines on which the task runs. */
     void forEachRunning(String job, BiConsumer<String, Set<String>> action) {
-        placementsOf(job).forEach((task, placed) -> {
-            if (!placed.isEmpty()) {
-                action.accept(task, placed);
+        placementsOf(job).forEach((task, machinesOfTask) -> {
+            if (!machinesOfTask.isEmpty()) {
+                action.accept(task, machinesOfTask);
             }
         });
     }
 
-    /** How many tasks of the job are on a machine now. */
+    /** Returns the number of running tasks of the job. */
     long runningTasks(String job) {
         return placementsOf(job).values().stream()
-                .filter(placed -> !placed.isEmpty())
+                .filter(machinesOfTask -> !machinesOfTask.isEmpty())
                 .count();
     }
 
-    /** How many tasks are on a machine now. */
+    /** Returns the number of running tasks of all jobs. */
     long runningTasks() {
         return placements.keySet().stream().mapToLong(this::runningTasks).sum();
     }
--- a/src/test/java/org/gullway/QuotaRules.java
+++ b/src/test/java/org/gullway/QuotaRules.java
@@ -7,7 +7,7 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Settings;
 
-/** The running tasks of a team never use more than its quota. */
+/** Checks that the running tasks of a team never use more CPUs than the limit of the team. */
 final class QuotaRules {
     private static final double CPU_TOLERANCE = 1e-6;
 
@@ -22,7 +22,7 @@
 
     void onTaskStarted(JobRequest request, Instant now) {
         double used = usedCpus.merge(request.team(), request.cpus(), Double::sum);
-        if (used > quota(request) + CPU_TOLERANCE) {
+        if (used > cpusLimit(request) + CPU_TOLERANCE) {
             violations.add("quota: " + request.team() + " uses " + used + " at " + now);
         }
     }
@@ -31,12 +31,12 @@
         usedCpus.merge(request.team(), -request.cpus(), Double::sum);
     }
 
-    /** Whether the team's quota allows one more task of the job. */
-    boolean allowsOneMore(JobRequest request) {
-        return usedCpus.getOrDefault(request.team(), 0.0) + request.cpus() <= quota(request) + CPU_TOLERANCE;
+    /** Returns whether another task of the job would stay within the limit of its team. */
+    boolean allowsAnotherTask(JobRequest request) {
+        return usedCpus.getOrDefault(request.team(), 0.0) + request.cpus() <= cpusLimit(request) + CPU_TOLERANCE;
     }
 
-    private double quota(JobRequest request) {
+    private double cpusLimit(JobRequest request) {
         return teams.get(request.team()).cpusLimit();
     }
 }
--- a/src/test/java/org/gullway/ReportedStateRules.java
+++ b/src/test/java/org/gullway/ReportedStateRules.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Job states in responses to users: a final state is true, and never changes. */
+/** Checks the job states in responses to users: a final state must be correct, and must not change afterwards. */
 final class ReportedStateRules {
     private final List<String> violations;
 
@@ -11,15 +11,15 @@
         this.violations = violations;
     }
 
-    /** A user got this state; returns whether it is the first response that confirms the cancellation. */
-    boolean onStateReported(ObservedJob job, String state, Instant asked, Instant now) {
+    /** Handles a state in a response to the user. Returns whether it is the first response that confirms a cancellation. */
+    boolean onStateReported(ObservedJob job, String state, Instant sentAt, Instant now) {
         boolean isFinal = ObservedJob.isFinal(state);
-        checkUnchanged(job, state, isFinal, asked, now);
+        checkFinalStateUnchanged(job, state, isFinal, sentAt, now);
         if (state.equals("aborted") && !job.isCancellationRequested()) {
-            violations.add("went_back: " + job.id() + " is cancelled by nobody at " + now);
+            violations.add("went_back: " + job.id() + " is cancelled without a request at " + now);
         }
         if (state.equals("done")) {
-            checkCompleted(job, now);
+            checkAllTasksCompleted(job, now);
         }
         if (job.isFinished() || !isFinal) {
             return false;
@@ -28,14 +28,17 @@
         return job.isCancelled();
     }
 
-    /** A query may have been answered before the final state was reported, but two final states are never both true. */
-    private void checkUnchanged(ObservedJob job, String state, boolean isFinal, Instant asked, Instant now) {
-        if (job.isFinished() && !state.equals(job.reportedState()) && (isFinal || asked.isAfter(job.finishedAt()))) {
+    /**
+     * Checks that the state does not contradict the final state that was reported before. An active state is allowed in
+     * the response to a request that was sent before the final state was reported; a different final state never is.
+     */
+    private void checkFinalStateUnchanged(ObservedJob job, String state, boolean isFinal, Instant sentAt, Instant now) {
+        if (job.isFinished() && !state.equals(job.reportedState()) && (isFinal || sentAt.isAfter(job.finishedAt()))) {
             violations.add("went_back: " + job.id() + " was " + job.reportedState() + ", then " + state + " at " + now);
         }
     }
 
-    private void checkCompleted(ObservedJob job, Instant now) {
+    private void checkAllTasksCompleted(ObservedJob job, Instant now) {
         for (int task = 0; task < job.request.tasks(); task++) {
             if (!job.isCompleted(task)) {
                 violations.add("not_done: " + job.id() + "/" + task + " at " + now);
--- a/src/test/java/org/gullway/ScavengerClassTest.java
+++ b/src/test/java/org/gullway/ScavengerClassTest.java
@@ -19,26 +19,27 @@
 import org.gullway.fake.FakeStateStore;
 import org.gullway.protocol.Priority;
 
-/** Jobs in unusual numbers or that cannot succeed: huge arrays, many tiny jobs, jobs that fail on every machine. */
+/** Extreme loads of the scavenger class, and failing tasks: huge arrays, many one-task jobs, jobs that fail on every machine. */
 class ScavengerClassTest {
     private static final int GUEST_ARRAY = 1;
-    private static final int GUEST_LARGEST = 2;
+    private static final int GUEST_LARGE_TASKS = 2;
 
-    private static void assertServed(List<TestUser> users, Duration longestWait) {
+    private static void assertStartedWithin(List<TestUser> users, Duration longestWait) {
         assertThat(users).isNotEmpty().allSatisfy(user -> assertThat(user.timeToFirstStart())
                 .isNotNull()
                 .isLessThan(longestWait));
     }
 
     /**
-     * One huge array, a job of large tasks, and four tiny jobs a second, all of a team without quota, beside a steady
-     * load of other teams.
+     * A team without a guaranteed quota submits an array of 25,000 tasks, a job of large tasks, and four one-task jobs per
+     * second. The jobs of the other teams must start within 40 s, and the number of changes of job records must stay
+     * within bounds.
      */
     @Property(tries = 1, seed = "41")
-    void aHugeArrayAndManyTinyJobsOfATeamWithoutQuota(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aHugeArrayAndManyOneTaskJobsDoNotDelayOtherTeams(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithGuestTeam(seed, 12);
         cluster.submit(GUEST_ARRAY, "guest", Priority.IDLE, 25_000, 0.25, Duration.ofSeconds(45));
-        cluster.submit(GUEST_LARGEST, "guest", Priority.IDLE, 8, 16, Duration.ofSeconds(20));
+        cluster.submit(GUEST_LARGE_TASKS, "guest", Priority.IDLE, 8, 16, Duration.ofSeconds(20));
         for (int i = 0; i < 720; i++) {
             int number = 1000 + i;
             cluster.after(
@@ -49,30 +50,35 @@
         cluster.run(Duration.ofMinutes(4));
         assertThat(cluster.violations).isEmpty();
         List<TestUser> guests = cluster.users().stream()
-                .filter(u -> u.request.team().equals("guest"))
+                .filter(user -> user.request.team().equals("guest"))
                 .toList();
         List<TestUser> others = cluster.users().stream()
-                .filter(u -> !u.request.team().equals("guest"))
+                .filter(user -> !user.request.team().equals("guest"))
                 .toList();
-        assertServed(others, Duration.ofSeconds(40));
-        assertServed(guests, Duration.ofMinutes(4));
+        assertStartedWithin(others, Duration.ofSeconds(40));
+        assertStartedWithin(guests, Duration.ofMinutes(4));
         assertThat(others).allMatch(TestUser::isFinished);
         assertThat(guests.stream()
-                        .filter(u -> u.request.tasks() == 1)
+                        .filter(user -> user.request.tasks() == 1)
                         .filter(TestUser::isFinished)
                         .count())
-                .as("tiny jobs done")
+                .as("finished one-task jobs")
                 .isGreaterThanOrEqualTo(700);
-        assertThat(cluster.startedTasks()).as("the array's tasks as well").isGreaterThan(2000);
+        assertThat(cluster.startedTasks())
+                .as("started tasks, including tasks of the array")
+                .isGreaterThan(2000);
         assertThat(cluster.store.largestValueBytes()).isLessThanOrEqualTo(FakeStateStore.MAX_VALUE_BYTES);
         assertThat(cluster.store.changeCount("live/jobs"))
-                .as("changes for %s jobs", cluster.users().size())
+                .as("changes of job records for %s jobs", cluster.users().size())
                 .isLessThan(5 * cluster.users().size() + 4 * 240);
     }
 
-    /** Four tiny jobs a second for three minutes, a quarter of them cancelled at various moments. */
+    /**
+     * Users submit four one-task jobs per second for three minutes and cancel a quarter of them at various times. Each of
+     * the first 560 jobs must be finished 40 s after its submission.
+     */
     @Property(tries = 2, seed = "42")
-    void tinyJobsOfWhichAQuarterIsCancelledEndInTime(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void manyOneTaskJobsWithCancellationsFinishInTime(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithGuestTeam(seed, 4);
         for (int i = 1; i <= 720; i++) {
             int number = i;
@@ -90,30 +96,31 @@
             });
         }
         cluster.run(Duration.ofMinutes(3));
-        long late = cluster.users().subList(0, 560).stream()
+        long unfinished = cluster.users().subList(0, 560).stream()
                 .filter(user -> !user.isFinished())
                 .count();
-        assertThat(late).as("not over after 40 s").isZero();
+        assertThat(unfinished).as("unfinished jobs after 40 s").isZero();
         cluster.run(Duration.ofSeconds(30));
         assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 
     /**
-     * Three jobs fail on every machine until their users cancel them; others run beside them and are not preempted.
-     * Guards the pauses of {@code JobBackoff.paused}. That healthy machines are kept is {@code
-     * AgentReconcilerTest.jobsThatFailEverywhereDoNotMakeMachinesFaulty}: here they complete other tasks as well.
+     * The tasks of three jobs fail on every machine until their users cancel the jobs. {@code JobBackoff.isBackedOff} must
+     * limit their retries, and they must not preempt tasks of other jobs. Another test, {@code
+     * MachineLifecycleTest.jobsThatFailOnEveryMachineDoNotMakeMachinesFaulty}, checks that healthy machines are kept; here
+     * they also complete other tasks and so cannot count as faulty.
      */
     @Property(tries = 3, seed = "43")
-    void jobsThatFailOnEveryMachine(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void jobsThatFailOnEveryMachineAreRetriedWithBackoff(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithGuestTeam(seed, 4);
-        Set<String> failing = new HashSet<>();
+        Set<String> failingJobs = new HashSet<>();
         Map<String, List<Instant>> failures = new HashMap<>();
         cluster.failTasks((machine, job) -> {
-            if (failing.contains(job)) {
+            if (failingJobs.contains(job)) {
                 failures.computeIfAbsent(job, j -> new ArrayList<>()).add(cluster.time.now());
             }
-            return failing.contains(job);
+            return failingJobs.contains(job);
         });
         submitSteadily(cluster, 100, 90);
         cluster.run(Duration.ofSeconds(20));
@@ -121,32 +128,34 @@
             int number = i;
             TestUser user = cluster.submit(
                     number, number == 3 ? "guest" : "blue", Priority.NORMAL, 6, 4, Duration.ofSeconds(2));
-            failing.add(user.request.id());
+            failingJobs.add(user.request.id());
         }
         cluster.run(Duration.ofSeconds(150));
         assertThat(failures).hasSize(3).allSatisfy((job, times) -> {
-            assertThat(times).as("of %s", job).hasSizeLessThan(90);
-            Instant lastMinutes = cluster.time.now().minusSeconds(75);
-            assertThat(times.stream().filter(lastMinutes::isBefore).count())
-                    .as("of %s in the last 75 s, with pauses of 30 s", job)
+            assertThat(times).as("failures of %s", job).hasSizeLessThan(90);
+            Instant recently = cluster.time.now().minusSeconds(75);
+            assertThat(times.stream().filter(recently::isBefore).count())
+                    .as("failures of %s in the last 75 s, with a back-off of 30 s", job)
                     .isLessThanOrEqualTo(18);
         });
         int failed = failures.values().stream().mapToInt(List::size).sum();
         assertThat(cluster.startedTasks() - failed)
-                .as("starts of others, and at most all tasks of the failing jobs that run now")
+                .as("started tasks of other jobs, plus the tasks of the failing jobs that run now")
                 .isLessThanOrEqualTo(2 * 90 + 3 * 6);
-        cluster.users().stream().filter(u -> failing.contains(u.request.id())).forEach(TestUser::cancel);
+        cluster.users().stream()
+                .filter(user -> failingJobs.contains(user.request.id()))
+                .forEach(TestUser::cancel);
         cluster.run(Duration.ofSeconds(60));
         assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 
     /**
-     * Every task fails on one machine: it is released, and all jobs finish elsewhere. Guards {@code
-     * AgentReconciler.isFaulty}.
+     * All tasks on one machine fail. {@code JobFailureTracker.isFaulty} must detect the faulty machine, so that it is
+     * released and all jobs finish on other machines.
      */
     @Property(tries = 3, seed = "44")
-    void aMachineOnWhichEverythingFailsIsReleased(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void aMachineOnWhichAllTasksFailIsReleased(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithGuestTeam(seed, 4);
         submitSteadily(cluster, 100, 60);
         cluster.run(Duration.ofSeconds(20));
@@ -163,7 +172,7 @@
         assertThat(cluster.unfinished()).isEmpty();
     }
 
-    /** Two jobs every three seconds. */
+    /** Submits two jobs every 3 s. */
     private static void submitSteadily(SimulatedCluster cluster, int first, int jobs) {
         for (int i = 0; i < jobs; i++) {
             int number = first + i;
--- a/src/test/java/org/gullway/SimulatedScenariosTest.java
+++ b/src/test/java/org/gullway/SimulatedScenariosTest.java
@@ -12,10 +12,10 @@
 import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Whole scenarios in virtual time: whatever fails, the rules hold, and afterwards all jobs finish. */
+/** Random scenarios in virtual time: the invariants hold under any faults, and all jobs finish after the faults. */
 class SimulatedScenariosTest {
     private static final List<Fault> FAULTS = List.of(Fault.values());
-    private static final List<Bounds> BOUNDS = List.of(
+    private static final List<Bounds> CONSTRAINTS = List.of(
             Bounds.in("a"),
             Bounds.in("b"),
             Bounds.ONE_ZONE,
@@ -23,13 +23,13 @@
             new Bounds(List.of("large"), null, true, false, false),
             new Bounds(List.of("small"), null, false, true, true));
 
-    /** Submits jobs with constraints on zones and machine types at random moments. */
-    static void submitZoneBoundJobs(
-            SimulatedCluster cluster, SplittableRandom random, int first, int jobs, Duration span) {
+    /** Submits jobs with random constraints on zones and machine types at random times within the given duration. */
+    static void submitConstrainedJobs(
+            SimulatedCluster cluster, SplittableRandom random, int first, int jobs, Duration duration) {
         for (int i = first; i < first + jobs; i++) {
             int number = i;
             cluster.after(
-                    Duration.ofMillis(random.nextLong(span.toMillis())),
+                    Duration.ofMillis(random.nextLong(duration.toMillis())),
                     () -> cluster.submit(
                             number,
                             random.nextBoolean() ? "red" : "blue",
@@ -37,14 +37,14 @@
                             1 + random.nextInt(7),
                             random.nextBoolean() ? 4 : 8,
                             Duration.ofMillis(1000 + random.nextInt(20_000)),
-                            BOUNDS.get(random.nextInt(BOUNDS.size()))));
+                            CONSTRAINTS.get(random.nextInt(CONSTRAINTS.size()))));
         }
     }
 
-    static void submitJobs(SimulatedCluster cluster, SplittableRandom random, int jobs, Duration span) {
+    static void submitJobs(SimulatedCluster cluster, SplittableRandom random, int jobs, Duration duration) {
         for (int i = 1; i <= jobs; i++) {
             int number = i;
-            cluster.after(Duration.ofMillis(random.nextLong(span.toMillis())), () -> {
+            cluster.after(Duration.ofMillis(random.nextLong(duration.toMillis())), () -> {
                 cluster.submit(
                         number,
                         random.nextBoolean() ? "red" : "blue",
@@ -54,7 +54,7 @@
                         Duration.ofMillis(1000 + random.nextInt(20_000)));
                 if (random.nextInt(6) == 0) {
                     cluster.after(Duration.ofMillis(random.nextInt(15_000)), () -> cluster.users().stream()
-                            .filter(u -> u.request.id().endsWith(String.format("%06d", number)))
+                            .filter(user -> user.request.id().endsWith(String.format("%06d", number)))
                             .forEach(TestUser::cancel));
                 }
             });
@@ -80,19 +80,19 @@
         assertThat(cluster.cloud.machineCount()).isZero();
     }
 
-    /** An outage of the store that is longer than the timeout for heartbeats is no reason to declare machines lost. */
+    /** During an outage of the state store no machine may be declared lost, also if the outage exceeds the heartbeat timeout. */
     @Test
-    void noMachineIsDeclaredLostAfterAStoreOutage() {
+    void noMachineIsDeclaredLostInAStoreOutage() {
         SimulatedCluster cluster = new SimulatedCluster(5, 0, 4);
         cluster.submit(1, "blue", Priority.NORMAL, 6, 8, Duration.ofSeconds(70));
         cluster.run(Duration.ofSeconds(25));
-        int before = cluster.startedTasks();
+        int startedBefore = cluster.startedTasks();
         cluster.store.setDown(true);
         cluster.run(Duration.ofSeconds(14));
         cluster.store.setDown(false);
         cluster.run(Duration.ofSeconds(100));
         assertThat(cluster.unfinished()).isEmpty();
-        assertThat(cluster.startedTasks()).isEqualTo(before).isEqualTo(6);
+        assertThat(cluster.startedTasks()).isEqualTo(startedBefore).isEqualTo(6);
     }
 
     private static void assertInvariantsUnderRandomFaults(
@@ -102,14 +102,16 @@
         assertThat(cluster.unfinished()).as("seed %d", seed).isEmpty();
     }
 
-    /** Several faults at random moments, a span without faults at the end, and repeated submissions throughout. */
+    /** Runs for 200 s with two to six faults at random times and then for 10 min without faults. Users repeat submissions. */
     static void runWithRandomFaults(SimulatedCluster cluster, SplittableRandom random) {
         int faults = 2 + random.nextInt(5);
         for (int i = 0; i < faults; i++) {
-            Duration span = Duration.ofMillis(500 + random.nextInt(30_000));
+            Duration duration = Duration.ofMillis(500 + random.nextInt(30_000));
             Fault fault = FAULTS.get(random.nextInt(FAULTS.size()));
-            SplittableRandom own = random.split();
-            cluster.after(Duration.ofMillis(10_000 + random.nextInt(120_000)), () -> fault.inject(cluster, own, span));
+            SplittableRandom faultRandom = random.split();
+            cluster.after(
+                    Duration.ofMillis(10_000 + random.nextInt(120_000)),
+                    () -> fault.inject(cluster, faultRandom, duration));
         }
         for (int i = 0; i < 10; i++) {
             cluster.after(Duration.ofSeconds(20 + random.nextInt(500)), () -> cluster.users()
@@ -129,11 +131,11 @@
     }
 
     @Property(tries = 20, seed = "20261202")
-    void invariantsHoldForZoneBoundJobsUnderRandomFaults(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
+    void invariantsHoldForConstrainedJobsUnderRandomFaults(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SimulatedCluster cluster = new SimulatedCluster(random.nextLong(), 0.01, 3);
         submitJobs(cluster, random.split(), 10, Duration.ofMinutes(2));
-        submitZoneBoundJobs(cluster, random.split(), 11, 15, Duration.ofMinutes(2));
+        submitConstrainedJobs(cluster, random.split(), 11, 15, Duration.ofMinutes(2));
         assertInvariantsUnderRandomFaults(seed, cluster, random);
     }
 }
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A start that the records do not allow at the moment of sending is omitted from the command batch, and counted as a
- * violation.
+ * A start command that contradicts the records when its command batch is sent is omitted from the batch and reported as an
+ * invariant violation.
  */
 class StartAuthorizationTest {
     private static final TaskId TASK = new TaskId("run-000001", 0);
@@ -82,52 +82,52 @@
                 "vm-1", "10.1.0.1:9000", fencingToken, agentEpoch, List.of(start, STOP), Instant.EPOCH));
     }
 
-    private void assertBothSent(boolean both) {
-        byte[] body = AgentCommand.encodeDirect(1, 1, both ? List.of(START, STOP) : List.of(STOP));
+    private void assertStopSent(boolean withStart) {
+        byte[] body = AgentCommand.encodeDirect(1, 1, withStart ? List.of(START, STOP) : List.of(STOP));
         assertThat(sent).singleElement().satisfies(request -> assertThat(request.body())
                 .isEqualTo(body));
     }
 
     @Test
-    void aRecordedStartIsSent() {
+    void sendsAStartThatMatchesTheRecords() {
         send(1, 1, START);
-        assertBothSent(true);
+        assertStopSent(true);
         assertThat(violations).isEmpty();
     }
 
     @Test
-    void aStartOfACancelledJobIsNotSent() {
+    void omitsAStartOfACancelledJob() {
         put(job -> job.withCancellation(TestFixtures.TIME_OF_DAY), 12);
         send(1, 1, START);
-        assertBothSent(false);
+        assertStopSent(false);
         assertThat(violations).singleElement().asString().contains("the job is cancelled");
     }
 
     @Test
-    void aStartWithoutARecordIsNotSent() {
+    void omitsAStartOfAJobThatIsNotOnRecord() {
         clusterState.remove(StoreKeys.job(TASK.job()), 12);
         send(1, 1, START);
-        assertBothSent(false);
+        assertStopSent(false);
         assertThat(violations).singleElement().asString().contains("the job is not on record");
     }
 
     @Test
-    void aStartThatIsBeingStoppedIsNotSent() {
+    void omitsAStartOfAStoppingPlacement() {
         put(job -> job.withStopping(placement -> true), 12);
         send(1, 1, START);
-        assertBothSent(false);
+        assertStopSent(false);
         assertThat(violations).singleElement().asString().contains("the job record has no matching placement");
     }
 
     @Test
-    void aStartOfAnotherAttemptIsNotSent() {
+    void omitsAStartOfAnAttemptThatIsNotOnRecord() {
         send(1, 1, AgentCommand.start(TASK, 2));
-        assertBothSent(false);
+        assertStopSent(false);
         assertThat(violations).singleElement().asString().contains("the job record has no matching placement");
     }
 
     @Test
-    void aStartWithAnotherAgentEpochFencingTokenOrControllerIsNotSent() {
+    void omitsAStartWithAnotherAgentEpochFencingTokenOrController() {
         send(1, 2, START);
         send(2, 1, START);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 12);
@@ -139,12 +139,12 @@
                 .contains("the machine is not on record, has no agent yet, or is commanded by another controller");
     }
 
-    /** The lease may expire while a long scheduling cycle sends commands; that is no violation. */
+    /** The lease can expire while a long scheduling cycle sends commands, so this is not an invariant violation. */
     @Test
-    void aControllerWithoutAValidLeaseSendsNoStart() {
+    void omitsAStartWithoutAValidLease() {
         holdsValidLease = false;
         send(1, 1, START);
-        assertBothSent(false);
+        assertStopSent(false);
         assertThat(violations).isEmpty();
     }
 }
--- a/src/test/java/org/gullway/StartedJobsCheckTest.java
+++ b/src/test/java/org/gullway/StartedJobsCheckTest.java
@@ -7,9 +7,9 @@
 import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** The check of service names just the groups that were not served. */
+/** {@link StartedJobsCheck} reports exactly the groups with too few started jobs. */
 class StartedJobsCheckTest {
-    private static List<String> unservedWithMachines(int capacity) {
+    private static List<String> violationsWithCapacity(int capacity) {
         SimulatedCluster cluster = new SimulatedCluster(5, 0, capacity);
         cluster.submit(1, "red", Priority.HIGH, 1, 4, Duration.ofSeconds(2));
         cluster.submit(2, "blue", Priority.NORMAL, 1, 8, Duration.ofSeconds(2));
@@ -19,18 +19,18 @@
     }
 
     @Test
-    void withMachinesEverybodyIsServed() {
-        assertThat(unservedWithMachines(3)).isEmpty();
+    void noViolationsIfAllJobsStart() {
+        assertThat(violationsWithCapacity(3)).isEmpty();
     }
 
     @Test
-    void withoutMachinesNobodyIsServedExceptWhatWasCancelled() {
-        assertThat(unservedWithMachines(0))
+    void reportsAllGroupsWithoutMachinesButIgnoresCancelledJobs() {
+        assertThat(violationsWithCapacity(0))
                 .containsExactlyInAnyOrder(
-                        "half_served: rank HIGH: 0 of 1 jobs began",
-                        "half_served: team red: 0 of 1 jobs began",
-                        "half_served: rank NORMAL: 0 of 1 jobs began",
-                        "half_served: team blue: 0 of 1 jobs began",
-                        "half_served: largest tasks: 0 of 1 jobs began");
+                        "half_served: rank HIGH: 0 of 1 jobs started",
+                        "half_served: team red: 0 of 1 jobs started",
+                        "half_served: rank NORMAL: 0 of 1 jobs started",
+                        "half_served: team blue: 0 of 1 jobs started",
+                        "half_served: largest tasks: 0 of 1 jobs started");
     }
 }
--- a/src/test/java/org/gullway/StarvationRule.java
+++ b/src/test/java/org/gullway/StarvationRule.java
@@ -8,14 +8,17 @@
 import java.util.function.Predicate;
 import org.gullway.protocol.JobRequest;
 
-/** Once all faults are over no job waits long while a machine has capacity for it and its team is below its quota. */
+/**
+ * Checks, once all faults have ended, that no job waits longer than a limit while a running machine has capacity for one of
+ * its tasks and the limit of its team allows the task.
+ */
 final class StarvationRule {
     private static final Duration MAX_WAIT = Duration.ofSeconds(90);
 
     private final List<String> violations;
     private final PlacementRules placements;
     private final QuotaRules quotas;
-    private final Map<String, Instant> waitingSince = new HashMap<>();
+    private final Map<String, Instant> startableSinceByJob = new HashMap<>();
 
     StarvationRule(List<String> violations, PlacementRules placements, QuotaRules quotas) {
         this.violations = violations;
@@ -24,29 +27,29 @@
     }
 
     void onTaskStarted(ObservedJob job) {
-        waitingSince.remove(job.id());
+        startableSinceByJob.remove(job.id());
     }
 
-    void check(ObservedJob job, Predicate<String> isUp, Instant now) {
-        if (!couldStart(job, isUp)) {
-            waitingSince.remove(job.id());
+    void check(ObservedJob job, Predicate<String> isMachineUp, Instant now) {
+        if (!canStartTask(job, isMachineUp)) {
+            startableSinceByJob.remove(job.id());
             return;
         }
-        Instant since = waitingSince.putIfAbsent(job.id(), now);
-        if (since != null && since.plus(MAX_WAIT).isBefore(now)) {
-            violations.add("left_waiting: " + job.id() + " since " + since);
-            waitingSince.put(job.id(), now);
+        Instant startableSince = startableSinceByJob.putIfAbsent(job.id(), now);
+        if (startableSince != null && startableSince.plus(MAX_WAIT).isBefore(now)) {
+            violations.add("left_waiting: " + job.id() + " since " + startableSince);
+            startableSinceByJob.put(job.id(), now);
         }
     }
 
-    private boolean couldStart(ObservedJob job, Predicate<String> isUp) {
+    private boolean canStartTask(ObservedJob job, Predicate<String> isMachineUp) {
         JobRequest request = job.request;
         return job.acceptedAt() != null
                 && !job.isFinished()
                 && !job.isCancellationRequested()
                 && job.completedTasks() + placements.runningTasks(job.id()) < request.tasks()
-                && quotas.allowsOneMore(request)
+                && quotas.allowsAnotherTask(request)
                 && placements.machines().stream()
-                        .anyMatch(machine -> isUp.test(machine) && placements.isFeasible(request, machine));
+                        .anyMatch(machine -> isMachineUp.test(machine) && placements.canStartTask(request, machine));
     }
 }
--- a/src/test/java/org/gullway/StatusQueryLimitsTest.java
+++ b/src/test/java/org/gullway/StatusQueryLimitsTest.java
@@ -7,8 +7,9 @@
 import static org.gullway.StatusQueryScenarios.assertQueriesAnsweredInTime;
 import static org.gullway.StatusQueryScenarios.assertWithinRateLimit;
 import static org.gullway.StatusQueryScenarios.clusterWithJobs;
-import static org.gullway.StatusQueryScenarios.count;
-import static org.gullway.StatusQueryScenarios.longest;
+import static org.gullway.StatusQueryScenarios.countResponses;
+import static org.gullway.StatusQueryScenarios.maxDuration;
+import static org.gullway.StatusQueryScenarios.maxResponseTime;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -21,7 +22,7 @@
 import org.gullway.transport.HttpResponse;
 import org.junit.jupiter.api.Test;
 
-/** The limits that keep status queries cheap and other requests fast, one mechanism in each test. */
+/** Each test covers one limit that bounds the cost of status queries or keeps them from delaying other requests. */
 class StatusQueryLimitsTest {
     private static void query(SimulatedCluster cluster, String node, String id) {
         send(cluster, node, HttpRequest.get("/v2/runs/" + id, Duration.ofSeconds(2)), response -> {});
@@ -33,7 +34,7 @@
         client.call(cluster.address(node), request, callback);
     }
 
-    private static SimulatedCluster idleCluster(int jobs) {
+    private static SimulatedCluster clusterWithClearedLogs(int jobs) {
         SimulatedCluster cluster = clusterWithJobs(11, jobs, Duration.ofSeconds(200));
         cluster.run(Duration.ofMillis(500));
         cluster.responses.clear();
@@ -42,77 +43,78 @@
     }
 
     /**
-     * Guards that queries about one job share a confirmation: otherwise the queue would seem too long, and many would
-     * be rejected.
+     * Concurrent queries about one job must share a version check of the state store. Otherwise, the estimated waiting time
+     * of the queue would be too long, and many queries would be rejected.
      */
     @Test
-    void aThousandQueriesOfOneJobCostOneConfirmation() {
-        SimulatedCluster cluster = idleCluster(1);
+    void concurrentQueriesOfOneJobShareAVersionCheck() {
+        SimulatedCluster cluster = clusterWithClearedLogs(1);
         for (int i = 0; i < 1000; i++) {
             query(cluster, "perch-0", "run-000001");
         }
         cluster.run(Duration.ofMillis(1500));
-        assertThat(count(cluster, Kind.QUERY, 200)).isGreaterThanOrEqualTo(1000);
-        assertThat(count(cluster, Kind.QUERY, 503)).isZero();
+        assertThat(countResponses(cluster, Kind.QUERY, 200)).isGreaterThanOrEqualTo(1000);
+        assertThat(countResponses(cluster, Kind.QUERY, 503)).isZero();
         assertThat(cluster.storeRequests.versionChecks("perch-0")).isLessThanOrEqualTo(3);
     }
 
     /**
-     * Guards the estimate of the waiting time: otherwise queries would wait for more than a second and then be
-     * rejected.
+     * A query whose estimated waiting time is too long must be rejected on arrival. Without the estimate, it would wait for
+     * more than a second and then be rejected.
      */
     @Test
-    void queriesThatCannotBeConfirmedInTimeAreRejectedAtOnce() {
-        SimulatedCluster cluster = idleCluster(1);
+    void queriesThatCannotBeAnsweredInTimeAreRejectedAtOnce() {
+        SimulatedCluster cluster = clusterWithClearedLogs(1);
         for (int i = 0; i < 5000; i++) {
             query(cluster, "perch-0", "run-" + (500_000 + i));
         }
         cluster.run(Duration.ofSeconds(2));
-        assertThat(count(cluster, Kind.QUERY, 404)).isGreaterThan(150);
-        assertThat(longest(cluster, Kind.QUERY)).isLessThan(MAX_QUERY_TIME);
-        Duration rejectionTime = longest(cluster.responses.of(Kind.QUERY).stream()
+        assertThat(countResponses(cluster, Kind.QUERY, 404)).isGreaterThan(150);
+        assertThat(maxResponseTime(cluster, Kind.QUERY)).isLessThan(MAX_QUERY_TIME);
+        Duration rejectionTime = maxDuration(cluster.responses.of(Kind.QUERY).stream()
                 .filter(entry -> entry.status() == 503)
                 .map(entry -> entry.elapsed(cluster.time.now())));
-        assertThat(count(cluster, Kind.QUERY, 503)).isGreaterThan(3000);
+        assertThat(countResponses(cluster, Kind.QUERY, 503)).isGreaterThan(3000);
         assertThat(rejectionTime).isLessThan(Duration.ofMillis(50));
         assertThat(cluster.storeRequests.jobReads("perch-0"))
-                .as("no job is read one by one")
+                .as("reads of single jobs")
                 .isZero();
         assertWithinRateLimit(cluster, Duration.ofSeconds(2));
     }
 
     /**
-     * Guards the time limit of a query: otherwise it would wait for the 3 s timeout of a request to the state store.
+     * A query has a time limit of its own. Otherwise, it would wait for the 3 s timeout of a request to the state store.
      */
     @Test
-    void queriesAreRejectedInTimeWhenTheStoreDoesNotAnswer() {
-        SimulatedCluster cluster = idleCluster(1);
+    void queriesAreRejectedInTimeIfTheStoreIsUnreachable() {
+        SimulatedCluster cluster = clusterWithClearedLogs(1);
         cluster.network.cut("perch-0", SimulatedCluster.storeAddress());
         for (int i = 0; i < 20; i++) {
             cluster.after(Duration.ofMillis(150L * i), () -> query(cluster, "perch-0", "run-000001"));
         }
         cluster.run(Duration.ofSeconds(5));
-        assertThat(count(cluster, Kind.QUERY, 503)).isGreaterThanOrEqualTo(20);
-        assertThat(longest(cluster, Kind.QUERY)).isLessThan(MAX_QUERY_TIME);
+        assertThat(countResponses(cluster, Kind.QUERY, 503)).isGreaterThanOrEqualTo(20);
+        assertThat(maxResponseTime(cluster, Kind.QUERY)).isLessThan(MAX_QUERY_TIME);
     }
 
     /**
-     * Guards that a rejection by the state store is not taken for a short overload, after which it would be retried
-     * for 1.2 s.
+     * A rejection by the state store must not be treated as a short overload. Otherwise, the query would be retried for
+     * 1.2 s before it is rejected.
      */
     @Test
-    void queriesAreRejectedAsSoonAsTheStoreRejects() {
-        SimulatedCluster cluster = idleCluster(1);
+    void queriesAreRejectedAtOnceIfTheStoreRejectsRequests() {
+        SimulatedCluster cluster = clusterWithClearedLogs(1);
         cluster.store.setDown(true);
         query(cluster, "perch-0", "run-000001");
         cluster.run(Duration.ofSeconds(2));
-        assertThat(count(cluster, Kind.QUERY, 503)).isPositive();
-        assertThat(longest(cluster, Kind.QUERY)).isLessThan(Duration.ofMillis(200));
+        assertThat(countResponses(cluster, Kind.QUERY, 503)).isPositive();
+        assertThat(maxResponseTime(cluster, Kind.QUERY)).isLessThan(Duration.ofMillis(200));
     }
 
     /**
-     * Guards the rate limit of reads, without which all of them would be sent at once, and the separate one of
-     * cancellations: otherwise one of a finished job would wait behind the queries.
+     * After a restart, controllers read the final states of finished jobs from the state store. Queries and cancellations
+     * have separate rate limits for these reads. Without the rate limit of queries, all reads would be sent at once. With
+     * a common limit, the cancellation of a finished job would wait behind the queries.
      */
     @Test
     void restartedControllersReadFinishedJobsWithinTheirRateLimit() {
@@ -128,39 +130,42 @@
                     .forEach(user -> query(cluster, "perch-0", user.request.id())));
         }
         cluster.run(Duration.ofSeconds(1));
-        double reads = QUERY_READ_FRACTION * REQUESTS_PER_CONTROLLER;
-        assertThat((double) cluster.storeRequests.jobReads("perch-0")).isBetween(reads, 2 * reads + 1);
-        List<String> unanswered = new ArrayList<>();
-        cluster.users().get(39).cancelOnce(cluster.address("perch-0"), () -> unanswered.add("cancellation"));
+        double readsPerSecond = QUERY_READ_FRACTION * REQUESTS_PER_CONTROLLER;
+        assertThat((double) cluster.storeRequests.jobReads("perch-0"))
+                .isBetween(readsPerSecond, 2 * readsPerSecond + 1);
+        List<String> unansweredRequests = new ArrayList<>();
+        cluster.users().get(39).cancelOnce(cluster.address("perch-0"), () -> unansweredRequests.add("cancellation"));
         cluster.run(Duration.ofSeconds(14));
-        assertThat(unanswered).isEmpty();
-        assertThat(longest(cluster, Kind.CANCELLATION))
-                .as("it has a rate limit of its own")
+        assertThat(unansweredRequests).isEmpty();
+        assertThat(maxResponseTime(cluster, Kind.CANCELLATION))
+                .as("response time of a cancellation, which has its own rate limit")
                 .isLessThan(Duration.ofMillis(100));
         assertWithinRateLimit(cluster, Duration.ofSeconds(15));
-        assertThat(cluster.storeRequests.jobReads("perch-0")).as("each once").isLessThanOrEqualTo(42);
-        assertThat(count(cluster, Kind.QUERY, 200)).isGreaterThan(2000);
+        assertThat(cluster.storeRequests.jobReads("perch-0"))
+                .as("job reads, each job once")
+                .isLessThanOrEqualTo(42);
+        assertThat(countResponses(cluster, Kind.QUERY, 200)).isGreaterThan(2000);
         assertQueriesAnsweredInTime(cluster);
         assertThat(cluster.violations).isEmpty();
     }
 
     /**
-     * Guards the separate queue of submissions and cancellations: otherwise they would wait behind queries, or be
-     * rejected with them.
+     * Submissions and cancellations have a separate queue. Otherwise, they would wait behind queries or be rejected with
+     * them.
      */
     @Test
     void submissionsAndCancellationsDoNotWaitBehindQueries() {
-        SimulatedCluster cluster = idleCluster(2);
+        SimulatedCluster cluster = clusterWithClearedLogs(2);
         for (int i = 0; i < 3000; i++) {
             query(cluster, "perch-0", "run-" + (500_000 + i));
         }
         cluster.run(Duration.ofMillis(20));
         List<Integer> statuses = new ArrayList<>();
         TestUser known = cluster.users().get(0);
-        byte[] again = Cbor.encode(known.request.toNode());
+        byte[] resubmission = Cbor.encode(known.request.toNode());
         byte[] infeasible =
                 Cbor.encode(known.request.toNode().put("name_id", "run-700000").put("cpus", 1000));
-        for (byte[] body : List.of(again, infeasible)) {
+        for (byte[] body : List.of(resubmission, infeasible)) {
             send(
                     cluster,
                     "perch-0",
@@ -171,7 +176,7 @@
         cluster.run(Duration.ofMillis(600));
         assertThat(statuses).containsExactlyInAnyOrder(200, 422);
         assertThat(cluster.invariants.reportedState("run-000002")).isEqualTo("aborted");
-        assertThat(longest(cluster, Kind.SUBMISSION)).isLessThan(Duration.ofMillis(400));
-        assertThat(longest(cluster, Kind.CANCELLATION)).isLessThan(Duration.ofMillis(400));
+        assertThat(maxResponseTime(cluster, Kind.SUBMISSION)).isLessThan(Duration.ofMillis(400));
+        assertThat(maxResponseTime(cluster, Kind.CANCELLATION)).isLessThan(Duration.ofMillis(400));
     }
 }
--- a/src/test/java/org/gullway/StatusQueryLoadTest.java
+++ b/src/test/java/org/gullway/StatusQueryLoadTest.java
@@ -5,8 +5,8 @@
 import static org.gullway.StatusQueryScenarios.assertQueriesAnsweredInTime;
 import static org.gullway.StatusQueryScenarios.assertWithinRateLimit;
 import static org.gullway.StatusQueryScenarios.clusterWithJobs;
-import static org.gullway.StatusQueryScenarios.count;
-import static org.gullway.StatusQueryScenarios.longest;
+import static org.gullway.StatusQueryScenarios.countResponses;
+import static org.gullway.StatusQueryScenarios.maxDuration;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -20,37 +20,37 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Users query many times as often: responses stay correct, cost the state store no more than their fraction of its rate
- * limit, and delay neither submissions nor cancellations nor heartbeats; a query that cannot be answered in time is
- * rejected as soon as that is known.
+ * Users send 10 or 50 times the usual number of status queries. Responses stay correct, queries use no more than their
+ * fraction of the state store's rate limit, and they delay neither submissions nor cancellations nor heartbeats. A query
+ * that cannot be answered in time is rejected as soon as that is known.
  */
 class StatusQueryLoadTest {
     /** The condition of the state store during the load. */
     private enum StoreCondition {
         NORMAL {
             @Override
-            void begin(SimulatedCluster cluster) {}
+            void apply(SimulatedCluster cluster) {}
         },
         SLOW {
             @Override
-            void begin(SimulatedCluster cluster) {
+            void apply(SimulatedCluster cluster) {
                 cluster.store.addLatency(600, cluster.random.split());
             }
         },
-        REJECTS_ONE {
+        REJECTS_ONE_CONTROLLER {
             @Override
-            void begin(SimulatedCluster cluster) {
+            void apply(SimulatedCluster cluster) {
                 cluster.store.rejectFrom("perch-1", true);
             }
         },
         DOWN {
             @Override
-            void begin(SimulatedCluster cluster) {
+            void apply(SimulatedCluster cluster) {
                 cluster.store.setDown(true);
             }
         };
 
-        abstract void begin(SimulatedCluster cluster);
+        abstract void apply(SimulatedCluster cluster);
     }
 
     private static final Duration LOAD_SPAN = Duration.ofSeconds(30);
@@ -73,32 +73,33 @@
     }
 
     static Stream<Arguments> loads() {
-        return Stream.of(10, 50)
-                .flatMap(times -> Stream.of(StoreCondition.values()).map(state -> Arguments.of(times, state)));
+        return Stream.of(10, 50).flatMap(queryRateFactor -> Stream.of(StoreCondition.values())
+                .map(condition -> Arguments.of(queryRateFactor, condition)));
     }
 
     @ParameterizedTest
     @MethodSource("loads")
-    void queriesStayCorrectAndCheap(int times, StoreCondition state) {
-        SimulatedCluster baseline = playLoad(1, state);
-        SimulatedCluster cluster = playLoad(times, state);
-        Duration baselineMax = longest(baseline.users().stream().map(TestUser::timeToAcceptance));
-        Duration loadedMax = longest(cluster.users().stream().map(TestUser::timeToAcceptance));
-        // A user whose submission is part of a failed commit submits again a second later, and perhaps once more.
-        assertThat(loadedMax).isLessThanOrEqualTo(baselineMax.plusMillis(2200));
-        if (state == StoreCondition.NORMAL) {
-            assertThat(loadedMax).isLessThanOrEqualTo(baselineMax.plusMillis(150));
-            assertThat(count(cluster, Kind.QUERY, 503)).isZero();
+    void queriesStayCorrectAndWithinTheirRateLimit(int queryRateFactor, StoreCondition condition) {
+        SimulatedCluster baseline = runUnderLoad(1, condition);
+        SimulatedCluster cluster = runUnderLoad(queryRateFactor, condition);
+        Duration baselineMaxTime = maxDuration(baseline.users().stream().map(TestUser::timeToAcceptance));
+        Duration maxTime = maxDuration(cluster.users().stream().map(TestUser::timeToAcceptance));
+        // A user whose submission was part of a failed commit retries after 1 s, possibly twice.
+        assertThat(maxTime).isLessThanOrEqualTo(baselineMaxTime.plusMillis(2200));
+        if (condition == StoreCondition.NORMAL) {
+            assertThat(maxTime).isLessThanOrEqualTo(baselineMaxTime.plusMillis(150));
+            assertThat(countResponses(cluster, Kind.QUERY, 503)).isZero();
         }
-        if (state == StoreCondition.SLOW) {
-            // Each request to the store has a random delay, so that only means can be compared.
+        if (condition == StoreCondition.SLOW) {
+            // Each request to the state store has a random delay, so only means can be compared.
             assertThat(meanTimeToAcceptance(cluster))
                     .isLessThanOrEqualTo(meanTimeToAcceptance(baseline).plusMillis(150));
-            assertThat(100 * count(cluster, Kind.QUERY, 503)).isLessThan(count(cluster, Kind.QUERY, 200));
+            assertThat(100 * countResponses(cluster, Kind.QUERY, 503))
+                    .isLessThan(countResponses(cluster, Kind.QUERY, 200));
         }
-        assertThat(count(cluster, Kind.QUERY, 200))
-                .as("answers compared with the usual load")
-                .isGreaterThan(times / 2 * count(baseline, Kind.QUERY, 200));
+        assertThat(countResponses(cluster, Kind.QUERY, 200))
+                .as("answered queries, compared with the usual load")
+                .isGreaterThan(queryRateFactor / 2 * countResponses(baseline, Kind.QUERY, 200));
     }
 
     private static Duration meanTimeToAcceptance(SimulatedCluster cluster) {
@@ -107,14 +108,14 @@
         return all.stream().reduce(Duration.ZERO, Duration::plus).dividedBy(all.size());
     }
 
-    /** Plays a scenario with this many times as many queries, and checks what holds for every such load. */
-    private static SimulatedCluster playLoad(int times, StoreCondition state) {
+    /** Runs a scenario with the given factor of the usual query rate, and checks what holds for every query rate. */
+    private static SimulatedCluster runUnderLoad(int queryRateFactor, StoreCondition condition) {
         SimulatedCluster cluster = clusterWithJobs(7, 12, Duration.ofSeconds(40));
         cluster.responses.clear();
         cluster.storeRequests.clear();
-        cluster.multiplyQueryRate(times);
+        cluster.multiplyQueryRate(queryRateFactor);
         submitDuringLoad(cluster, 100, 30);
-        state.begin(cluster);
+        condition.apply(cluster);
         cluster.run(LOAD_SPAN);
         assertQueriesAnsweredInTime(cluster);
         assertHeartbeatsAnsweredAtOnce(cluster);
@@ -127,12 +128,12 @@
     }
 
     /**
-     * Users query all controllers many times within milliseconds around the ends and cancellations of their jobs,
-     * while the state store is slow. Guards that a query does not join a confirmation that is under way: otherwise
-     * some users would get an older state than another controller has sent before.
+     * Users query all controllers every 20 ms around the completion or cancellation of their jobs, while the state store is
+     * slow. A query must not use a version check that was sent before the query arrived. Otherwise, some users would get
+     * an older state than another controller has already reported.
      */
     @Test
-    void burstsOfQueriesAreNeverAnsweredWithAnOlderState() {
+    void queryBurstsAreNeverAnsweredWithAnOutdatedState() {
         SimulatedCluster cluster = new SimulatedCluster(17, 0, 3);
         cluster.store.addLatency(500, cluster.random.split());
         for (int i = 1; i <= 24; i++) {
--- a/src/test/java/org/gullway/StatusQueryScenarios.java
+++ b/src/test/java/org/gullway/StatusQueryScenarios.java
@@ -8,15 +8,18 @@
 import java.util.stream.Stream;
 import org.gullway.ResponseLog.Kind;
 
-/** What the tests of status queries share: a cluster with a limited state store, and bounds on times and requests. */
+/**
+ * A cluster with a rate-limited state store, and checks of response times and of requests to the state store, shared by the
+ * tests of status queries.
+ */
 final class StatusQueryScenarios {
-    /** The requests per second that each of three controllers may send to the state store. */
+    /** Number of requests per second that each of the three controllers may send to the state store. */
     static final double REQUESTS_PER_CONTROLLER = StoreRequestLog.PER_SECOND / 3.0;
 
     private static final double VERSION_CHECK_FRACTION = 0.075;
     static final double QUERY_READ_FRACTION = 0.12;
     private static final double REQUEST_READ_FRACTION = 0.06;
-    /** Below the 2 s after which a user's query times out. */
+    /** Longest allowed response time of a query, below the 2 s after which a user's query times out. */
     static final Duration MAX_QUERY_TIME = Duration.ofMillis(1300);
 
     private StatusQueryScenarios() {}
@@ -32,40 +35,41 @@
         return cluster;
     }
 
-    static Duration longest(Stream<Duration> durations) {
+    static Duration maxDuration(Stream<Duration> durations) {
         return durations.max(Comparator.naturalOrder()).orElse(Duration.ZERO);
     }
 
-    static Duration longest(SimulatedCluster cluster, Kind kind) {
+    static Duration maxResponseTime(SimulatedCluster cluster, Kind kind) {
         Instant now = cluster.time.now();
-        return longest(cluster.responses.of(kind).stream().map(entry -> entry.elapsed(now)));
+        return maxDuration(cluster.responses.of(kind).stream().map(entry -> entry.elapsed(now)));
     }
 
-    static long count(SimulatedCluster cluster, Kind kind, int status) {
+    static long countResponses(SimulatedCluster cluster, Kind kind, int status) {
         return cluster.responses.of(kind).stream()
                 .filter(entry -> entry.status() == status)
                 .count();
     }
 
-    /** Each controller has kept to the fraction of its requests to the store that queries have. */
-    static void assertWithinRateLimit(SimulatedCluster cluster, Duration span) {
-        double seconds = span.toMillis() / 1000.0;
+    /** Checks that no controller has used more than the fraction of its rate limit that is reserved for queries. */
+    static void assertWithinRateLimit(SimulatedCluster cluster, Duration duration) {
+        double seconds = duration.toMillis() / 1000.0;
         double versionChecks = VERSION_CHECK_FRACTION * REQUESTS_PER_CONTROLLER;
-        double reads = (QUERY_READ_FRACTION + REQUEST_READ_FRACTION) * REQUESTS_PER_CONTROLLER;
+        double jobReads = (QUERY_READ_FRACTION + REQUEST_READ_FRACTION) * REQUESTS_PER_CONTROLLER;
         for (String node : cluster.nodes()) {
             assertThat((double) cluster.storeRequests.versionChecks(node))
                     .as("version checks of %s", node)
                     .isLessThanOrEqualTo(versionChecks * (seconds + 1) + 1);
             assertThat((double) cluster.storeRequests.jobReads(node))
                     .as("job reads of %s", node)
-                    .isLessThanOrEqualTo(reads * (seconds + 1) + 4);
+                    .isLessThanOrEqualTo(jobReads * (seconds + 1) + 4);
         }
     }
 
-    /** All queries were answered in time, and those that were rejected say when to retry. */
+    /** Checks that all queries were answered in time, and that exactly the rejected ones have a Retry-After header. */
     static void assertQueriesAnsweredInTime(SimulatedCluster cluster) {
-        assertThat(longest(cluster, Kind.QUERY)).isLessThan(MAX_QUERY_TIME);
-        // A query that arrived last has no response yet, which is status 0; the time above holds for it as well.
+        assertThat(maxResponseTime(cluster, Kind.QUERY)).isLessThan(MAX_QUERY_TIME);
+        // Queries that arrived last have no response yet and so status 0. The bound above also covers their waiting
+        // time.
         assertThat(cluster.responses.of(Kind.QUERY).stream().map(ResponseLog.Entry::status))
                 .isSubsetOf(0, 200, 503);
         assertThat(cluster.responses.of(Kind.QUERY).stream()
@@ -75,6 +79,6 @@
 
     static void assertHeartbeatsAnsweredAtOnce(SimulatedCluster cluster) {
         assertThat(cluster.responses.of(Kind.HEARTBEAT)).isNotEmpty();
-        assertThat(longest(cluster, Kind.HEARTBEAT)).isLessThan(Duration.ofMillis(50));
+        assertThat(maxResponseTime(cluster, Kind.HEARTBEAT)).isLessThan(Duration.ofMillis(50));
     }
 }
--- a/src/test/java/org/gullway/StoreFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/StoreFaultCombinationsTest.java
@@ -17,15 +17,15 @@
 import org.gullway.protocol.Priority;
 
 /**
- * Pairs of faults around a state store that is slow, down or rejects one controller; each schedule drives them into
- * their worst order.
+ * Pairs of faults around a state store that is slow, is down or rejects one controller, at times that provoke the most
+ * critical order of events.
  */
 class StoreFaultCombinationsTest {
-    private static final Duration LONG = Duration.ofSeconds(200);
+    private static final Duration LONG_RUN_TIME = Duration.ofSeconds(200);
 
-    /** A transaction without a response is applied late, after newer ones of the same controller. */
+    /** Transactions without a response are applied late, after newer transactions of the same controller. */
     @Property(tries = 6, seed = "103")
-    void transactionsAreAppliedAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void transactionsAreAppliedAfterNewerTransactions(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(45));
         cluster.store.delayCommits(0.3, cluster.random.split());
         submitSteadily(cluster, 9, 12);
@@ -42,12 +42,12 @@
     }
 
     /**
-     * The store is slow, then rejects the leader alone, then everybody for longer than the cancel limit, while users
-     * cancel and query.
+     * The state store is slow, then rejects only the leader, and then is down for longer than the cancellation limit.
+     * Meanwhile users cancel and query their jobs.
      */
     @Property(tries = 6, seed = "107")
-    void slowStoreRejectsTheLeaderAndThenEverybody(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+    void slowStoreRejectsTheLeaderAndThenAllControllers(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         String leader = cluster.leader();
         cluster.store.addLatency(700, cluster.random.split());
         cluster.after(Duration.ofSeconds(5), () -> cluster.store.rejectFrom(leader, true));
@@ -60,9 +60,9 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(75));
     }
 
-    /** There is more work than capacity, reserved and best-effort, over slow links with late messages. */
+    /** Jobs of all priorities exceed the capacity, the state store is slow, and messages are late or repeated. */
     @Property(tries = 3, seed = "114")
-    void moreWorkThanCapacityOverSlowLinks(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void jobsExceedTheCapacityWithASlowStoreAndLateMessages(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0.08, 1);
         cluster.store.addLatency(400, cluster.random.split());
         for (int i = 1; i <= 40; i++) {
@@ -81,45 +81,47 @@
     }
 
     /**
-     * Jobs are cancelled while the state store rejects the leader alone, and a second later the store is down for longer
-     * than the cancel limit. Agents go on sending heartbeats to the leader, the only controller that does not know of the
-     * cancellations.
+     * The state store rejects only the leader, and jobs are cancelled through another controller. About 1 to 2 s later the
+     * state store is down for longer than the cancellation limit. The leader is the only controller that does not know of
+     * the cancellations, and agents still send heartbeats to it. The cancelled tasks must end within the limit all the
+     * same.
      *
-     * @param fault is injected beside that; it is given the cluster and the leader's name
+     * @param fault injects a further fault, given the cluster and the name of the leader
      */
-    private static void assertCancellationsHoldInOutage(int seed, BiConsumer<SimulatedCluster, String> fault) {
-        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+    private static void assertCancelledTasksEndDuringOutage(int seed, BiConsumer<SimulatedCluster, String> fault) {
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         String leader = cluster.leader();
-        String confirming = cluster.otherNode(leader);
+        String confirmingController = cluster.otherNode(leader);
         cluster.store.rejectFrom(leader, true);
         fault.accept(cluster, leader);
         cluster.after(
                 Duration.ofMillis(100),
-                () -> cancelThrough(cluster, confirming, cluster.users().subList(0, 7)));
+                () -> cancelThrough(
+                        cluster, confirmingController, cluster.users().subList(0, 7)));
         cluster.run(seconds(1.1 + seed % 10 / 10.0));
         assertThat(cluster.unfinished().size())
-                .as("some are cancelled")
+                .as("unfinished jobs, since some are cancelled")
                 .isLessThan(cluster.users().size());
         cluster.store.setDown(true);
         assertRecoversAfter(cluster, SimulatedCluster.CANCEL.plusSeconds(15));
     }
 
-    /** No further fault. */
+    /** The leader does not know of the cancellations. There is no further fault. */
     @Property(tries = 6, seed = "115")
-    void leaderRejectedAloneThenCancellationsAndOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        assertCancellationsHoldInOutage(seed, (cluster, leader) -> {});
+    void onlyTheLeaderIsRejectedThenCancellationsAndOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        assertCancelledTasksEndDuringOutage(seed, (cluster, leader) -> {});
     }
 
-    /** The leader is partitioned from its peers as well. */
+    /** The leader does not know of the cancellations and cannot reach its peers. */
     @Property(tries = 6, seed = "116")
     void leaderRejectedAndPartitionedThenCancellationsAndOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        assertCancellationsHoldInOutage(seed, (cluster, leader) -> cluster.partitionPeers(leader, true));
+        assertCancelledTasksEndDuringOutage(seed, (cluster, leader) -> cluster.partitionPeers(leader, true));
     }
 
-    /** The controller that confirmed the cancellations crashes. */
+    /** The leader does not know of the cancellations, and the controller that confirmed them crashes. */
     @Property(tries = 6, seed = "117")
-    void leaderRejectedAloneAndTheConfirmingControllerCrashes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        assertCancellationsHoldInOutage(
+    void onlyTheLeaderIsRejectedAndTheConfirmingControllerCrashes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+        assertCancelledTasksEndDuringOutage(
                 seed,
                 (cluster, leader) -> cluster.after(
                         Duration.ofMillis(110 + seed % 400),
@@ -127,53 +129,53 @@
     }
 
     /**
-     * Machines hang beyond the limit: only the cloud can end their tasks, so a controller that knows of the cancellations
-     * has to release them in time.
+     * Machines hang beyond the cancellation limit, so that only the cloud provider can end their tasks. A controller that
+     * knows of the cancellations has to release the machines in time.
      */
     @Property(tries = 6, seed = "126")
     void leaderRejectedThenOutageAndMachinesHangBeyondTheLimit(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        assertCancellationsHoldInOutage(seed, (cluster, leader) -> cluster.cloud.agents().stream()
+        assertCancelledTasksEndDuringOutage(seed, (cluster, leader) -> cluster.cloud.agents().stream()
                 .limit(4)
                 .forEach(agent -> cluster.after(
                         Duration.ofMillis(150 + seed % 300),
                         () -> agent.hang(SimulatedCluster.CANCEL.plusSeconds(20)))));
     }
 
-    /** Machines hang within the limit: their tasks end with their leases, or are stopped. */
+    /** Machines hang for less than the cancellation limit. Their tasks end when the leases expire or by a stop command. */
     @Property(tries = 6, seed = "118")
     void leaderRejectedThenOutageAndMachinesHang(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        assertCancellationsHoldInOutage(seed, (cluster, leader) -> cluster.cloud.agents().stream()
+        assertCancelledTasksEndDuringOutage(seed, (cluster, leader) -> cluster.cloud.agents().stream()
                 .limit(4)
                 .forEach(agent -> cluster.after(
                         Duration.ofMillis(50 + seed % 300), () -> agent.hang(Duration.ofSeconds(5 + seed % 30)))));
     }
 
-    /** Machines get neither responses nor commands. */
+    /** The leader does not know of the cancellations, and some machines receive neither responses nor commands. */
     @Property(tries = 6, seed = "119")
     void leaderRejectedThenOutageAndInboundPartitions(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        assertCancellationsHoldInOutage(seed, (cluster, leader) -> cluster.cloud.agents().stream()
+        assertCancelledTasksEndDuringOutage(seed, (cluster, leader) -> cluster.cloud.agents().stream()
                 .limit(4)
                 .forEach(agent -> partitionInbound(cluster, agent, Duration.ofSeconds(10 + seed % 50))));
     }
 
-    /** Starts are on their way to machines that the leader cannot reach. */
+    /** As the leader cannot reach any machine, start commands are pending when their jobs are cancelled. */
     @Property(tries = 6, seed = "120")
     void leaderRejectedThenOutageAndStartsInFlight(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG);
+        SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         String leader = cluster.leader();
         cluster.cloud.agents().forEach(agent -> {
             cluster.network.cut(leader, agent.address());
             cluster.after(Duration.ofSeconds(5 + seed % 45), () -> cluster.network.heal(leader, agent.address()));
         });
         for (int i = 9; i < 12; i++) {
-            cluster.submit(i, "blue", Priority.HIGH, 1, 4, LONG);
+            cluster.submit(i, "blue", Priority.HIGH, 1, 4, LONG_RUN_TIME);
         }
         cluster.run(seconds(0.8));
         cluster.store.rejectFrom(leader, true);
         cancelThrough(cluster, cluster.otherNode(leader), cluster.users().subList(3, 11));
         cluster.run(seconds(1 + seed % 10 / 10.0));
         assertThat(cluster.unfinished().size())
-                .as("some are cancelled")
+                .as("unfinished jobs, since some are cancelled")
                 .isLessThan(cluster.users().size());
         cluster.store.setDown(true);
         assertRecoversAfter(cluster, SimulatedCluster.CANCEL.plusSeconds(15));
--- a/src/test/java/org/gullway/StoreOutageDetectorTest.java
+++ b/src/test/java/org/gullway/StoreOutageDetectorTest.java
@@ -14,22 +14,22 @@
 import org.gullway.transport.HttpRequest;
 
 /**
- * Health checks during faults of the state store. The load balancer removes a controller after two failures in a row
- * and adds it again after a pause that doubles with each removal, so that repeated outages must not make all
- * controllers unhealthy.
+ * Health checks during faults of the state store. The load balancer removes a controller after two consecutive failures and
+ * adds it again after a back-off that doubles with each removal. Repeated outages of the state store must therefore not
+ * make all controllers unhealthy.
  */
 class StoreOutageDetectorTest {
     private static final Duration CHECK_INTERVAL = Duration.ofSeconds(1);
     private static final Duration CHECK_TIMEOUT = Duration.ofSeconds(1);
-    /** This many failures in a row remove a controller. */
-    private static final int REMOVED_AFTER = 2;
+    /** Number of consecutive failures after which the load balancer removes a controller. */
+    private static final int FAILURES_UNTIL_REMOVAL = 2;
 
-    /** Checks every controller as the load balancer does, and counts failures in a row. */
+    /** Sends the health checks of the load balancer to every controller, and counts consecutive failures. */
     private static final class HealthChecks {
         private final SimulatedCluster cluster;
         private final HttpClient balancer;
-        private final Map<String, Integer> failuresInARow = new HashMap<>();
-        private final Map<String, Integer> mostFailuresInARow = new HashMap<>();
+        private final Map<String, Integer> consecutiveFailures = new HashMap<>();
+        private final Map<String, Integer> maxConsecutiveFailures = new HashMap<>();
 
         HealthChecks(SimulatedCluster cluster) {
             this.cluster = cluster;
@@ -40,14 +40,14 @@
 
         private void check(String node) {
             balancer.call(cluster.address(node), HttpRequest.get("/up", CHECK_TIMEOUT), response -> {
-                int failures = response.isOk() ? 0 : failuresInARow.getOrDefault(node, 0) + 1;
-                failuresInARow.put(node, failures);
-                mostFailuresInARow.merge(node, failures, Math::max);
+                int failures = response.isOk() ? 0 : consecutiveFailures.getOrDefault(node, 0) + 1;
+                consecutiveFailures.put(node, failures);
+                maxConsecutiveFailures.merge(node, failures, Math::max);
             });
         }
 
-        int mostFailuresInARow(String node) {
-            return mostFailuresInARow.get(node);
+        int maxConsecutiveFailures(String node) {
+            return maxConsecutiveFailures.get(node);
         }
     }
 
@@ -60,36 +60,40 @@
         return cluster;
     }
 
-    /** Without the state store no controller serves users better than another one, so none may be removed. */
+    /** Without the state store, no controller can serve users better than another, so none may be removed. */
     @Property(tries = 6, seed = "41")
-    void allStayHealthyInStoreOutages(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void allControllersStayHealthyInStoreOutages(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithJobs(seed);
-        HealthChecks checks = new HealthChecks(cluster);
+        HealthChecks healthChecks = new HealthChecks(cluster);
         for (int i = 0; i < 4; i++) {
             cluster.store.setDown(true);
             cluster.run(Duration.ofSeconds(52));
             cluster.store.setDown(false);
             cluster.run(Duration.ofSeconds(16));
         }
-        assertThat(cluster.nodes()).allMatch(node -> checks.mostFailuresInARow(node) < REMOVED_AFTER);
+        assertThat(cluster.nodes())
+                .allMatch(node -> healthChecks.maxConsecutiveFailures(node) < FAILURES_UNTIL_REMOVAL);
         cluster.endFaults();
         cluster.run(Duration.ofSeconds(200));
         assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
     }
 
-    /** A controller that alone cannot reach the store must go on failing its checks: the others can serve its users. */
+    /**
+     * A controller that cannot reach the state store while the others can must continue to fail its health checks, so that
+     * the others serve its users.
+     */
     @Property(tries = 6, seed = "42")
-    void aNodeThatAloneCannotReachTheStoreBecomesUnhealthy(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void onlyAControllerPartitionedFromTheStoreBecomesUnhealthy(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithJobs(seed);
-        HealthChecks checks = new HealthChecks(cluster);
+        HealthChecks healthChecks = new HealthChecks(cluster);
         String isolated = cluster.nodes().get(seed % 3);
         cluster.network.cut(isolated, SimulatedCluster.storeAddress());
         cluster.run(Duration.ofSeconds(40));
-        assertThat(checks.mostFailuresInARow(isolated)).isGreaterThan(25);
-        cluster.nodes().stream()
-                .filter(node -> !node.equals(isolated))
-                .forEach(node -> assertThat(checks.mostFailuresInARow(node)).isLessThan(REMOVED_AFTER));
+        assertThat(healthChecks.maxConsecutiveFailures(isolated)).isGreaterThan(25);
+        cluster.nodes().stream().filter(node -> !node.equals(isolated)).forEach(node -> assertThat(
+                        healthChecks.maxConsecutiveFailures(node))
+                .isLessThan(FAILURES_UNTIL_REMOVAL));
         cluster.network.heal(isolated, SimulatedCluster.storeAddress());
         cluster.endFaults();
         cluster.run(Duration.ofMinutes(2));
--- a/src/test/java/org/gullway/UserRequestFaultsTest.java
+++ b/src/test/java/org/gullway/UserRequestFaultsTest.java
@@ -10,23 +10,23 @@
 import net.jqwik.api.constraints.IntRange;
 import org.gullway.protocol.Priority;
 
-/** Many requests of users, or requests at the worst moments, without any other fault. */
+/** Many user requests, or requests at critical times, without any other fault. */
 class UserRequestFaultsTest {
     private static final Duration MAX_COMPLETION_DELAY = Duration.ofSeconds(3);
 
     /**
-     * Four one-task jobs a second for two minutes, a quarter of them cancelled, half of these at once. Guards that the
-     * controller of a machine reports a completion to the job's record writer at once: a user expects "done" 3 s after
-     * it.
+     * Users submit four one-task jobs per second for two minutes and cancel a quarter of them, half of these immediately
+     * after the submission. The controller of a machine must report a completion to the job's record writer at once, since
+     * users expect the state "done" 3 s after the completion.
      */
     @Property(tries = 2, seed = "221")
     void fourSingleTaskJobsASecondWithAQuarterCancelled(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 4);
         int jobs = 480;
-        int[] late = new int[1];
+        int[] unfinishedInTime = new int[1];
         cluster.onDone(user -> cluster.after(MAX_COMPLETION_DELAY.minusMillis(200), () -> {
             user.queryAllControllers();
-            cluster.after(Duration.ofMillis(200), () -> late[0] += user.isFinished() ? 0 : 1);
+            cluster.after(Duration.ofMillis(200), () -> unfinishedInTime[0] += user.isFinished() ? 0 : 1);
         }));
         for (int i = 1; i <= jobs; i++) {
             int number = i;
@@ -46,7 +46,9 @@
         cluster.run(seconds(jobs / 4 + 10));
         assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
-        assertThat(late[0]).as("jobs whose users got done too late").isLessThan(jobs / 100);
+        assertThat(unfinishedInTime[0])
+                .as("completed jobs that were not reported as done in time")
+                .isLessThan(jobs / 100);
         assertThat(cluster.users().stream()
                         .filter(user -> user.timeToFirstStart() != null)
                         .count())
@@ -55,12 +57,12 @@
     }
 
     /**
-     * Users query all controllers within milliseconds after a job was accepted, done or cancelled, and repeat the
-     * submission; some cancel at once. Guards that a state that may change is sent only after the store has confirmed
-     * it, and that a job that is unknown here is read from the store.
+     * Users query all controllers and repeat the submission within milliseconds after a job was accepted, done or cancelled;
+     * some cancel the job immediately. A controller must confirm a state that is not final with the state store before it
+     * reports the state, and must read a job that it does not know from the state store.
      */
     @Property(tries = 4, seed = "222")
-    void queriesWithinMillisecondsOfEachStateChange(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void queriesWithinMillisecondsAfterEachStateChange(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         cluster.onStateChange(user -> {
             cluster.queryInBursts(user, cluster.random);
@@ -83,7 +85,7 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
 
-    /** A cancellation, a query or a repeated submission coincides with the end of the last task of a job. */
+    /** Users cancel, query or resubmit a job at about the time at which its last task completes. */
     @Property(tries = 6, seed = "122")
     void requestsRaceWithTheLastCompletion(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
