--- a/src/test/java/org/gullway/AvailabilityRules.java
+++ b/src/test/java/org/gullway/AvailabilityRules.java
@@ -23,9 +23,9 @@
     private final List<String> violations;
     private final Deque<Query> recentQueries = new ArrayDeque<>();
     /** Send time of the last answered query, by job id. */
-    private final Map<String, Instant> lastAnsweredQuery = new HashMap<>();
+    private final Map<String, Instant> lastAnsweredQuerySentAt = new HashMap<>();
 
-    private final Set<String> reportedJobs = new HashSet<>();
+    private final Set<String> jobsInViolation = new HashSet<>();
     private Instant faultsEndedAt;
 
     AvailabilityRules(List<String> violations) {
@@ -43,26 +43,26 @@
             violations.add("forgotten: " + id + " gets 404 at " + now);
         }
         if (status == HttpStatus.OK) {
-            lastAnsweredQuery.put(id, sentAt);
+            lastAnsweredQuerySentAt.put(id, sentAt);
         }
         Instant oldest = sentAt.minus(MAX_UNANSWERED_IF_OTHERS_ARE_ANSWERED);
         recentQueries.add(new Query(sentAt, id, status == HttpStatus.OK));
         while (recentQueries.peek().sentAt().isBefore(oldest)) {
             recentQueries.remove();
         }
-        if (reportedJobs.contains(id)) {
+        if (jobsInViolation.contains(id)) {
             return;
         }
-        Instant lastAnswer = lastAnsweredQuery.getOrDefault(id, job.acceptedAt());
+        Instant lastAnswer = lastAnsweredQuerySentAt.getOrDefault(id, job.acceptedAt());
         if (faultsEndedAt != null
                 && later(lastAnswer, faultsEndedAt)
                         .plus(MAX_UNANSWERED_AFTER_FAULTS)
                         .isBefore(sentAt)) {
             violations.add("forgotten: no query about " + id + " is answered at " + now);
-            reportedJobs.add(id);
+            jobsInViolation.add(id);
         } else if (!lastAnswer.isAfter(oldest) && mostOthersAnswered(id)) {
             violations.add("forgotten: only queries about " + id + " are not answered at " + now);
-            reportedJobs.add(id);
+            jobsInViolation.add(id);
         }
     }
 
--- a/src/test/java/org/gullway/BadInputTest.java
+++ b/src/test/java/org/gullway/BadInputTest.java
@@ -175,7 +175,7 @@
         assertRejected(cluster, emptyTypes, 422, "empty list of machine types");
         ObjectNode overLimit = validRequest(number++).put("crew", "red").put("cpus", 25);
         overLimit.remove("breeds");
-        assertRejected(cluster, overLimit, 422, "one task exceeds the limit of the team");
+        assertRejected(cluster, overLimit, 422, "one task exceeds the quota of its team");
     }
 
     /** A submission with one or two altered fields gets 400 exactly if it cannot be parsed. */
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -30,9 +30,9 @@
     REPEATED_CONTROLLER_CRASHES {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration duration) {
-            String same = random.nextBoolean() ? randomNode(cluster, random) : null;
+            String fixedNode = random.nextBoolean() ? randomNode(cluster, random) : null;
             for (int i = 0; i < 4; i++) {
-                String name = same == null ? randomNode(cluster, random) : same;
+                String name = fixedNode == null ? randomNode(cluster, random) : fixedNode;
                 cluster.after(
                         Duration.ofMillis(random.nextInt(4000)),
                         () -> cluster.crash(name, Duration.ofMillis(5 + random.nextInt(400))));
--- a/src/test/java/org/gullway/FaultScenarios.java
+++ b/src/test/java/org/gullway/FaultScenarios.java
@@ -18,8 +18,10 @@
         return Duration.ofMillis(Math.round(seconds * 1000));
     }
 
-    /** Starts a cluster that runs eight jobs of two tasks each. Jobs of both teams are reserved or best-effort; team red
-     * uses its whole quota. */
+    /**
+     * Starts a cluster that runs eight jobs of two tasks each. The jobs are reserved or best-effort and belong to both
+     * teams; team red uses its whole quota.
+     */
     static SimulatedCluster clusterWithRunningJobs(int seed, Duration runTime) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         for (int i = 1; i <= 8; i++) {
--- a/src/test/java/org/gullway/InvariantChecker.java
+++ b/src/test/java/org/gullway/InvariantChecker.java
@@ -139,7 +139,7 @@
         return cancellations.startsAfterCancellation();
     }
 
-    /** Handles the end of a query about an accepted job, with or without an answer. */
+    /** Handles the end of a query about an accepted job. Only status 200 counts as an answer; 404 is a violation. */
     void onQueried(String id, int status, Instant sentAt, Instant now) {
         availability.onQueried(jobs.get(id), status, sentAt, now);
     }
--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -66,8 +66,8 @@
     }
 
     /**
-     * On 2,000 machines, 400 machines are partitioned for 40 s. Then only one of the three controllers runs for 20 s, and
-     * at last all controllers crash twice.
+     * Of 2,000 machines, 400 are partitioned for 40 s. Then only one of the three controllers runs for 20 s, and finally
+     * all controllers crash twice.
      */
     @Test
     void manyFaultsAtOnceOnTwoThousandMachines() {
--- a/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
@@ -24,7 +24,7 @@
 
     /**
      * The leader reaches neither the state store nor its peers, while agents and users still reach it. Jobs are cancelled
-     * through another controller, and one of the others is elected leader.
+     * through another controller, and a new leader is elected.
      */
     @Property(tries = 4, seed = "101")
     void leaderReachesNeitherStoreNorPeersWhileJobsAreCancelled(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -54,7 +54,10 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
 
-    /** The leader crashes, and jobs are cancelled. Heartbeats from before the crash arrive at the new leader 13 to 32 s late. */
+    /**
+     * Heartbeats of four agents are held back for 13 to 32 s and then arrive at the leader. Meanwhile the former leader
+     * crashes, and jobs are cancelled.
+     */
     @Property(tries = 6, seed = "104")
     void delayedHeartbeatsArriveAtANewLeader(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(60));
@@ -89,11 +92,11 @@
         assertRecoversAfter(cluster, Duration.ofSeconds(40));
     }
 
-    /** The tasks of each job run one after another, and leaders crash in between. */
+    /** Jobs have more tasks than can run at a time, so that the tasks of a job end far apart. Leaders crash in between. */
     @Property(tries = 6, seed = "110")
-    void tasksOfOneJobRunOneAfterAnotherAcrossFailovers(@ForAll @IntRange(min = 1, max = 1000) int seed) {
+    void tasksOfOneJobEndFarApartAcrossFailovers(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        // The quotas of the teams allow only one task of each team at a time.
+        // The quotas of the teams (24 and 64 CPUs) do not admit all tasks of a job at the same time.
         cluster.submit(1, "red", Priority.HIGH, 3, 16, Duration.ofSeconds(15));
         cluster.submit(2, "blue", Priority.NORMAL, 3, 32, Duration.ofSeconds(11));
         cluster.submit(3, "blue", Priority.HIGH, 2, 32, Duration.ofSeconds(13));
--- a/src/test/java/org/gullway/QuotaRules.java
+++ b/src/test/java/org/gullway/QuotaRules.java
@@ -7,7 +7,7 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Settings;
 
-/** Checks that the running tasks of a team never use more CPUs than the limit of the team. */
+/** Checks that the running tasks of a team never use more CPUs than its quota, which is the limit in the settings. */
 final class QuotaRules {
     private static final double CPU_TOLERANCE = 1e-6;
 
@@ -31,7 +31,7 @@
         usedCpus.merge(request.team(), -request.cpus(), Double::sum);
     }
 
-    /** Returns whether another task of the job would stay within the limit of its team. */
+    /** Returns whether the quota of the team allows another task of the job. */
     boolean allowsAnotherTask(JobRequest request) {
         return usedCpus.getOrDefault(request.team(), 0.0) + request.cpus() <= cpusLimit(request) + CPU_TOLERANCE;
     }
--- a/src/test/java/org/gullway/ScavengerClassTest.java
+++ b/src/test/java/org/gullway/ScavengerClassTest.java
@@ -74,8 +74,7 @@
     }
 
     /**
-     * Users submit four one-task jobs per second for three minutes and cancel a quarter of them at various times. Each of
-     * the first 560 jobs must be finished 40 s after its submission.
+     * Users submit four one-task jobs per second for three minutes and cancel a quarter of them at various times. The first 560 jobs must be finished 40 s after the last of them was submitted.
      */
     @Property(tries = 2, seed = "42")
     void manyOneTaskJobsWithCancellationsFinishInTime(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -106,10 +105,9 @@
     }
 
     /**
-     * The tasks of three jobs fail on every machine until their users cancel the jobs. {@code JobBackoff.isBackedOff} must
-     * limit their retries, and they must not preempt tasks of other jobs. Another test, {@code
-     * MachineLifecycleTest.jobsThatFailOnEveryMachineDoNotMakeMachinesFaulty}, checks that healthy machines are kept; here
-     * they also complete other tasks and so cannot count as faulty.
+     * The tasks of three jobs fail on every machine until their users cancel the jobs. The back-off of {@code JobBackoff} must limit their retries, and they must not preempt tasks of other jobs. {@code
+     * MachineLifecycleTest} checks that such jobs do not make machines faulty; this test cannot, since its machines also
+     * complete tasks of other jobs.
      */
     @Property(tries = 3, seed = "43")
     void jobsThatFailOnEveryMachineAreRetriedWithBackoff(@ForAll @IntRange(min = 1, max = 1000) int seed) {
@@ -151,8 +149,8 @@
     }
 
     /**
-     * All tasks on one machine fail. {@code JobFailureTracker.isFaulty} must detect the faulty machine, so that it is
-     * released and all jobs finish on other machines.
+     * All tasks on one machine fail. {@code JobFailureTracker} must detect that the machine is faulty, so that it is released and all jobs finish on other
+     * machines.
      */
     @Property(tries = 3, seed = "44")
     void aMachineOnWhichAllTasksFailIsReleased(@ForAll @IntRange(min = 1, max = 1000) int seed) {
--- a/src/test/java/org/gullway/StatusQueryLimitsTest.java
+++ b/src/test/java/org/gullway/StatusQueryLimitsTest.java
@@ -161,10 +161,10 @@
         }
         cluster.run(Duration.ofMillis(20));
         List<Integer> statuses = new ArrayList<>();
-        TestUser known = cluster.users().get(0);
-        byte[] resubmission = Cbor.encode(known.request.toNode());
-        byte[] infeasible =
-                Cbor.encode(known.request.toNode().put("name_id", "run-700000").put("cpus", 1000));
+        TestUser userOfKnownJob = cluster.users().get(0);
+        byte[] resubmission = Cbor.encode(userOfKnownJob.request.toNode());
+        byte[] infeasible = Cbor.encode(
+                userOfKnownJob.request.toNode().put("name_id", "run-700000").put("cpus", 1000));
         for (byte[] body : List.of(resubmission, infeasible)) {
             send(
                     cluster,
