--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -177,15 +177,16 @@
         }
         cluster.run(Duration.ofMinutes(13));
         assertThat(cluster.violations).isEmpty();
-        List<TestUser> large =
-                cluster.users().stream().filter(u -> u.request.cpus() == 16).toList();
+        List<TestUser> large = cluster.users().stream()
+                .filter(user -> user.request.cpus() == 16)
+                .toList();
         assertThat(large).hasSize(6).allSatisfy(user -> assertThat(user.timeToFirstStart())
                 .isNotNull()
                 .isLessThan(Duration.ofMinutes(4)));
         for (String teamOrClass : List.of("red", "blue", "render", "survey")) {
             List<TestUser> all = cluster.users().stream()
-                    .filter(u -> u.request.team().equals(teamOrClass)
-                            || u.request.jobClass().equals(teamOrClass))
+                    .filter(user -> user.request.team().equals(teamOrClass)
+                            || user.request.jobClass().equals(teamOrClass))
                     .toList();
             assertThat(2 * all.stream().filter(TestUser::isFinished).count())
                     .as("twice the finished jobs of %s", teamOrClass)
--- a/src/test/java/org/gullway/ScavengerClassTest.java
+++ b/src/test/java/org/gullway/ScavengerClassTest.java
@@ -116,7 +116,7 @@
         Map<String, List<Instant>> failures = new HashMap<>();
         cluster.failTasks((machine, job) -> {
             if (failingJobs.contains(job)) {
-                failures.computeIfAbsent(job, j -> new ArrayList<>()).add(cluster.time.now());
+                failures.computeIfAbsent(job, id -> new ArrayList<>()).add(cluster.time.now());
             }
             return failingJobs.contains(job);
         });
