--- a/src/test/java/org/gullway/AvailabilityRules.java
+++ b/src/test/java/org/gullway/AvailabilityRules.java
@@ -58,10 +58,12 @@
                 && later(lastAnswer, faultsEndedAt)
                         .plus(MAX_UNANSWERED_AFTER_FAULTS)
                         .isBefore(sentAt)) {
-            violations.add("forgotten: no query about " + id + " is answered at " + now);
+            violations.add("forgotten: no query about " + id + " is answered since " + lastAnswer + ", limit "
+                    + MAX_UNANSWERED_AFTER_FAULTS + ", now " + now);
             jobsInViolation.add(id);
         } else if (!lastAnswer.isAfter(oldest) && mostOthersAnswered(id)) {
-            violations.add("forgotten: only queries about " + id + " are not answered at " + now);
+            violations.add("forgotten: only queries about " + id + " are not answered since " + lastAnswer + ", limit "
+                    + MAX_UNANSWERED_IF_OTHERS_ARE_ANSWERED + ", now " + now);
             jobsInViolation.add(id);
         }
     }
--- a/src/test/java/org/gullway/InvalidSubmissionRules.java
+++ b/src/test/java/org/gullway/InvalidSubmissionRules.java
@@ -29,7 +29,7 @@
     /** Handles the response to a query about a job whose submission was invalid; status 200 is a violation. */
     void onInvalidJobQueried(String id, int status) {
         if (status == HttpStatus.OK) {
-            violations.add("invented: " + id);
+            violations.add("invented: query about " + id + " gets " + status);
         }
     }
 }
--- a/src/test/java/org/gullway/InvariantCheckerTest.java
+++ b/src/test/java/org/gullway/InvariantCheckerTest.java
@@ -126,7 +126,7 @@
         }
         assertThat(invariants.violations).isEmpty();
         invariants.onTaskStarted("a2", id + "/5", at(1));
-        assertViolatesOnly("quota: red uses 28.0");
+        assertViolatesOnly("quota: red uses 28.0 of 24.0 CPUs");
     }
 
     @Test
@@ -180,7 +180,7 @@
         invariants.onQueried(id, 503, at(84), at(84));
         assertThat(invariants.violations).isEmpty();
         invariants.onQueried(id, 503, at(86), at(86));
-        assertViolatesOnly("forgotten: no query about run-000001 is answered");
+        assertViolatesOnly("forgotten: no query about run-000001 is answered since ");
     }
 
     @Test
@@ -193,7 +193,7 @@
         }
         assertThat(invariants.violations).isEmpty();
         invariants.onQueried(unanswered, 503, at(91), at(91));
-        assertViolatesOnly("forgotten: only queries about run-000001 are not answered");
+        assertViolatesOnly("forgotten: only queries about run-000001 are not answered since ");
     }
 
     @Test
@@ -208,7 +208,7 @@
         assertThat(invariants.violations).isEmpty();
         invariants.onQueried(answered, 200, at(88), at(88));
         invariants.onQueried(unanswered, 503, at(88), at(88));
-        assertViolatesOnly("forgotten: no query about run-000002 is answered");
+        assertViolatesOnly("forgotten: no query about run-000002 is answered since ");
     }
 
     @Test
@@ -235,7 +235,7 @@
         invariants.onInvalidJobQueried("run-000002", 404);
         assertThat(invariants.violations).isEmpty();
         invariants.onInvalidJobQueried("run-000002", 200);
-        assertViolatesOnly("invented: run-000002");
+        assertViolatesOnly("invented: query about run-000002 gets 200");
     }
 
     @Test
@@ -249,7 +249,7 @@
         invariants.checkStarvation(machine -> true, at(150));
         assertThat(invariants.violations).isEmpty();
         invariants.checkStarvation(machine -> true, at(151));
-        assertViolatesOnly("left_waiting: " + id);
+        assertViolatesOnly("left_waiting: " + id + " could have started since ");
     }
 
     @Test
@@ -266,6 +266,6 @@
         invariants.onTaskEnded("a2", running + "/0", true);
         invariants.checkStarvation(machine -> true, at(201));
         invariants.checkStarvation(machine -> true, at(292));
-        assertViolatesOnly("left_waiting: run-000002");
+        assertViolatesOnly("left_waiting: run-000002 could have started since ");
     }
 }
--- a/src/test/java/org/gullway/QuotaRules.java
+++ b/src/test/java/org/gullway/QuotaRules.java
@@ -23,7 +23,8 @@
     void onTaskStarted(JobRequest request, Instant now) {
         double used = usedCpus.merge(request.team(), request.cpus(), Double::sum);
         if (used > cpusLimit(request) + CPU_TOLERANCE) {
-            violations.add("quota: " + request.team() + " uses " + used + " at " + now);
+            violations.add(
+                    "quota: " + request.team() + " uses " + used + " of " + cpusLimit(request) + " CPUs at " + now);
         }
     }
 
--- a/src/test/java/org/gullway/StarvationRule.java
+++ b/src/test/java/org/gullway/StarvationRule.java
@@ -37,7 +37,8 @@
         }
         Instant startableSince = startableSinceByJob.putIfAbsent(job.id(), now);
         if (startableSince != null && startableSince.plus(MAX_WAIT).isBefore(now)) {
-            violations.add("left_waiting: " + job.id() + " since " + startableSince);
+            violations.add("left_waiting: " + job.id() + " could have started since " + startableSince + ", limit "
+                    + MAX_WAIT + ", now " + now);
             startableSinceByJob.put(job.id(), now);
         }
     }
