--- a/src/main/java/org/gullway/coordination/placement/BestFit.java
+++ b/src/main/java/org/gullway/coordination/placement/BestFit.java
@@ -64,7 +64,7 @@
             // Each reservation makes the machine fuller, so it remains the best fit until no further task fits on it.
             while (reserved.size() < tasks
                     && constraints.fits(request, machine, transaction)
-                    && zones.allow(machine.zone())) {
+                    && zones.allows(machine.zone())) {
                 transaction.reserve(job, machine);
                 reserved.add(machine);
                 zones.add(machine);
--- a/src/main/java/org/gullway/coordination/placement/PlacementConstraints.java
+++ b/src/main/java/org/gullway/coordination/placement/PlacementConstraints.java
@@ -73,6 +73,6 @@
     /** Returns whether the job allows this machine, including the zone constraints that its other tasks imply. */
     public boolean isAllowed(JobRecord job, MachineRecord machine, ClusterState clusterState) {
         return isCompatible(job.request(), machine)
-                && (!constrainsZones(job.request()) || new TaskZones(job, clusterState).allow(machine.zone()));
+                && (!constrainsZones(job.request()) || new TaskZones(job, clusterState).allows(machine.zone()));
     }
 }
--- a/src/main/java/org/gullway/coordination/placement/TaskZones.java
+++ b/src/main/java/org/gullway/coordination/placement/TaskZones.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns whether the zone constraints allow one more task in the given zone. */
-    boolean allow(String zone) {
+    boolean allows(String zone) {
         if (!constrained) {
             return true;
         }
