--- a/src/main/java/org/gullway/coordination/placement/InfeasibleRequests.java
+++ b/src/main/java/org/gullway/coordination/placement/InfeasibleRequests.java
@@ -6,15 +6,21 @@
 import org.gullway.protocol.JobRequest;
 
 /**
- * Cache of the requests of which no further task fits on any machine in the current scheduling cycle. Free resources
- * only shrink while tasks are planned, so a request that needs at least as much as a cached request, and is at least as
- * constrained, does not fit either. The cache avoids scanning all machines again for each of many similar jobs.
+ * Cache of requests that no longer fit on any machine, for one placement pass over a fixed set of machines. Each pass
+ * needs a new instance. Free resources only shrink during a pass, so a request that needs at least as much as a cached
+ * request, and is at least as constrained, does not fit either. The cache avoids scanning all machines again for each
+ * of many similar jobs.
+ *
+ * <p>When a gang does not fit as a whole, its reservations are cancelled and free resources grow again. Cached requests
+ * remain infeasible, because the cancellation only restores the resources that were free before the reservations, and
+ * no request is added in between.
  */
 public final class InfeasibleRequests {
     private final List<JobRequest> requests = new ArrayList<>();
 
     /**
-     * Records that no further task of this request fits on any machine. Requests with zone constraints are ignored.
+     * Records that no further task of this request fits on any machine of the pass. Requests with zone constraints are
+     * ignored.
      */
     public void add(JobRequest request) {
         // A task with zone constraints may be rejected because of the zones of its job's other tasks, while the same
@@ -25,8 +31,8 @@
     }
 
     /**
-     * Returns whether it is known that no task of this request fits on any machine. False means unknown: the request
-     * may or may not fit.
+     * Returns whether it is known that no task of this request fits on any machine of the pass. False means unknown:
+     * the request may or may not fit.
      */
     public boolean isKnownInfeasible(JobRequest request) {
         for (JobRequest infeasible : requests) {
