--- a/src/main/java/org/gullway/coordination/cycle/PlanningContext.java
+++ b/src/main/java/org/gullway/coordination/cycle/PlanningContext.java
@@ -9,8 +9,8 @@
  * @param now the current time of the monotonic clock
  * @param leader whether this controller is the leader
  * @param spareWriteCapacity whether the rate limit of the state store has capacity for changes that are not urgent;
- *     evaluated only by steps that need the value, because an evaluation has the side effect of refilling the rate
- *     limiter
+ *     evaluated only by steps that need the value, because each evaluation refills the rate limiter, and each refill
+ *     drops the elapsed fraction of a millisecond, so frequent evaluations would lower the permitted rate
  */
 public record PlanningContext(Instant now, boolean leader, BooleanSupplier spareWriteCapacity) {
     /** Returns a context with a fixed value for the spare write capacity. */
