--- a/src/main/java/org/gullway/coordination/quota/FairShare.java
+++ b/src/main/java/org/gullway/coordination/quota/FairShare.java
@@ -27,22 +27,22 @@
         if (partition.equals(StoreKeys.LEADER_QUOTA)) {
             return leaderAmount;
         }
-        List<String> controllers = new ArrayList<>(otherPartitions);
-        controllers.add(partition);
-        controllers.remove(StoreKeys.LEADER_QUOTA);
+        List<String> controllerPartitions = new ArrayList<>(otherPartitions);
+        controllerPartitions.add(partition);
+        controllerPartitions.remove(StoreKeys.LEADER_QUOTA);
         double remainder = quota - leaderAmount;
         double totalDemand = Math.max(
                 MIN_DIVISOR,
-                controllers.stream()
-                        .mapToDouble(controller -> demand.total(controller, resource))
+                controllerPartitions.stream()
+                        .mapToDouble(controllerPartition -> demand.total(controllerPartition, resource))
                         .sum());
         double sumOfMinimums = 0;
         double proportionalDemand = 0;
-        for (String controller : controllers) {
-            double largestTask = demand.of(controller, resource).largestStalledTask();
-            double ownDemand = demand.total(controller, resource);
+        for (String controllerPartition : controllerPartitions) {
+            double largestTask = demand.of(controllerPartition, resource).largestStalledTask();
+            double ownDemand = demand.total(controllerPartition, resource);
             boolean usesMinimum = largestTask > remainder * ownDemand / totalDemand;
-            if (controller.equals(partition) && usesMinimum) {
+            if (controllerPartition.equals(partition) && usesMinimum) {
                 return largestTask;
             }
             sumOfMinimums += usesMinimum ? largestTask : 0;
--- a/src/main/java/org/gullway/coordination/quota/LostMemberQuota.java
+++ b/src/main/java/org/gullway/coordination/quota/LostMemberQuota.java
@@ -70,7 +70,7 @@
         return new QuotaPartition.Amount(cpus, gpus);
     }
 
-    /** Reduces the partitions of lost members to what the jobs that these members still own use. */
+    /** Reduces the partition of each lost member to the quota in use by the jobs that the member still owns. */
     public static void releaseUnused(Transaction transaction, ClusterState clusterState, TeamQuotas quotas) {
         for (String key : clusterState.quotaPartitions().keySet()) {
             String holder = StoreKeys.quotaHolder(key);
--- a/src/main/java/org/gullway/coordination/quota/QuotaDemand.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaDemand.java
@@ -26,8 +26,10 @@
         }
 
         /**
-         * Returns what the smallest waiting task needs, or 0 if no task waits. The value 0 also stands for "not set",
-         * so a need of 0 is overwritten by the next job with waiting tasks.
+         * Returns the smallest need of the waiting tasks, or 0 if no task waits. The result may be too large if a
+         * waiting task needs none of the resource. Jobs are added one after another, and 0 also stands for "no waiting
+         * task so far", so a task with a need of 0 discards the needs added before it: the needs 2, 0 and 3, in this
+         * order, give 3.
          */
         double smallestWaitingTask() {
             return smallestWaitingTask;
--- a/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
@@ -25,9 +25,10 @@
  * leader holds another one, for reserved jobs. Only the holder of a partition changes it, with one exception: {@link
  * LostMemberQuota} reduces the partition of a lost member and increases those of the new owners of its jobs.
  *
- * <p>A transaction that changes a partition requires that all other partitions are unchanged, so the sum of the
- * partitions never exceeds the quota. Every controller has the records of all jobs, so it knows the demand on the other
- * partitions and reduces its own partition when they need more than is unallocated.
+ * <p>A transaction of this class that changes a partition requires that all other partitions are unchanged, so the sum
+ * of the partitions never exceeds the quota. The transactions of {@link LostMemberQuota} need no such condition,
+ * because they never increase the sum. Every controller has the records of all jobs, so it knows the demand on the
+ * other partitions and reduces its own partition when they need more than is unallocated.
  */
 public final class QuotaPartitioner implements PlanningStep {
     /**
@@ -36,8 +37,9 @@
      */
     private static final double MAX_SPARE_FRACTION = 0.1;
     /**
-     * Reductions by less than this fraction of the quota are skipped, because each one costs a write to the state
-     * store. A reduction to 0 is never skipped.
+     * Reductions by up to this fraction of the quota are skipped, because each one costs a write to the state store. A
+     * reduction to 0 is never skipped, nor is the reduction of an allocation that the holder must yield, see {@link
+     * UnusedAllocationTracker}.
      */
     private static final double MIN_REDUCTION_FRACTION = 0.02;
 
--- a/src/main/java/org/gullway/coordination/quota/TeamQuotas.java
+++ b/src/main/java/org/gullway/coordination/quota/TeamQuotas.java
@@ -11,7 +11,10 @@
 import org.gullway.protocol.JobRequest;
 import org.gullway.protocol.Settings;
 
-/** The quotas of the teams from the platform settings, and the number of tasks that they still allow for a job. */
+/**
+ * The quotas of the teams from the platform settings, and the number of further tasks of a job that its quota partition
+ * allows.
+ */
 public final class TeamQuotas {
     private final Map<String, Settings.Team> teams;
 
--- a/src/test/java/org/gullway/coordination/quota/UnlimitedQuotaTest.java
+++ b/src/test/java/org/gullway/coordination/quota/UnlimitedQuotaTest.java
@@ -27,7 +27,10 @@
         machineTypes.update(List.of(TestFixtures.type("small", 16), TestFixtures.type("large", 32)));
     }
 
-    /** A quota of 0 in the settings means no limit; it must not be read as a limit of zero, which rejects every job. */
+    /**
+     * A quota limit of 0 in the settings means that there is no limit. It must not be read as a limit of zero, which
+     * rejects every job.
+     */
     @Test
     void jobsWithUnlimitedQuotaAreFeasibleIfATaskFitsOnAMachineType() {
         assertThat(new JobFeasibility(machineTypes, quotas)
