--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortQueue.java
@@ -103,9 +103,9 @@
         if (offersOwnMachines) {
             peerOffers.markSent(now);
         } else {
-            // Offers that no peer has declined are those of this controller's machines, which are not offered now.
-            // Offers
-            // from peers are forwarded without delay, because the controller that made them limits their rate.
+            // Offers that no controller has declined are those of this controller's machines, which are not offered
+            // now. Offers from peers are forwarded without delay, because the controller that made them limits their
+            // rate.
             offerByMachine.values().removeIf(offer -> offer.declinedBy().isEmpty());
         }
         return waiting.peersHaveWaitingJobs() ? peerOffers.outgoing(offerByMachine, transaction) : List.of();
--- a/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
@@ -51,8 +51,8 @@
 
     /**
      * Returns whether the set of cordoned machines may change now: always if it is empty or the fleet is small,
-     * otherwise once the minimum time since the last change has elapsed. Callers skip the scan of all machines while
-     * this is false.
+     * otherwise once the minimum time since the last change has elapsed. While this is false, {@link #cordon} ignores
+     * every set that is not empty, so the scan of all machines in {@link #machinesFor} would be wasted.
      */
     boolean mayChange(Transaction transaction) {
         return clusterState.cordonedMachines().isEmpty()
@@ -65,6 +65,9 @@
      * #MAX_STALLED_JOBS} stalled best-effort jobs. Does nothing if the set stays the same, the transaction has no
      * capacity left, or the set may not change yet; an empty set is written without waiting for {@link #mayChange}.
      *
+     * <p>The size of the set is not limited here. Only {@link #machinesFor} limits its result to {@link
+     * CordonedMachines#MAX_MACHINES}, so the set may be larger.
+     *
      * @param forReserved names of the machines to cordon for reserved jobs
      */
     void cordon(Transaction transaction, Set<String> forReserved) {
--- a/src/main/java/org/gullway/coordination/scheduling/JobBackoff.java
+++ b/src/main/java/org/gullway/coordination/scheduling/JobBackoff.java
@@ -14,7 +14,12 @@
  */
 public final class JobBackoff {
     private static final int ERRORS_WITHOUT_DELAY = 3;
+    /**
+     * Bounds the exponent, so that the shift does not overflow. It does not limit the delay: 2^5 s = 32 s exceeds
+     * {@link #MAX_DELAY}.
+     */
     private static final int MAX_DOUBLINGS = 5;
+
     private static final Duration MAX_DELAY = Duration.ofSeconds(30);
 
     private final Map<String, Delay> delayByJob = new HashMap<>();
--- a/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
@@ -87,8 +87,9 @@
     }
 
     /**
-     * Offers each machine that still has enough free CPUs to a random peer that has not been offered it yet. Each peer
-     * gets at most {@link ResourceOffer#MAX_PER_MESSAGE} offers; further machines are not offered to it in this round.
+     * Offers each machine that still has enough free CPUs to a random peer that is not in the offer's list of
+     * controllers that declined it. Each peer gets at most {@link ResourceOffer#MAX_PER_MESSAGE} offers; a machine is
+     * not offered in this round if the peer chosen for it already gets that many.
      */
     List<OutgoingOffers> outgoing(Map<MachineRecord, ResourceOffer> offerByMachine, Transaction transaction) {
         Map<String, List<ResourceOffer>> offersByPeer = new TreeMap<>();
@@ -103,18 +104,18 @@
     }
 
     private void addOffer(
-            MachineRecord machine, List<String> askedPeers, Map<String, List<ResourceOffer>> offersByPeer) {
-        List<String> alreadyOffered = new ArrayList<>(askedPeers);
-        alreadyOffered.add(self);
+            MachineRecord machine, List<String> previouslyDeclinedBy, Map<String, List<ResourceOffer>> offersByPeer) {
+        List<String> declinedBy = new ArrayList<>(previouslyDeclinedBy);
+        declinedBy.add(self);
         List<String> peers = new ArrayList<>(clusterState.members().keySet());
-        peers.removeAll(alreadyOffered);
+        peers.removeAll(declinedBy);
         if (peers.isEmpty()) {
             return;
         }
         String peer = peers.get(random.nextInt(peers.size()));
         List<ResourceOffer> offers = offersByPeer.computeIfAbsent(peer, key -> new ArrayList<>());
         if (offers.size() < ResourceOffer.MAX_PER_MESSAGE) {
-            offers.add(new ResourceOffer(machine.name(), machine.agentEpoch(), alreadyOffered));
+            offers.add(new ResourceOffer(machine.name(), machine.agentEpoch(), declinedBy));
         }
     }
 }
--- a/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
@@ -175,8 +175,9 @@
     }
 
     /**
-     * Returns the weighted CPU seconds that preemption would lose. The lost time is the time since the placement; for
-     * jobs with checkpoints it is at most the time that saving a checkpoint takes. One second is added, so that the
+     * Returns the weighted CPU seconds that preemption would lose. The lost time is the time since the placement. For
+     * jobs with checkpoints it is at most the time that saving a checkpoint takes, because a task that is stopped gets
+     * time to save a checkpoint first, so that only the time for saving it is lost. One second is added, so that the
      * loss of a task that has just started is not zero and still depends on its CPUs.
      */
     private double loss(JobRecord job, Placement placement) {
--- a/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ReservedScheduler.java
@@ -28,8 +28,10 @@
  */
 public final class ReservedScheduler implements PlanningStep {
     /**
-     * The minimum time between two runs of preemption and cordon planning in a large fleet, where a run considers
-     * thousands of tasks.
+     * In a large fleet, where one run of preemption and cordon planning considers thousands of tasks, a cycle with
+     * unplaced jobs (jobs with tasks that fit on no machine) skips the run until this time has elapsed since the last
+     * run. Without unplaced jobs the run is never skipped; it then only updates the cordons, but also restarts the
+     * interval.
      */
     private static final Duration PREEMPTION_INTERVAL = Duration.ofMillis(500);
     /**
@@ -46,7 +48,7 @@
     private final DeadlinePolicy deadlines;
     private final CordonPlanner cordonPlanner;
     private final MachineWindow window = new MachineWindow();
-    private Instant preemptedAt = Instant.MIN;
+    private Instant preemptionPlannedAt = Instant.MIN;
 
     public ReservedScheduler(SchedulingContext context) {
         this.clusterState = context.clusterState();
@@ -84,10 +86,10 @@
         List<JobRecord> unplaced = placeAll(waiting, machinesWithFreeCpus, transaction);
         if (!unplaced.isEmpty()
                 && machines.size() > MachineWindow.MAX_MACHINES
-                && preemptedAt.plus(PREEMPTION_INTERVAL).isAfter(now)) {
+                && preemptionPlannedAt.plus(PREEMPTION_INTERVAL).isAfter(now)) {
             return;
         }
-        preemptedAt = now;
+        preemptionPlannedAt = now;
         preemptAndCordon(unplaced, machines, transaction);
     }
 
--- a/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
@@ -20,18 +20,22 @@
 /**
  * Restricts jobs of the scavenger class ({@link Priority#IDLE}) to leftover resources: limits the CPUs that their tasks
  * may use, and preempts their tasks for best-effort jobs of higher priority. Scavenger tasks start only while no
- * best-effort job of higher priority waits, and they leave a reserve of free CPUs for reserved jobs. The exception is a
- * stalled scavenger job, which gets one task like any other stalled job. {@link BestEffortPlacement} places the tasks.
+ * best-effort job of higher priority that was submitted more than {@link #MIN_WAIT} ago has waiting tasks, not counting
+ * jobs that are backed off or whose quota partition allows no further task. They also leave a reserve of free CPUs for
+ * reserved jobs. The exception is a stalled scavenger job, which gets one task like any other stalled job. {@link
+ * BestEffortPlacement} places the tasks.
  */
 public final class ScavengerScheduler implements PlanningStep {
     private static final Duration PREEMPTION_INTERVAL = Duration.ofSeconds(1);
     /**
-     * A best-effort job of higher priority has to wait this long before it holds back scavenger tasks and before
-     * scavenger tasks are preempted for it. Most jobs are placed earlier without preemption.
+     * The time since submission after which a best-effort job of higher priority that still has waiting tasks holds
+     * back scavenger tasks, and after which scavenger tasks are preempted for it. Most jobs are placed earlier without
+     * preemption.
      */
     private static final Duration MIN_WAIT = Duration.ofSeconds(2);
 
-    private static final int MAX_JOBS_PER_CYCLE = 8;
+    /** The maximum number of waiting jobs, oldest first, for which one run preempts scavenger tasks. */
+    private static final int MAX_JOBS_PER_RUN = 8;
 
     private final ClusterState clusterState;
     private final PlacementConstraints constraints;
@@ -40,7 +44,7 @@
     private final DeadlinePolicy deadlines;
     private final double reserveFraction;
     private final MachineWindow window = new MachineWindow();
-    private Instant preemptedAt = Instant.MIN;
+    private Instant preemptionPlannedAt = Instant.MIN;
 
     /** @param reserveFraction the CPUs to keep free for reserved jobs, as a fraction of the CPUs that these jobs use */
     public ScavengerScheduler(SchedulingContext context, double reserveFraction) {
@@ -58,8 +62,8 @@
 
     /**
      * Returns the number of free CPUs that scavenger tasks may use now. The result is 0 while a best-effort job of
-     * higher priority has waited longer than {@link #MIN_WAIT}, although it is not backed off and its quota allows more
-     * tasks.
+     * higher priority that was submitted more than {@link #MIN_WAIT} ago has waiting tasks, although it is not backed
+     * off and its quota partition allows another task.
      */
     double availableCpus(Transaction transaction, Instant now) {
         if (!waitingJobsOfHigherPriority(transaction, now).isEmpty()) {
@@ -77,23 +81,24 @@
     }
 
     /**
-     * Preempts as many scavenger tasks as the waiting best-effort jobs of higher priority can use. Only the leader
-     * calls this method.
+     * Preempts scavenger tasks for the waiting tasks of best-effort jobs of higher priority, at most once per {@link
+     * #PREEMPTION_INTERVAL}. Each run considers the {@link #MAX_JOBS_PER_RUN} oldest of these jobs and the next {@link
+     * MachineWindow} of the machines. Only the leader calls this method.
      */
     @Override
     public void plan(Transaction transaction, PlanningContext context) {
         Instant now = context.now();
-        if (preemptedAt.plus(PREEMPTION_INTERVAL).isAfter(now) || !runsScavengerTasks()) {
+        if (preemptionPlannedAt.plus(PREEMPTION_INTERVAL).isAfter(now) || !runsScavengerTasks()) {
             return;
         }
-        preemptedAt = now;
+        preemptionPlannedAt = now;
         List<JobRecord> waiting = waitingJobsOfHigherPriority(transaction, now);
         if (waiting.isEmpty()) {
             return;
         }
         PreemptionPlanner preemption = new PreemptionPlanner(
-                clusterState, constraints, deadlines, transaction, window.next(availableMachines()));
-        for (JobRecord job : waiting.subList(0, Math.min(MAX_JOBS_PER_CYCLE, waiting.size()))) {
+                clusterState, constraints, deadlines, transaction, window.next(availableUncordonedMachines()));
+        for (JobRecord job : waiting.subList(0, Math.min(MAX_JOBS_PER_RUN, waiting.size()))) {
             int tasks = Math.min(job.waitingTasks(), quotas.remainingTasks(job, transaction));
             preemption.preemptFor(job, tasks, ScavengerScheduler::isScavenger);
         }
@@ -109,8 +114,9 @@
     }
 
     /**
-     * Returns the best-effort jobs outside the scavenger class that have waited longer than {@link #MIN_WAIT}, although
-     * they are not backed off and their quota allows more tasks. The oldest job comes first.
+     * Returns the best-effort jobs outside the scavenger class that were submitted more than {@link #MIN_WAIT} ago and
+     * still have waiting tasks, although they are not backed off and their quota partition allows another task. The
+     * oldest job comes first.
      */
     private List<JobRecord> waitingJobsOfHigherPriority(Transaction transaction, Instant now) {
         List<JobRecord> waiting = new ArrayList<>();
@@ -131,7 +137,7 @@
         return waiting;
     }
 
-    private List<MachineRecord> availableMachines() {
+    private List<MachineRecord> availableUncordonedMachines() {
         List<MachineRecord> machines = new ArrayList<>();
         for (MachineRecord machine : clusterState.machines()) {
             if (PlacementConstraints.isAvailable(machine, clusterState)
--- a/src/main/java/org/gullway/coordination/scheduling/StalledJobPlacement.java
+++ b/src/main/java/org/gullway/coordination/scheduling/StalledJobPlacement.java
@@ -36,8 +36,8 @@
      * Places one task of each stalled job on the given machines or on cordoned ones. Further stalled jobs of a team
      * that has become blocked are skipped.
      *
-     * @param stalledJobs the stalled jobs in {@link JobRecord#STALLED_ORDER}, which puts jobs without a
-     *     completed task first, then large tasks before small ones
+     * @param stalledJobs the stalled jobs in {@link JobRecord#STALLED_ORDER}, which puts jobs without a completed
+     *     task first, then large tasks before small ones
      * @return the blocked teams: teams that have enough allocated quota for a task of a stalled job, but too little of
      *     it unused. Tasks of other jobs of such a team, except scavenger jobs, must not start now, because they would
      *     delay the stalled job further.
--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -107,7 +107,7 @@
         assertThat(transaction.job("run-000001").livePlacements()).isEmpty();
     }
 
-    /** Guards against starvation: while other jobs keep arriving, a late job would otherwise never start. */
+    /** Guards against a late job that waits out {@code DeadlinePolicy.MAX_DEFERRAL} while other jobs keep arriving. */
     @Test
     void aStalledJobStartsWithOneTask() {
         accept("run-000001", "red", "perch-0", 4, 110, 11);
@@ -183,7 +183,7 @@
     @Test
     void zoneConstraintsCountTasksPlannedInTheSameTransaction() {
         MachineRecord other = TestFixtures.machine("vm-2", "small", TestFixtures.SELF);
-        MachineRecord otherZone = new MachineRecord(
+        MachineRecord machineInOtherZone = new MachineRecord(
                 "vm-2",
                 other.address(),
                 "small",
@@ -194,14 +194,14 @@
                 1,
                 MachineRecord.MachineLifecycle.ACTIVE,
                 other.provisionedAt());
-        TestFixtures.put(clusterState, otherZone, 11);
+        TestFixtures.put(clusterState, machineInOtherZone, 11);
         JobRequest singleZone = TestFixtures.request("run-000001", "red", Priority.NORMAL, 8, 4);
         clusterState.put(
                 StoreKeys.job(singleZone.id()),
                 JobRecord.accepted(withZones(singleZone, true, false), "perch-0", TestFixtures.TIME_OF_DAY),
                 12);
         Transaction transaction = newTransaction();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine, otherZone), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine, machineInOtherZone), Instant.EPOCH);
         assertThat(transaction.job(singleZone.id()).livePlacements())
                 .as("all tasks in one zone")
                 .hasSize(4);
@@ -217,7 +217,7 @@
                 JobRecord.accepted(withZones(spread, false, true), "perch-0", TestFixtures.TIME_OF_DAY),
                 14);
         transaction = newTransaction();
-        bestEffortQueue.schedule(transaction, () -> List.of(machine, otherZone), Instant.EPOCH);
+        bestEffortQueue.schedule(transaction, () -> List.of(machine, machineInOtherZone), Instant.EPOCH);
         assertThat(transaction.job(spread.id()).livePlacements())
                 .as("spread across two zones")
                 .hasSize(5);
--- a/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void prefersTheFullestMachine() {
+    void prefersTheMachineWithTheFewestFreeCpus() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "small", TestFixtures.PEER), 11);
         accept("run-000001", "red", Priority.HIGH, 1, 4, 12);
