--- a/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
@@ -41,7 +41,7 @@
         for (String name : agents.recordChangeCandidates()) {
             AgentState agent = agents.find(name);
             MachineRecord record = transaction.machine(name);
-            if (agents.isInEpochOnRecord(record, agent)) {
+            if (agents.isAssignedInRecordedEpoch(record, agent)) {
                 unknownStart |= agent.highestUnknownStartToken() >= transaction.fencingToken();
                 spotNotices.plan(transaction, record, agent, now);
                 drainIfFaultyOrTerminating(transaction, record, agent, now);
--- a/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
@@ -83,10 +83,10 @@
     }
 
     /**
-     * Returns whether the machine is assigned to this controller and its agent's newest message, however old, has the
-     * agent epoch on record.
+     * Returns whether {@link #isAssignedAndCaughtUp} holds for the machine and its agent's newest message, however old,
+     * has the agent epoch on record.
      */
-    boolean isInEpochOnRecord(MachineRecord record, AgentState agent) {
+    boolean isAssignedInRecordedEpoch(MachineRecord record, AgentState agent) {
         return isAssignedAndCaughtUp(record)
                 && agent != null
                 && agent.lastMessage() != null
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -86,7 +86,7 @@
             }
             return Optional.empty();
         }
-        if (agents.isInEpochOnRecord(record, agent)) {
+        if (agents.isAssignedInRecordedEpoch(record, agent)) {
             completionReporter.observe(record, agent, now);
             agents.addIfRecordChangeCandidate(record.name(), agent);
         }
@@ -107,12 +107,12 @@
     }
 
     private Optional<CommandBatch> nextBatch(MachineRecord record, AgentState agent, Instant now) {
-        boolean inEpochOnRecord = agents.isInEpochOnRecord(record, agent);
-        boolean tokenConfirmed = inEpochOnRecord && agent.hasConfirmedFencingToken(record);
+        boolean assignedInRecordedEpoch = agents.isAssignedInRecordedEpoch(record, agent);
+        boolean tokenConfirmed = assignedInRecordedEpoch && agent.hasConfirmedFencingToken(record);
         List<AgentCommand> commands = tokenConfirmed ? planner.startsAndStops(record, agent) : List.of();
         // A probe is a batch without commands. The response confirms the fencing token and lists the agent's tasks.
         // While commands go unanswered, a batch is sent whether or not the probe is deferred.
-        boolean probe = needsProbe(record, agent, inEpochOnRecord, tokenConfirmed);
+        boolean probe = needsProbe(record, agent, assignedInRecordedEpoch, tokenConfirmed);
         if (probe
                 && (window.inFlight() >= MAX_IN_FLIGHT_FOR_PROBES
                         || !agent.commands().tryProbe(now))) {
@@ -131,11 +131,11 @@
     }
 
     private boolean needsProbe(
-            MachineRecord record, AgentState agent, boolean inEpochOnRecord, boolean tokenConfirmed) {
+            MachineRecord record, AgentState agent, boolean assignedInRecordedEpoch, boolean tokenConfirmed) {
         Heartbeat last = agent.lastMessage();
         boolean epochUnknown = last == null || last.agentEpoch() < record.agentEpoch();
         return epochUnknown
-                || (inEpochOnRecord && !tokenConfirmed && last.fencingToken() < clusterState.fencingToken());
+                || (assignedInRecordedEpoch && !tokenConfirmed && last.fencingToken() < clusterState.fencingToken());
     }
 
     /** Handles the outcome of a batch. */
--- a/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
+++ b/src/main/java/org/gullway/coordination/agents/HeartbeatReceiver.java
@@ -83,7 +83,7 @@
         mayRequireCycle |= agentEpochs.observe(record, heartbeat);
         agent.reroute().end();
         List<AgentCommand> commands = new ArrayList<>(cancellationEnforcer.stopCommands(heartbeat));
-        if (agents.isInEpochOnRecord(record, agent) && agent.hasConfirmedFencingToken(record)) {
+        if (agents.isAssignedInRecordedEpoch(record, agent) && agent.hasConfirmedFencingToken(record)) {
             commands.addAll(planner.forgetCommands(record, agent));
         }
         return accepted(commands, mayRequireCycle);
--- a/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
@@ -71,7 +71,7 @@
      */
     private boolean isConfirmedEnded(MachineRecord record, AttemptId id) {
         AgentState agent = agents.find(record.name());
-        if (!agents.isInEpochOnRecord(record, agent)
+        if (!agents.isAssignedInRecordedEpoch(record, agent)
                 || !agent.hasConfirmedFencingToken(record)
                 || agent.commands().isInFlight()) {
             return false;
--- a/src/main/java/org/gullway/coordination/agents/SchedulableMachines.java
+++ b/src/main/java/org/gullway/coordination/agents/SchedulableMachines.java
@@ -26,7 +26,7 @@
             MachineRecord record = clusterState.machine(entry.getKey());
             AgentState agent = entry.getValue();
             if (isReachable(agent, contactLimit)
-                    && agents.isInEpochOnRecord(record, agent)
+                    && agents.isAssignedInRecordedEpoch(record, agent)
                     && record.isSchedulable()
                     && agent.hasConfirmedFencingToken(record)) {
                 schedulable.add(record);
