--- a/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
@@ -103,9 +103,9 @@
         return commandDispatcher.commandsDue(now);
     }
 
-    /** Returns how many times agents have been reconciled. */
-    long reconciliations() {
-        return commandDispatcher.reconciliations();
+    /** Returns how many wake-ups of agents have been polled, including those of agents that were not due any more. */
+    long polledWakeups() {
+        return commandDispatcher.polledWakeups();
     }
 
     /**
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -35,7 +35,7 @@
     private final CommandPlanner planner;
     private final CompletionReporter completionReporter;
     private final CommandWindow window = new CommandWindow();
-    private long reconciliations;
+    private long polledWakeups;
 
     CommandDispatcher(
             ClusterState clusterState,
@@ -58,7 +58,7 @@
         wakeChangedMachines(now);
         List<CommandBatch> batches = new ArrayList<>();
         for (String name : agents.pollDue(now)) {
-            reconciliations++;
+            polledWakeups++;
             AgentState agent = agents.find(name);
             if (agent != null && agent.isDue(now)) {
                 agent.onReconciliation();
@@ -166,8 +166,8 @@
         }
     }
 
-    /** Returns how many times agents have been reconciled. */
-    long reconciliations() {
-        return reconciliations;
+    /** Returns how many wake-ups of agents have been polled, including those of agents that were not due any more. */
+    long polledWakeups() {
+        return polledWakeups;
     }
 }
--- a/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
+++ b/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
@@ -79,7 +79,7 @@
             sendUnchangedHeartbeat("vm-" + i);
         }
         planAndCommit();
-        long before = reconciler.reconciliations();
+        long before = reconciler.polledWakeups();
         for (int cycle = 0; cycle < 50; cycle++) {
             now = now.plusMillis(60);
             for (int i = 1 + cycle * 20; i <= (cycle + 1) * 20; i++) {
@@ -87,12 +87,12 @@
             }
             assertThat(reconciler.commandsDue(now)).isEmpty();
         }
-        assertThat(reconciler.reconciliations() - before)
-                .as("reconciliations of unchanged agents")
+        assertThat(reconciler.polledWakeups() - before)
+                .as("polled wake-ups of unchanged agents")
                 .isZero();
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.hasStarts())
                 .isTrue());
-        assertThat(reconciler.reconciliations() - before).isLessThanOrEqualTo(2);
+        assertThat(reconciler.polledWakeups() - before).isLessThanOrEqualTo(2);
     }
 }
