--- a/src/main/java/org/gullway/coordination/agents/FailureDetector.java
+++ b/src/main/java/org/gullway/coordination/agents/FailureDetector.java
@@ -29,8 +29,9 @@
     /** Time for a heartbeat to arrive, added to the longest interval between two heartbeats. */
     private static final Duration HEARTBEAT_MARGIN = Duration.ofSeconds(2);
     /**
-     * How long commands must go unanswered before a machine is unresponsive. A command may go unanswered for a shorter
-     * time merely because its connection was closed.
+     * While commands go unanswered, a machine is unresponsive this long after the contact timeout started or after the
+     * first unanswered command was sent, whichever is earlier. The time is not zero, since a command may go unanswered
+     * merely because its connection was closed.
      */
     private static final Duration UNANSWERED_LIMIT = Duration.ofSeconds(3);
 
@@ -90,45 +91,46 @@
             return;
         }
         checkedAt = now;
-        Instant overdueLimit = now.minus(timing.longestInterval()).minus(HEARTBEAT_MARGIN);
-        if (!acceptingHeartbeatsSince.isBefore(overdueLimit)) {
-            // This controller has accepted heartbeats for less than the overdue limit, so missing ones may have been
-            // refused. During an outage of the state store, the heartbeats of all agents are refused.
+        Instant overdueBefore = now.minus(timing.longestInterval()).minus(HEARTBEAT_MARGIN);
+        if (!acceptingHeartbeatsSince.isBefore(overdueBefore)) {
+            // This controller has accepted heartbeats for less time than it takes a heartbeat to become overdue, so
+            // missing ones may have been refused. During an outage of the state store, the heartbeats of all agents
+            // are refused.
             return;
         }
-        Instant lostLimit = now.minus(lostAfter());
+        Instant lostBefore = now.minus(lostAfter());
         CheckResult result = new CheckResult();
         for (Map.Entry<String, AgentState> entry : agents.entries()) {
             AgentState agent = entry.getValue();
             MachineRecord record = clusterState.machine(entry.getKey());
             if (agents.isAssignedHere(record)) {
-                boolean responsive = isResponsive(agent, overdueLimit);
+                boolean responsive = isResponsive(agent, overdueBefore);
                 if (record.lifecycle() == MachineLifecycle.ACTIVE
-                        && exceedsUnresponsiveLimit(agent, overdueLimit, now)) {
+                        && exceedsUnresponsiveLimit(agent, overdueBefore, now)) {
                     changeLifecycle(transaction, record, MachineLifecycle.UNRESPONSIVE);
                 } else if (record.lifecycle() == MachineLifecycle.UNRESPONSIVE && responsive) {
                     changeLifecycle(transaction, record, MachineLifecycle.ACTIVE);
                 }
                 result.add(record, responsive);
-                if (agent.unreachableSince().isBefore(lostLimit)) {
+                if (agent.unreachableSince().isBefore(lostBefore)) {
                     result.unreachable.add(record);
                 }
             }
         }
-        if (acceptingHeartbeatsSince.isBefore(lostLimit)) {
+        if (acceptingHeartbeatsSince.isBefore(lostBefore)) {
             declareLost(transaction, result, now);
         }
     }
 
-    private static boolean isResponsive(AgentState agent, Instant overdueLimit) {
+    private static boolean isResponsive(AgentState agent, Instant overdueBefore) {
         return !agent.commands().isUnanswered()
                 && !agent.isOutboundPartitioned()
-                && !agent.lastMessageAt().isBefore(overdueLimit);
+                && !agent.lastMessageAt().isBefore(overdueBefore);
     }
 
-    private static boolean exceedsUnresponsiveLimit(AgentState agent, Instant overdueLimit, Instant now) {
-        Instant limit = agent.commands().isUnanswered() ? now.minus(UNANSWERED_LIMIT) : overdueLimit;
-        return agent.isOutboundPartitioned() || agent.unreachableSince().isBefore(limit);
+    private static boolean exceedsUnresponsiveLimit(AgentState agent, Instant overdueBefore, Instant now) {
+        Instant unreachableBefore = agent.commands().isUnanswered() ? now.minus(UNANSWERED_LIMIT) : overdueBefore;
+        return agent.isOutboundPartitioned() || agent.unreachableSince().isBefore(unreachableBefore);
     }
 
     /**
@@ -151,10 +153,10 @@
      */
     private void declareLost(Transaction transaction, CheckResult result, Instant now) {
         updatePartitionedZones(result.zoneResponsive, now);
-        Instant limitIfNoneResponsive = now.minus(lostAfter()).minus(timing.intervals(4));
+        Instant lostBeforeIfNoneResponsive = now.minus(lostAfter()).minus(timing.intervals(4));
         for (MachineRecord record : result.unreachable) {
             Instant since = agents.find(record.name()).unreachableSince();
-            if ((result.anyResponsive || since.isBefore(limitIfNoneResponsive))
+            if ((result.anyResponsive || since.isBefore(lostBeforeIfNoneResponsive))
                     && !isLossDeferredByPartition(record, since, now)
                     && changeLifecycle(transaction, record, MachineLifecycle.LOST)) {
                 LOG.info(
@@ -191,9 +193,9 @@
      */
     private boolean isLossDeferredByPartition(MachineRecord record, Instant unreachableSince, Instant now) {
         Instant partitionedAt = zonePartitionedAt.getOrDefault(record.zone(), Instant.MIN);
-        Instant deferralLimit = now.minus(lostAfter()).minus(peerZones.cancelLimit());
+        Instant deferredAfter = now.minus(lostAfter()).minus(peerZones.cancelLimit());
         return partitionedAt.isAfter(now.minus(lostAfter()))
-                && unreachableSince.isAfter(deferralLimit)
+                && unreachableSince.isAfter(deferredAfter)
                 && !hasCancelledTasks(record);
     }
 
