--- a/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentConditionPlanner.java
@@ -13,8 +13,8 @@
  */
 final class AgentConditionPlanner {
     /**
-     * Minimum time between two new fencing tokens. Every agent sends one more message after each new token, so one
-     * token resolves all starts whose outcomes became unknown in that time.
+     * Minimum time between two fencing tokens raised for starts with unknown outcome. Each new token costs one more
+     * message from every agent, and one token resolves all starts whose outcomes became unknown before it.
      */
     private static final Duration FENCING_TOKEN_INTERVAL = Duration.ofSeconds(1);
 
--- a/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
@@ -103,7 +103,7 @@
         return commandDispatcher.commandsDue(now);
     }
 
-    /** Returns how many wake-ups of agents have been polled, including those of agents that were not due any more. */
+    /** Returns how many wake-ups of agents have been polled, including those of agents no longer due. */
     long polledWakeups() {
         return commandDispatcher.polledWakeups();
     }
@@ -140,7 +140,10 @@
         return schedulableMachines.list(now);
     }
 
-    /** Removes the state of agents whose machines are gone or commanded by another controller. */
+    /**
+     * Removes the state of agents whose machines are gone or commanded by another controller, except agents with a
+     * command batch in flight or with recent rerouted heartbeats. Does nothing if the last eviction was too recent.
+     */
     public void evictStaleAgents(Instant now) {
         agents.evictStaleAgents(now);
     }
--- a/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
@@ -14,8 +14,8 @@
 /** Holds, by machine, the agents that have sent messages to this controller or whose machines it commands. */
 final class AgentRegistry {
     /**
-     * Time between two evictions of stale agents, whose machines are gone or commanded by another controller. They do
-     * no harm in the meantime.
+     * Minimum time between two evictions of stale agents, whose machines are gone or commanded by another controller.
+     * Until then no command batches are created for them, since {@link CommandDispatcher} checks the assignment.
      */
     private static final Duration EVICTION_INTERVAL = Duration.ofSeconds(2);
 
@@ -93,7 +93,11 @@
                 && agent.lastMessage().agentEpoch() == record.agentEpoch();
     }
 
-    /** Removes agents whose machines are gone or commanded by another controller. */
+    /**
+     * Removes agents whose machines are gone or commanded by another controller, except those with a command batch in
+     * flight or with rerouted heartbeats that are retained (see {@link RerouteState#isRetained}). Does nothing within
+     * {@link #EVICTION_INTERVAL} after the last eviction.
+     */
     void evictStaleAgents(Instant now) {
         if (evictedAt.plus(EVICTION_INTERVAL).isAfter(now)) {
             return;
--- a/src/main/java/org/gullway/coordination/agents/CommandChannel.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandChannel.java
@@ -10,8 +10,8 @@
     private boolean inFlight;
     private Instant notBefore = Instant.MIN;
     /**
-     * When the first batch that failed since the last response was sent or attempted; null if the last batch was
-     * answered.
+     * The send time of the earliest batch that failed since the last response or call of {@link #clearUnanswered}; null
+     * if none has failed since then.
      */
     private Instant unansweredSince;
 
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Returns when the first batch that failed since the last response was sent or attempted, or null if the last
-     * batch was answered.
+     * Returns the send time of the earliest batch that failed since the last response or call of {@link
+     * #clearUnanswered}, or null if none has failed since then.
      */
     Instant unansweredSince() {
         return unansweredSince;
--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -15,8 +15,9 @@
 /**
  * Reconciles the agents that are due and creates their command batches. Each agent has at most one batch in flight.
  *
- * <p>Only agents whose state has changed, or whose wake-up time has come, are reconciled. An unchanged heartbeat costs
- * no more than its decoding.
+ * <p>Only agents whose state has changed, or whose wake-up time has come, are reconciled. A heartbeat with the same
+ * agent epoch, fencing token and tasks as the agent's last message, and without a new spot notice, causes no
+ * reconciliation.
  */
 final class CommandDispatcher {
     private static final Duration RETRY_DELAY = Duration.ofMillis(500);
@@ -26,7 +27,10 @@
     private static final Duration WATCH_DELAY = Duration.ofMillis(30);
 
     private static final Duration BLOCKED_RETRY_DELAY = Duration.ofMillis(50);
-    /** With this many batches in flight no probes are sent, since the next heartbeats carry the same information. */
+    /**
+     * With this many batches in flight, probes are deferred, since the agents' next heartbeats most likely carry the
+     * same information. Agents with unanswered commands are sent a batch nevertheless.
+     */
     private static final int MAX_IN_FLIGHT_FOR_PROBES = 8;
 
     private final ClusterState clusterState;
@@ -166,7 +170,7 @@
         }
     }
 
-    /** Returns how many wake-ups of agents have been polled, including those of agents that were not due any more. */
+    /** Returns how many wake-ups of agents have been polled, including those of agents no longer due. */
     long polledWakeups() {
         return polledWakeups;
     }
