--- a/src/main/java/org/gullway/coordination/cancellation/CancellationWatermark.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationWatermark.java
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Returns the watermark: the minimum over all peers, but not less than what the state store proves for all of
-     * them.
+     * Returns the watermark: the later of {@code storeKnownThrough} and the minimum over all peers of the time up to
+     * which this controller knows the peer's cancellations. Without peers it is {@code storeKnownThrough}.
      *
      * @param storeKnownThrough the time up to which all commits are known from the state store
      */
--- a/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -13,14 +13,15 @@
  * Decides whether the lease of an agent may be renewed. A successful heartbeat response renews it.
  *
  * <p><b>The bound on every renewal.</b> Every cancellation that is unknown to this controller was confirmed by another
- * one after the cancellation watermark (see {@link CancellationWatermark}). So no controller, with or without a valid
- * lease of its own, renews an agent's lease later than the watermark plus the cancellation limit minus the duration of
- * the agent's lease. Then the lease expires within the limit, and the agent itself ends every task of such a job,
- * whichever controllers crash and whatever messages are lost.
+ * controller after the cancellation watermark (see {@link CancellationWatermark}). Therefore a controller, with or
+ * without a valid lease of its own, renews an agent's lease only until the watermark plus the cancellation limit minus
+ * the duration of the agent's lease and a reserve for clock errors. The agent's lease then expires within the limit of
+ * every unknown cancellation, and the agent itself ends all its tasks, including those of the cancelled jobs, whichever
+ * controllers crash and whatever messages are lost.
  *
  * <p><b>Without a valid lease</b> (in a partitioned zone, or while the state store is unavailable to all controllers),
  * leases are renewed under the same bound, so that running tasks continue. Nothing is started. A lease is renewed only
- * if its agent seems to reach no other controller: the agent returns after this controller rejected it, or another
+ * if its agent seems to reach no other controller: the agent soon asks this controller again, or another
  * controller commands its machine, or this controller has no external contact at all.
  *
  * <p>Without a valid lease, these agents are rejected in any case:
@@ -37,15 +38,19 @@
     /** Health checks arrive about once a second. After a gap of this length, this controller counts as isolated. */
     private static final Duration EXTERNAL_CONTACT_TIMEOUT = Duration.ofMillis(2500);
 
-    /** An agent that returns within this time after a rejection has found no other controller. */
+    /**
+     * An agent that asks again within this time after its last request that was safe to grant, whether its lease was
+     * renewed or not, most likely reaches no other controller.
+     */
     private static final Duration RETURN_WINDOW = Duration.ofSeconds(25);
 
     /**
-     * The cancellation limit divided by this number is reserved for clock errors. The monotonic clocks of the
+     * The cancellation limit divided by this number is reserved for clock drift. The monotonic clocks of the
      * controller and of the agent, and the timers of both, drift by up to 0.05% each, which adds up to 0.2%.
      */
     private static final long DRIFT_DIVISOR = 500;
 
+    /** Reserved for clock errors in addition to the drift, whatever the cancellation limit. */
     private static final Duration CLOCK_SLACK = Duration.ofMillis(250);
 
     private final ClusterState clusterState;
@@ -87,8 +92,8 @@
 
     /**
      * Returns whether this agent's lease may be renewed although this controller holds no valid lease. The caller must
-     * also check {@link #mayRenew}. A call for a lease that is safe to renew counts as a request of the agent, which
-     * later calls take into account.
+     * also check {@link #mayRenew}. If the renewal is safe, this method records the time of the request, whether or not
+     * it grants the renewal. A further safe request within {@link #RETURN_WINDOW} is granted.
      */
     public boolean mayRenewDuringOutage(Heartbeat heartbeat, Instant now) {
         MachineRecord machine = clusterState.machine(heartbeat.machine());
@@ -111,7 +116,7 @@
 
     /**
      * Returns whether this controller has had no external contact lately. Its zone is then most likely partitioned,
-     * and an agent there does not have enough time to try the other controllers before it is renewed.
+     * and an agent there could not try all other controllers before its lease expires.
      */
     private boolean isIsolated(Instant now) {
         return lastExternalContact.plus(EXTERNAL_CONTACT_TIMEOUT).isBefore(now);
