--- a/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
+++ b/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
@@ -84,7 +84,7 @@
         return clusterState.machine(machine).lifecycle();
     }
 
-    void sendUnchangedHeartbeat(String machine) {
+    void sendHeartbeatWithoutTasks(String machine) {
         reconciler.onHeartbeat(
                 new Heartbeat(machine, "10.1.0.1:9000", "large", "a", true, 1, ++sequence, 1, null, List.of()), now);
     }
--- a/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
+++ b/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
@@ -37,9 +37,9 @@
         });
     }
 
-    /** An agent whose agent epoch is not on record yet must not be probed again after every response. */
+    /** An agent is not probed while its new agent epoch is not on record yet, however often its tasks change. */
     @Test
-    void doesNotProbeAnAgentInANewEpochRepeatedly() {
+    void doesNotProbeAnAgentWhoseNewEpochIsNotOnRecord() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         reconciler.onHeartbeat(heartbeat(2, 1, null), now);
         for (int i = 0; i < 20; i++) {
@@ -68,22 +68,22 @@
     }
 
     /**
-     * The cost of a cycle depends on the number of changes: unchanged heartbeats from 1000 agents cause no
-     * reconciliation.
+     * The cost of a cycle depends on the number of changes: unchanged heartbeats from 1000 agents make no
+     * agent due for reconciliation.
      */
     @Test
     void reconcilesOnlyAgentsWhoseStateHasChanged() {
         int machines = 1000;
         for (int i = 1; i <= machines; i++) {
             TestFixtures.put(clusterState, TestFixtures.machine("vm-" + i, "large", TestFixtures.SELF), ++revision);
-            sendUnchangedHeartbeat("vm-" + i);
+            sendHeartbeatWithoutTasks("vm-" + i);
         }
         planAndCommit();
         long before = reconciler.polledWakeups();
         for (int cycle = 0; cycle < 50; cycle++) {
             now = now.plusMillis(60);
             for (int i = 1 + cycle * 20; i <= (cycle + 1) * 20; i++) {
-                sendUnchangedHeartbeat("vm-" + i);
+                sendHeartbeatWithoutTasks("vm-" + i);
             }
             assertThat(reconciler.commandsDue(now)).isEmpty();
         }
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -149,7 +149,7 @@
 
     /** Cancelled tasks must end within the limit, and in a partitioned zone only the cloud provider can end them. */
     @Test
-    void aMachineWithACancelledTaskIsDeclaredLostAlsoInAPartitionedZone() {
+    void aMachineWithACancelledTaskIsDeclaredLostEvenInAPartitionedZone() {
         addMachine("vm-1", "a");
         addMachine("vm-2", "b");
         addMachine("vm-3", "b");
--- a/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
+++ b/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
@@ -134,8 +134,7 @@
     }
 
     /**
-     * Two jobs with a mistake fail on all machines. Two other jobs that fail on only one machine show that it is
-     * faulty.
+     * Two misconfigured jobs fail on all machines. Two other jobs that fail on only one machine show that it is faulty.
      */
     @Test
     void jobsThatFailOnEveryMachineDoNotMakeMachinesFaulty() {
--- a/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
@@ -27,11 +27,11 @@
     }
 
     /**
-     * One new fencing token is enough for all shards of controllers that were lost before it. A later loss needs
-     * another one.
+     * One new fencing token is enough for all shards whose controllers were lost before it was raised. The loss of a
+     * controller after that requires another token.
      */
     @Test
-    void raisesTheFencingTokenOnceForAllShardsLostBefore() {
+    void raisesTheFencingTokenOnceForAllShardsOfALostController() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.PEER), 60);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "large", TestFixtures.PEER), 61);
         clusterState.remove(StoreKeys.member("perch-1"), 62);
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationWatermarkTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void withoutPeersItIsTheTimeThatTheStoreProves() {
+    void withoutPeersItIsTheTimeKnownFromTheStore() {
         assertThat(new CancellationWatermark(clusterState, List.of()).knownThrough(STORE_KNOWN_THROUGH))
                 .isEqualTo(STORE_KNOWN_THROUGH);
     }
