--- a/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
+++ b/src/main/java/org/gullway/coordination/agents/StartAuthorization.java
@@ -46,7 +46,8 @@
         }
         return hasPlacement(job, batch, start)
                 ? Optional.empty()
-                : Optional.of("the job record has no matching placement");
+                : Optional.of("the job record has no placement of this attempt on this machine in this agent epoch, "
+                        + "or the placement is being stopped");
     }
 
     private static boolean hasPlacement(JobRecord job, CommandBatch batch, AgentCommand start) {
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -117,14 +117,22 @@
         put(job -> job.withStopping(placement -> true), 12);
         send(1, 1, START);
         assertBatchIncludesStart(false);
-        assertThat(violations).singleElement().asString().contains("the job record has no matching placement");
+        assertThat(violations)
+                .singleElement()
+                .asString()
+                .contains("the job record has no placement of this attempt on this machine in this agent epoch, "
+                        + "or the placement is being stopped");
     }
 
     @Test
     void omitsAStartOfAnAttemptThatIsNotOnRecord() {
         send(1, 1, AgentCommand.start(TASK, 2));
         assertBatchIncludesStart(false);
-        assertThat(violations).singleElement().asString().contains("the job record has no matching placement");
+        assertThat(violations)
+                .singleElement()
+                .asString()
+                .contains("the job record has no placement of this attempt on this machine in this agent epoch, "
+                        + "or the placement is being stopped");
     }
 
     @Test
