--- a/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentRegistry.java
@@ -15,7 +15,7 @@
 final class AgentRegistry {
     /**
      * Minimum time between two evictions of stale agents, whose machines are gone or commanded by another controller.
-     * Until then no command batches are created for them, since {@link CommandDispatcher} checks the assignment.
+     * Between evictions they get no command batches, since {@link CommandDispatcher} checks the assignment.
      */
     private static final Duration EVICTION_INTERVAL = Duration.ofSeconds(2);
 
--- a/src/main/java/org/gullway/coordination/agents/SpotNoticePlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/SpotNoticePlanner.java
@@ -40,9 +40,8 @@
 
     private static void stopInTime(
             Transaction transaction, JobRecord job, Placement placement, Instant terminationAt, Instant now) {
-        // Requires capacity for two changes, like Transaction#canPutJob, which allows for a job that ends and so
-        // changes
-        // two keys.
+        // Requires capacity for two changes, like Transaction#canPutJob, which allows for a job that ends: its record
+        // and its final state are two keys.
         if (job == null || !job.request().hasCheckpoints() || !transaction.hasCapacityFor(2)) {
             return;
         }
--- a/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
+++ b/src/main/java/org/gullway/coordination/cancellation/KnownCancellations.java
@@ -96,8 +96,8 @@
 
     /**
      * Adds the attempt if its machine is on record in the attempt's agent epoch. If the machine was released or is in a
-     * newer epoch, the attempt has ended, since a new epoch ends all earlier attempts. A peer's list may also contain an
-     * attempt whose machine or agent epoch is not in this controller's cluster state yet. Such an attempt may still
+     * newer epoch, the attempt has ended, since a new epoch ends all earlier attempts. A peer's list may also contain
+     * an attempt whose machine or agent epoch is not in this controller's cluster state yet. Such an attempt may still
      * exist, but its agent would not execute a direct stop sent in the epoch on record. Without a valid lease, this
      * controller does not renew the lease of an agent whose epoch is not on record (see {@link LeaseRenewalPolicy}).
      */
--- a/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
+++ b/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
@@ -68,8 +68,8 @@
     }
 
     /**
-     * The cost of a cycle depends on the number of changes: unchanged heartbeats from 1000 agents make no
-     * agent due for reconciliation.
+     * The cost of a cycle depends on the number of changes: unchanged heartbeats from 1000 agents make no agent
+     * due for reconciliation.
      */
     @Test
     void reconcilesOnlyAgentsWhoseStateHasChanged() {
