--- a/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
+++ b/src/main/java/org/gullway/coordination/agents/CommandDispatcher.java
@@ -15,8 +15,9 @@
 /**
  * Reconciles the agents that are due and creates their command batches. Each agent has at most one batch in flight.
  *
- * <p>Only agents whose state has changed, or whose wake-up time has come, are reconciled. An unchanged heartbeat costs
- * no more than its decoding.
+ * <p>Only agents whose state has changed, or whose wake-up time has come, are reconciled. A heartbeat with the same
+ * agent epoch, fencing token and tasks as the agent's last message, and without a new spot notice, causes no
+ * reconciliation.
  */
 final class CommandDispatcher {
     private static final Duration RETRY_DELAY = Duration.ofMillis(500);
@@ -26,7 +27,10 @@
     private static final Duration WATCH_DELAY = Duration.ofMillis(30);
 
     private static final Duration BLOCKED_RETRY_DELAY = Duration.ofMillis(50);
-    /** With this many batches in flight no probes are sent, since the next heartbeats carry the same information. */
+    /**
+     * With this many batches in flight, probes are deferred, since the agents' next heartbeats most likely carry the
+     * same information. Agents with unanswered commands are sent a batch nevertheless.
+     */
     private static final int MAX_IN_FLIGHT_FOR_PROBES = 8;
 
     private final ClusterState clusterState;
@@ -35,7 +39,7 @@
     private final CommandPlanner planner;
     private final CompletionReporter completionReporter;
     private final CommandWindow window = new CommandWindow();
-    private long reconciliations;
+    private long polledWakeups;
 
     CommandDispatcher(
             ClusterState clusterState,
@@ -58,7 +62,7 @@
         wakeChangedMachines(now);
         List<CommandBatch> batches = new ArrayList<>();
         for (String name : agents.pollDue(now)) {
-            reconciliations++;
+            polledWakeups++;
             AgentState agent = agents.find(name);
             if (agent != null && agent.isDue(now)) {
                 agent.onReconciliation();
@@ -86,7 +90,7 @@
             }
             return Optional.empty();
         }
-        if (agents.isInEpochOnRecord(record, agent)) {
+        if (agents.isAssignedInRecordedEpoch(record, agent)) {
             completionReporter.observe(record, agent, now);
             agents.addIfRecordChangeCandidate(record.name(), agent);
         }
@@ -107,12 +111,12 @@
     }
 
     private Optional<CommandBatch> nextBatch(MachineRecord record, AgentState agent, Instant now) {
-        boolean inEpochOnRecord = agents.isInEpochOnRecord(record, agent);
-        boolean tokenConfirmed = inEpochOnRecord && agent.hasConfirmedFencingToken(record);
+        boolean assignedInRecordedEpoch = agents.isAssignedInRecordedEpoch(record, agent);
+        boolean tokenConfirmed = assignedInRecordedEpoch && agent.hasConfirmedFencingToken(record);
         List<AgentCommand> commands = tokenConfirmed ? planner.startsAndStops(record, agent) : List.of();
         // A probe is a batch without commands. The response confirms the fencing token and lists the agent's tasks.
         // While commands go unanswered, a batch is sent whether or not the probe is deferred.
-        boolean probe = needsProbe(record, agent, inEpochOnRecord, tokenConfirmed);
+        boolean probe = needsProbe(record, agent, assignedInRecordedEpoch, tokenConfirmed);
         if (probe
                 && (window.inFlight() >= MAX_IN_FLIGHT_FOR_PROBES
                         || !agent.commands().tryProbe(now))) {
@@ -131,11 +135,11 @@
     }
 
     private boolean needsProbe(
-            MachineRecord record, AgentState agent, boolean inEpochOnRecord, boolean tokenConfirmed) {
+            MachineRecord record, AgentState agent, boolean assignedInRecordedEpoch, boolean tokenConfirmed) {
         Heartbeat last = agent.lastMessage();
         boolean epochUnknown = last == null || last.agentEpoch() < record.agentEpoch();
         return epochUnknown
-                || (inEpochOnRecord && !tokenConfirmed && last.fencingToken() < clusterState.fencingToken());
+                || (assignedInRecordedEpoch && !tokenConfirmed && last.fencingToken() < clusterState.fencingToken());
     }
 
     /** Handles the outcome of a batch. */
@@ -166,8 +170,8 @@
         }
     }
 
-    /** Returns how many times agents have been reconciled. */
-    long reconciliations() {
-        return reconciliations;
+    /** Returns how many wake-ups of agents have been polled, including those of agents no longer due. */
+    long polledWakeups() {
+        return polledWakeups;
     }
 }
--- a/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
+++ b/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
@@ -37,9 +37,9 @@
         });
     }
 
-    /** An agent whose agent epoch is not on record yet must not be probed again after every response. */
+    /** An agent is not probed while its new agent epoch is not on record yet, however often its tasks change. */
     @Test
-    void doesNotProbeAnAgentInANewEpochRepeatedly() {
+    void doesNotProbeAnAgentWhoseNewEpochIsNotOnRecord() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         reconciler.onHeartbeat(heartbeat(2, 1, null), now);
         for (int i = 0; i < 20; i++) {
@@ -68,31 +68,31 @@
     }
 
     /**
-     * The cost of a cycle depends on the number of changes: unchanged heartbeats from 1000 agents cause no
-     * reconciliation.
+     * The cost of a cycle depends on the number of changes: unchanged heartbeats from 1000 agents make no agent
+     * due for reconciliation.
      */
     @Test
     void reconcilesOnlyAgentsWhoseStateHasChanged() {
         int machines = 1000;
         for (int i = 1; i <= machines; i++) {
             TestFixtures.put(clusterState, TestFixtures.machine("vm-" + i, "large", TestFixtures.SELF), ++revision);
-            sendUnchangedHeartbeat("vm-" + i);
+            sendHeartbeatWithoutTasks("vm-" + i);
         }
         planAndCommit();
-        long before = reconciler.reconciliations();
+        long before = reconciler.polledWakeups();
         for (int cycle = 0; cycle < 50; cycle++) {
             now = now.plusMillis(60);
             for (int i = 1 + cycle * 20; i <= (cycle + 1) * 20; i++) {
-                sendUnchangedHeartbeat("vm-" + i);
+                sendHeartbeatWithoutTasks("vm-" + i);
             }
             assertThat(reconciler.commandsDue(now)).isEmpty();
         }
-        assertThat(reconciler.reconciliations() - before)
-                .as("reconciliations of unchanged agents")
+        assertThat(reconciler.polledWakeups() - before)
+                .as("polled wake-ups of unchanged agents")
                 .isZero();
         place(TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4), "vm-1");
         assertThat(reconciler.commandsDue(now)).singleElement().satisfies(batch -> assertThat(batch.hasStarts())
                 .isTrue());
-        assertThat(reconciler.reconciliations() - before).isLessThanOrEqualTo(2);
+        assertThat(reconciler.polledWakeups() - before).isLessThanOrEqualTo(2);
     }
 }
