--- a/src/main/java/org/gullway/api/CancellationHandler.java
+++ b/src/main/java/org/gullway/api/CancellationHandler.java
@@ -80,7 +80,7 @@
         for (Cancellation cancellation : pending.changes()) {
             JobRecord job = transaction.job(cancellation.jobId());
             if (job != null && !job.isCancelled() && transaction.hasCapacityFor(MAX_CHANGES_PER_JOB)) {
-                transaction.putJob(job.withCancellation(transaction.timeOfDay()));
+                transaction.putJob(job.withCancellation(transaction.wallClockTime()));
             }
         }
     }
--- a/src/main/java/org/gullway/api/JobAdmission.java
+++ b/src/main/java/org/gullway/api/JobAdmission.java
@@ -42,9 +42,9 @@
      *
      * @param members names of the controllers that are members of the cluster
      */
-    JobRecord newRecord(JobRequest request, List<String> members, Instant timeOfDay) {
+    JobRecord newRecord(JobRequest request, List<String> members, Instant wallClockTime) {
         String owner = JobRecord.isReserved(request) ? null : members.get(random.nextInt(members.size()));
-        return JobRecord.accepted(request, owner, timeOfDay);
+        return JobRecord.accepted(request, owner, wallClockTime);
     }
 
     /**
--- a/src/main/java/org/gullway/api/SubmissionHandler.java
+++ b/src/main/java/org/gullway/api/SubmissionHandler.java
@@ -101,7 +101,8 @@
         for (JobRequest job : pending.changes()) {
             if (transaction.job(job.id()) == null && transaction.hasCapacityFor(CAPACITY_PER_JOB)) {
                 transaction.requireUnchanged(StoreKeys.finalState(job.id()));
-                transaction.put(StoreKeys.job(job.id()), admission.newRecord(job, members, transaction.timeOfDay()));
+                transaction.put(
+                        StoreKeys.job(job.id()), admission.newRecord(job, members, transaction.wallClockTime()));
             }
         }
     }
--- a/src/main/java/org/gullway/cloud/CloudInventory.java
+++ b/src/main/java/org/gullway/cloud/CloudInventory.java
@@ -40,9 +40,9 @@
      * Compares the provider's complete list with the records.
      *
      * @param now the time of the monotonic clock
-     * @param timeOfDay the time of the wall clock
+     * @param wallClockTime the time of the wall clock
      */
-    void onListed(List<ListedMachine> machines, Instant now, Instant timeOfDay) {
+    void onListed(List<ListedMachine> machines, Instant now, Instant wallClockTime) {
         releasedAt.values().removeIf(at -> at.plus(RELEASED_RETENTION).isBefore(now));
         failed.clear();
         for (ListedMachine machine : machines) {
@@ -56,7 +56,7 @@
                 unrecorded.put(
                         name,
                         new UnrecordedMachine(
-                                machine.type(), machine.zone(), machine.spot(), timeOfDay.minus(machine.age())));
+                                machine.type(), machine.zone(), machine.spot(), wallClockTime.minus(machine.age())));
             }
         }
     }
--- a/src/main/java/org/gullway/cloud/CloudProvisioner.java
+++ b/src/main/java/org/gullway/cloud/CloudProvisioner.java
@@ -21,7 +21,7 @@
  */
 public final class CloudProvisioner implements PlanningStep {
     private final EventLoop loop;
-    private final InstantSource timeOfDay;
+    private final InstantSource wallClockTime;
     private final MachineTypeCatalog machineTypes;
     private final Runnable onChange;
     private final CloudInventory inventory;
@@ -32,12 +32,12 @@
     private final MachineRecorder recorder;
 
     /**
-     * @param timeOfDay the wall clock, which gives the provisioning times in machine records
+     * @param wallClockTime the wall clock, which gives the provisioning times in machine records
      * @param onChange runs after each change that may require planning
      */
     public CloudProvisioner(
             EventLoop loop,
-            InstantSource timeOfDay,
+            InstantSource wallClockTime,
             CloudClient client,
             ClusterState clusterState,
             MachineTypeCatalog machineTypes,
@@ -45,7 +45,7 @@
             Incarnation self,
             Runnable onChange) {
         this.loop = loop;
-        this.timeOfDay = timeOfDay;
+        this.wallClockTime = wallClockTime;
         this.machineTypes = machineTypes;
         this.onChange = onChange;
         this.inventory = new CloudInventory(clusterState);
@@ -78,7 +78,7 @@
     }
 
     private void onListed(List<ListedMachine> machines) {
-        inventory.onListed(machines, loop.now(), timeOfDay.instant());
+        inventory.onListed(machines, loop.now(), wallClockTime.instant());
         onChange.run();
     }
 
--- a/src/main/java/org/gullway/cloud/MachineRecorder.java
+++ b/src/main/java/org/gullway/cloud/MachineRecorder.java
@@ -52,7 +52,7 @@
                 clusterState, transaction, Long.toString(self.number(), Character.MAX_RADIX) + "-" + ++assignmentCount);
         for (Map.Entry<String, UnrecordedMachine> entry : unrecorded.entrySet()) {
             UnrecordedMachine machine = entry.getValue();
-            Instant provisionedAt = machine.provisionedAtOr(transaction.timeOfDay());
+            Instant provisionedAt = machine.provisionedAtOr(transaction.wallClockTime());
             if (!assignment.assign(MachineRecord.booting(
                     entry.getKey(), machine.type(), machine.zone(), machine.spot(), provisionedAt, self, 0))) {
                 return;
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -52,7 +52,7 @@
     private boolean hasHeldValidLease;
 
     /**
-     * @param timeOfDay the wall clock; the platform guarantees a bound for its drift, which is not among the settings
+     * @param wallClockTime the wall clock; the platform guarantees a bound for its drift, which is not among the settings
      * @param seed the seed of all random decisions; must differ between processes, as does the incarnation
      */
     public Controller(
@@ -60,7 +60,7 @@
             OperatorSettings operatorSettings,
             EventLoop loop,
             HttpClient httpClient,
-            InstantSource timeOfDay,
+            InstantSource wallClockTime,
             long seed) {
         this.loop = loop;
         this.cycleThrottle = new CycleThrottle(loop, this::runCycle);
@@ -70,8 +70,8 @@
                 operatorSettings,
                 loop,
                 httpClient,
-                timeOfDay,
-                newIncarnation(settings.nodeName(), timeOfDay, random),
+                wallClockTime,
+                newIncarnation(settings.nodeName(), wallClockTime, random),
                 clusterState,
                 cycleThrottle::requestCycle);
         this.replicatedState = ReplicatedStateFactory.create(environment);
@@ -96,8 +96,8 @@
      * grows with each restart. The lower bits are random, to distinguish processes that start in the same millisecond.
      * The mask keeps the number non-negative.
      */
-    private static Incarnation newIncarnation(String node, InstantSource timeOfDay, RandomGenerator random) {
-        long number = timeOfDay.millis() << INCARNATION_RANDOM_BITS | random.nextInt(1 << INCARNATION_RANDOM_BITS);
+    private static Incarnation newIncarnation(String node, InstantSource wallClockTime, RandomGenerator random) {
+        long number = wallClockTime.millis() << INCARNATION_RANDOM_BITS | random.nextInt(1 << INCARNATION_RANDOM_BITS);
         return new Incarnation(node, number & Long.MAX_VALUE);
     }
 
@@ -218,9 +218,9 @@
      */
     private void enforceCancellations(Instant now) {
         messaging.commandSender().sendCancellationStops(now);
-        Instant timeOfDay = environment.timeOfDay().instant();
+        Instant wallClockTime = environment.wallClockTime().instant();
         fleet.cloudProvisioner()
-                .releaseWithoutRecord(agents.cancellationEnforcer().machinesToRelease(timeOfDay));
+                .releaseWithoutRecord(agents.cancellationEnforcer().machinesToRelease(wallClockTime));
     }
 
     private void sendOffers(BestEffortQueue.OutgoingOffers offers) {
--- a/src/main/java/org/gullway/controller/ControllerEnvironment.java
+++ b/src/main/java/org/gullway/controller/ControllerEnvironment.java
@@ -14,7 +14,7 @@
  * @param settings the platform's settings
  * @param operatorSettings the operators' own settings
  * @param loop the event loop, whose thread runs all components and which provides the monotonic clock
- * @param timeOfDay the wall clock; the platform guarantees a bound for its drift, which is not among the settings
+ * @param wallClockTime the wall clock; the platform guarantees a bound for its drift, which is not among the settings
  * @param self the incarnation of this controller, which identifies this run of its process
  * @param clusterState the replicated state, as of the last change received from the watch of the state store
  * @param requestCycle requests a scheduling cycle
@@ -24,7 +24,7 @@
         OperatorSettings operatorSettings,
         EventLoop loop,
         HttpClient httpClient,
-        InstantSource timeOfDay,
+        InstantSource wallClockTime,
         Incarnation self,
         ClusterState clusterState,
         Runnable requestCycle) {}
--- a/src/main/java/org/gullway/controller/FleetComponents.java
+++ b/src/main/java/org/gullway/controller/FleetComponents.java
@@ -27,7 +27,7 @@
                 settings.cloudRequestsPerSecond());
         CloudProvisioner cloudProvisioner = new CloudProvisioner(
                 environment.loop(),
-                environment.timeOfDay(),
+                environment.wallClockTime(),
                 cloudClient,
                 environment.clusterState(),
                 placement.machineTypes(),
--- a/src/main/java/org/gullway/controller/SchedulingCycle.java
+++ b/src/main/java/org/gullway/controller/SchedulingCycle.java
@@ -25,7 +25,7 @@
     private static final Duration TIME_BUDGET = Duration.ofMillis(150);
 
     private final EventLoop loop;
-    private final InstantSource timeOfDay;
+    private final InstantSource wallClockTime;
     private final ClusterState clusterState;
     private final Incarnation self;
     private final ReplicatedState replicatedState;
@@ -44,7 +44,7 @@
             UserApi userApi,
             Metrics metrics) {
         this.loop = environment.loop();
-        this.timeOfDay = environment.timeOfDay();
+        this.wallClockTime = environment.wallClockTime();
         this.clusterState = environment.clusterState();
         this.self = environment.self();
         this.limits = limits(environment.settings());
@@ -98,7 +98,7 @@
     void run(Instant startedAt) {
         replicatedState.updateChangeShare(isRecordedLeader());
         Transaction transaction = new Transaction(
-                clusterState, self, limits.withMaxChanges(replicatedState.availableChanges()), timeOfDay.instant());
+                clusterState, self, limits.withMaxChanges(replicatedState.availableChanges()), wallClockTime.instant());
         currentTransaction = transaction;
         claimOrConfirmLeadership(transaction);
         completionBuffer.releaseResources(transaction);
--- a/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
+++ b/src/main/java/org/gullway/coordination/agents/OverdueCancellationPlanner.java
@@ -39,7 +39,7 @@
 
     void plan(Transaction transaction) {
         for (JobRecord job : clusterState.jobs()) {
-            if (cancellationEnforcer.isOverdue(job, transaction.timeOfDay())) {
+            if (cancellationEnforcer.isOverdue(job, transaction.wallClockTime())) {
                 for (Placement placement : job.livePlacements()) {
                     declareLostUnlessConfirmedEnded(transaction, job, placement);
                 }
--- a/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
@@ -95,14 +95,14 @@
      * Returns whether the job's tasks should have ended by now, so that the machines on which they may run must be
      * released instead.
      *
-     * @param timeOfDay the present wall-clock time
+     * @param wallClockTime the present wall-clock time
      */
-    public boolean isOverdue(JobRecord job, Instant timeOfDay) {
-        return job.isCancelled() && isOverdue(job.cancelledAt(), timeOfDay);
+    public boolean isOverdue(JobRecord job, Instant wallClockTime) {
+        return job.isCancelled() && isOverdue(job.cancelledAt(), wallClockTime);
     }
 
-    private boolean isOverdue(Instant cancelledAt, Instant timeOfDay) {
-        return cancelledAt.plus(releaseDelay).isBefore(timeOfDay);
+    private boolean isOverdue(Instant cancelledAt, Instant wallClockTime) {
+        return cancelledAt.plus(releaseDelay).isBefore(wallClockTime);
     }
 
     /**
@@ -130,12 +130,12 @@
      * Returns the machines that must be released now because no response has shown in time that their cancelled tasks
      * are gone.
      *
-     * @param timeOfDay the present wall-clock time
+     * @param wallClockTime the present wall-clock time
      */
-    public Set<String> machinesToRelease(Instant timeOfDay) {
+    public Set<String> machinesToRelease(Instant wallClockTime) {
         Set<String> machines = new HashSet<>();
         for (RemainingAttempt attempt : cancellations.remainingAttempts()) {
-            if (!directStops.isReportedGone(attempt.id()) && isOverdue(attempt.cancelledAt(), timeOfDay)) {
+            if (!directStops.isReportedGone(attempt.id()) && isOverdue(attempt.cancelledAt(), wallClockTime)) {
                 machines.add(attempt.machine());
             }
         }
--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -122,10 +122,10 @@
      * Whether the job has waiting tasks but no placement and was accepted more than {@link #STALLED_AFTER} ago. One
      * task of each stalled job is placed before all other tasks.
      */
-    public boolean isStalledAt(Instant timeOfDay) {
+    public boolean isStalledAt(Instant wallClockTime) {
         return livePlacements.isEmpty()
                 && waitingTasks() > 0
-                && submittedAt.plus(STALLED_AFTER).isBefore(timeOfDay);
+                && submittedAt.plus(STALLED_AFTER).isBefore(wallClockTime);
     }
 
     /** Number of tasks that are neither completed nor placed; 0 for a cancelled job. */
@@ -157,7 +157,7 @@
      * This record with one new attempt on each of these machines, for the lowest-numbered tasks that are neither
      * completed nor placed. The tasks of a gang are placed together and share one attempt number.
      */
-    public JobRecord withPlacements(List<MachineRecord> machines, Instant timeOfDay) {
+    public JobRecord withPlacements(List<MachineRecord> machines, Instant wallClockTime) {
         BitSet placedTasks = new BitSet();
         livePlacements.forEach(placement -> placedTasks.set(placement.task()));
         List<Placement> next = new ArrayList<>(livePlacements.size() + machines.size());
@@ -171,7 +171,7 @@
                         + ": only " + waitingTasks() + " are waiting");
             }
             attempt = isGang() && attempt > attemptCount ? attempt : attempt + 1;
-            next.add(new Placement(task, attempt, machine.name(), machine.agentEpoch(), false, timeOfDay));
+            next.add(new Placement(task, attempt, machine.name(), machine.agentEpoch(), false, wallClockTime));
         }
         return with(completedTasks, attempt, consecutiveErrors, List.copyOf(next));
     }
@@ -224,8 +224,8 @@
     }
 
     /** This record marked as cancelled; it keeps the first cancellation time, from which the cancel limit runs. */
-    public JobRecord withCancellation(Instant timeOfDay) {
-        return isCancelled() ? this : with(owner, timeOfDay);
+    public JobRecord withCancellation(Instant wallClockTime) {
+        return isCancelled() ? this : with(owner, wallClockTime);
     }
 
     /** This record, owned by another controller. */
--- a/src/main/java/org/gullway/coordination/model/Transaction.java
+++ b/src/main/java/org/gullway/coordination/model/Transaction.java
@@ -52,21 +52,21 @@
 
     private final ClusterState clusterState;
     private final Limits limits;
-    private final Instant timeOfDay;
+    private final Instant wallClockTime;
     private final ChangeSet changeSet;
     private final UsageDelta usageDelta = new UsageDelta();
 
-    public Transaction(ClusterState clusterState, Incarnation self, Limits limits, Instant timeOfDay) {
+    public Transaction(ClusterState clusterState, Incarnation self, Limits limits, Instant wallClockTime) {
         this.clusterState = clusterState;
         this.limits = limits;
-        this.timeOfDay = timeOfDay;
+        this.wallClockTime = wallClockTime;
         this.changeSet = new ChangeSet(limits);
         changeSet.requireUnchanged(StoreKeys.member(self.node()));
     }
 
     /** Wall-clock time, unlike the monotonic {@code now}, that the records written by this transaction contain. */
-    public Instant timeOfDay() {
-        return timeOfDay;
+    public Instant wallClockTime() {
+        return wallClockTime;
     }
 
     /** Whether the transaction contains no changes. */
@@ -255,6 +255,6 @@
                     job.attemptCount() + 1,
                     machines.stream().map(MachineRecord::name).toList());
         }
-        putJob(job.withPlacements(machines, timeOfDay));
+        putJob(job.withPlacements(machines, wallClockTime));
     }
 }
--- a/src/main/java/org/gullway/coordination/quota/QuotaDemand.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaDemand.java
@@ -53,9 +53,9 @@
         private final ResourceDemand cpus = new ResourceDemand();
         private final ResourceDemand gpus = new ResourceDemand();
 
-        private void add(JobRecord job, Instant timeOfDay) {
+        private void add(JobRecord job, Instant wallClockTime) {
             boolean waiting = job.waitingTasks() > 0;
-            boolean stalled = waiting && job.isStalledAt(timeOfDay);
+            boolean stalled = waiting && job.isStalledAt(wallClockTime);
             cpus.add(job, job.request().cpus(), waiting, stalled);
             gpus.add(job, job.request().gpus(), waiting, stalled);
         }
@@ -71,15 +71,15 @@
     /**
      * Computes the demand of the given jobs.
      *
-     * @param timeOfDay the current time, which determines the jobs that count as stalled
+     * @param wallClockTime the current time, which determines the jobs that count as stalled
      */
-    static QuotaDemand of(Collection<JobRecord> jobs, Instant timeOfDay) {
+    static QuotaDemand of(Collection<JobRecord> jobs, Instant wallClockTime) {
         QuotaDemand demand = new QuotaDemand();
         for (JobRecord job : jobs) {
             demand.byPartitionAndTeam
                     .computeIfAbsent(StoreKeys.quotaPartitionOf(job), partition -> new HashMap<>())
                     .computeIfAbsent(job.request().team(), team -> new TeamDemand())
-                    .add(job, timeOfDay);
+                    .add(job, wallClockTime);
         }
         return demand;
     }
--- a/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
+++ b/src/main/java/org/gullway/coordination/quota/QuotaPartitioner.java
@@ -112,7 +112,7 @@
     public void plan(Transaction transaction, PlanningContext context) {
         Instant now = context.now();
         updateKnownPartitions();
-        QuotaDemand demand = QuotaDemand.of(clusterState.jobs(), transaction.timeOfDay());
+        QuotaDemand demand = QuotaDemand.of(clusterState.jobs(), transaction.wallClockTime());
         List<String> heldPartitions =
                 context.leader() ? List.of(StoreKeys.LEADER_QUOTA, ownPartition) : List.of(ownPartition);
         Duration reductionInterval = context.hasSpareWriteCapacity() ? FAST_REDUCTION_INTERVAL : REDUCTION_INTERVAL;
--- a/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
@@ -89,7 +89,7 @@
 
     private void declareLostIfOverdue(Transaction transaction, MachineRecord machine, MachineType type) {
         Duration bootTimeout = type.bootTime().multipliedBy(policy.bootTimeoutFactor());
-        if (machine.provisionedAt().plus(bootTimeout).isBefore(transaction.timeOfDay())) {
+        if (machine.provisionedAt().plus(bootTimeout).isBefore(transaction.wallClockTime())) {
             setLifecycle(transaction, machine, MachineLifecycle.LOST);
         }
     }
--- a/src/main/java/org/gullway/coordination/scheduling/BestEffortPlacement.java
+++ b/src/main/java/org/gullway/coordination/scheduling/BestEffortPlacement.java
@@ -72,7 +72,7 @@
 
     private static List<JobRecord> stalled(List<JobRecord> jobs, Transaction transaction) {
         return jobs.stream()
-                .filter(job -> job.isStalledAt(transaction.timeOfDay()))
+                .filter(job -> job.isStalledAt(transaction.wallClockTime()))
                 .sorted(JobRecord.STALLED_ORDER)
                 .toList();
     }
@@ -86,7 +86,7 @@
         List<JobRecord> onTime = new ArrayList<>();
         List<JobRecord> guaranteedOnTime = new ArrayList<>();
         for (JobRecord job : jobs) {
-            if (!deadlines.isDeferredAsLate(job, transaction.timeOfDay())) {
+            if (!deadlines.isDeferredAsLate(job, transaction.wallClockTime())) {
                 onTime.add(job);
                 if (guaranteedQuota.covers(job)) {
                     guaranteedOnTime.add(job);
--- a/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/CordonPlanner.java
@@ -57,7 +57,7 @@
     boolean mayChange(Transaction transaction) {
         return clusterState.cordonedMachines().isEmpty()
                 || clusterState.machines().size() <= MachineWindow.MAX_MACHINES
-                || !changedAt.plus(CHANGE_INTERVAL).isAfter(transaction.timeOfDay());
+                || !changedAt.plus(CHANGE_INTERVAL).isAfter(transaction.wallClockTime());
     }
 
     /**
@@ -72,7 +72,7 @@
         newCordons.addAll(machinesForStalledJobs(transaction));
         boolean changes = !newCordons.equals(clusterState.cordonedMachines());
         if (changes && transaction.hasCapacityFor(1) && (newCordons.isEmpty() || mayChange(transaction))) {
-            changedAt = transaction.timeOfDay();
+            changedAt = transaction.wallClockTime();
             transaction.put(StoreKeys.CORDONED, new CordonedMachines(newCordons));
         }
     }
@@ -130,7 +130,7 @@
      */
     private Set<String> machinesForStalledJobs(Transaction transaction) {
         List<JobRecord> stalled = clusterState.jobs().stream()
-                .filter(job -> !job.isReserved() && job.isStalledAt(transaction.timeOfDay()))
+                .filter(job -> !job.isReserved() && job.isStalledAt(transaction.wallClockTime()))
                 .sorted(JobRecord.STALLED_ORDER)
                 .limit(MAX_STALLED_JOBS)
                 .toList();
--- a/src/main/java/org/gullway/coordination/scheduling/DeadlinePolicy.java
+++ b/src/main/java/org/gullway/coordination/scheduling/DeadlinePolicy.java
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Returns the time of day at which the job is due. For a job that has neither a deadline nor an objective, the
+     * Returns the wall-clock time at which the job is due. For a job that has neither a deadline nor an objective, the
      * default time limit is assumed.
      */
     public Instant dueAt(JobRecord job) {
@@ -78,13 +78,13 @@
      * <p>Without the deferral, an order by due time alone would put late jobs first in an overload, and so make all
      * other jobs late too.
      */
-    public boolean isDeferredAsLate(JobRecord job, Instant timeOfDay) {
+    public boolean isDeferredAsLate(JobRecord job, Instant wallClockTime) {
         if (timeLimit(job) == null) {
             return false;
         }
         Duration minRunTime =
                 Duration.ofMillis((long) (job.request().estimatedRunTime().toMillis() * MIN_FRACTION_OF_ESTIMATE));
         Instant due = dueAt(job);
-        return timeOfDay.plus(minRunTime).isAfter(due) && timeOfDay.isBefore(due.plus(MAX_DEFERRAL));
+        return wallClockTime.plus(minRunTime).isAfter(due) && wallClockTime.isBefore(due.plus(MAX_DEFERRAL));
     }
 }
--- a/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PreemptionPlanner.java
@@ -180,12 +180,12 @@
      * loss of a task that has just started is not zero and still depends on its CPUs.
      */
     private double loss(JobRecord job, Placement placement) {
-        Duration runTime = Duration.between(placement.placedAt(), transaction.timeOfDay());
+        Duration runTime = Duration.between(placement.placedAt(), transaction.wallClockTime());
         double seconds = Math.max(0, runTime.toMillis() / 1000.0);
         if (job.request().hasCheckpoints()) {
             seconds = Math.min(seconds, job.request().checkpointTime().toMillis() / 1000.0);
         }
-        double weight = deadlines.isDeferredAsLate(job, transaction.timeOfDay()) ? LATE_JOB_WEIGHT : 1;
+        double weight = deadlines.isDeferredAsLate(job, transaction.wallClockTime()) ? LATE_JOB_WEIGHT : 1;
         return (1 + seconds) * job.request().cpus() * weight;
     }
 }
--- a/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
+++ b/src/main/java/org/gullway/coordination/scheduling/ScavengerScheduler.java
@@ -121,7 +121,7 @@
                     && !isScavenger(job)
                     && job.waitingTasks() > 0
                     && !backoff.isBackedOff(job, now)
-                    && job.submittedAt().plus(MIN_WAIT).isBefore(transaction.timeOfDay())
+                    && job.submittedAt().plus(MIN_WAIT).isBefore(transaction.wallClockTime())
                     && quotas.remainingTasks(job, transaction) > 0) {
                 waiting.add(job);
             }
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -69,10 +69,10 @@
 
     private void put(UnaryOperator<JobRecord> change, long version) {
         JobRecord job = JobRecord.accepted(
-                TestFixtures.request(TASK.job(), "red", Priority.HIGH, 1, 4), null, TestFixtures.TIME_OF_DAY);
+                TestFixtures.request(TASK.job(), "red", Priority.HIGH, 1, 4), null, TestFixtures.WALL_CLOCK_TIME);
         clusterState.put(
                 StoreKeys.job(TASK.job()),
-                change.apply(TestFixtures.placed(job, TestFixtures.TIME_OF_DAY, "vm-1")),
+                change.apply(TestFixtures.placed(job, TestFixtures.WALL_CLOCK_TIME, "vm-1")),
                 version);
         clusterState.advanceTo(version);
     }
@@ -98,7 +98,7 @@
 
     @Test
     void omitsAStartOfACancelledJob() {
-        put(job -> job.withCancellation(TestFixtures.TIME_OF_DAY), 12);
+        put(job -> job.withCancellation(TestFixtures.WALL_CLOCK_TIME), 12);
         send(1, 1, START);
         assertBatchIncludesStart(false);
         assertThat(violations).singleElement().asString().contains("the job is cancelled");
--- a/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
+++ b/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
@@ -56,7 +56,7 @@
     /** Runs one scheduling cycle's steps for agents and completions, and commits the transaction. */
     Transaction planAndCommit() {
         Transaction transaction =
-                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
         reconciler.commandsDue(now);
         reconciler.plan(transaction, TestFixtures.leaderContext(now));
         completionBuffer.planFinishedJobs(transaction);
@@ -67,10 +67,10 @@
 
     /** Puts the job on record with one live attempt on each of these machines. */
     void place(JobRequest request, String... machines) {
-        JobRecord accepted = JobRecord.accepted(request, "perch-0", TestFixtures.TIME_OF_DAY);
+        JobRecord accepted = JobRecord.accepted(request, "perch-0", TestFixtures.WALL_CLOCK_TIME);
         clusterState.put(
                 StoreKeys.job(request.id()),
-                TestFixtures.placed(accepted, TestFixtures.TIME_OF_DAY, machines),
+                TestFixtures.placed(accepted, TestFixtures.WALL_CLOCK_TIME, machines),
                 ++revision);
         clusterState.advanceTo(revision);
     }
--- a/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
+++ b/src/test/java/org/gullway/coordination/agents/CommandDispatcherTest.java
@@ -17,7 +17,7 @@
     void recordsAnAgentEpochBeforeStartingTasksInIt() {
         TestFixtures.put(
                 clusterState,
-                MachineRecord.booting("vm-1", "large", "a", true, TestFixtures.TIME_OF_DAY, TestFixtures.SELF, 1),
+                MachineRecord.booting("vm-1", "large", "a", true, TestFixtures.WALL_CLOCK_TIME, TestFixtures.SELF, 1),
                 10);
         assertThat(reconciler.onHeartbeat(heartbeat(1, 0, null), now)).isInstanceOf(HeartbeatResponse.Accepted.class);
         assertThat(reconciler.commandsDue(now)).isEmpty();
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -66,7 +66,7 @@
             now = now.plusSeconds(1);
             sendHeartbeats(responsive);
             Transaction transaction =
-                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
             detector.plan(transaction, now);
             TestFixtures.commit(clusterState, transaction, ++revision);
         }
@@ -157,10 +157,10 @@
         clusterState.put(
                 StoreKeys.job(request.id()),
                 TestFixtures.placed(
-                                JobRecord.accepted(request, "perch-0", TestFixtures.TIME_OF_DAY),
-                                TestFixtures.TIME_OF_DAY,
+                                JobRecord.accepted(request, "perch-0", TestFixtures.WALL_CLOCK_TIME),
+                                TestFixtures.WALL_CLOCK_TIME,
                                 "vm-3")
-                        .withCancellation(TestFixtures.TIME_OF_DAY),
+                        .withCancellation(TestFixtures.WALL_CLOCK_TIME),
                 ++revision);
         advanceSeconds(14, "vm-1");
         assertThat(lifecycle("vm-2")).isEqualTo(MachineLifecycle.UNRESPONSIVE);
--- a/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/HeartbeatReceiverTest.java
@@ -85,7 +85,7 @@
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         place(request, "vm-1");
-        cancel(request.id(), TestFixtures.TIME_OF_DAY);
+        cancel(request.id(), TestFixtures.WALL_CLOCK_TIME);
         clusterState.advanceTo(revision);
         AgentCommand stop = AgentCommand.stop(TASK, 1, Duration.ZERO);
         TaskStatus running = new TaskStatus(TASK, 1, Phase.RUNNING, null, false);
--- a/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
+++ b/src/test/java/org/gullway/coordination/agents/MachineLifecycleTest.java
@@ -101,19 +101,19 @@
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         place(request, "vm-1");
-        cancel(request.id(), TestFixtures.TIME_OF_DAY.minusSeconds(29));
+        cancel(request.id(), TestFixtures.WALL_CLOCK_TIME.minusSeconds(29));
         clusterState.advanceTo(revision);
         reconciler.onLeaseStatus(false, now);
         reconciler.onLeaseStatus(true, now);
         planAndCommit();
         assertThat(lifecycle("vm-1")).isEqualTo(MachineLifecycle.ACTIVE);
-        cancel(request.id(), TestFixtures.TIME_OF_DAY.minusSeconds(31));
+        cancel(request.id(), TestFixtures.WALL_CLOCK_TIME.minusSeconds(31));
         planAndCommit();
         assertThat(lifecycle("vm-1"))
                 .as("a second cancellation does not change the time of the first one")
                 .isEqualTo(MachineLifecycle.ACTIVE);
         Transaction later = new Transaction(
-                clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY.plusSeconds(2));
+                clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME.plusSeconds(2));
         reconciler.plan(later, TestFixtures.leaderContext(now));
         assertThat(later.machine("vm-1").lifecycle()).isEqualTo(MachineLifecycle.LOST);
     }
@@ -124,11 +124,11 @@
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         place(request, "vm-1");
-        cancel(request.id(), TestFixtures.TIME_OF_DAY.minusSeconds(35));
+        cancel(request.id(), TestFixtures.WALL_CLOCK_TIME.minusSeconds(35));
         clusterState.advanceTo(revision);
         reconciler.onHeartbeat(heartbeat(1, 1, null, new TaskStatus(TASK, 1, Phase.ENDED, Cause.STOPPED, false)), now);
         Transaction transaction =
-                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
         reconciler.plan(transaction, TestFixtures.leaderContext(now));
         assertThat(transaction.machine("vm-1").lifecycle()).isEqualTo(MachineLifecycle.ACTIVE);
     }
--- a/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
+++ b/src/test/java/org/gullway/coordination/agents/ShardFailoverTest.java
@@ -37,7 +37,7 @@
         clusterState.remove(StoreKeys.member("perch-1"), 62);
         clusterState.advanceTo(62);
         Transaction small = new Transaction(
-                clusterState, TestFixtures.SELF, new Transaction.Limits(3, 16 * 1024), TestFixtures.TIME_OF_DAY);
+                clusterState, TestFixtures.SELF, new Transaction.Limits(3, 16 * 1024), TestFixtures.WALL_CLOCK_TIME);
         reconciler.plan(small, TestFixtures.leaderContext(now));
         TestFixtures.commit(clusterState, small, ++revision);
         Transaction second = planAndCommit();
--- a/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/CancellationEnforcerTest.java
@@ -30,7 +30,7 @@
             new CancellationEnforcer(clusterState, Duration.ofSeconds(40));
     private final JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
     private final JobRecord placed = TestFixtures.placed(
-            JobRecord.accepted(request, "perch-0", TestFixtures.TIME_OF_DAY), TestFixtures.TIME_OF_DAY, "vm-2");
+            JobRecord.accepted(request, "perch-0", TestFixtures.WALL_CLOCK_TIME), TestFixtures.WALL_CLOCK_TIME, "vm-2");
     private Instant now = Instant.EPOCH;
 
     CancellationEnforcerTest() {
@@ -39,7 +39,7 @@
     }
 
     private void cancel() {
-        clusterState.put(StoreKeys.job(request.id()), placed.withCancellation(TestFixtures.TIME_OF_DAY), 21);
+        clusterState.put(StoreKeys.job(request.id()), placed.withCancellation(TestFixtures.WALL_CLOCK_TIME), 21);
     }
 
     private static Heartbeat heartbeat(long agentEpoch, TaskStatus... tasks) {
@@ -97,7 +97,7 @@
         cancellationEnforcer.onDirectStopEnded(batches.get(0), now);
         cancellationEnforcer.onDirectStopResponse(heartbeat(1, taskIn(Phase.ENDED)));
         assertThat(directStopsAfter(1)).isEmpty();
-        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(39)))
+        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.WALL_CLOCK_TIME.plusSeconds(39)))
                 .isEmpty();
     }
 
@@ -116,9 +116,9 @@
     void aMachineThatDoesNotRespondIsReleasedBeforeTheLimit() {
         cancel();
         assertThat(directStopsAfter(1)).hasSize(1);
-        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(30)))
+        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.WALL_CLOCK_TIME.plusSeconds(30)))
                 .isEmpty();
-        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(31)))
+        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.WALL_CLOCK_TIME.plusSeconds(31)))
                 .containsExactly("vm-2");
     }
 
@@ -139,7 +139,7 @@
     void aCancellationListedByAPeerIsEnforcedUntilTheClusterStateContainsIt() {
         PeerCancellations.CancelledJob job = new PeerCancellations.CancelledJob(
                 request.id(),
-                TestFixtures.TIME_OF_DAY.toEpochMilli(),
+                TestFixtures.WALL_CLOCK_TIME.toEpochMilli(),
                 List.of(new PeerCancellations.CancelledAttempt(0, 1, "vm-2", 1)));
         assertThat(cancellationEnforcer.knownCancellations()).isEmpty();
         cancellationEnforcer.add(job, now);
@@ -152,7 +152,7 @@
                         clusterState.machine("vm-2"), heartbeat(1, taskIn(Phase.ENDED))))
                 .isFalse();
         assertThat(directStopsAfter(1)).hasSize(1);
-        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.TIME_OF_DAY.plusSeconds(31)))
+        assertThat(cancellationEnforcer.machinesToRelease(TestFixtures.WALL_CLOCK_TIME.plusSeconds(31)))
                 .containsExactly("vm-2");
         cancellationEnforcer.onLeaseRegained(now.minusSeconds(1));
         assertThat(cancellationEnforcer.knownCancellations())
@@ -168,13 +168,13 @@
         assertThat(cancellationEnforcer.knownCancellations())
                 .as("the job is not cancelled")
                 .isEmpty();
-        cancellationEnforcer.add(placed.withCancellation(TestFixtures.TIME_OF_DAY), now);
+        cancellationEnforcer.add(placed.withCancellation(TestFixtures.WALL_CLOCK_TIME), now);
         assertThat(cancellationEnforcer.knownCancellations()).hasSize(1);
         cancel();
         assertThat(cancellationEnforcer.knownCancellations())
                 .containsExactly(new PeerCancellations.CancelledJob(
                         request.id(),
-                        TestFixtures.TIME_OF_DAY.toEpochMilli(),
+                        TestFixtures.WALL_CLOCK_TIME.toEpochMilli(),
                         List.of(new PeerCancellations.CancelledAttempt(0, 1, "vm-2", 1))));
     }
 }
--- a/src/test/java/org/gullway/coordination/cancellation/LeaseRenewalPolicyTest.java
+++ b/src/test/java/org/gullway/coordination/cancellation/LeaseRenewalPolicyTest.java
@@ -106,11 +106,13 @@
     void rejectsMachinesOnWhichACancelledTaskMayStillStart() {
         JobRequest request = TestFixtures.request("run-000001", "red", Priority.NORMAL, 1, 4);
         JobRecord job = TestFixtures.placed(
-                JobRecord.accepted(request, "perch-0", TestFixtures.TIME_OF_DAY), TestFixtures.TIME_OF_DAY, "vm-2");
+                JobRecord.accepted(request, "perch-0", TestFixtures.WALL_CLOCK_TIME),
+                TestFixtures.WALL_CLOCK_TIME,
+                "vm-2");
         clusterState.put(StoreKeys.job(request.id()), job, 20);
         assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1), now))
                 .isTrue();
-        clusterState.put(StoreKeys.job(request.id()), job.withCancellation(TestFixtures.TIME_OF_DAY), 21);
+        clusterState.put(StoreKeys.job(request.id()), job.withCancellation(TestFixtures.WALL_CLOCK_TIME), 21);
         assertThat(leaseRenewal.mayRenewDuringOutage(heartbeat("vm-2", 1, 1), now))
                 .isFalse();
         TaskStatus otherAttempt = new TaskStatus(new TaskId(request.id(), 0), 9, TaskStatus.Phase.RUNNING, null, false);
--- a/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
+++ b/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
@@ -29,12 +29,12 @@
 
     private void putOrphanedJob(String id, int placed) {
         JobRecord job = JobRecord.accepted(
-                TestFixtures.request(id, "red", Priority.NORMAL, 20, 4), "perch-9", TestFixtures.TIME_OF_DAY);
+                TestFixtures.request(id, "red", Priority.NORMAL, 20, 4), "perch-9", TestFixtures.WALL_CLOCK_TIME);
         clusterState.put(
                 StoreKeys.job(id),
                 TestFixtures.placed(
                         job,
-                        TestFixtures.TIME_OF_DAY,
+                        TestFixtures.WALL_CLOCK_TIME,
                         Collections.nCopies(placed, "vm-1").toArray(String[]::new)),
                 ++revision);
     }
@@ -46,7 +46,7 @@
         for (int i = 0; i < cycles; i++) {
             now = now.plusSeconds(1);
             Transaction transaction =
-                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
             reconciliation.plan(transaction, TestFixtures.leaderContext(now));
             TestFixtures.commit(clusterState, transaction, ++revision);
         }
@@ -115,7 +115,7 @@
 
     private void reconcileAt(Reconciliation reconciliation, int second) {
         Transaction transaction =
-                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
         reconciliation.plan(transaction, PlanningContext.of(Instant.EPOCH.plusSeconds(second), false, true));
         TestFixtures.commit(clusterState, transaction, ++revision);
     }
@@ -130,11 +130,11 @@
             JobRecord job = JobRecord.accepted(
                     TestFixtures.request("run-%06d".formatted(i), "red", Priority.NORMAL, 2, 1),
                     "perch-0",
-                    TestFixtures.TIME_OF_DAY);
+                    TestFixtures.WALL_CLOCK_TIME);
             String machine = i % 4 == 0 ? "vm-2" : "vm-1";
             clusterState.put(
                     StoreKeys.job(job.request().id()),
-                    TestFixtures.placed(job, TestFixtures.TIME_OF_DAY, machine, machine),
+                    TestFixtures.placed(job, TestFixtures.WALL_CLOCK_TIME, machine, machine),
                     ++revision);
         }
         Reconciliation reconciliation =
--- a/src/test/java/org/gullway/coordination/model/ClusterStateTest.java
+++ b/src/test/java/org/gullway/coordination/model/ClusterStateTest.java
@@ -22,11 +22,11 @@
     void lateTransactionOutcomeDoesNotRestoreARemovedKey() {
         ClusterState clusterState = TestFixtures.clusterState();
         JobRecord job = JobRecord.accepted(
-                TestFixtures.request("run-000001", "red", Priority.HIGH, 1, 4), null, TestFixtures.TIME_OF_DAY);
+                TestFixtures.request("run-000001", "red", Priority.HIGH, 1, 4), null, TestFixtures.WALL_CLOCK_TIME);
         clusterState.put(StoreKeys.job("run-000001"), job, 1001);
         clusterState.remove(StoreKeys.job("run-000001"), 1003);
         clusterState.advanceTo(1003);
-        clusterState.put(StoreKeys.job("run-000001"), job.withCancellation(TestFixtures.TIME_OF_DAY), 1002);
+        clusterState.put(StoreKeys.job("run-000001"), job.withCancellation(TestFixtures.WALL_CLOCK_TIME), 1002);
         assertThat(clusterState.job("run-000001")).isNull();
         assertThat(clusterState.version(StoreKeys.job("run-000001"))).isZero();
     }
@@ -44,16 +44,16 @@
                     JobRecord.accepted(
                             TestFixtures.request(id, "red", Priority.NORMAL, 9, 2),
                             "perch-0",
-                            TestFixtures.TIME_OF_DAY));
+                            TestFixtures.WALL_CLOCK_TIME));
             JobRecord present = job;
             JobRecord next =
                     switch (random.nextInt(6)) {
                         case 0 -> job.waitingTasks() > 0
-                                ? TestFixtures.placed(job, TestFixtures.TIME_OF_DAY, "vm-" + random.nextInt(3))
+                                ? TestFixtures.placed(job, TestFixtures.WALL_CLOCK_TIME, "vm-" + random.nextInt(3))
                                 : job;
                         case 1 -> job.withStopping(p -> random.nextBoolean());
                         case 2 -> job.withOwner("perch-" + random.nextInt(2));
-                        case 3 -> job.withCancellation(TestFixtures.TIME_OF_DAY);
+                        case 3 -> job.withCancellation(TestFixtures.WALL_CLOCK_TIME);
                         case 4 -> job.livePlacements().isEmpty()
                                 ? job
                                 : job.withCompletions(
@@ -61,7 +61,7 @@
                         default -> job.waitingTasks() > 1
                                 ? TestFixtures.placed(
                                         job,
-                                        TestFixtures.TIME_OF_DAY,
+                                        TestFixtures.WALL_CLOCK_TIME,
                                         "vm-" + random.nextInt(3),
                                         "vm-" + random.nextInt(3))
                                 : job;
--- a/src/test/java/org/gullway/coordination/model/TestFixtures.java
+++ b/src/test/java/org/gullway/coordination/model/TestFixtures.java
@@ -22,7 +22,7 @@
     public static final PeerZones PEER_ZONES =
             new PeerZones(Map.of("perch-1", "a", "perch-2", "b"), Duration.ofSeconds(40));
 
-    public static final Instant TIME_OF_DAY = Instant.parse("2026-11-20T06:00:00Z");
+    public static final Instant WALL_CLOCK_TIME = Instant.parse("2026-11-20T06:00:00Z");
     public static final Transaction.Limits LIMITS = new Transaction.Limits(24, 16 * 1024);
 
     private TestFixtures() {}
@@ -71,7 +71,7 @@
     }
 
     public static MachineRecord machine(String name, String type, Incarnation controller) {
-        return MachineRecord.booting(name, type, "a", true, TIME_OF_DAY, controller, 1)
+        return MachineRecord.booting(name, type, "a", true, WALL_CLOCK_TIME, controller, 1)
                 .withAgentEpoch(1, "10.1.0.1:9000");
     }
 
--- a/src/test/java/org/gullway/coordination/quota/UnlimitedQuotaTest.java
+++ b/src/test/java/org/gullway/coordination/quota/UnlimitedQuotaTest.java
@@ -52,20 +52,20 @@
         JobRequest request = TestFixtures.request("run-000001", "guest", Priority.IDLE, 25_000, 32);
         clusterState.put(
                 StoreKeys.job(request.id()),
-                JobRecord.accepted(request, TestFixtures.SELF.node(), TestFixtures.TIME_OF_DAY),
+                JobRecord.accepted(request, TestFixtures.SELF.node(), TestFixtures.WALL_CLOCK_TIME),
                 3);
         clusterState.put(
                 StoreKeys.job("run-000002"),
                 JobRecord.accepted(
                         TestFixtures.request("run-000002", "guest", Priority.IDLE, 25_000, 32),
                         TestFixtures.PEER.node(),
-                        TestFixtures.TIME_OF_DAY),
+                        TestFixtures.WALL_CLOCK_TIME),
                 4);
         clusterState.advanceTo(4);
         long revision = 4;
         for (Incarnation controller : List.of(TestFixtures.SELF, TestFixtures.PEER)) {
             Transaction transaction =
-                    new Transaction(clusterState, controller, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                    new Transaction(clusterState, controller, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
             new QuotaPartitioner(
                             clusterState,
                             quotas,
@@ -76,7 +76,7 @@
         }
         for (String id : List.of("run-000001", "run-000002")) {
             Transaction transaction =
-                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
             assertThat(quotas.remainingTasks(clusterState.job(id), transaction)).isGreaterThanOrEqualTo(25_000);
         }
     }
--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -55,12 +55,12 @@
                 JobRecord.accepted(
                         TestFixtures.request(id, team, Priority.NORMAL, tasks, 4),
                         owner,
-                        TestFixtures.TIME_OF_DAY.minusSeconds(ageSeconds)),
+                        TestFixtures.WALL_CLOCK_TIME.minusSeconds(ageSeconds)),
                 version);
     }
 
     private Transaction newTransaction() {
-        return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+        return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
     }
 
     /** Runs one scheduling cycle of the queue on one machine with 16 CPUs. */
@@ -94,8 +94,8 @@
                 JobRecord.accepted(
                         TestFixtures.request("run-000001", "red", Priority.NORMAL, 5, 4),
                         "perch-0",
-                        TestFixtures.TIME_OF_DAY.minusSeconds(90)),
-                TestFixtures.TIME_OF_DAY,
+                        TestFixtures.WALL_CLOCK_TIME.minusSeconds(90)),
+                TestFixtures.WALL_CLOCK_TIME,
                 "vm-9");
         clusterState.put(
                 StoreKeys.job("run-000001"),
@@ -127,7 +127,7 @@
                 JobRecord.accepted(
                         TestFixtures.request("run-000001", "red", Priority.NORMAL, 2, 32),
                         "perch-0",
-                        TestFixtures.TIME_OF_DAY.minusSeconds(160)),
+                        TestFixtures.WALL_CLOCK_TIME.minusSeconds(160)),
                 13);
         accept("run-000002", "blue", "perch-0", 8, 5, 14);
         Transaction transaction = schedule();
@@ -146,8 +146,8 @@
                 JobRecord.accepted(
                         TestFixtures.request("run-000009", "red", Priority.NORMAL, 8, 4),
                         "perch-0",
-                        TestFixtures.TIME_OF_DAY),
-                TestFixtures.TIME_OF_DAY,
+                        TestFixtures.WALL_CLOCK_TIME),
+                TestFixtures.WALL_CLOCK_TIME,
                 "vm-2",
                 "vm-2",
                 "vm-2",
@@ -162,7 +162,7 @@
                 JobRecord.accepted(
                         TestFixtures.request("run-000001", "red", Priority.NORMAL, 9, 2),
                         "perch-0",
-                        TestFixtures.TIME_OF_DAY),
+                        TestFixtures.WALL_CLOCK_TIME),
                 13);
         CompletionBuffer completionBuffer = new CompletionBuffer(clusterState);
         completionBuffer.add(
@@ -198,7 +198,7 @@
         JobRequest singleZone = TestFixtures.request("run-000001", "red", Priority.NORMAL, 8, 4);
         clusterState.put(
                 StoreKeys.job(singleZone.id()),
-                JobRecord.accepted(withZones(singleZone, true, false), "perch-0", TestFixtures.TIME_OF_DAY),
+                JobRecord.accepted(withZones(singleZone, true, false), "perch-0", TestFixtures.WALL_CLOCK_TIME),
                 12);
         Transaction transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine, otherZone), Instant.EPOCH);
@@ -214,7 +214,7 @@
         clusterState.remove(StoreKeys.job(singleZone.id()), 13);
         clusterState.put(
                 StoreKeys.job(spread.id()),
-                JobRecord.accepted(withZones(spread, false, true), "perch-0", TestFixtures.TIME_OF_DAY),
+                JobRecord.accepted(withZones(spread, false, true), "perch-0", TestFixtures.WALL_CLOCK_TIME),
                 14);
         transaction = newTransaction();
         bestEffortQueue.schedule(transaction, () -> List.of(machine, otherZone), Instant.EPOCH);
@@ -280,7 +280,7 @@
                 unused -> {});
         peer.onOffers(offers.get(0).offers(), Instant.EPOCH);
         Transaction peerTransaction =
-                new Transaction(clusterState, TestFixtures.PEER, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                new Transaction(clusterState, TestFixtures.PEER, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
         peer.schedule(peerTransaction, List::of, Instant.EPOCH);
         assertThat(peerTransaction.job("run-000001").livePlacements()).hasSize(2);
         assertThat(peerTransaction.conditions()).contains(StoreKeys.member("perch-1"), StoreKeys.job("run-000001"));
@@ -292,7 +292,7 @@
                 JobRecord.accepted(
                         TestFixtures.request(id, "blue", Priority.IDLE, tasks, 4),
                         "perch-0",
-                        TestFixtures.TIME_OF_DAY.minusSeconds(50)),
+                        TestFixtures.WALL_CLOCK_TIME.minusSeconds(50)),
                 version);
     }
 
@@ -305,10 +305,10 @@
                 .hasSize(4);
 
         JobRecord reserved = JobRecord.accepted(
-                TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 8), null, TestFixtures.TIME_OF_DAY);
+                TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 8), null, TestFixtures.WALL_CLOCK_TIME);
         clusterState.put(
                 StoreKeys.job("run-000009"),
-                TestFixtures.placed(reserved, TestFixtures.TIME_OF_DAY, "vm-9", "vm-9"),
+                TestFixtures.placed(reserved, TestFixtures.WALL_CLOCK_TIME, "vm-9", "vm-9"),
                 12);
         transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements())
@@ -328,12 +328,14 @@
         JobRecord scavenger = clusterState.job("run-000001");
         clusterState.put(
                 StoreKeys.job("run-000001"),
-                TestFixtures.placed(scavenger, TestFixtures.TIME_OF_DAY, "vm-1", "vm-1", "vm-1"),
+                TestFixtures.placed(scavenger, TestFixtures.WALL_CLOCK_TIME, "vm-1", "vm-1", "vm-1"),
                 12);
         JobRecord normal = JobRecord.accepted(
-                TestFixtures.request("run-000002", "red", Priority.NORMAL, 1, 4), "perch-1", TestFixtures.TIME_OF_DAY);
+                TestFixtures.request("run-000002", "red", Priority.NORMAL, 1, 4),
+                "perch-1",
+                TestFixtures.WALL_CLOCK_TIME);
         clusterState.put(
-                StoreKeys.job("run-000002"), TestFixtures.placed(normal, TestFixtures.TIME_OF_DAY, "vm-1"), 13);
+                StoreKeys.job("run-000002"), TestFixtures.placed(normal, TestFixtures.WALL_CLOCK_TIME, "vm-1"), 13);
         Transaction transaction = newTransaction();
         scavengerScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
         assertThat(transaction.isEmpty()).as("no job waits").isTrue();
--- a/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/ReservedSchedulerTest.java
@@ -26,14 +26,14 @@
             new DeadlinePolicy(List.of())));
 
     private Transaction newTransaction() {
-        return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+        return new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
     }
 
     private void accept(String id, String team, Priority priority, int tasks, double cpus, long version) {
         clusterState.put(
                 StoreKeys.job(id),
                 JobRecord.accepted(
-                        TestFixtures.request(id, team, priority, tasks, cpus), null, TestFixtures.TIME_OF_DAY),
+                        TestFixtures.request(id, team, priority, tasks, cpus), null, TestFixtures.WALL_CLOCK_TIME),
                 version);
     }
 
@@ -60,8 +60,9 @@
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         TestFixtures.put(clusterState, TestFixtures.machine("vm-2", "small", TestFixtures.PEER), 11);
         JobRecord first = JobRecord.accepted(
-                TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 4), null, TestFixtures.TIME_OF_DAY);
-        clusterState.put(StoreKeys.job("run-000009"), TestFixtures.placed(first, TestFixtures.TIME_OF_DAY, "vm-1"), 12);
+                TestFixtures.request("run-000009", "red", Priority.HIGH, 2, 4), null, TestFixtures.WALL_CLOCK_TIME);
+        clusterState.put(
+                StoreKeys.job("run-000009"), TestFixtures.placed(first, TestFixtures.WALL_CLOCK_TIME, "vm-1"), 12);
         accept("run-000001", "red", Priority.HIGH, 1, 4, 13);
         Transaction transaction = schedule();
         assertThat(transaction.job("run-000001").livePlacements())
@@ -98,7 +99,7 @@
                 JobRecord.accepted(
                         TestFixtures.request("run-000001", "red", Priority.NORMAL, 2, 32),
                         "perch-1",
-                        TestFixtures.TIME_OF_DAY.minusSeconds(160)),
+                        TestFixtures.WALL_CLOCK_TIME.minusSeconds(160)),
                 12);
         Transaction transaction = schedule();
         assertThat(transaction.changes()).containsEntry(StoreKeys.CORDONED, new CordonedMachines(Set.of("vm-2")));
@@ -110,7 +111,7 @@
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "large", TestFixtures.SELF), 10);
         accept("run-000001", "red", Priority.HIGH, 2, 4, 12);
         Transaction transaction = newTransaction();
-        transaction.putJob(clusterState.job("run-000001").withCancellation(TestFixtures.TIME_OF_DAY));
+        transaction.putJob(clusterState.job("run-000001").withCancellation(TestFixtures.WALL_CLOCK_TIME));
         reservedScheduler.plan(transaction, TestFixtures.leaderContext(Instant.EPOCH));
         assertThat(transaction.job("run-000001")).isNull();
         assertThat(transaction.changes().get(StoreKeys.finalState("run-000001")))
@@ -121,17 +122,19 @@
     void preemptsTheBestEffortTaskThatLosesLeast() {
         TestFixtures.put(clusterState, TestFixtures.machine("vm-1", "small", TestFixtures.SELF), 10);
         JobRecord smallTasks = JobRecord.accepted(
-                TestFixtures.request("run-000008", "blue", Priority.NORMAL, 2, 4), "perch-0", TestFixtures.TIME_OF_DAY);
+                TestFixtures.request("run-000008", "blue", Priority.NORMAL, 2, 4),
+                "perch-0",
+                TestFixtures.WALL_CLOCK_TIME);
         smallTasks = TestFixtures.placed(
-                TestFixtures.placed(smallTasks, TestFixtures.TIME_OF_DAY.minusSeconds(60), "vm-1"),
-                TestFixtures.TIME_OF_DAY.minusSeconds(5),
+                TestFixtures.placed(smallTasks, TestFixtures.WALL_CLOCK_TIME.minusSeconds(60), "vm-1"),
+                TestFixtures.WALL_CLOCK_TIME.minusSeconds(5),
                 "vm-1");
         JobRecord largeTask = TestFixtures.placed(
                 JobRecord.accepted(
                         TestFixtures.request("run-000009", "blue", Priority.NORMAL, 1, 8),
                         "perch-0",
-                        TestFixtures.TIME_OF_DAY),
-                TestFixtures.TIME_OF_DAY.minusSeconds(30),
+                        TestFixtures.WALL_CLOCK_TIME),
+                TestFixtures.WALL_CLOCK_TIME.minusSeconds(30),
                 "vm-1");
         clusterState.put(StoreKeys.job("run-000008"), smallTasks, 12);
         clusterState.put(StoreKeys.job("run-000009"), largeTask, 13);
--- a/src/test/java/org/gullway/storage/RecordCodecTest.java
+++ b/src/test/java/org/gullway/storage/RecordCodecTest.java
@@ -78,7 +78,7 @@
     @Test
     void fourHundredPlacementsFitIntoOneRecord() {
         JobRecord job = JobRecord.accepted(
-                TestFixtures.request("run-000001", "red", Priority.HIGH, 400, 4), null, TestFixtures.TIME_OF_DAY);
+                TestFixtures.request("run-000001", "red", Priority.HIGH, 400, 4), null, TestFixtures.WALL_CLOCK_TIME);
         assertThat(job.remainingPlacements(16 * 1024)).isGreaterThanOrEqualTo(400);
     }
 
@@ -86,7 +86,7 @@
     void otherRecordsAreDecodedAsEncoded() throws MalformedMessageException {
         Incarnation incarnation = new Incarnation("perch-0", Long.MAX_VALUE);
         MachineRecord booting =
-                MachineRecord.booting("vm-1", "small", "a", true, TestFixtures.TIME_OF_DAY, incarnation, 7);
+                MachineRecord.booting("vm-1", "small", "a", true, TestFixtures.WALL_CLOCK_TIME, incarnation, 7);
         MachineShard shard = new MachineShard(
                 "g-1",
                 incarnation,
--- a/src/test/java/org/gullway/storage/ReplicatedStateTest.java
+++ b/src/test/java/org/gullway/storage/ReplicatedStateTest.java
@@ -56,7 +56,7 @@
 
     private Transaction fencingTokenTransaction() {
         Transaction transaction =
-                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
         transaction.nextFencingToken();
         return transaction;
     }
@@ -113,7 +113,7 @@
             test.time.runUntil(test.time.now().plusMillis(1));
             if (restarted.canCommit()) {
                 Transaction transaction = new Transaction(
-                        restartedState, restartedIncarnation, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                        restartedState, restartedIncarnation, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
                 transaction.nextFencingToken();
                 restarted.commit(transaction, result -> {});
             }
