--- a/src/main/java/org/gullway/controller/SchedulingCycle.java
+++ b/src/main/java/org/gullway/controller/SchedulingCycle.java
@@ -77,7 +77,7 @@
     }
 
     private PlanningContext context() {
-        return new PlanningContext(loop.now(), isRecordedLeader(), replicatedState::hasSurplusChanges);
+        return new PlanningContext(loop.now(), isRecordedLeader(), replicatedState::hasSpareWriteCapacity);
     }
 
     /**
--- a/src/main/java/org/gullway/storage/CommitPacing.java
+++ b/src/main/java/org/gullway/storage/CommitPacing.java
@@ -52,7 +52,7 @@
         return changeLimit.availableTokens();
     }
 
-    boolean hasSurplusChanges() {
+    boolean hasSpareWriteCapacity() {
         return changeLimit.hasSurplus();
     }
 
--- a/src/main/java/org/gullway/storage/ReplicatedState.java
+++ b/src/main/java/org/gullway/storage/ReplicatedState.java
@@ -179,8 +179,8 @@
     /**
      * Returns true if at least half of the changes of one second are unused, so that less urgent changes may be sent.
      */
-    public boolean hasSurplusChanges() {
-        return commitPacing.hasSurplusChanges();
+    public boolean hasSpareWriteCapacity() {
+        return commitPacing.hasSpareWriteCapacity();
     }
 
     /** Returns true if a transaction may be committed now. May start a full read if the watch is late. */
