--- a/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
+++ b/src/main/java/org/gullway/coordination/scheduling/PeerOffers.java
@@ -103,8 +103,8 @@
     }
 
     private void addOffer(
-            MachineRecord machine, List<String> askedPeers, Map<String, List<ResourceOffer>> offersByPeer) {
-        List<String> alreadyOffered = new ArrayList<>(askedPeers);
+            MachineRecord machine, List<String> declinedBy, Map<String, List<ResourceOffer>> offersByPeer) {
+        List<String> alreadyOffered = new ArrayList<>(declinedBy);
         alreadyOffered.add(self);
         List<String> peers = new ArrayList<>(clusterState.members().keySet());
         peers.removeAll(alreadyOffered);
