--- a/src/main/java/org/gullway/agent/LeaseRenewalGate.java
+++ b/src/main/java/org/gullway/agent/LeaseRenewalGate.java
@@ -14,7 +14,7 @@
     private final ReplicatedState replicatedState;
     private final CancellationWatermark cancellationWatermark;
     private final LeaseRenewalPolicy leaseRenewal;
-    private boolean heldLeaseBefore;
+    private boolean hasHeldValidLease;
 
     LeaseRenewalGate(
             ReplicatedState replicatedState,
@@ -30,7 +30,7 @@
      * agents' leases can also be renewed while the membership lease is not valid.
      */
     void onValidLease() {
-        heldLeaseBefore = true;
+        hasHeldValidLease = true;
     }
 
     boolean holdsValidLease() {
@@ -44,7 +44,7 @@
      */
     boolean rejectsAllHeartbeats(boolean holdsValidLease, Instant now) {
         Instant cancellationsKnownThrough = cancellationWatermark.knownThrough(replicatedState.knownThrough());
-        return !leaseRenewal.mayRenew(cancellationsKnownThrough, now) || (!holdsValidLease && !heldLeaseBefore);
+        return !leaseRenewal.mayRenew(cancellationsKnownThrough, now) || (!holdsValidLease && !hasHeldValidLease);
     }
 
     /** Returns whether this agent's lease may be renewed although this controller's membership lease is not valid. */
