--- a/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
+++ b/src/main/java/org/gullway/coordination/agents/CompletionBuffer.java
@@ -160,7 +160,7 @@
         if (completions.isEmpty()) {
             return false;
         }
-        transaction.putJob(job.withCompletions(completions));
+        transaction.putJob(job.withoutEndedAttempts(completions));
         return true;
     }
 }
--- a/src/main/java/org/gullway/coordination/failover/Reconciliation.java
+++ b/src/main/java/org/gullway/coordination/failover/Reconciliation.java
@@ -108,7 +108,7 @@
                 lost.put(placement, JobRecord.AttemptOutcome.STOPPED);
             }
         }
-        JobRecord next = lost.isEmpty() ? job : job.withCompletions(lost);
+        JobRecord next = lost.isEmpty() ? job : job.withoutEndedAttempts(lost);
         boolean gangIncomplete = next.isGang()
                 && next.waitingTasks() > 0
                 && next.livePlacements().stream().anyMatch(placement -> !placement.stopping());
--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -194,7 +194,7 @@
      * This record without the attempts that have ended. Tasks that were not completed wait again; a service never
      * completes a task.
      */
-    public JobRecord withCompletions(Map<Placement, AttemptOutcome> outcomes) {
+    public JobRecord withoutEndedAttempts(Map<Placement, AttemptOutcome> outcomes) {
         IntegerRanges nextCompleted = completedTasks;
         int nextErrors = consecutiveErrors;
         List<Placement> remaining = new ArrayList<>(livePlacements.size());
--- a/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
+++ b/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
@@ -92,7 +92,7 @@
         JobRecord job = clusterState.job(completed);
         clusterState.put(
                 StoreKeys.job(completed),
-                job.withCompletions(Map.of(
+                job.withoutEndedAttempts(Map.of(
                         job.livePlacements().get(0),
                         JobRecord.AttemptOutcome.DONE,
                         job.livePlacements().get(1),
--- a/src/test/java/org/gullway/coordination/model/ClusterStateTest.java
+++ b/src/test/java/org/gullway/coordination/model/ClusterStateTest.java
@@ -56,7 +56,7 @@
                         case 3 -> job.withCancellation(TestFixtures.WALL_CLOCK_TIME);
                         case 4 -> job.livePlacements().isEmpty()
                                 ? job
-                                : job.withCompletions(
+                                : job.withoutEndedAttempts(
                                         Map.of(present.livePlacements().get(0), JobRecord.AttemptOutcome.STOPPED));
                         default -> job.waitingTasks() > 1
                                 ? TestFixtures.placed(
--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -99,7 +99,7 @@
                 "vm-9");
         clusterState.put(
                 StoreKeys.job("run-000001"),
-                lateJob.withCompletions(Map.of(lateJob.livePlacements().get(0), JobRecord.AttemptOutcome.DONE)),
+                lateJob.withoutEndedAttempts(Map.of(lateJob.livePlacements().get(0), JobRecord.AttemptOutcome.DONE)),
                 11);
         accept("run-000002", "red", "perch-0", 4, 5, 12);
         Transaction transaction = schedule();
