--- a/src/main/java/org/gullway/controller/AgentComponents.java
+++ b/src/main/java/org/gullway/controller/AgentComponents.java
@@ -8,7 +8,7 @@
 import org.gullway.coordination.cancellation.CancellationWatermark;
 import org.gullway.coordination.cancellation.LeaseRenewalPolicy;
 import org.gullway.coordination.model.ClusterState;
-import org.gullway.coordination.model.PeerZones;
+import org.gullway.coordination.model.NetworkPartitionSettings;
 import org.gullway.protocol.Settings;
 
 /** The components that manage agents: reconciliation, lease renewal, completions and cancellations. */
@@ -30,7 +30,7 @@
                 clusterState,
                 environment.self(),
                 settings.heartbeatInterval(),
-                new PeerZones(zoneByPeer, settings.cancellationLimit()),
+                new NetworkPartitionSettings(zoneByPeer, settings.cancellationLimit()),
                 completionBuffer,
                 cancellationEnforcer);
         LeaseRenewalPolicy leaseRenewal = new LeaseRenewalPolicy(
--- a/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
+++ b/src/main/java/org/gullway/coordination/agents/AgentReconciler.java
@@ -14,7 +14,7 @@
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.Incarnation;
 import org.gullway.coordination.model.MachineRecord;
-import org.gullway.coordination.model.PeerZones;
+import org.gullway.coordination.model.NetworkPartitionSettings;
 import org.gullway.coordination.model.Transaction;
 import org.gullway.protocol.AttemptCompletion;
 import org.gullway.protocol.Heartbeat;
@@ -42,7 +42,7 @@
             ClusterState clusterState,
             Incarnation self,
             Duration heartbeatInterval,
-            PeerZones peerZones,
+            NetworkPartitionSettings partitionSettings,
             CompletionBuffer completionBuffer,
             CancellationEnforcer cancellationEnforcer) {
         HeartbeatTiming timing = new HeartbeatTiming(heartbeatInterval);
@@ -56,7 +56,7 @@
         this.completionReporter = new CompletionReporter(clusterState, self, completionBuffer);
         this.commandDispatcher = new CommandDispatcher(clusterState, timing, agents, planner, completionReporter);
         this.agentConditions = new AgentConditionPlanner(clusterState, agents);
-        this.failureDetector = new FailureDetector(clusterState, timing, peerZones, agents);
+        this.failureDetector = new FailureDetector(clusterState, timing, partitionSettings, agents);
         this.overdueCancellations = new OverdueCancellationPlanner(clusterState, self, agents, cancellationEnforcer);
         this.schedulableMachines = new SchedulableMachines(clusterState, timing, agents);
     }
--- a/src/main/java/org/gullway/coordination/agents/FailureDetector.java
+++ b/src/main/java/org/gullway/coordination/agents/FailureDetector.java
@@ -9,7 +9,7 @@
 import org.gullway.coordination.model.ClusterState;
 import org.gullway.coordination.model.MachineRecord;
 import org.gullway.coordination.model.MachineRecord.MachineLifecycle;
-import org.gullway.coordination.model.PeerZones;
+import org.gullway.coordination.model.NetworkPartitionSettings;
 import org.gullway.coordination.model.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -38,7 +38,7 @@
 
     private final ClusterState clusterState;
     private final HeartbeatTiming timing;
-    private final PeerZones peerZones;
+    private final NetworkPartitionSettings partitionSettings;
     private final AgentRegistry agents;
     /** When each zone was last found to be partitioned. */
     private final Map<String, Instant> zonePartitionedAt = new HashMap<>();
@@ -50,10 +50,14 @@
      */
     private Instant acceptingHeartbeatsSince = Instant.MAX;
 
-    FailureDetector(ClusterState clusterState, HeartbeatTiming timing, PeerZones peerZones, AgentRegistry agents) {
+    FailureDetector(
+            ClusterState clusterState,
+            HeartbeatTiming timing,
+            NetworkPartitionSettings partitionSettings,
+            AgentRegistry agents) {
         this.clusterState = clusterState;
         this.timing = timing;
-        this.peerZones = peerZones;
+        this.partitionSettings = partitionSettings;
         this.agents = agents;
     }
 
@@ -180,7 +184,7 @@
      * and running tasks are not lost.
      */
     private boolean isPartitioned(String zone) {
-        List<String> controllers = peerZones.inZone(zone);
+        List<String> controllers = partitionSettings.inZone(zone);
         return !controllers.isEmpty() && controllers.stream().noneMatch(clusterState.members()::containsKey);
     }
 
@@ -191,7 +195,7 @@
      */
     private boolean isLossDeferredByPartition(MachineRecord record, Instant unreachableSince, Instant now) {
         Instant partitionedAt = zonePartitionedAt.getOrDefault(record.zone(), Instant.MIN);
-        Instant deferralLimit = now.minus(lostAfter()).minus(peerZones.cancelLimit());
+        Instant deferralLimit = now.minus(lostAfter()).minus(partitionSettings.cancellationLimit());
         return partitionedAt.isAfter(now.minus(lostAfter()))
                 && unreachableSince.isAfter(deferralLimit)
                 && !hasCancelledTasks(record);
--- a/src/main/java/org/gullway/coordination/model/PeerZones.java
+++ b/src/main/java/org/gullway/coordination/model/NetworkPartitionSettings.java
@@ -9,9 +9,9 @@
  * machine in a zone that is cut off by a network partition is kept or declared lost.
  *
  * @param zoneByPeer the zone of each other controller, by the controller's name
- * @param cancelLimit how long after its cancellation a job may still have tasks on a machine
+ * @param cancellationLimit how long after its cancellation a job may still have tasks on a machine
  */
-public record PeerZones(Map<String, String> zoneByPeer, Duration cancelLimit) {
+public record NetworkPartitionSettings(Map<String, String> zoneByPeer, Duration cancellationLimit) {
     /** Names of the other controllers in the zone. */
     public List<String> inZone(String zone) {
         return zoneByPeer.entrySet().stream()
--- a/src/test/java/org/gullway/StartAuthorizationTest.java
+++ b/src/test/java/org/gullway/StartAuthorizationTest.java
@@ -51,7 +51,7 @@
                     clusterState,
                     TestFixtures.SELF,
                     Duration.ofSeconds(3),
-                    TestFixtures.PEER_ZONES,
+                    TestFixtures.NETWORK_PARTITION_SETTINGS,
                     new CompletionBuffer(clusterState),
                     cancellationEnforcer),
             cancellationEnforcer,
--- a/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
+++ b/src/test/java/org/gullway/coordination/agents/AgentReconcilerFixture.java
@@ -28,9 +28,9 @@
             clusterState,
             TestFixtures.SELF,
             Duration.ofSeconds(3),
-            TestFixtures.PEER_ZONES,
+            TestFixtures.NETWORK_PARTITION_SETTINGS,
             completionBuffer,
-            new CancellationEnforcer(clusterState, TestFixtures.PEER_ZONES.cancelLimit()));
+            new CancellationEnforcer(clusterState, TestFixtures.NETWORK_PARTITION_SETTINGS.cancellationLimit()));
     Instant now = Instant.EPOCH;
     long sequence;
     long revision = 100;
--- a/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
+++ b/src/test/java/org/gullway/coordination/agents/FailureDetectorTest.java
@@ -26,7 +26,7 @@
     private final ClusterState clusterState = TestFixtures.clusterState();
     private final AgentRegistry agents = new AgentRegistry(clusterState, TestFixtures.SELF);
     private final FailureDetector detector = new FailureDetector(
-            clusterState, new HeartbeatTiming(Duration.ofSeconds(4)), TestFixtures.PEER_ZONES, agents);
+            clusterState, new HeartbeatTiming(Duration.ofSeconds(4)), TestFixtures.NETWORK_PARTITION_SETTINGS, agents);
     private Instant now = Instant.EPOCH;
     private long sequence;
     private long revision = 100;
--- a/src/test/java/org/gullway/coordination/model/TestFixtures.java
+++ b/src/test/java/org/gullway/coordination/model/TestFixtures.java
@@ -19,8 +19,8 @@
     public static final Incarnation SELF = new Incarnation("perch-0", 17);
     public static final Incarnation PEER = new Incarnation("perch-1", 18);
     /** Controller perch-1 is in the zone of {@link #SELF}, perch-2 in another zone. */
-    public static final PeerZones PEER_ZONES =
-            new PeerZones(Map.of("perch-1", "a", "perch-2", "b"), Duration.ofSeconds(40));
+    public static final NetworkPartitionSettings NETWORK_PARTITION_SETTINGS =
+            new NetworkPartitionSettings(Map.of("perch-1", "a", "perch-2", "b"), Duration.ofSeconds(40));
 
     public static final Instant WALL_CLOCK_TIME = Instant.parse("2026-11-20T06:00:00Z");
     public static final Transaction.Limits LIMITS = new Transaction.Limits(24, 16 * 1024);
