--- a/src/main/java/org/gullway/coordination/model/ChangeSet.java
+++ b/src/main/java/org/gullway/coordination/model/ChangeSet.java
@@ -55,7 +55,7 @@
     }
 
     private static int sizeOf(StoreRecord value) {
-        return value == null ? 0 : value.maxEncodedBytes();
+        return value == null ? 0 : value.estimatedEncodedBytes();
     }
 
     /** Whether this many further changes fit, each with one condition besides that on the changed key. */
--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public int maxEncodedBytes() {
+    public int estimatedEncodedBytes() {
         return FIXED_BYTES + livePlacements.size() * PLACEMENT_BYTES + completedTasks.rangeCount() * RANGE_BYTES;
     }
 
@@ -187,7 +187,7 @@
 
     /** How many more placements the record can hold if its value may have this size. */
     public int remainingPlacements(int valueBytes) {
-        return Math.max(0, (valueBytes - maxEncodedBytes()) / PLACEMENT_BYTES);
+        return Math.max(0, (valueBytes - estimatedEncodedBytes()) / PLACEMENT_BYTES);
     }
 
     /**
--- a/src/main/java/org/gullway/coordination/model/MachineShard.java
+++ b/src/main/java/org/gullway/coordination/model/MachineShard.java
@@ -23,7 +23,7 @@
     private static final int MACHINE_BYTES = 120;
 
     @Override
-    public int maxEncodedBytes() {
+    public int estimatedEncodedBytes() {
         return SMALL_RECORD_BYTES + machines.size() * MACHINE_BYTES;
     }
 
--- a/src/main/java/org/gullway/coordination/model/StoreRecord.java
+++ b/src/main/java/org/gullway/coordination/model/StoreRecord.java
@@ -10,7 +10,7 @@
      * Estimate of the record's encoded size in the state store. It is an upper bound, except for {@link
      * CordonedMachines} and {@link QuotaPartition}: they have no estimate of their own and may exceed it.
      */
-    default int maxEncodedBytes() {
+    default int estimatedEncodedBytes() {
         return SMALL_RECORD_BYTES;
     }
 }
--- a/src/test/java/org/gullway/storage/RecordCodecTest.java
+++ b/src/test/java/org/gullway/storage/RecordCodecTest.java
@@ -37,7 +37,7 @@
         return RecordCodec.decode(key, Cbor.decode(Cbor.encode(RecordCodec.encode(value))));
     }
 
-    /** The size of the job is that of its JSON text, which must not exceed {@link JobRecord#maxEncodedBytes()}. */
+    /** The size of the job is that of its JSON text, which must not exceed {@link JobRecord#estimatedEncodedBytes()}. */
     @Property(tries = 300, seed = "5")
     void jobRoundTripStaysWithinMaxEncodedBytes(@ForAll long seed) throws MalformedMessageException {
         SplittableRandom random = new SplittableRandom(seed);
@@ -71,7 +71,7 @@
         JobRecord read = (JobRecord) roundTrip(StoreKeys.job("run-000001"), job);
         assertThat(read.livePlacements()).containsExactlyInAnyOrderElementsOf(job.livePlacements());
         assertThat(read).usingRecursiveComparison().isEqualTo(job);
-        assertThat(RecordCodec.encode(job).toString().length()).isLessThanOrEqualTo(job.maxEncodedBytes());
+        assertThat(RecordCodec.encode(job).toString().length()).isLessThanOrEqualTo(job.estimatedEncodedBytes());
     }
 
     /** The record of a job with 400 tasks, each placed on a different machine, fits into 16 KiB. */
