--- a/src/main/java/org/gullway/coordination/failover/ShardFailover.java
+++ b/src/main/java/org/gullway/coordination/failover/ShardFailover.java
@@ -17,15 +17,15 @@
  * shards of other members if the agents of at least half of their booted machines send their heartbeats here.
  */
 public final class ShardFailover {
-    private static final long NEVER = -1;
+    private static final long NONE = -1;
 
     private final ClusterState clusterState;
     private final Incarnation self;
     private final Predicate<String> isReroutedHere;
     /** Ids of shards of other members with agents that repeatedly send their heartbeats here. */
     private final Set<String> reroutedShards = new HashSet<>();
-    /** Value of {@code shardAndMemberChanges} when all shards were last seen to have members as their controllers. */
-    private long fullyAssignedAt = NEVER;
+    /** Value of {@code shardAndMemberChangeCount} when all shards were last seen to have members as their controllers. */
+    private long changeCountWhenFullyAssigned = NONE;
 
     /**
      * @param isReroutedHere whether the agent of the machine of this name sends its heartbeats here because it cannot
@@ -60,7 +60,7 @@
     /** Adds to the transaction the claims of all shards that this controller takes over. */
     public void plan(Transaction transaction) {
         reroutedShards.removeIf(this::isRemovedOrOwn);
-        if (reroutedShards.isEmpty() && fullyAssignedAt == clusterState.shardAndMemberChanges()) {
+        if (reroutedShards.isEmpty() && changeCountWhenFullyAssigned == clusterState.shardAndMemberChangeCount()) {
             return;
         }
         boolean fullyAssigned = true;
@@ -77,7 +77,7 @@
                 claim(transaction, shard, transaction.nextFencingToken());
             }
         }
-        fullyAssignedAt = fullyAssigned ? clusterState.shardAndMemberChanges() : NEVER;
+        changeCountWhenFullyAssigned = fullyAssigned ? clusterState.shardAndMemberChangeCount() : NONE;
     }
 
     private boolean isRemovedOrOwn(String id) {
--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -36,7 +36,7 @@
 
     private final Map<String, QuotaPartition> quotaPartitions = new TreeMap<>();
     private final MemberIndex members = new MemberIndex();
-    private long shardAndMemberChanges;
+    private long shardAndMemberChangeCount;
     private Incarnation leader;
     private long fencingToken;
     private Set<String> cordonedMachines = Set.of();
@@ -50,7 +50,7 @@
         uncheckedJobs.clear();
         quotaPartitions.clear();
         members.clear();
-        shardAndMemberChanges++;
+        shardAndMemberChangeCount++;
         leader = null;
         fencingToken = 0;
         cordonedMachines = Set.of();
@@ -82,7 +82,7 @@
             leader = incarnation;
             return;
         }
-        shardAndMemberChanges++;
+        shardAndMemberChangeCount++;
         members.put(key.substring(StoreKeys.MEMBERS.length()), incarnation, version);
     }
 
@@ -98,7 +98,7 @@
         } else if (key.startsWith(StoreKeys.QUOTA_PARTITIONS)) {
             quotaPartitions.remove(key);
         } else if (key.startsWith(StoreKeys.MEMBERS)) {
-            shardAndMemberChanges++;
+            shardAndMemberChangeCount++;
             members.remove(key.substring(StoreKeys.MEMBERS.length()), revision);
         } else if (key.equals(StoreKeys.LEADER)) {
             leader = null;
@@ -120,7 +120,7 @@
     }
 
     private void replaceShard(String id, MachineShard next, long version) {
-        shardAndMemberChanges++;
+        shardAndMemberChangeCount++;
         MachineShard previous = machineIndex.replace(id, next, version);
         if (previous != null) {
             for (MachineRecord machine : previous.machines()) {
@@ -244,8 +244,8 @@
     }
 
     /** Local count of the changes of shards and members, by which callers notice that there was a change. */
-    public long shardAndMemberChanges() {
-        return shardAndMemberChanges;
+    public long shardAndMemberChangeCount() {
+        return shardAndMemberChangeCount;
     }
 
     /** Whether this incarnation of a controller holds a member key; false for null. */
