--- a/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
+++ b/src/test/java/org/gullway/coordination/scheduling/BestEffortQueueTest.java
@@ -209,7 +209,6 @@
                         .map(Placement::machine)
                         .distinct())
                 .hasSize(1);
-
         JobRequest spread = TestFixtures.request("run-000002", "red", Priority.NORMAL, 5, 4);
         clusterState.remove(StoreKeys.job(singleZone.id()), 13);
         clusterState.put(
