--- a/src/main/java/org/gullway/coordination/failover/Reconciliation.java
+++ b/src/main/java/org/gullway/coordination/failover/Reconciliation.java
@@ -65,7 +65,7 @@
         }
     }
 
-    // Unchanged records are the same instance; comparing all placements by value would cost as much as the change.
+    // An unchanged record is the same instance, so that no comparison of all its placements is needed.
     @SuppressWarnings("ReferenceEquality")
     private void reconcile(Transaction transaction, JobRecord known, boolean orphaned) {
         String id = known.request().id();
@@ -102,8 +102,7 @@
         for (Placement placement : job.livePlacements()) {
             MachineRecord machine = clusterState.machine(placement.machine());
             // A machine's record is removed only after the cloud provider has confirmed that the machine no longer
-            // exists, so
-            // its attempts have ended; so have those of earlier agent epochs.
+            // exists; its attempts have then ended. Attempts of an earlier agent epoch have ended as well.
             if (machine == null || machine.agentEpoch() > placement.agentEpoch()) {
                 lost.put(placement, JobRecord.AttemptOutcome.STOPPED);
             }
--- a/src/main/java/org/gullway/coordination/failover/ShardAssignment.java
+++ b/src/main/java/org/gullway/coordination/failover/ShardAssignment.java
@@ -28,16 +28,16 @@
         this.clusterState = clusterState;
         this.transaction = transaction;
         this.idPrefix = idPrefix;
-        for (String node : clusterState.members().keySet()) {
-            machineCounts.put(node, 0);
-            openShards.put(node, new ArrayList<>());
+        for (String member : clusterState.members().keySet()) {
+            machineCounts.put(member, 0);
+            openShards.put(member, new ArrayList<>());
         }
         for (MachineShard shard : clusterState.shards()) {
             if (clusterState.isMember(shard.controller())) {
-                String node = shard.controller().node();
-                machineCounts.merge(node, shard.machines().size(), Integer::sum);
+                String member = shard.controller().node();
+                machineCounts.merge(member, shard.machines().size(), Integer::sum);
                 if (!isFull(shard)) {
-                    openShards.get(node).add(shard.id());
+                    openShards.get(member).add(shard.id());
                 }
             }
         }
@@ -52,17 +52,17 @@
         if (machineCounts.isEmpty()) {
             return false;
         }
-        String node = memberWithFewestMachines();
-        Optional<MachineShard> open = openShard(node);
+        String member = memberWithFewestMachines();
+        Optional<MachineShard> open = openShard(member);
         boolean alreadyChanged = open.isPresent()
                 && transaction.changes().containsKey(StoreKeys.shard(open.get().id()));
         // Up to two keys change: the shard and, with the first shard, the fencing token.
         if (!alreadyChanged && !transaction.hasCapacityFor(2)) {
             return false;
         }
-        MachineShard shard = open.orElseGet(() -> createShard(node));
+        MachineShard shard = open.orElseGet(() -> createShard(member));
         transaction.putShard(shard.with(machine.claimedBy(shard.controller(), shard.fencingToken())));
-        machineCounts.merge(node, 1, Integer::sum);
+        machineCounts.merge(member, 1, Integer::sum);
         return true;
     }
 
@@ -74,8 +74,8 @@
     }
 
     /** The member's last open shard as the transaction leaves it; removes full shards from the open ones. */
-    private Optional<MachineShard> openShard(String node) {
-        List<String> ids = openShards.get(node);
+    private Optional<MachineShard> openShard(String member) {
+        List<String> ids = openShards.get(member);
         while (!ids.isEmpty()) {
             int last = ids.size() - 1;
             MachineShard shard = transaction.shard(ids.get(last));
@@ -88,12 +88,12 @@
         return Optional.empty();
     }
 
-    private MachineShard createShard(String node) {
+    private MachineShard createShard(String member) {
         // The fencing token is first written together with the first shard of the cluster.
         long fencingToken =
                 transaction.fencingToken() == 0 ? transaction.nextFencingToken() : transaction.fencingToken();
         String id = idPrefix + "-" + ++createdShards;
-        openShards.get(node).add(id);
-        return new MachineShard(id, clusterState.members().get(node), fencingToken, List.of());
+        openShards.get(member).add(id);
+        return new MachineShard(id, clusterState.members().get(member), fencingToken, List.of());
     }
 }
--- a/src/main/java/org/gullway/coordination/failover/ShardFailover.java
+++ b/src/main/java/org/gullway/coordination/failover/ShardFailover.java
@@ -24,7 +24,10 @@
     private final Predicate<String> isReroutedHere;
     /** Ids of shards of other members with agents that repeatedly send their heartbeats here. */
     private final Set<String> reroutedShards = new HashSet<>();
-    /** Value of {@code shardAndMemberChangeCount} when all shards were last seen to have members as their controllers. */
+    /**
+     * The {@link ClusterState#shardAndMemberChangeCount} at which every shard was found to have a member as its
+     * controller; {@link #NONE} if the last check found a shard of a lost controller, or before the first check.
+     */
     private long changeCountWhenFullyAssigned = NONE;
 
     /**
@@ -43,7 +46,7 @@
     }
 
     /**
-     * The member that takes over the shard of a lost controller: the same node if it is a member again, or else a
+     * The member that takes over the shard of a lost controller: the same controller if it is a member again, or else a
      * member chosen by the hash of the shard's id, so that controllers that know the same members choose the same one.
      * Empty if there is no member.
      */
--- a/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
+++ b/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
@@ -52,10 +52,10 @@
         }
     }
 
-    private double quotaOf(String node) {
+    private double quotaOf(String controller) {
         return clusterState
                 .quotaPartitions()
-                .getOrDefault(StoreKeys.quotaPartition(node), QuotaPartition.EMPTY)
+                .getOrDefault(StoreKeys.quotaPartition(controller), QuotaPartition.EMPTY)
                 .of("red")
                 .cpus();
     }
@@ -75,8 +75,8 @@
                 StoreKeys.quotaPartition("perch-9"),
                 QuotaPartition.EMPTY.with("red", new QuotaPartition.Amount(24, 0)),
                 ++revision);
-        for (String node : List.of("perch-0", "perch-1", "perch-2")) {
-            clusterState.put(StoreKeys.quotaPartition(node), QuotaPartition.EMPTY, ++revision);
+        for (String controller : List.of("perch-0", "perch-1", "perch-2")) {
+            clusterState.put(StoreKeys.quotaPartition(controller), QuotaPartition.EMPTY, ++revision);
         }
         putOrphanedJob("run-000001", firstJobTasks);
         putOrphanedJob("run-000002", 8 - firstJobTasks);
@@ -107,8 +107,8 @@
             assertThat(clusterState.quotaUsage(StoreKeys.quotaPartition(transferred.owner()), "red").cpus)
                     .isLessThanOrEqualTo(quotaOf(transferred.owner()));
         }
-        for (String node : List.of("perch-0", "perch-1", "perch-2", "perch-9")) {
-            totalQuota += quotaOf(node);
+        for (String controller : List.of("perch-0", "perch-1", "perch-2", "perch-9")) {
+            totalQuota += quotaOf(controller);
         }
         assertThat(totalQuota).isLessThanOrEqualTo(24);
     }
