--- a/src/main/java/org/gullway/coordination/membership/Membership.java
+++ b/src/main/java/org/gullway/coordination/membership/Membership.java
@@ -10,7 +10,10 @@
  * timers.
  */
 public final class Membership {
-    /** Subtracts 0.2% of the duration: two clocks, each drifting by 0.05%, may differ by 0.1%, which is doubled. */
+    /**
+     * The lease duration divided by this number, 0.2% of it, is the safety margin for clock drift. Two clocks that
+     * drift by up to 0.05% each may differ by 0.1%; the margin is twice that.
+     */
     private static final long DRIFT_DIVISOR = 500;
 
     /** Allowance for the granularity of timers. */
--- a/src/main/java/org/gullway/coordination/membership/StoreOutageDetector.java
+++ b/src/main/java/org/gullway/coordination/membership/StoreOutageDetector.java
@@ -18,8 +18,8 @@
  */
 public final class StoreOutageDetector {
     /**
-     * Maximum time since the last answered request was sent. A watch request lasts one second, so if more time has
-     * passed, at least one later request has had no answer.
+     * Maximum time since the last answered request was sent. The state store answers a watch request within one second
+     * even if nothing has changed. After three seconds, at least one later request must have gone unanswered.
      */
     private static final Duration MAX_ANSWERED_REQUEST_AGE = Duration.ofSeconds(3);
     /** How long a peer's report counts; every peer is asked once per second. */
