--- a/src/main/java/org/gullway/coordination/model/ClusterState.java
+++ b/src/main/java/org/gullway/coordination/model/ClusterState.java
@@ -23,7 +23,7 @@
     private final MachineIndex machineIndex = new MachineIndex(changedMachines);
     private final PlacementIndex placementIndex = new PlacementIndex(changedMachines);
     private final Map<String, JobRecord> jobs = new TreeMap<>();
-    /** Ids of jobs to check: the record has changed, or a machine was removed or entered a later agent epoch. */
+    /** Ids of jobs to check for lost placements: the record changed, or a machine is gone or in a new agent epoch. */
     private final Set<String> uncheckedJobs = new HashSet<>();
 
     /** Ids of cancelled jobs, kept across full reads and after the job's end, since cancellation is final. */
@@ -243,7 +243,7 @@
         return members.byName();
     }
 
-    /** Local count of the changes of shards and members, by which callers notice that there was a change. */
+    /** A counter that increases with every change of a shard or member; for comparison with an earlier value. */
     public long shardAndMemberChangeCount() {
         return shardAndMemberChangeCount;
     }
--- a/src/main/java/org/gullway/coordination/model/Incarnation.java
+++ b/src/main/java/org/gullway/coordination/model/Incarnation.java
@@ -3,6 +3,8 @@
 /**
  * Identifies one run of a controller's process, by the controller's name and a number that no other run has.
  * The package description says why {@code equals} and {@code hashCode} are explicit.
+ *
+ * @param node the controller's name; log lines that contain an incarnation show it under the name of this component
  */
 public record Incarnation(String node, long number) implements StoreRecord {
     @Override
--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -20,7 +20,7 @@
  *
  * @param owner name of the controller whose queue holds the job; null for reserved jobs, which the leader places
  * @param submittedAt wall-clock time at which the job was accepted
- * @param cancelledAt wall-clock time of the cancellation, from which the cancel limit runs; taken before any
+ * @param cancelledAt wall-clock time of the cancellation, from which the cancellation limit runs; taken before any
  *     confirmation of the cancellation was sent; null if the job is not cancelled
  * @param attemptCount the highest attempt number assigned so far; the next attempt gets the next number
  * @param consecutiveErrors number of attempts that failed since a task was last completed
@@ -59,7 +59,10 @@
         DONE,
         /** The attempt was stopped, or its machine was lost. */
         STOPPED,
-        /** The attempt failed, in most cases because of its machine. */
+        /**
+         * The attempt ended with an error, which is in most cases caused by the machine. The task waits again, and
+         * {@code consecutiveErrors} rises by one.
+         */
         FAILED
     }
 
@@ -119,8 +122,8 @@
     }
 
     /**
-     * Whether the job has waiting tasks but no placement and was accepted more than {@link #STALLED_AFTER} ago. One
-     * task of each stalled job is placed before all other tasks.
+     * Whether the job has waiting tasks but no placement and was accepted more than {@link #STALLED_AFTER} ago. The
+     * scheduler tries to place one task of each stalled best-effort job before any other best-effort task.
      */
     public boolean isStalledAt(Instant wallClockTime) {
         return livePlacements.isEmpty()
@@ -193,6 +196,8 @@
     /**
      * This record without the attempts that have ended. Tasks that were not completed wait again; a service never
      * completes a task.
+     *
+     * @param outcomes the placements of the ended attempts, each with the outcome of its attempt
      */
     public JobRecord withoutEndedAttempts(Map<Placement, AttemptOutcome> outcomes) {
         IntegerRanges nextCompleted = completedTasks;
@@ -223,7 +228,7 @@
         return new JobRecord(request, owner, submittedAt, cancelledAt, completed, attempts, errors, live);
     }
 
-    /** This record marked as cancelled; it keeps the first cancellation time, from which the cancel limit runs. */
+    /** This record marked as cancelled; it keeps the first cancellation time, from which the cancellation limit runs. */
     public JobRecord withCancellation(Instant wallClockTime) {
         return isCancelled() ? this : with(owner, wallClockTime);
     }
--- a/src/main/java/org/gullway/coordination/model/PlacementIndex.java
+++ b/src/main/java/org/gullway/coordination/model/PlacementIndex.java
@@ -31,7 +31,8 @@
 
     /**
      * Replaces a job's record. Only placements that differ are processed, since most changes of a record leave most of
-     * its placements as they are.
+     * its placements as they are. All placements are processed if the owner changes, because quota usage is indexed by
+     * the owner, and if the job is cancelled, so that its machines are marked as changed and get new commands.
      *
      * @param previous the previous record, or null
      * @param next the new record, or null
--- a/src/main/java/org/gullway/coordination/model/StoreKeys.java
+++ b/src/main/java/org/gullway/coordination/model/StoreKeys.java
@@ -16,14 +16,14 @@
     /** The quota partition that all reserved jobs are charged to; the leader holds it. */
     public static final String LEADER_QUOTA = QUOTA_PARTITIONS + "leader";
 
-    private static final String NODE_QUOTAS = QUOTA_PARTITIONS + "node/";
+    private static final String CONTROLLER_QUOTAS = QUOTA_PARTITIONS + "node/";
     private static final String FINAL_STATES = "ended/";
 
     private StoreKeys() {}
 
     /** The key of a member, which is attached to the member's lease. */
-    public static String member(String node) {
-        return MEMBERS + node;
+    public static String member(String controllerName) {
+        return MEMBERS + controllerName;
     }
 
     /** The key of a job that has not ended. */
@@ -37,13 +37,13 @@
     }
 
     /** The quota partition of the controller of this name, for the best-effort jobs that it owns. */
-    public static String quotaPartition(String node) {
-        return NODE_QUOTAS + node;
+    public static String quotaPartition(String controllerName) {
+        return CONTROLLER_QUOTAS + controllerName;
     }
 
     /** The name of the controller that holds the quota partition of this key; null for the leader's. */
     public static String quotaHolder(String key) {
-        return key.startsWith(NODE_QUOTAS) ? key.substring(NODE_QUOTAS.length()) : null;
+        return key.startsWith(CONTROLLER_QUOTAS) ? key.substring(CONTROLLER_QUOTAS.length()) : null;
     }
 
     /** The quota partition that a job's placements are charged to. */
--- a/src/main/java/org/gullway/coordination/model/Transaction.java
+++ b/src/main/java/org/gullway/coordination/model/Transaction.java
@@ -64,7 +64,10 @@
         changeSet.requireUnchanged(StoreKeys.member(self.node()));
     }
 
-    /** Wall-clock time, unlike the monotonic {@code now}, that the records written by this transaction contain. */
+    /**
+     * The wall-clock time of this transaction, which is written into its records. It is not comparable with the
+     * monotonic times that planning steps get from their context.
+     */
     public Instant wallClockTime() {
         return wallClockTime;
     }
--- a/src/main/java/org/gullway/coordination/model/package-info.java
+++ b/src/main/java/org/gullway/coordination/model/package-info.java
@@ -1,8 +1,9 @@
 /**
  * The records of the state store, this controller's replica of them, and the transactions that change them.
  *
- * <p>Records that are compared or hashed for each machine in each scheduling cycle implement {@code equals} and
- * {@code hashCode} explicitly, because the JVM links the default methods of a record at run time, on their first use,
- * which delays the start of a controller.
+ * <p>{@link AttemptId}, {@link Incarnation} and {@link Placement}, which are compared or hashed for each machine in each
+ * scheduling cycle, implement {@code equals} and {@code hashCode} explicitly. The methods that the compiler generates
+ * for a record are linked by the JVM at run time, when they are first called. This would delay the first scheduling
+ * cycle, and so the start of a controller. {@link MachineRecord} overrides only {@code hashCode}, to make it faster.
  */
 package org.gullway.coordination.model;
