--- a/src/main/java/org/gullway/coordination/scaling/FleetAutoscaler.java
+++ b/src/main/java/org/gullway/coordination/scaling/FleetAutoscaler.java
@@ -21,7 +21,10 @@
  * machine, and scales in machines that were unneeded for the scale-in delay. Spare capacity for reserved jobs is kept.
  */
 public final class FleetAutoscaler implements PlanningStep {
-    /** Planning iterates over the whole fleet, and machines take far longer than this interval to boot. */
+    /**
+     * Planning iterates over the whole fleet, which is too expensive for every scheduling cycle. Machines take far
+     * longer than this interval to boot, so more frequent planning would gain little.
+     */
     private static final Duration PLANNING_INTERVAL = Duration.ofMillis(500);
 
     private final ClusterState clusterState;
@@ -72,6 +75,7 @@
         QuotaHeadroom headroom = new QuotaHeadroom(clusterState, quotas);
         for (JobRecord job : clusterState.jobs()) {
             JobRequest request = job.request();
+            // Unlike in ScaleOutPlanner, the attempts of cancelled jobs that still have to be stopped are included.
             reservedCpus += job.isReserved() ? job.unfinishedTasks() * request.cpus() : 0;
             waitingCpus += headroom.admit(job, job.waitingTasks()) * request.cpus();
         }
@@ -101,8 +105,9 @@
     }
 
     /**
-     * Whether the machine has no placement as of the revision at which its shard's record was last written, which is
-     * not before the machine was set to draining; no task is placed on it from then on.
+     * Whether the watch has reached the latest known write of the machine's shard and the replica shows no placement on
+     * the machine. A controller that does not know yet that the machine is draining may still place a task on it; that
+     * placement is removed together with the machine.
      */
     private boolean isKnownEmpty(MachineRecord machine) {
         return clusterState.watchedRevision() >= clusterState.machineVersion(machine.name())
--- a/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleInPolicy.java
@@ -98,7 +98,10 @@
         transaction.putMachine(transaction.machine(machine.name()).withLifecycle(lifecycle));
     }
 
-    /** Sorts only machines that may be drained or declared lost; in a fleet of the right size these are few. */
+    /**
+     * The machines that may be drained or declared lost, in {@link Candidate#DRAIN_ORDER}. Machines are selected before
+     * they are sorted, because few are selected while the fleet has no excess capacity.
+     */
     private List<Candidate> candidates(Transaction transaction) {
         List<Candidate> candidates = new ArrayList<>();
         Map<String, Double> utilizations = new HashMap<>();
--- a/src/main/java/org/gullway/coordination/scaling/ScaleOutPlanner.java
+++ b/src/main/java/org/gullway/coordination/scaling/ScaleOutPlanner.java
@@ -89,7 +89,8 @@
                 packing.pack(request, tasks);
             }
         }
-        // The spare capacity is packed as tasks of the reserved job that is last in packing order.
+        // Packing needs a job request, which the spare capacity does not have: the request of the last reserved job in
+        // packing order stands for it.
         if (lastReserved != null) {
             int spareTasks = (int) Math.ceil(spareCapacity.requiredCpus(reservedCpus, now) / lastReserved.cpus());
             packing.pack(lastReserved, spareTasks);
--- a/src/main/java/org/gullway/coordination/scaling/SpareCapacityPolicy.java
+++ b/src/main/java/org/gullway/coordination/scaling/SpareCapacityPolicy.java
@@ -10,9 +10,12 @@
 /**
  * Decides how much capacity is kept free for reserved jobs: a fraction of what their unfinished tasks need, and at
  * least the size of the largest recent one. The next reserved job may be submitted at any moment, and its tasks have to
- * start without waiting for machines to boot. The size of the largest recent job is called the burst size: it decays by
- * half per {@link #BURST_HALF_LIFE} and counts as zero once {@link #BURST_RETENTION} has passed without a new reserved
- * job.
+ * start without waiting for machines to boot.
+ *
+ * <p>The size of the largest recent job is called the burst size. It decays by half per {@link #BURST_HALF_LIFE}, so
+ * that it shrinks while smaller reserved jobs keep arriving. Once {@link #BURST_RETENTION} has passed without a new
+ * reserved job, it counts as zero. The decay continues meanwhile: the next reserved job, however small, makes the
+ * remaining burst size count again.
  */
 final class SpareCapacityPolicy {
     private static final Duration BURST_RETENTION = Duration.ofMinutes(1);
