--- a/src/main/java/org/gullway/coordination/model/Transaction.java
+++ b/src/main/java/org/gullway/coordination/model/Transaction.java
@@ -251,7 +251,8 @@
     public void place(JobRecord job, List<MachineRecord> machines) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
-                    "placing tasks, lowest attempt number given job={} job_class={} tasks={} attempt={} machines={}",
+                    "placing tasks; attempt is the lowest new attempt number"
+                            + " job={} job_class={} tasks={} attempt={} machines={}",
                     job.request().id(),
                     job.request().jobClass(),
                     machines.size(),
