--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -20,7 +20,7 @@
  *
  * @param owner name of the controller whose queue holds the job; null for reserved jobs, which the leader places
  * @param submittedAt wall-clock time at which the job was accepted
- * @param cancelledAt wall-clock time of the cancellation, from which the cancel limit runs; taken before any
+ * @param cancelledAt wall-clock time of the cancellation, from which the cancellation limit runs; taken before any
  *     confirmation of the cancellation was sent; null if the job is not cancelled
  * @param attemptCount the highest attempt number assigned so far; the next attempt gets the next number
  * @param consecutiveErrors number of attempts that failed since a task was last completed
@@ -59,7 +59,10 @@
         DONE,
         /** The attempt was stopped, or its machine was lost. */
         STOPPED,
-        /** The attempt failed, in most cases because of its machine. */
+        /**
+         * The attempt ended with an error, which is in most cases caused by the machine. The task waits again, and
+         * {@code consecutiveErrors} rises by one.
+         */
         FAILED
     }
 
@@ -84,7 +87,7 @@
     }
 
     @Override
-    public int maxEncodedBytes() {
+    public int estimatedEncodedBytes() {
         return FIXED_BYTES + livePlacements.size() * PLACEMENT_BYTES + completedTasks.rangeCount() * RANGE_BYTES;
     }
 
@@ -119,13 +122,13 @@
     }
 
     /**
-     * Whether the job has waiting tasks but no placement and was accepted more than {@link #STALLED_AFTER} ago. One
-     * task of each stalled job is placed before all other tasks.
+     * Whether the job has waiting tasks but no placement and was accepted more than {@link #STALLED_AFTER} ago. The
+     * scheduler tries to place one task of each stalled best-effort job before any other best-effort task.
      */
-    public boolean isStalledAt(Instant timeOfDay) {
+    public boolean isStalledAt(Instant wallClockTime) {
         return livePlacements.isEmpty()
                 && waitingTasks() > 0
-                && submittedAt.plus(STALLED_AFTER).isBefore(timeOfDay);
+                && submittedAt.plus(STALLED_AFTER).isBefore(wallClockTime);
     }
 
     /** Number of tasks that are neither completed nor placed; 0 for a cancelled job. */
@@ -157,7 +160,7 @@
      * This record with one new attempt on each of these machines, for the lowest-numbered tasks that are neither
      * completed nor placed. The tasks of a gang are placed together and share one attempt number.
      */
-    public JobRecord withPlacements(List<MachineRecord> machines, Instant timeOfDay) {
+    public JobRecord withPlacements(List<MachineRecord> machines, Instant wallClockTime) {
         BitSet placedTasks = new BitSet();
         livePlacements.forEach(placement -> placedTasks.set(placement.task()));
         List<Placement> next = new ArrayList<>(livePlacements.size() + machines.size());
@@ -171,7 +174,7 @@
                         + ": only " + waitingTasks() + " are waiting");
             }
             attempt = isGang() && attempt > attemptCount ? attempt : attempt + 1;
-            next.add(new Placement(task, attempt, machine.name(), machine.agentEpoch(), false, timeOfDay));
+            next.add(new Placement(task, attempt, machine.name(), machine.agentEpoch(), false, wallClockTime));
         }
         return with(completedTasks, attempt, consecutiveErrors, List.copyOf(next));
     }
@@ -187,14 +190,16 @@
 
     /** How many more placements the record can hold if its value may have this size. */
     public int remainingPlacements(int valueBytes) {
-        return Math.max(0, (valueBytes - maxEncodedBytes()) / PLACEMENT_BYTES);
+        return Math.max(0, (valueBytes - estimatedEncodedBytes()) / PLACEMENT_BYTES);
     }
 
     /**
      * This record without the attempts that have ended. Tasks that were not completed wait again; a service never
      * completes a task.
+     *
+     * @param outcomes the placements of the ended attempts, each with the outcome of its attempt
      */
-    public JobRecord withCompletions(Map<Placement, AttemptOutcome> outcomes) {
+    public JobRecord withoutEndedAttempts(Map<Placement, AttemptOutcome> outcomes) {
         IntegerRanges nextCompleted = completedTasks;
         int nextErrors = consecutiveErrors;
         List<Placement> remaining = new ArrayList<>(livePlacements.size());
@@ -223,9 +228,9 @@
         return new JobRecord(request, owner, submittedAt, cancelledAt, completed, attempts, errors, live);
     }
 
-    /** This record marked as cancelled; it keeps the first cancellation time, from which the cancel limit runs. */
-    public JobRecord withCancellation(Instant timeOfDay) {
-        return isCancelled() ? this : with(owner, timeOfDay);
+    /** This record marked as cancelled; it keeps the first cancellation time, from which the cancellation limit runs. */
+    public JobRecord withCancellation(Instant wallClockTime) {
+        return isCancelled() ? this : with(owner, wallClockTime);
     }
 
     /** This record, owned by another controller. */
--- a/src/main/java/org/gullway/coordination/model/Transaction.java
+++ b/src/main/java/org/gullway/coordination/model/Transaction.java
@@ -52,21 +52,24 @@
 
     private final ClusterState clusterState;
     private final Limits limits;
-    private final Instant timeOfDay;
+    private final Instant wallClockTime;
     private final ChangeSet changeSet;
     private final UsageDelta usageDelta = new UsageDelta();
 
-    public Transaction(ClusterState clusterState, Incarnation self, Limits limits, Instant timeOfDay) {
+    public Transaction(ClusterState clusterState, Incarnation self, Limits limits, Instant wallClockTime) {
         this.clusterState = clusterState;
         this.limits = limits;
-        this.timeOfDay = timeOfDay;
+        this.wallClockTime = wallClockTime;
         this.changeSet = new ChangeSet(limits);
         changeSet.requireUnchanged(StoreKeys.member(self.node()));
     }
 
-    /** Wall-clock time, unlike the monotonic {@code now}, that the records written by this transaction contain. */
-    public Instant timeOfDay() {
-        return timeOfDay;
+    /**
+     * The wall-clock time of this transaction, which is written into its records. It is not comparable with the
+     * monotonic times that planning steps get from their context.
+     */
+    public Instant wallClockTime() {
+        return wallClockTime;
     }
 
     /** Whether the transaction contains no changes. */
@@ -248,13 +251,14 @@
     public void place(JobRecord job, List<MachineRecord> machines) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
-                    "placing tasks, lowest attempt number given job={} job_class={} tasks={} attempt={} machines={}",
+                    "placing tasks; attempt is the lowest new attempt number"
+                            + " job={} job_class={} tasks={} attempt={} machines={}",
                     job.request().id(),
                     job.request().jobClass(),
                     machines.size(),
                     job.attemptCount() + 1,
                     machines.stream().map(MachineRecord::name).toList());
         }
-        putJob(job.withPlacements(machines, timeOfDay));
+        putJob(job.withPlacements(machines, wallClockTime));
     }
 }
--- a/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
+++ b/src/test/java/org/gullway/coordination/failover/ReconciliationTest.java
@@ -29,12 +29,12 @@
 
     private void putOrphanedJob(String id, int placed) {
         JobRecord job = JobRecord.accepted(
-                TestFixtures.request(id, "red", Priority.NORMAL, 20, 4), "perch-9", TestFixtures.TIME_OF_DAY);
+                TestFixtures.request(id, "red", Priority.NORMAL, 20, 4), "perch-9", TestFixtures.WALL_CLOCK_TIME);
         clusterState.put(
                 StoreKeys.job(id),
                 TestFixtures.placed(
                         job,
-                        TestFixtures.TIME_OF_DAY,
+                        TestFixtures.WALL_CLOCK_TIME,
                         Collections.nCopies(placed, "vm-1").toArray(String[]::new)),
                 ++revision);
     }
@@ -46,16 +46,16 @@
         for (int i = 0; i < cycles; i++) {
             now = now.plusSeconds(1);
             Transaction transaction =
-                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                    new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
             reconciliation.plan(transaction, TestFixtures.leaderContext(now));
             TestFixtures.commit(clusterState, transaction, ++revision);
         }
     }
 
-    private double quotaOf(String node) {
+    private double quotaOf(String controller) {
         return clusterState
                 .quotaPartitions()
-                .getOrDefault(StoreKeys.quotaPartition(node), QuotaPartition.EMPTY)
+                .getOrDefault(StoreKeys.quotaPartition(controller), QuotaPartition.EMPTY)
                 .of("red")
                 .cpus();
     }
@@ -75,8 +75,8 @@
                 StoreKeys.quotaPartition("perch-9"),
                 QuotaPartition.EMPTY.with("red", new QuotaPartition.Amount(24, 0)),
                 ++revision);
-        for (String node : List.of("perch-0", "perch-1", "perch-2")) {
-            clusterState.put(StoreKeys.quotaPartition(node), QuotaPartition.EMPTY, ++revision);
+        for (String controller : List.of("perch-0", "perch-1", "perch-2")) {
+            clusterState.put(StoreKeys.quotaPartition(controller), QuotaPartition.EMPTY, ++revision);
         }
         putOrphanedJob("run-000001", firstJobTasks);
         putOrphanedJob("run-000002", 8 - firstJobTasks);
@@ -92,7 +92,7 @@
         JobRecord job = clusterState.job(completed);
         clusterState.put(
                 StoreKeys.job(completed),
-                job.withCompletions(Map.of(
+                job.withoutEndedAttempts(Map.of(
                         job.livePlacements().get(0),
                         JobRecord.AttemptOutcome.DONE,
                         job.livePlacements().get(1),
@@ -107,15 +107,15 @@
             assertThat(clusterState.quotaUsage(StoreKeys.quotaPartition(transferred.owner()), "red").cpus)
                     .isLessThanOrEqualTo(quotaOf(transferred.owner()));
         }
-        for (String node : List.of("perch-0", "perch-1", "perch-2", "perch-9")) {
-            totalQuota += quotaOf(node);
+        for (String controller : List.of("perch-0", "perch-1", "perch-2", "perch-9")) {
+            totalQuota += quotaOf(controller);
         }
         assertThat(totalQuota).isLessThanOrEqualTo(24);
     }
 
     private void reconcileAt(Reconciliation reconciliation, int second) {
         Transaction transaction =
-                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.TIME_OF_DAY);
+                new Transaction(clusterState, TestFixtures.SELF, TestFixtures.LIMITS, TestFixtures.WALL_CLOCK_TIME);
         reconciliation.plan(transaction, PlanningContext.of(Instant.EPOCH.plusSeconds(second), false, true));
         TestFixtures.commit(clusterState, transaction, ++revision);
     }
@@ -130,11 +130,11 @@
             JobRecord job = JobRecord.accepted(
                     TestFixtures.request("run-%06d".formatted(i), "red", Priority.NORMAL, 2, 1),
                     "perch-0",
-                    TestFixtures.TIME_OF_DAY);
+                    TestFixtures.WALL_CLOCK_TIME);
             String machine = i % 4 == 0 ? "vm-2" : "vm-1";
             clusterState.put(
                     StoreKeys.job(job.request().id()),
-                    TestFixtures.placed(job, TestFixtures.TIME_OF_DAY, machine, machine),
+                    TestFixtures.placed(job, TestFixtures.WALL_CLOCK_TIME, machine, machine),
                     ++revision);
         }
         Reconciliation reconciliation =
--- a/src/test/java/org/gullway/storage/RecordCodecTest.java
+++ b/src/test/java/org/gullway/storage/RecordCodecTest.java
@@ -37,7 +37,7 @@
         return RecordCodec.decode(key, Cbor.decode(Cbor.encode(RecordCodec.encode(value))));
     }
 
-    /** The size of the job is that of its JSON text, which must not exceed {@link JobRecord#maxEncodedBytes()}. */
+    /** The size of the job is that of its JSON text, which must not exceed {@link JobRecord#estimatedEncodedBytes()}. */
     @Property(tries = 300, seed = "5")
     void jobRoundTripStaysWithinMaxEncodedBytes(@ForAll long seed) throws MalformedMessageException {
         SplittableRandom random = new SplittableRandom(seed);
@@ -71,14 +71,14 @@
         JobRecord read = (JobRecord) roundTrip(StoreKeys.job("run-000001"), job);
         assertThat(read.livePlacements()).containsExactlyInAnyOrderElementsOf(job.livePlacements());
         assertThat(read).usingRecursiveComparison().isEqualTo(job);
-        assertThat(RecordCodec.encode(job).toString().length()).isLessThanOrEqualTo(job.maxEncodedBytes());
+        assertThat(RecordCodec.encode(job).toString().length()).isLessThanOrEqualTo(job.estimatedEncodedBytes());
     }
 
     /** The record of a job with 400 tasks, each placed on a different machine, fits into 16 KiB. */
     @Test
     void fourHundredPlacementsFitIntoOneRecord() {
         JobRecord job = JobRecord.accepted(
-                TestFixtures.request("run-000001", "red", Priority.HIGH, 400, 4), null, TestFixtures.TIME_OF_DAY);
+                TestFixtures.request("run-000001", "red", Priority.HIGH, 400, 4), null, TestFixtures.WALL_CLOCK_TIME);
         assertThat(job.remainingPlacements(16 * 1024)).isGreaterThanOrEqualTo(400);
     }
 
@@ -86,7 +86,7 @@
     void otherRecordsAreDecodedAsEncoded() throws MalformedMessageException {
         Incarnation incarnation = new Incarnation("perch-0", Long.MAX_VALUE);
         MachineRecord booting =
-                MachineRecord.booting("vm-1", "small", "a", true, TestFixtures.TIME_OF_DAY, incarnation, 7);
+                MachineRecord.booting("vm-1", "small", "a", true, TestFixtures.WALL_CLOCK_TIME, incarnation, 7);
         MachineShard shard = new MachineShard(
                 "g-1",
                 incarnation,
