--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -10,13 +10,13 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.gullway.SimulatedCluster.Bounds;
+import org.gullway.SimulatedCluster.JobConstraints;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.protocol.Priority;
 
 /** Transactions whose response is lost or that are applied late, combined with a second fault. */
 class CommitFaultsTest {
-    private static final Bounds ANYWHERE = new Bounds(null, null, false, false, true);
+    private static final JobConstraints ANYWHERE = new JobConstraints(null, null, false, false, true);
 
     /**
      * Commit responses are lost while other controllers act on the changes: a job is accepted, runs and finishes before
--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.gullway.SimulatedCluster.Bounds;
+import org.gullway.SimulatedCluster.JobConstraints;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.Priority;
@@ -29,8 +29,8 @@
  * machines.
  */
 class FailoverFaultsTest {
-    private static Bounds onType(String type) {
-        return new Bounds(List.of(type), null, false, false, true);
+    private static JobConstraints onType(String type) {
+        return new JobConstraints(List.of(type), null, false, false, true);
     }
 
     private static FakeAgent agentOfType(SimulatedCluster cluster, String type) {
@@ -196,7 +196,7 @@
     @Property(tries = 4, seed = "215")
     void theOnlyMachineOfItsTypeHasAnInboundPartition(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 1);
-        Bounds bounds = new Bounds(List.of("large"), "a", false, false, false);
+        JobConstraints bounds = new JobConstraints(List.of("large"), "a", false, false, false);
         cluster.submit(1, "blue", Priority.HIGH, 1, 20, Duration.ofSeconds(400), bounds);
         cluster.run(Duration.ofSeconds(25));
         partitionInbound(cluster, agentOfType(cluster, "large"), Duration.ofDays(1));
--- a/src/test/java/org/gullway/InvariantCheckerTest.java
+++ b/src/test/java/org/gullway/InvariantCheckerTest.java
@@ -30,7 +30,7 @@
         return Instant.EPOCH.plusSeconds(second);
     }
 
-    private String submitJob(int number, int tasks, SimulatedCluster.Bounds bounds) {
+    private String submitJob(int number, int tasks, SimulatedCluster.JobConstraints bounds) {
         String id = String.format("run-%06d", number);
         invariants.onSubmitted(new JobRequest(
                 id,
@@ -58,7 +58,7 @@
     }
 
     private String submitWithoutConstraints(int number, int tasks) {
-        return submitJob(number, tasks, new SimulatedCluster.Bounds(null, null, false, false, true));
+        return submitJob(number, tasks, new SimulatedCluster.JobConstraints(null, null, false, false, true));
     }
 
     private void assertViolatesOnly(String rule) {
@@ -67,7 +67,7 @@
 
     @Test
     void violationsOfTypeZoneAndSpotConstraints() {
-        String typed = submitJob(1, 4, new SimulatedCluster.Bounds(List.of("small"), "a", false, false, false));
+        String typed = submitJob(1, 4, new SimulatedCluster.JobConstraints(List.of("small"), "a", false, false, false));
         invariants.onTaskStarted("a1", typed + "/0", at(1));
         assertThat(invariants.violations).isEmpty();
         invariants.onTaskStarted("a2", typed + "/1", at(1));
@@ -78,14 +78,14 @@
         invariants.violations.clear();
         invariants.onTaskStarted(
                 "a2",
-                submitJob(2, 1, new SimulatedCluster.Bounds(List.of("small"), null, false, false, true)) + "/0",
+                submitJob(2, 1, new SimulatedCluster.JobConstraints(List.of("small"), null, false, false, true)) + "/0",
                 at(1));
         assertViolatesOnly("wrong_place: run-000002/0 on a2: of type large");
     }
 
     @Test
     void aSecondZoneForASingleZoneJob() {
-        String id = submitJob(1, 3, SimulatedCluster.Bounds.ONE_ZONE);
+        String id = submitJob(1, 3, SimulatedCluster.JobConstraints.ONE_ZONE);
         invariants.onTaskStarted("a1", id + "/0", at(1));
         invariants.onTaskStarted("a2", id + "/1", at(1));
         invariants.onTaskEnded("a1", id + "/0", true);
@@ -96,7 +96,7 @@
 
     @Test
     void theZoneOfASingleZoneJobMayChangeOnceNoTaskRuns() {
-        String id = submitJob(1, 2, SimulatedCluster.Bounds.ONE_ZONE);
+        String id = submitJob(1, 2, SimulatedCluster.JobConstraints.ONE_ZONE);
         invariants.onTaskStarted("a1", id + "/0", at(1));
         invariants.onTaskEnded("a1", id + "/0", false);
         invariants.onTaskStarted("b1", id + "/0", at(2));
@@ -105,7 +105,7 @@
 
     @Test
     void tooManyTasksOfASpreadJobInOneZone() {
-        String id = submitJob(1, 5, SimulatedCluster.Bounds.SPREAD);
+        String id = submitJob(1, 5, SimulatedCluster.JobConstraints.SPREAD);
         for (int i = 0; i < 3; i++) {
             invariants.onTaskStarted("a1", id + "/" + i, at(1));
         }
@@ -240,7 +240,7 @@
 
     @Test
     void aJobWaitsTooLongDespiteFreeCapacity() {
-        String id = submitJob(1, 1, SimulatedCluster.Bounds.in("b"));
+        String id = submitJob(1, 1, SimulatedCluster.JobConstraints.in("b"));
         invariants.checkStarvation(machine -> true, at(1));
         invariants.onFaultsEnded(at(2));
         invariants.checkStarvation(machine -> true, at(3));
--- a/src/test/java/org/gullway/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/MachineFaultCombinationsTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.gullway.SimulatedCluster.Bounds;
+import org.gullway.SimulatedCluster.JobConstraints;
 import org.gullway.fake.FakeAgent;
 import org.gullway.protocol.Priority;
 
@@ -140,12 +140,12 @@
      */
     private static void assertZoneConstrainedJobsFinish(int seed, List<Priority> priorities) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        List<Bounds> bounds = List.of(
-                Bounds.in("a"),
-                Bounds.ONE_ZONE,
-                Bounds.SPREAD,
-                new Bounds(List.of("large"), null, true, false, false),
-                new Bounds(List.of("small"), "b", false, false, true));
+        List<JobConstraints> bounds = List.of(
+                JobConstraints.in("a"),
+                JobConstraints.ONE_ZONE,
+                JobConstraints.SPREAD,
+                new JobConstraints(List.of("large"), null, true, false, false),
+                new JobConstraints(List.of("small"), "b", false, false, true));
         for (int i = 1; i <= 10; i++) {
             cluster.submit(
                     i,
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -195,23 +195,35 @@
     }
 
     /** Where a job's tasks may run; null for any type or zone. */
-    record Bounds(List<String> types, String zone, boolean oneZone, boolean spread, boolean spot) {
-        static final Bounds ONE_ZONE = new Bounds(null, null, true, false, true);
-        static final Bounds SPREAD = new Bounds(null, null, false, true, true);
+    record JobConstraints(List<String> types, String zone, boolean oneZone, boolean spread, boolean spot) {
+        static final JobConstraints ONE_ZONE = new JobConstraints(null, null, true, false, true);
+        static final JobConstraints SPREAD = new JobConstraints(null, null, false, true, true);
 
-        static Bounds in(String zone) {
-            return new Bounds(null, zone, false, false, true);
+        static JobConstraints in(String zone) {
+            return new JobConstraints(null, zone, false, false, true);
         }
     }
 
     TestUser submit(int number, String team, Priority priority, int tasks, double cpus, Duration runTime) {
         return submit(
-                number, team, priority, tasks, cpus, runTime, new Bounds(null, null, false, false, number % 4 != 0));
+                number,
+                team,
+                priority,
+                tasks,
+                cpus,
+                runTime,
+                new JobConstraints(null, null, false, false, number % 4 != 0));
     }
 
     TestUser submit(
-            int number, String team, Priority priority, int tasks, double cpus, Duration runTime, Bounds bounds) {
-        return users.submit(SimulatedJobs.array(number, team, priority, tasks, cpus, runTime, bounds), runTime);
+            int number,
+            String team,
+            Priority priority,
+            int tasks,
+            double cpus,
+            Duration runTime,
+            JobConstraints constraints) {
+        return users.submit(SimulatedJobs.array(number, team, priority, tasks, cpus, runTime, constraints), runTime);
     }
 
     /** A submission that lacks a field, and one that fits no machine; both are refused, and leave no job. */
--- a/src/test/java/org/gullway/SimulatedJobs.java
+++ b/src/test/java/org/gullway/SimulatedJobs.java
@@ -51,7 +51,7 @@
             int tasks,
             double cpus,
             Duration runTime,
-            SimulatedCluster.Bounds bounds) {
+            SimulatedCluster.JobConstraints constraints) {
         return new JobRequest(
                 String.format("run-%06d", number),
                 cpus >= LARGE_TASK_CPUS ? "survey" : "render",
@@ -64,11 +64,11 @@
                 cpus,
                 "img-" + number % 3,
                 0.5,
-                bounds.types(),
-                bounds.zone(),
-                bounds.oneZone(),
-                bounds.spread(),
-                bounds.spot(),
+                constraints.types(),
+                constraints.zone(),
+                constraints.oneZone(),
+                constraints.spread(),
+                constraints.spot(),
                 runTime,
                 Duration.ZERO,
                 Duration.ZERO,
@@ -84,7 +84,8 @@
     }
 
     private static JobRequest array(int number, double cpus) {
-        return array(number, "blue", Priority.HIGH, 2, cpus, Duration.ofSeconds(5), SimulatedCluster.Bounds.SPREAD);
+        return array(
+                number, "blue", Priority.HIGH, 2, cpus, Duration.ofSeconds(5), SimulatedCluster.JobConstraints.SPREAD);
     }
 
     private void submitInvalid(ObjectNode job, int expected) {
--- a/src/test/java/org/gullway/SimulatedScenariosTest.java
+++ b/src/test/java/org/gullway/SimulatedScenariosTest.java
@@ -8,20 +8,20 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
-import org.gullway.SimulatedCluster.Bounds;
+import org.gullway.SimulatedCluster.JobConstraints;
 import org.gullway.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
 /** Random scenarios in virtual time: the invariants hold under any faults, and all jobs finish after the faults. */
 class SimulatedScenariosTest {
     private static final List<Fault> FAULTS = List.of(Fault.values());
-    private static final List<Bounds> CONSTRAINTS = List.of(
-            Bounds.in("a"),
-            Bounds.in("b"),
-            Bounds.ONE_ZONE,
-            Bounds.SPREAD,
-            new Bounds(List.of("large"), null, true, false, false),
-            new Bounds(List.of("small"), null, false, true, true));
+    private static final List<JobConstraints> CONSTRAINTS = List.of(
+            JobConstraints.in("a"),
+            JobConstraints.in("b"),
+            JobConstraints.ONE_ZONE,
+            JobConstraints.SPREAD,
+            new JobConstraints(List.of("large"), null, true, false, false),
+            new JobConstraints(List.of("small"), null, false, true, true));
 
     /** Submits jobs with random constraints on zones and machine types at random times within the given duration. */
     static void submitConstrainedJobs(
