--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -246,7 +246,7 @@
     void onlyAPartitionedLeaderReachesTheAgents(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(200));
         String leader = cluster.leader();
-        Duration duration = SimulatedCluster.CANCEL.plusSeconds(20);
+        Duration duration = SimulatedCluster.CANCELLATION_LIMIT.plusSeconds(20);
         partitionFromStore(cluster, leader, duration);
         cluster.partitionPeers(leader, true);
         for (String other : cluster.nodes()) {
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -131,7 +131,7 @@
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration duration) {
             cluster.network.duplicateLate(
-                    0.3, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(3), cluster.userAddresses());
+                    0.3, "/agent/beat", SimulatedCluster.AGENT_LEASE.multipliedBy(3), cluster.userAddresses());
         }
     },
     /** Some transactions get no response and are applied late, after newer transactions. */
@@ -178,7 +178,7 @@
             cancelRandomJobs(cluster, random, 0.4);
             cluster.after(Duration.ofMillis(500 + random.nextInt(6000)), () -> {
                 cluster.store.setDown(true);
-                cluster.after(SimulatedCluster.CANCEL.plus(duration), () -> {
+                cluster.after(SimulatedCluster.CANCELLATION_LIMIT.plus(duration), () -> {
                     cluster.store.rejectFrom(node, false);
                     cluster.store.setDown(false);
                 });
--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -12,7 +12,7 @@
 /** Faults at random moments, determined by a seed. */
 final class FaultSchedule {
     /** Longer than the lease of agents. */
-    private static final Duration MAX_DELAY = LoopbackCluster.LEASE.plusSeconds(1);
+    private static final Duration MAX_DELAY = LoopbackCluster.AGENT_LEASE.plusSeconds(1);
 
     private static final Conditions LOSSY_STORE =
             new Conditions(0.02, 0.1, 0.1, MAX_DELAY, 0, 0.5, Duration.ofMillis(400));
--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -63,7 +63,7 @@
     void lateHeartbeatCopiesReachRestartedControllers(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithJobs(seed);
         cluster.network.duplicateLate(
-                0.8, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(3), cluster.userAddresses());
+                0.8, "/agent/beat", SimulatedCluster.AGENT_LEASE.multipliedBy(3), cluster.userAddresses());
         for (int at : List.of(4, 15, 40)) {
             cluster.after(Duration.ofSeconds(at), () -> {
                 cluster.nodes().forEach(node -> cluster.crash(node, Duration.ofMillis(300)));
@@ -119,7 +119,7 @@
         cluster.run(Duration.ofSeconds(25));
         assertThat(cluster.startedTasks()).isEqualTo(12);
         cluster.partitionZone("b", true);
-        cluster.run(SimulatedCluster.CANCEL.minusSeconds(12));
+        cluster.run(SimulatedCluster.CANCELLATION_LIMIT.minusSeconds(12));
         cluster.partitionZone("b", false);
         assertFinishesWithin(cluster, Duration.ofSeconds(100));
         assertThat(cluster.startedTasks()).as("started tasks, none restarted").isEqualTo(12);
--- a/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
@@ -47,7 +47,7 @@
         cluster.users().subList(0, 2).forEach(TestUser::cancel);
         cluster.run(seconds(0.2 + seed % 5));
         for (int i = 0; i < 3; i++) {
-            cluster.crash(cluster.nodes().get(i), SimulatedCluster.LEASE.plusSeconds(2 + (seed + 5 * i) % 12));
+            cluster.crash(cluster.nodes().get(i), SimulatedCluster.AGENT_LEASE.plusSeconds(2 + (seed + 5 * i) % 12));
         }
         cluster.after(Duration.ofSeconds(3), () -> cluster.users().subList(2, 5).forEach(TestUser::cancel));
         submitSteadily(cluster, 9, 8);
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -32,8 +32,8 @@
  * real sockets in this process. Everything except starting and ending it runs on its event loop.
  */
 final class LoopbackCluster implements AutoCloseable {
-    static final Duration LEASE = Duration.ofSeconds(4);
-    static final Duration CANCEL = Duration.ofSeconds(12);
+    static final Duration AGENT_LEASE = Duration.ofSeconds(4);
+    static final Duration CANCELLATION_LIMIT = Duration.ofSeconds(12);
     private static final Duration PEER_TIMEOUT = Duration.ofSeconds(4);
     private static final String OPERATOR_SETTINGS = "operator.xml";
 
@@ -59,8 +59,8 @@
         static Setup small() {
             return new Setup(
                     Duration.ofMillis(500),
-                    LEASE,
-                    CANCEL,
+                    AGENT_LEASE,
+                    CANCELLATION_LIMIT,
                     Duration.ofSeconds(2),
                     4,
                     SimulatedCluster.Shape.SMALL_TEAMS,
--- a/src/test/java/org/gullway/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/MachineFaultCombinationsTest.java
@@ -57,11 +57,11 @@
     void heartbeatsOfEarlierAgentEpochsArriveAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(50));
         cluster.network.duplicateLate(
-                0.9, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(2), cluster.userAddresses());
+                0.9, "/agent/beat", SimulatedCluster.AGENT_LEASE.multipliedBy(2), cluster.userAddresses());
         cluster.cloud.agents().stream().limit(3).forEach(agent -> {
             cluster.after(Duration.ofSeconds(4), () -> cluster.network.blockOutbound(agent.name(), true));
             cluster.after(
-                    Duration.ofSeconds(4).plus(SimulatedCluster.LEASE).plusMillis(500),
+                    Duration.ofSeconds(4).plus(SimulatedCluster.AGENT_LEASE).plusMillis(500),
                     () -> cluster.network.blockOutbound(agent.name(), false));
         });
         // Jobs of high priority preempt other tasks, so that one machine runs several attempts of a task.
@@ -101,7 +101,7 @@
         SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         cluster.users().subList(0, 6).forEach(TestUser::cancel);
         cluster.run(Duration.ofMillis(seed % 20));
-        cluster.cloud.agents().forEach(agent -> agent.hang(SimulatedCluster.CANCEL.plusSeconds(30)));
+        cluster.cloud.agents().forEach(agent -> agent.hang(SimulatedCluster.CANCELLATION_LIMIT.plusSeconds(30)));
         submitSteadily(cluster, 9, 8);
         assertRecoversAfter(cluster, Duration.ofSeconds(80));
     }
@@ -125,7 +125,7 @@
     void zonePartitionLongerThanAnAgentLeaseWithCancellations(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         String zone = seed % 2 == 0 ? "a" : "b";
-        Duration duration = SimulatedCluster.LEASE.plusSeconds(2 + seed % 40);
+        Duration duration = SimulatedCluster.AGENT_LEASE.plusSeconds(2 + seed % 40);
         cluster.partitionZone(zone, true);
         cluster.after(duration, () -> cluster.partitionZone(zone, false));
         submitSteadily(cluster, 9, 6);
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -29,8 +29,8 @@
     /** All priorities, for choices among them. */
     static final List<Priority> PRIORITIES = List.of(Priority.values());
 
-    static final Duration LEASE = Duration.ofSeconds(20);
-    static final Duration CANCEL = Duration.ofSeconds(40);
+    static final Duration AGENT_LEASE = Duration.ofSeconds(20);
+    static final Duration CANCELLATION_LIMIT = Duration.ofSeconds(40);
     private static final String STORE = "10.2.0.1:2379";
     private static final String CLOUD = "10.2.0.2:8443";
 
@@ -73,7 +73,7 @@
 
     /** @param traffic makes, for the cluster's time, a listener that sees all messages */
     SimulatedCluster(long seed, Shape shape, Function<SimulatedTime, SimulatedNetwork.TrafficListener> traffic) {
-        invariants = new InvariantChecker(CANCEL, shape.teams());
+        invariants = new InvariantChecker(CANCELLATION_LIMIT, shape.teams());
         violations = invariants.violations;
         random = new SplittableRandom(seed);
         network = new SimulatedNetwork(time, random.split(), shape.faultShare());
@@ -106,7 +106,7 @@
                 random.split(),
                 new FakeAgent.Machine(name, address, kind),
                 controllers.addresses(),
-                new FakeAgent.Timing(shape.heartbeatInterval(), LEASE));
+                new FakeAgent.Timing(shape.heartbeatInterval(), AGENT_LEASE));
         network.listen(address, loop, agent::handle);
         invariants.onMachineUp(name, kind);
         return agent;
--- a/src/test/java/org/gullway/StoreFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/StoreFaultCombinationsTest.java
@@ -50,7 +50,7 @@
         String leader = cluster.leader();
         cluster.store.addLatency(700, cluster.random.split());
         cluster.after(Duration.ofSeconds(5), () -> cluster.store.rejectFrom(leader, true));
-        scheduleStoreOutage(cluster, Duration.ofSeconds(9 + seed % 6), SimulatedCluster.CANCEL.plusSeconds(15));
+        scheduleStoreOutage(cluster, Duration.ofSeconds(9 + seed % 6), SimulatedCluster.CANCELLATION_LIMIT.plusSeconds(15));
         for (int i = 0; i < 8; i++) {
             TestUser user = cluster.users().get(i);
             cluster.after(seconds(2.5 * i), user::cancel);
@@ -102,7 +102,7 @@
                 .as("unfinished jobs; some cancellations must be confirmed before the outage")
                 .isLessThan(cluster.users().size());
         cluster.store.setDown(true);
-        assertRecoversAfter(cluster, SimulatedCluster.CANCEL.plusSeconds(15));
+        assertRecoversAfter(cluster, SimulatedCluster.CANCELLATION_LIMIT.plusSeconds(15));
     }
 
     /** {@link #assertCancelledTasksEndDuringOutage} without an additional fault. */
@@ -138,7 +138,7 @@
                 .limit(4)
                 .forEach(agent -> cluster.after(
                         Duration.ofMillis(150 + seed % 300),
-                        () -> agent.hang(SimulatedCluster.CANCEL.plusSeconds(20)))));
+                        () -> agent.hang(SimulatedCluster.CANCELLATION_LIMIT.plusSeconds(20)))));
     }
 
     /**
@@ -184,6 +184,6 @@
                 .as("unfinished jobs; some cancellations must be confirmed before the outage")
                 .isLessThan(cluster.users().size());
         cluster.store.setDown(true);
-        assertRecoversAfter(cluster, SimulatedCluster.CANCEL.plusSeconds(15));
+        assertRecoversAfter(cluster, SimulatedCluster.CANCELLATION_LIMIT.plusSeconds(15));
     }
 }
