--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -92,10 +92,10 @@
 
     private void play(String name, long seed, double faultShare, int capacity, Scenario scenario) {
         // In a fixed order, unlike the teams of tests.
-        SimulatedCluster.Shape shape = new SimulatedCluster.Shape(
-                capacity, new TreeMap<>(SimulatedCluster.Shape.SMALL_TEAMS), Duration.ofSeconds(3), faultShare);
+        SimulatedCluster.Setup setup = new SimulatedCluster.Setup(
+                capacity, new TreeMap<>(SimulatedCluster.Setup.SMALL_TEAMS), Duration.ofSeconds(3), faultShare);
         Recorder[] recorder = new Recorder[1];
-        SimulatedCluster cluster = new SimulatedCluster(seed, shape, time -> recorder[0] = new Recorder(time));
+        SimulatedCluster cluster = new SimulatedCluster(seed, setup, time -> recorder[0] = new Recorder(time));
         scenario.play(cluster);
         byte[] hash = recorder[0].digest.digest();
         whole.update(hash);
--- a/src/test/java/org/gullway/FaultScenarios.java
+++ b/src/test/java/org/gullway/FaultScenarios.java
@@ -36,9 +36,9 @@
 
     /** Starts a cluster with a third team, guest, which has neither a guaranteed quota nor a limit. */
     static SimulatedCluster clusterWithGuestTeam(int seed, int capacity) {
-        Map<String, Settings.Team> teams = new HashMap<>(SimulatedCluster.Shape.SMALL_TEAMS);
+        Map<String, Settings.Team> teams = new HashMap<>(SimulatedCluster.Setup.SMALL_TEAMS);
         teams.put("guest", new Settings.Team("guest", 0, 0, 0, 0));
-        return new SimulatedCluster(seed, new SimulatedCluster.Shape(capacity, teams, Duration.ofSeconds(3), 0));
+        return new SimulatedCluster(seed, new SimulatedCluster.Setup(capacity, teams, Duration.ofSeconds(3), 0));
     }
 
     /** Submits one job of two tasks per interval, alternately of both teams. Each task runs for 8 s. */
--- a/src/test/java/org/gullway/LargeDeploymentTest.java
+++ b/src/test/java/org/gullway/LargeDeploymentTest.java
@@ -21,7 +21,7 @@
     private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(6);
 
     private static SimulatedCluster largeCluster(int seed, int capacity) {
-        return new SimulatedCluster(seed, new SimulatedCluster.Shape(capacity, TEAMS, HEARTBEAT_INTERVAL, 0.0005));
+        return new SimulatedCluster(seed, new SimulatedCluster.Setup(capacity, TEAMS, HEARTBEAT_INTERVAL, 0.0005));
     }
 
     private static void submitLargeJobs(SimulatedCluster cluster, int jobs, Duration interval, int runSeconds) {
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -63,7 +63,7 @@
                     CANCELLATION_LIMIT,
                     Duration.ofSeconds(2),
                     4,
-                    SimulatedCluster.Shape.SMALL_TEAMS,
+                    SimulatedCluster.Setup.SMALL_TEAMS,
                     40,
                     List.of(
                             java(),
--- a/src/test/java/org/gullway/ProfileRun.java
+++ b/src/test/java/org/gullway/ProfileRun.java
@@ -80,7 +80,7 @@
     public static void main(String[] args) throws IOException {
         Path file = args.length > 0 ? Path.of(args[0]) : Files.createTempFile("gullway", ".jfr");
         SimulatedCluster cluster = new SimulatedCluster(
-                1, new SimulatedCluster.Shape(MACHINES_PER_KIND, TEAMS, HEARTBEAT_INTERVAL, 0.0005));
+                1, new SimulatedCluster.Setup(MACHINES_PER_KIND, TEAMS, HEARTBEAT_INTERVAL, 0.0005));
         submitJobs(cluster);
         cluster.run(WARM_UP);
         int startedBefore = cluster.startedTasks();
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -54,37 +54,37 @@
      * @param capacity machines of each type, zone and kind
      * @param faultShare share of messages that are late, or repeated
      */
-    record Shape(int capacity, Map<String, Settings.Team> teams, Duration heartbeatInterval, double faultShare) {
+    record Setup(int capacity, Map<String, Settings.Team> teams, Duration heartbeatInterval, double faultShare) {
         static final Map<String, Settings.Team> SMALL_TEAMS =
                 Map.of("red", new Settings.Team("red", 16, 24, 0, 0), "blue", new Settings.Team("blue", 16, 64, 0, 0));
 
-        static Shape small(double faultShare, int capacity) {
-            return new Shape(capacity, SMALL_TEAMS, Duration.ofSeconds(3), faultShare);
+        static Setup small(double faultShare, int capacity) {
+            return new Setup(capacity, SMALL_TEAMS, Duration.ofSeconds(3), faultShare);
         }
     }
 
     SimulatedCluster(long seed, double faultShare, int capacity) {
-        this(seed, Shape.small(faultShare, capacity));
+        this(seed, Setup.small(faultShare, capacity));
     }
 
-    SimulatedCluster(long seed, Shape shape) {
-        this(seed, shape, time -> SimulatedNetwork.TrafficListener.NONE);
+    SimulatedCluster(long seed, Setup setup) {
+        this(seed, setup, time -> SimulatedNetwork.TrafficListener.NONE);
     }
 
     /** @param traffic makes, for the cluster's time, a listener that sees all messages */
-    SimulatedCluster(long seed, Shape shape, Function<SimulatedTime, SimulatedNetwork.TrafficListener> traffic) {
-        invariants = new InvariantChecker(CANCELLATION_LIMIT, shape.teams());
+    SimulatedCluster(long seed, Setup setup, Function<SimulatedTime, SimulatedNetwork.TrafficListener> traffic) {
+        invariants = new InvariantChecker(CANCELLATION_LIMIT, setup.teams());
         violations = invariants.violations;
         random = new SplittableRandom(seed);
-        network = new SimulatedNetwork(time, random.split(), shape.faultShare());
+        network = new SimulatedNetwork(time, random.split(), setup.faultShare());
         network.observe(traffic.apply(time));
         store = new FakeStateStore(loop);
         controllers = new SimulatedControllers(
-                network, random, shape, responses, violation -> violations.add("invariant: " + violation));
+                network, random, setup, responses, violation -> violations.add("invariant: " + violation));
         HttpClient userClient = network.client("users", loop);
         users = new TestUsers(loop, userClient, invariants, random, userAddresses());
         jobs = new SimulatedJobs(loop, userClient, invariants, random, userAddresses());
-        cloud = new FakeCloud(loop, machineTypes(), shape.capacity(), (name, kind) -> boot(name, kind, shape));
+        cloud = new FakeCloud(loop, machineTypes(), setup.capacity(), (name, kind) -> boot(name, kind, setup));
         network.listen(STORE, loop, exchange -> storeRequests.handle(exchange, store::handle));
         network.listen(CLOUD, loop, cloud::handle);
         controllers.startAll();
@@ -97,7 +97,7 @@
                 new MachineType("large", 32, 0, 256, 50, 1, 2.5, 0.9, Duration.ofSeconds(4), List.of("a", "b")));
     }
 
-    private FakeAgent boot(String name, FakeAgent.Kind kind, Shape shape) {
+    private FakeAgent boot(String name, FakeAgent.Kind kind, Setup setup) {
         String address = "10.1.0." + Integer.parseInt(name.substring(3)) + ":9000";
         FakeAgent agent = new FakeAgent(
                 loop,
@@ -106,7 +106,7 @@
                 random.split(),
                 new FakeAgent.Machine(name, address, kind),
                 controllers.addresses(),
-                new FakeAgent.Timing(shape.heartbeatInterval(), AGENT_LEASE));
+                new FakeAgent.Timing(setup.heartbeatInterval(), AGENT_LEASE));
         network.listen(address, loop, agent::handle);
         invariants.onMachineUp(name, kind);
         return agent;
--- a/src/test/java/org/gullway/SimulatedControllers.java
+++ b/src/test/java/org/gullway/SimulatedControllers.java
@@ -26,7 +26,7 @@
 
     private final SimulatedNetwork network;
     private final SplittableRandom random;
-    private final SimulatedCluster.Shape shape;
+    private final SimulatedCluster.Setup setup;
     private final ResponseLog responses;
     private final Consumer<String> onViolation;
     private final SimulatedTime.SimulatedProcess loop;
@@ -37,12 +37,12 @@
     SimulatedControllers(
             SimulatedNetwork network,
             SplittableRandom random,
-            SimulatedCluster.Shape shape,
+            SimulatedCluster.Setup setup,
             ResponseLog responses,
             Consumer<String> onViolation) {
         this.network = network;
         this.random = random;
-        this.shape = shape;
+        this.setup = setup;
         this.responses = responses;
         this.onViolation = onViolation;
         this.loop = network.time().newProcess();
@@ -117,9 +117,9 @@
                 peers,
                 SimulatedCluster.cloudAddress(),
                 SimulatedCluster.storeAddress(),
-                shape.teams(),
+                setup.teams(),
                 List.of(),
-                shape.heartbeatInterval(),
+                setup.heartbeatInterval(),
                 SimulatedCluster.AGENT_LEASE,
                 SimulatedCluster.CANCELLATION_LIMIT,
                 StoreRequestLog.PER_SECOND,
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -84,7 +84,7 @@
     private final Length length;
     private final SplittableRandom random;
     private final InvariantChecker invariants =
-            new InvariantChecker(LoopbackCluster.CANCELLATION_LIMIT, SimulatedCluster.Shape.SMALL_TEAMS);
+            new InvariantChecker(LoopbackCluster.CANCELLATION_LIMIT, SimulatedCluster.Setup.SMALL_TEAMS);
     private final JobHistory history = JobHistory.recording();
     private final List<FaultSchedule.Fault> faults;
     private LoopbackCluster cluster;
