--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -28,7 +28,7 @@
     void lostCommitResponsesDoNotCauseASecondAcceptance(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(30));
         cluster.store.dropResponses(0.3, cluster.random.split());
-        cluster.onStateChange(user -> cluster.queryInBursts(user, cluster.random));
+        cluster.onAcceptedOrFinished(user -> cluster.queryInBursts(user, cluster.random));
         submitSteadily(cluster, 9, 8);
         for (int i = 0; i < 20; i++) {
             int number = 30 + i;
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -263,8 +263,8 @@
     QUERY_BURSTS {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration duration) {
-            cluster.onStateChange(user -> cluster.queryInBursts(user, random));
-            cluster.after(duration, () -> cluster.onStateChange(user -> {}));
+            cluster.onAcceptedOrFinished(user -> cluster.queryInBursts(user, random));
+            cluster.after(duration, () -> cluster.onAcceptedOrFinished(user -> {}));
         }
     },
     /** Users repeat submissions, cancel finished jobs, and submit malformed and infeasible jobs. */
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -237,13 +237,13 @@
     }
 
     /** The listener is called at the moment at which the last task of a job has completed. */
-    void onDone(Consumer<TestUser> listener) {
-        users.onDone(listener);
+    void onAllTasksCompleted(Consumer<TestUser> listener) {
+        users.onAllTasksCompleted(listener);
     }
 
     /** The listener is called at the first response that accepts a job, and at the first one with a final state. */
-    void onStateChange(Consumer<TestUser> listener) {
-        users.onStateChange(listener);
+    void onAcceptedOrFinished(Consumer<TestUser> listener) {
+        users.onAcceptedOrFinished(listener);
     }
 
     /** The user queries all controllers, several times within milliseconds, and repeats the submission. */
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -157,7 +157,7 @@
     private void begin() {
         users = new TestUsers(cluster.loop, cluster.userClient(), invariants, random.split(), cluster.userAddresses());
         users.recordIn(history);
-        users.onStateChange(user -> {
+        users.onAcceptedOrFinished(user -> {
             if (random.nextBoolean()) {
                 users.queryInBursts(user, random);
             } else {
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -21,8 +21,8 @@
     private final RandomGenerator random;
     private final List<String> addresses;
     private final Map<String, TestUser> users = new LinkedHashMap<>();
-    private Consumer<TestUser> onDone = user -> {};
-    private Consumer<TestUser> onStateChange = user -> {};
+    private Consumer<TestUser> onAllTasksCompleted = user -> {};
+    private Consumer<TestUser> onAcceptedOrFinished = user -> {};
     private int queryRateFactor = 1;
     private JobHistory history = JobHistory.none();
     private BiPredicate<String, String> taskFails = (machine, job) -> false;
@@ -67,13 +67,13 @@
     }
 
     /** The listener is called at the moment at which the last task of a job has completed. */
-    void onDone(Consumer<TestUser> listener) {
-        onDone = listener;
+    void onAllTasksCompleted(Consumer<TestUser> listener) {
+        onAllTasksCompleted = listener;
     }
 
     /** The listener is called at the first response that accepts a job, and at the first one with a final state. */
-    void onStateChange(Consumer<TestUser> listener) {
-        onStateChange = listener;
+    void onAcceptedOrFinished(Consumer<TestUser> listener) {
+        onAcceptedOrFinished = listener;
     }
 
     /** From now on the events at users and machines are recorded here. */
@@ -121,7 +121,7 @@
     }
 
     void stateChanged(TestUser user) {
-        onStateChange.accept(user);
+        onAcceptedOrFinished.accept(user);
     }
 
     JobHistory history() {
@@ -166,8 +166,8 @@
         history.add(job(task), loop.now(), () -> task + (done ? " is done on " : " is ended on ") + machine);
         invariants.onTaskEnded(machine, task, done);
         TestUser user = users.get(job(task));
-        if (done && invariants.allTasksCompleted(user.request.id())) {
-            onDone.accept(user);
+        if (done && invariants.allCompleted(user.request.id())) {
+            onAllTasksCompleted.accept(user);
         }
     }
 }
--- a/src/test/java/org/gullway/UserRequestLoadTest.java
+++ b/src/test/java/org/gullway/UserRequestLoadTest.java
@@ -24,7 +24,7 @@
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 4);
         int jobs = 480;
         int[] lateCompletions = new int[1];
-        cluster.onDone(user -> cluster.after(MAX_COMPLETION_DELAY.minusMillis(200), () -> {
+        cluster.onAllTasksCompleted(user -> cluster.after(MAX_COMPLETION_DELAY.minusMillis(200), () -> {
             user.queryAllControllers();
             cluster.after(Duration.ofMillis(200), () -> lateCompletions[0] += user.isFinished() ? 0 : 1);
         }));
@@ -64,7 +64,7 @@
     @Property(tries = 4, seed = "222")
     void queriesWithinMillisecondsAfterEachStateChange(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        cluster.onStateChange(user -> {
+        cluster.onAcceptedOrFinished(user -> {
             cluster.queryInBursts(user, cluster.random);
             if (!user.isFinished() && user.request.tasks() == 2) {
                 user.cancel();
@@ -89,7 +89,7 @@
     @Property(tries = 6, seed = "122")
     void requestsRaceWithTheLastCompletion(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        cluster.onDone(user -> {
+        cluster.onAllTasksCompleted(user -> {
             cluster.after(Duration.ofMillis(cluster.random.nextInt(700)), user::queryAllControllers);
             cluster.after(Duration.ofMillis(cluster.random.nextInt(700)), user::resubmit);
             if (user.request.id().hashCode() % 2 == 0) {
