--- a/src/test/java/org/gullway/SimulatedControllers.java
+++ b/src/test/java/org/gullway/SimulatedControllers.java
@@ -122,7 +122,7 @@
                 setup.heartbeatInterval(),
                 SimulatedCluster.AGENT_LEASE,
                 SimulatedCluster.CANCELLATION_LIMIT,
-                StoreRequestLog.PER_SECOND,
+                StoreRequestLog.REQUESTS_PER_SECOND,
                 FakeStateStore.MAX_CHANGES_PER_SECOND,
                 FakeStateStore.MAX_VALUE_BYTES,
                 FakeStateStore.MAX_CHANGES_PER_COMMIT,
--- a/src/test/java/org/gullway/StatusQueryScenarios.java
+++ b/src/test/java/org/gullway/StatusQueryScenarios.java
@@ -14,7 +14,7 @@
  */
 final class StatusQueryScenarios {
     /** Number of requests per second that each of the three controllers may send to the state store. */
-    static final double REQUESTS_PER_CONTROLLER = StoreRequestLog.PER_SECOND / 3.0;
+    static final double REQUESTS_PER_CONTROLLER = StoreRequestLog.REQUESTS_PER_SECOND / 3.0;
 
     private static final double VERSION_CHECK_FRACTION = 0.075;
     static final double QUERY_READ_FRACTION = 0.12;
@@ -26,7 +26,7 @@
 
     static SimulatedCluster clusterWithJobs(int seed, int jobs, Duration runTime) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        cluster.storeRequests.limit();
+        cluster.storeRequests.enforceRateLimit();
         for (int i = 1; i <= jobs; i++) {
             cluster.submit(
                     i, i % 3 == 0 ? "red" : "blue", SimulatedCluster.PRIORITIES.get(i % 4), 1 + i % 2, 2, runTime);
--- a/src/test/java/org/gullway/StoreRequestLog.java
+++ b/src/test/java/org/gullway/StoreRequestLog.java
@@ -16,14 +16,14 @@
 /** Counts the requests of each controller to the state store, and rejects those above its rate limit. */
 final class StoreRequestLog {
     /** The limit of the settings in requests per second, with bursts of one second's worth. */
-    static final int PER_SECOND = 150;
+    static final int REQUESTS_PER_SECOND = 150;
 
     private final SimulatedTime time;
     private final Map<String, Integer> versionChecks = new HashMap<>();
     private final Map<String, Integer> jobReads = new HashMap<>();
-    private boolean limited;
-    private double tokens = PER_SECOND;
-    private Instant tokensAt = Instant.EPOCH;
+    private boolean rateLimitEnforced;
+    private double tokens = REQUESTS_PER_SECOND;
+    private Instant tokensUpdatedAt = Instant.EPOCH;
     private int rejected;
 
     StoreRequestLog(SimulatedTime time) {
@@ -31,8 +31,8 @@
     }
 
     /** From now on requests above the limit get 429. */
-    void limit() {
-        limited = true;
+    void enforceRateLimit() {
+        rateLimitEnforced = true;
     }
 
     void clear() {
@@ -43,7 +43,7 @@
 
     void handle(HttpExchange exchange, Consumer<HttpExchange> store) {
         count(exchange);
-        if (limited && !mayPass()) {
+        if (rateLimitEnforced && !takeToken()) {
             rejected++;
             exchange.respond(HttpStatus.TOO_MANY_REQUESTS, new byte[0]);
         } else {
@@ -69,10 +69,12 @@
         }
     }
 
-    private boolean mayPass() {
+    private boolean takeToken() {
         Instant now = time.now();
-        tokens = Math.min(PER_SECOND, tokens + Duration.between(tokensAt, now).toMillis() / 1000.0 * PER_SECOND);
-        tokensAt = now;
+        tokens = Math.min(
+                REQUESTS_PER_SECOND,
+                tokens + Duration.between(tokensUpdatedAt, now).toMillis() / 1000.0 * REQUESTS_PER_SECOND);
+        tokensUpdatedAt = now;
         if (tokens < 1) {
             return false;
         }
