--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -93,7 +93,7 @@
 
     private final LoopbackTransport transport;
     private final SplittableRandom random;
-    private final List<HeldAddress> held = new ArrayList<>();
+    private final List<ReservedAddress> reservedAddresses = new ArrayList<>();
     private final Map<String, String> publicAddresses = new LinkedHashMap<>();
     private final Map<String, String> peerAddresses = new LinkedHashMap<>();
     private final ControllerProcesses processes;
@@ -115,8 +115,8 @@
                 setup.command(), setup.logLevel(), directory, cause -> loop.execute(() -> ended.accept(cause)));
         this.store = new FakeStateStore(loop);
         for (int i = 0; i < 3; i++) {
-            publicAddresses.put("perch-" + i, hold());
-            peerAddresses.put("perch-" + i, hold());
+            publicAddresses.put("perch-" + i, reserveAddress());
+            peerAddresses.put("perch-" + i, reserveAddress());
         }
         this.cloud = new FakeCloud(loop, types(), setup.capacity(), (name, kind) -> boot(name, kind, machines));
     }
@@ -127,9 +127,9 @@
         private Consumer<HttpExchange> handler = exchange -> exchange.respond(HttpStatus.NOT_FOUND, new byte[0]);
     }
 
-    private String hold() {
-        HeldAddress address = HeldAddress.hold();
-        held.add(address);
+    private String reserveAddress() {
+        ReservedAddress address = ReservedAddress.reserve();
+        reservedAddresses.add(address);
         return address.toString();
     }
 
@@ -294,7 +294,7 @@
         loop.stop();
         processes.close();
         transport.close();
-        held.forEach(HeldAddress::close);
+        reservedAddresses.forEach(ReservedAddress::close);
         try (Stream<Path> files = Files.walk(directory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
--- a/src/test/java/org/gullway/HeldAddress.java
+++ b/src/test/java/org/gullway/ReservedAddress.java
@@ -9,21 +9,21 @@
  * An address on loopback for a process that is still to be started. It is held by a socket that is bound and does not
  * listen: the system gives its port to nobody else, and a server that reuses addresses, as controllers do, can listen.
  */
-final class HeldAddress implements AutoCloseable {
-    private final Socket holder = new Socket();
+final class ReservedAddress implements AutoCloseable {
+    private final Socket socket = new Socket();
     private final String address;
 
-    private HeldAddress() throws IOException {
+    private ReservedAddress() throws IOException {
         String host = LoopbackAddresses.host();
-        holder.setReuseAddress(true);
-        holder.bind(new InetSocketAddress(host, 0));
-        address = host + ":" + holder.getLocalPort();
+        socket.setReuseAddress(true);
+        socket.bind(new InetSocketAddress(host, 0));
+        address = host + ":" + socket.getLocalPort();
     }
 
     /** Holds an address that nobody uses. */
-    static HeldAddress hold() {
+    static ReservedAddress reserve() {
         try {
-            return new HeldAddress();
+            return new ReservedAddress();
         } catch (IOException e) {
             throw new UncheckedIOException("no free address on loopback", e);
         }
@@ -38,7 +38,7 @@
     @Override
     public void close() {
         try {
-            holder.close();
+            socket.close();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/test/java/org/gullway/SoakStartTest.java
+++ b/src/test/java/org/gullway/SoakStartTest.java
@@ -33,8 +33,8 @@
     }
 
     @Test
-    void aHeldAddressIsAvailableOnlyToItsProcess() throws IOException {
-        try (HeldAddress address = HeldAddress.hold()) {
+    void reservedAddressIsAvailableOnlyToAServerThatReusesAddresses() throws IOException {
+        try (ReservedAddress address = ReservedAddress.reserve()) {
             assertThatThrownBy(() -> listen(address.toString(), false).close()).isInstanceOf(BindException.class);
             try (ServerSocket server = listen(address.toString(), true)) {
                 assertThat(server.isBound()).isTrue();
