--- a/src/test/java/org/gullway/InvariantCheckerTest.java
+++ b/src/test/java/org/gullway/InvariantCheckerTest.java
@@ -44,11 +44,11 @@
                 4,
                 "img-1",
                 1,
-                bounds.types(),
+                bounds.machineTypes(),
                 bounds.zone(),
-                bounds.oneZone(),
-                bounds.spread(),
-                bounds.spot(),
+                bounds.singleZone(),
+                bounds.spreadAcrossZones(),
+                bounds.spotAllowed(),
                 CANCEL,
                 Duration.ZERO,
                 Duration.ZERO,
@@ -85,7 +85,7 @@
 
     @Test
     void aSecondZoneForASingleZoneJob() {
-        String id = submitJob(1, 3, SimulatedCluster.JobConstraints.ONE_ZONE);
+        String id = submitJob(1, 3, SimulatedCluster.JobConstraints.SINGLE_ZONE);
         invariants.onTaskStarted("a1", id + "/0", at(1));
         invariants.onTaskStarted("a2", id + "/1", at(1));
         invariants.onTaskEnded("a1", id + "/0", true);
@@ -96,7 +96,7 @@
 
     @Test
     void theZoneOfASingleZoneJobMayChangeOnceNoTaskRuns() {
-        String id = submitJob(1, 2, SimulatedCluster.JobConstraints.ONE_ZONE);
+        String id = submitJob(1, 2, SimulatedCluster.JobConstraints.SINGLE_ZONE);
         invariants.onTaskStarted("a1", id + "/0", at(1));
         invariants.onTaskEnded("a1", id + "/0", false);
         invariants.onTaskStarted("b1", id + "/0", at(2));
--- a/src/test/java/org/gullway/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/MachineFaultCombinationsTest.java
@@ -142,7 +142,7 @@
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
         List<JobConstraints> bounds = List.of(
                 JobConstraints.in("a"),
-                JobConstraints.ONE_ZONE,
+                JobConstraints.SINGLE_ZONE,
                 JobConstraints.SPREAD,
                 new JobConstraints(List.of("large"), null, true, false, false),
                 new JobConstraints(List.of("small"), "b", false, false, true));
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -22,11 +22,11 @@
 import org.gullway.transport.HttpClient;
 
 /**
- * Three whole controllers with stand-ins in virtual time, users who submit jobs and query them, and a check of the
- * protocol's rules.
+ * A cluster in virtual time: three complete controllers, fakes of the state store, the cloud and the agents, and users
+ * who submit and query jobs. {@link InvariantChecker} checks the rules of the protocol throughout.
  */
 final class SimulatedCluster {
-    /** All priorities, for choices among them. */
+    /** The priorities in their declared order, for random choices. */
     static final List<Priority> PRIORITIES = List.of(Priority.values());
 
     static final Duration AGENT_LEASE = Duration.ofSeconds(20);
@@ -49,10 +49,10 @@
     private final SimulatedJobs jobs;
 
     /**
-     * Size of a cluster.
+     * Parameters of a cluster.
      *
-     * @param capacity machines of each type, zone and kind
-     * @param faultShare share of messages that are late, or repeated
+     * @param capacity how many machines the cloud has of each combination of type, zone and spot or on-demand
+     * @param faultShare fraction of messages that the network delays or duplicates
      */
     record Setup(int capacity, Map<String, Settings.Team> teams, Duration heartbeatInterval, double faultShare) {
         static final Map<String, Settings.Team> SMALL_TEAMS =
@@ -71,7 +71,7 @@
         this(seed, setup, time -> SimulatedNetwork.TrafficListener.NONE);
     }
 
-    /** @param traffic makes, for the cluster's time, a listener that sees all messages */
+    /** @param traffic given the cluster's virtual time, returns the listener for all messages on the network */
     SimulatedCluster(long seed, Setup setup, Function<SimulatedTime, SimulatedNetwork.TrafficListener> traffic) {
         invariants = new InvariantChecker(CANCELLATION_LIMIT, setup.teams());
         violations = invariants.violations;
@@ -117,26 +117,30 @@
         return agent != null && agent.alive() && !agent.hung();
     }
 
-    /** Partitions a zone from everything else, or ends that; messages inside of it still arrive. */
+    /**
+     * Starts (cut is true) or ends a network partition between a zone and everything outside it. Messages within the
+     * zone still arrive.
+     */
     void partitionZone(String zone, boolean cut) {
-        List<String> inside = new ArrayList<>();
-        List<String> outside = new ArrayList<>(List.of("users", STORE, CLOUD));
+        List<String> insideZone = new ArrayList<>();
+        List<String> outsideZone = new ArrayList<>(List.of("users", STORE, CLOUD));
         for (String node : nodes()) {
-            (SimulatedControllers.zone(node).equals(zone) ? inside : outside)
+            (SimulatedControllers.zone(node).equals(zone) ? insideZone : outsideZone)
                     .addAll(List.of(node, address(node), peerAddress(node)));
         }
         for (FakeAgent agent : cloud.agents()) {
-            (agent.kind().zone().equals(zone) ? inside : outside).addAll(List.of(agent.name(), agent.address()));
+            (agent.kind().zone().equals(zone) ? insideZone : outsideZone)
+                    .addAll(List.of(agent.name(), agent.address()));
         }
-        for (String in : inside) {
-            for (String out : outside) {
-                setCut(in, out, cut);
-                setCut(out, in, cut);
+        for (String inside : insideZone) {
+            for (String outside : outsideZone) {
+                setCut(inside, outside, cut);
+                setCut(outside, inside, cut);
             }
         }
     }
 
-    /** Cuts the connections of this controller to the others, both ways, or ends that. */
+    /** Starts (cut is true) or ends a network partition between this controller and its peers, in both directions. */
     void partitionPeers(String node, boolean cut) {
         for (String other : nodes()) {
             setCut(node, peerAddress(other), cut);
@@ -152,17 +156,23 @@
         }
     }
 
-    /** Ends the controller's process at once; it starts again after the delay. */
+    /** Kills the controller's process immediately and restarts it after the delay. */
     void crash(String name, Duration restartDelay) {
         controllers.crash(name, restartDelay);
     }
 
-    /** The controller runs nothing for this span, while clocks and network go on; then it does all that was due. */
+    /**
+     * Suspends the controller for this span while clocks and the network continue. Afterwards the controller runs every
+     * task that became due.
+     */
     void freeze(String name, Duration span) {
         controllers.freeze(name, span);
     }
 
-    /** Ends all faults: from now on no query may go unanswered for long, and no job may wait beside free machines. */
+    /**
+     * Ends the faults of the network and the state store. From now on the checker reports queries that stay unanswered
+     * for long and jobs that wait although machines with enough free capacity are up.
+     */
     void endFaults() {
         network.heal();
         store.clearFaults();
@@ -194,9 +204,22 @@
         return CLOUD;
     }
 
-    /** Where a job's tasks may run; null for any type or zone. */
-    record JobConstraints(List<String> types, String zone, boolean oneZone, boolean spread, boolean spot) {
-        static final JobConstraints ONE_ZONE = new JobConstraints(null, null, true, false, true);
+    /**
+     * Placement constraints of a job.
+     *
+     * @param machineTypes the machine types on which tasks may run; null for any type
+     * @param zone the zone in which tasks may run; null for any zone
+     * @param singleZone whether all tasks must run in the same zone
+     * @param spreadAcrossZones whether no zone may have more than half of the tasks
+     * @param spotAllowed whether tasks may run on spot machines
+     */
+    record JobConstraints(
+            List<String> machineTypes,
+            String zone,
+            boolean singleZone,
+            boolean spreadAcrossZones,
+            boolean spotAllowed) {
+        static final JobConstraints SINGLE_ZONE = new JobConstraints(null, null, true, false, true);
         static final JobConstraints SPREAD = new JobConstraints(null, null, false, true, true);
 
         static JobConstraints in(String zone) {
@@ -226,58 +249,61 @@
         return users.submit(SimulatedJobs.array(number, team, priority, tasks, cpus, runTime, constraints), runTime);
     }
 
-    /** A submission that lacks a field, and one that fits no machine; both are refused, and leave no job. */
+    /** Submits one job that lacks a field and one whose tasks fit no machine; both must be rejected and not stored. */
     void submitInvalid(int number) {
         jobs.submitInvalid(number);
     }
 
-    /** From now on users query this many times as often. */
+    /** Makes users query this many times as often from now on. */
     void multiplyQueryRate(int times) {
         users.multiplyQueryRate(times);
     }
 
-    /** The listener is called at the moment at which the last task of a job has completed. */
+    /** Sets the listener that is called when the last task of a job completes on its machine. */
     void onAllTasksCompleted(Consumer<TestUser> listener) {
         users.onAllTasksCompleted(listener);
     }
 
-    /** The listener is called at the first response that accepts a job, and at the first one with a final state. */
+    /**
+     * Sets the listener that is called at the first response that accepts a job and at the first response that reports a
+     * final state.
+     */
     void onAcceptedOrFinished(Consumer<TestUser> listener) {
         users.onAcceptedOrFinished(listener);
     }
 
-    /** The user queries all controllers, several times within milliseconds, and repeats the submission. */
+    /** Makes the user query all controllers several times within 6 ms and repeat the submission once. */
     void queryInBursts(TestUser user, RandomGenerator random) {
         users.queryInBursts(user, random);
     }
 
-    /** The listener is given the name of a new leader at the moment at which the state store has it. */
+    /** Sets the listener that is given the name of a new leader as soon as the state store contains it. */
     void onNewLeader(Consumer<String> listener) {
         store.onPut(
                 StoreKeys.LEADER, value -> listener.accept(value.path("node").asText()));
     }
 
-    /** Decides by machine and job whether a task fails. */
+    /** Sets the predicate that decides by machine and job whether a task fails. */
     void failTasks(BiPredicate<String, String> fails) {
         users.failTasks(fails);
     }
 
-    /** The name of the leader by the state store; null if there is none. */
+    /** The name of the leader as recorded in the state store; null if there is none. */
     String leader() {
         JsonNode leader = store.value(StoreKeys.LEADER);
         return leader == null ? null : leader.path("node").asText();
     }
 
     String otherNode(String node) {
-        return nodes().stream().filter(n -> !n.equals(node)).findFirst().orElseThrow();
+        return nodes().stream().filter(other -> !other.equals(node)).findFirst().orElseThrow();
     }
 
-    /** Runs the task after the delay in virtual time. */
+    /** Schedules the task to run after the delay in virtual time. */
     void after(Duration delay, Runnable task) {
         loop.after(delay, task);
     }
 
-    /** Lets this span of virtual time pass. */
+    /** Advances virtual time by this span and runs everything that is due in it. */
     void run(Duration span) {
         time.runUntil(time.now().plus(span));
     }
--- a/src/test/java/org/gullway/SimulatedJobs.java
+++ b/src/test/java/org/gullway/SimulatedJobs.java
@@ -12,16 +12,16 @@
 import org.gullway.transport.HttpRequest;
 import org.gullway.transport.HttpStatus;
 
-/** Job arrays of simulated scenarios, and submissions that have to be refused. */
+/** Builds the job arrays of simulated scenarios, and submits invalid jobs, which controllers must reject. */
 final class SimulatedJobs {
     private static final Duration SUBMISSION_TIMEOUT = Duration.ofSeconds(5);
     private static final Duration QUERY_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
     private static final Duration QUERY_DELAY = Duration.ofSeconds(8);
-    /** Jobs with tasks of this size are of a job class of their own. */
+    /** Jobs whose tasks need at least this many CPUs get the job class "survey", all others "render". */
     private static final double LARGE_TASK_CPUS = 16;
 
-    private static final double LARGER_THAN_ANY_MACHINE = 64;
+    private static final double CPUS_OF_NO_MACHINE = 64;
 
     private final SimulatedTime.SimulatedProcess loop;
     private final HttpClient client;
@@ -43,7 +43,7 @@
         this.addresses = addresses;
     }
 
-    /** A job array with this number in its name. */
+    /** A job array whose id is "run-" and this number with six digits. */
     static JobRequest array(
             int number,
             String team,
@@ -64,23 +64,23 @@
                 cpus,
                 "img-" + number % 3,
                 0.5,
-                constraints.types(),
+                constraints.machineTypes(),
                 constraints.zone(),
-                constraints.oneZone(),
-                constraints.spread(),
-                constraints.spot(),
+                constraints.singleZone(),
+                constraints.spreadAcrossZones(),
+                constraints.spotAllowed(),
                 runTime,
                 Duration.ZERO,
                 Duration.ZERO,
                 null);
     }
 
-    /** A submission that lacks a field, and one that fits no machine; both are refused, and leave no job. */
+    /** Submits one job that lacks a field and one whose tasks fit no machine; both must be rejected and not stored. */
     void submitInvalid(int number) {
         ObjectNode incomplete = array(number, 4).toNode();
         incomplete.remove("crew");
         submitInvalid(incomplete, HttpStatus.BAD_REQUEST);
-        submitInvalid(array(number + 1, LARGER_THAN_ANY_MACHINE).toNode(), HttpStatus.UNPROCESSABLE);
+        submitInvalid(array(number + 1, CPUS_OF_NO_MACHINE).toNode(), HttpStatus.UNPROCESSABLE);
     }
 
     private static JobRequest array(int number, double cpus) {
@@ -88,12 +88,12 @@
                 number, "blue", Priority.HIGH, 2, cpus, Duration.ofSeconds(5), SimulatedCluster.JobConstraints.SPREAD);
     }
 
-    private void submitInvalid(ObjectNode job, int expected) {
+    private void submitInvalid(ObjectNode job, int expectedStatus) {
         String id = job.path("name_id").asText();
         String address = addresses.get(random.nextInt(addresses.size()));
         client.call(address, HttpRequest.post("/v2/runs", Cbor.encode(job), SUBMISSION_TIMEOUT), response -> {
-            if (!invariants.onInvalidSubmission(id, expected, response.status())) {
-                loop.after(RETRY_DELAY, () -> submitInvalid(job, expected));
+            if (!invariants.onInvalidSubmission(id, expectedStatus, response.status())) {
+                loop.after(RETRY_DELAY, () -> submitInvalid(job, expectedStatus));
             }
         });
         loop.after(
--- a/src/test/java/org/gullway/SimulatedScenariosTest.java
+++ b/src/test/java/org/gullway/SimulatedScenariosTest.java
@@ -18,7 +18,7 @@
     private static final List<JobConstraints> CONSTRAINTS = List.of(
             JobConstraints.in("a"),
             JobConstraints.in("b"),
-            JobConstraints.ONE_ZONE,
+            JobConstraints.SINGLE_ZONE,
             JobConstraints.SPREAD,
             new JobConstraints(List.of("large"), null, true, false, false),
             new JobConstraints(List.of("small"), null, false, true, true));
