--- a/src/test/java/org/gullway/JobHistory.java
+++ b/src/test/java/org/gullway/JobHistory.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** The events of each job at its user and on machines, in order. */
+/** For each job, the responses to its user and the starts and ends of its tasks, in the order in which they occurred. */
 final class JobHistory {
     private final boolean recording;
     private final Map<String, List<String>> events = new HashMap<>();
@@ -28,7 +28,7 @@
 
     void add(String job, Instant at, Supplier<String> event) {
         if (recording) {
-            events.computeIfAbsent(job, j -> new ArrayList<>()).add(text(at) + " " + event.get());
+            events.computeIfAbsent(job, j -> new ArrayList<>()).add(formatSeconds(at) + " " + event.get());
         }
     }
 
@@ -36,7 +36,7 @@
         return events.getOrDefault(job, List.of());
     }
 
-    static String text(Instant at) {
+    static String formatSeconds(Instant at) {
         return String.format("%8.3f", Duration.between(Instant.EPOCH, at).toMillis() / 1000.0);
     }
 }
--- a/src/test/java/org/gullway/NodeSettings.java
+++ b/src/test/java/org/gullway/NodeSettings.java
@@ -5,7 +5,7 @@
 import org.gullway.fake.FakeStateStore;
 import org.gullway.protocol.Settings;
 
-/** The settings file of one controller on loopback. */
+/** The settings of one controller on loopback addresses, written as its settings file. */
 record NodeSettings(
         String name,
         String zone,
@@ -39,7 +39,7 @@
                 .formatted(team.name(), team.cpus(), team.cpusMax());
     }
 
-    /** The file as the platform would write it. */
+    /** The content of the settings file in the form in which the platform provides it. */
     String toToml(LoopbackCluster.Setup setup) {
         StringBuilder seeds = new StringBuilder();
         peers.forEach(peer -> seeds.append(toToml(peer)));
--- a/src/test/java/org/gullway/ObservedJob.java
+++ b/src/test/java/org/gullway/ObservedJob.java
@@ -5,11 +5,10 @@
 import java.util.Set;
 import org.gullway.protocol.JobRequest;
 
-/** The observations of one job from outside: on the machines, and in the responses to its user. */
+/** What a test observes of one job: its tasks on the machines, and the responses to its user. */
 final class ObservedJob {
     final JobRequest request;
-    /** Numbers of the tasks that have completed. */
-    private final Set<Integer> completed = new HashSet<>();
+    private final Set<Integer> completedTaskNumbers = new HashSet<>();
 
     private boolean cancellationRequested;
     private Instant acceptedAt;
@@ -21,7 +20,7 @@
         this.request = request;
     }
 
-    /** The job of a task, by its id. */
+    /** The id of the job that a task belongs to; the id of a task is "job/number". */
     static String jobOf(String task) {
         return task.substring(0, task.indexOf('/'));
     }
@@ -34,40 +33,40 @@
         return request.id();
     }
 
-    // Tasks
+    // Observations of the tasks on the machines
 
     void onTaskStarted(Instant now) {
         firstStart = firstStart == null ? now : firstStart;
     }
 
     void onTaskCompleted(String task) {
-        completed.add(numberOf(task));
+        completedTaskNumbers.add(numberOf(task));
     }
 
     boolean isCompleted(String task) {
-        return completed.contains(numberOf(task));
+        return completedTaskNumbers.contains(numberOf(task));
     }
 
     boolean isCompleted(int task) {
-        return completed.contains(task);
+        return completedTaskNumbers.contains(task);
     }
 
     int completedTasks() {
-        return completed.size();
+        return completedTaskNumbers.size();
     }
 
-    /** When a task of the job started first; null if none has. */
+    /** When the first task of the job started; null if no task has started. */
     Instant firstStart() {
         return firstStart;
     }
 
-    // Responses to the user
+    // Observations of the responses to the user
 
     void onAccepted(Instant now) {
         acceptedAt = acceptedAt == null ? now : acceptedAt;
     }
 
-    /** When the user got the first response that accepts the job, or null. */
+    /** When the user got the first response that accepts the job; null before that. */
     Instant acceptedAt() {
         return acceptedAt;
     }
@@ -84,7 +83,7 @@
         return state.equals("done") || state.equals("aborted");
     }
 
-    /** A final state was reported to the user for the first time. */
+    /** Called at the first response that reports a final state to the user. */
     void onFinished(String state, Instant now) {
         reportedState = state;
         finishedAt = now;
@@ -94,17 +93,17 @@
         return isFinal(reportedState);
     }
 
-    /** The final state that was reported to the user, or empty. */
+    /** The final state that was reported to the user; empty before that. */
     String reportedState() {
         return reportedState;
     }
 
-    /** When the final state was reported to the user; null before. */
+    /** When the final state was first reported to the user; null before that. */
     Instant finishedAt() {
         return finishedAt;
     }
 
-    /** Whether the cancellation was confirmed to the user. */
+    /** Whether a response to the user reported the final state of a cancelled job. */
     boolean isCancelled() {
         return reportedState.equals("aborted");
     }
--- a/src/test/java/org/gullway/ResponseLog.java
+++ b/src/test/java/org/gullway/ResponseLog.java
@@ -8,9 +8,8 @@
 import org.gullway.fake.SimulatedTime;
 import org.gullway.transport.HttpExchange;
 
-/** The responses of the controllers to every request at their public addresses, and their times. */
+/** Records each request at the controllers' public addresses with the status and the latency of its response. */
 final class ResponseLog {
-    /** The purpose of a request. */
     enum Kind {
         QUERY,
         SUBMISSION,
@@ -32,7 +31,7 @@
         }
     }
 
-    /** One request; until it is answered its status is 0 and the time of its response null. */
+    /** A request and its response; until the response is sent, status is 0 and answeredAt is null. */
     static final class Entry {
         final String node;
         final Kind kind;
@@ -41,22 +40,22 @@
         private int status;
         private boolean retryAfter;
 
-        private Entry(String node, Kind kind, Instant came) {
+        private Entry(String node, Kind kind, Instant receivedAt) {
             this.node = node;
             this.kind = kind;
-            this.receivedAt = came;
+            this.receivedAt = receivedAt;
         }
 
         int status() {
             return status;
         }
 
-        /** Whether the response says when to retry. */
+        /** Whether the response has a retry delay of at least 1 s. */
         boolean hasRetryAfter() {
             return retryAfter;
         }
 
-        /** How long the response took; the time until now, if there is none. */
+        /** Time from the request to its response, or to now if there is no response yet. */
         Duration elapsed(Instant now) {
             return Duration.between(receivedAt, answeredAt == null ? now : answeredAt);
         }
@@ -72,9 +71,9 @@
             this.time = time;
         }
 
-        private void record(int status) {
+        private void recordStatus(int status) {
             if (entry.answeredAt != null) {
-                throw new IllegalStateException(path() + " is answered a second time");
+                throw new IllegalStateException(path() + " was answered twice");
             }
             entry.answeredAt = time.now();
             entry.status = status;
@@ -82,13 +81,13 @@
 
         @Override
         public void respond(int status, byte[] content) {
-            record(status);
+            recordStatus(status);
             super.respond(status, content);
         }
 
         @Override
         public void reject(int status, Duration retryAfter) {
-            record(status);
+            recordStatus(status);
             entry.retryAfter = retryAfter.compareTo(Duration.ofSeconds(1)) >= 0;
             super.reject(status, retryAfter);
         }
@@ -101,7 +100,8 @@
         this.time = time;
     }
 
-    HttpExchange logged(String node, HttpExchange exchange) {
+    /** Adds an entry for this request and returns an exchange that records the response in the entry. */
+    HttpExchange record(String node, HttpExchange exchange) {
         Entry entry = new Entry(node, Kind.of(exchange), time.now());
         entries.add(entry);
         return new LoggedExchange(exchange, entry, time);
--- a/src/test/java/org/gullway/SimulatedControllers.java
+++ b/src/test/java/org/gullway/SimulatedControllers.java
@@ -30,10 +30,10 @@
     private final ResponseLog responses;
     private final Consumer<String> onViolation;
     private final SimulatedTime.SimulatedProcess loop;
-    private final Map<String, SimulatedTime.SimulatedProcess> running = new HashMap<>();
+    private final Map<String, SimulatedTime.SimulatedProcess> processes = new HashMap<>();
     private final Map<String, String> publicAddresses = new LinkedHashMap<>();
 
-    /** @param onViolation is given every violation that a controller finds in its own state */
+    /** @param onViolation called with each invariant violation that a controller detects in its own state */
     SimulatedControllers(
             SimulatedNetwork network,
             SplittableRandom random,
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Public addresses by name. */
+    /** Public addresses by controller name. */
     Map<String, String> addresses() {
         return publicAddresses;
     }
@@ -68,7 +68,7 @@
         return address(name).replace(PUBLIC_PORT, PEER_PORT);
     }
 
-    /** Two controllers are in zone a, the third in zone b. */
+    /** The zone of a controller: perch-0 and perch-1 are in zone a, perch-2 is in zone b. */
     static String zone(String name) {
         return name.equals("perch-2") ? "b" : "a";
     }
@@ -77,13 +77,13 @@
         publicAddresses.keySet().forEach(this::start);
     }
 
-    /** Starts the controller unless it runs. */
+    /** Starts the controller unless it is already processes. */
     void start(String name) {
-        if (running.containsKey(name)) {
+        if (processes.containsKey(name)) {
             return;
         }
         SimulatedTime.SimulatedProcess process = network.time().newProcess();
-        running.put(name, process);
+        processes.put(name, process);
         Settings settings = settings(name);
         Controller controller = new Controller(
                 settings,
@@ -95,7 +95,7 @@
         controller.setViolationListener(onViolation);
         network.listen(settings.peerAddress(), process, controller::handlePeer);
         controller.start(() -> network.listen(
-                settings.publicAddress(), process, exchange -> controller.handle(responses.logged(name, exchange))));
+                settings.publicAddress(), process, exchange -> controller.handle(responses.record(name, exchange))));
     }
 
     private InstantSource skewedClock() {
@@ -131,9 +131,9 @@
                 1000);
     }
 
-    /** Ends the process at once; it starts again after the delay. */
+    /** Kills the controller's process immediately and restarts it after the delay. */
     void crash(String name, Duration restartDelay) {
-        SimulatedTime.SimulatedProcess process = running.remove(name);
+        SimulatedTime.SimulatedProcess process = processes.remove(name);
         if (process != null) {
             process.kill();
             network.close(address(name));
@@ -142,9 +142,12 @@
         }
     }
 
-    /** The controller runs nothing for this span, while clocks and network go on; then it does all that was due. */
+    /**
+     * Suspends the controller for this span while clocks and the network continue. Afterwards the controller runs every
+     * task that became due.
+     */
     void freeze(String name, Duration span) {
-        SimulatedTime.SimulatedProcess process = running.get(name);
+        SimulatedTime.SimulatedProcess process = processes.get(name);
         if (process != null) {
             process.freeze(span);
         }
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -75,7 +75,8 @@
             return "seed " + seed + ": " + (violations.isEmpty() ? "no rule broken" : "BROKEN " + violations) + ", "
                     + jobs
                     + " jobs, " + starts + " starts, unfinished " + unfinished.size() + ", longest stall "
-                    + stall.toMillis() + " ms at " + JobHistory.text(stalledAt).strip()
+                    + stall.toMillis() + " ms at "
+                    + JobHistory.formatSeconds(stalledAt).strip()
                     + (conclusive() ? "" : " (leases inconclusive)");
         }
     }
--- a/src/test/java/org/gullway/StoreRequestLog.java
+++ b/src/test/java/org/gullway/StoreRequestLog.java
@@ -13,9 +13,12 @@
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpStatus;
 
-/** Counts the requests of each controller to the state store, and rejects those above its rate limit. */
+/**
+ * Counts the requests of each controller to the state store and, once its rate limit is enforced, rejects the requests
+ * above the limit.
+ */
 final class StoreRequestLog {
-    /** The limit of the settings in requests per second, with bursts of one second's worth. */
+    /** The rate limit that the controllers' settings state; a burst may have as many requests as one second allows. */
     static final int REQUESTS_PER_SECOND = 150;
 
     private final SimulatedTime time;
@@ -30,7 +33,7 @@
         this.time = time;
     }
 
-    /** From now on requests above the limit get 429. */
+    /** Answers requests above the rate limit with status 429 from now on. */
     void enforceRateLimit() {
         rateLimitEnforced = true;
     }
@@ -82,12 +85,12 @@
         return true;
     }
 
-    /** Transactions without changes, which check key versions for the answers to queries. */
+    /** How many transactions without changes this controller sent, which check key versions before it answers queries. */
     int versionChecks(String node) {
         return versionChecks.getOrDefault(node, 0);
     }
 
-    /** Reads of single jobs. */
+    /** How many times this controller read a single job. */
     int jobReads(String node) {
         return jobReads.getOrDefault(node, 0);
     }
--- a/src/test/java/org/gullway/TestUser.java
+++ b/src/test/java/org/gullway/TestUser.java
@@ -12,7 +12,7 @@
 import org.gullway.transport.HttpResponse;
 import org.gullway.transport.HttpStatus;
 
-/** A user of one job: submits it, queries and cancels it, and passes every response to the rules. */
+/** The user of one job: submits, queries and cancels the job, and passes every response to the invariant checker. */
 final class TestUser {
     /** Timeout of a submission or a cancellation. */
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
@@ -39,20 +39,20 @@
         this.submittedAt = loop.now();
     }
 
-    private void call(String address, HttpRequest request, Consumer<HttpResponse> answered) {
+    private void call(String address, HttpRequest request, Consumer<HttpResponse> callback) {
         Instant sentAt = loop.now();
         client.call(address, request, response -> {
             users.history().add(this.request.id(), loop.now(), () -> describe(address, request, response, sentAt));
-            answered.accept(response);
+            callback.accept(response);
         });
     }
 
     private String describe(String address, HttpRequest sent, HttpResponse response, Instant sentAt) {
-        String answer = response.outcome() == HttpResponse.Outcome.ANSWERED
+        String result = response.outcome() == HttpResponse.Outcome.ANSWERED
                 ? response.status() + " " + (response.body().length == 0 ? "" : state(response))
                 : response.outcome().toString();
         return "user: " + sent.method() + " " + sent.path() + " at " + address + ", sent "
-                + JobHistory.text(sentAt).strip() + " -> " + answer;
+                + JobHistory.formatSeconds(sentAt).strip() + " -> " + result;
     }
 
     boolean isCancellationRequested() {
@@ -71,13 +71,13 @@
         Instant sentAt = loop.now();
         call(anyAddress(), HttpRequest.post("/v2/runs", Cbor.encode(request.toNode()), REQUEST_TIMEOUT), response -> {
             if (response.status() == HttpStatus.CREATED || response.status() == HttpStatus.OK) {
-                boolean first = !accepted;
+                boolean firstAcceptance = !accepted;
                 accepted = true;
                 acceptedAt = loop.now();
                 invariants.onAccepted(request.id(), loop.now());
                 onState(response, sentAt);
-                if (first) {
-                    users.stateChanged(this);
+                if (firstAcceptance) {
+                    users.notifyAcceptedOrFinished(this);
                 }
                 poll();
             } else if (response.status() == HttpStatus.BAD_REQUEST || response.status() == HttpStatus.UNPROCESSABLE) {
@@ -88,17 +88,25 @@
         });
     }
 
-    /** Requests the cancellation until it is answered. */
+    /**
+     * Requests the cancellation, and repeats the request 1 s after each failure until the job is finished or a response
+     * has status 200.
+     */
     void cancel() {
         if (!isFinished()) {
             cancelOnce(anyAddress(), () -> loop.after(Duration.ofSeconds(1), this::cancel));
         }
     }
 
-    /** Sends one cancellation, also of a finished job, which must be answered with its reported state. */
-    void cancelOnce(String address, Runnable unanswered) {
+    /**
+     * Sends one cancellation request. For a finished job the response must contain the final state that was reported
+     * before.
+     *
+     * @param onFailure called if the request has to be repeated
+     */
+    void cancelOnce(String address, Runnable onFailure) {
         invariants.onCancellationRequested(request.id());
-        boolean known = accepted;
+        boolean acceptedBefore = accepted;
         Instant sentAt = loop.now();
         call(
                 address,
@@ -107,10 +115,10 @@
                     if (response.status() == HttpStatus.OK) {
                         onState(response, sentAt);
                         invariants.onCancellationAnswered(request.id(), state(response), loop.now());
-                    } else if (response.status() == HttpStatus.NOT_FOUND && known) {
+                    } else if (response.status() == HttpStatus.NOT_FOUND && acceptedBefore) {
                         invariants.violations.add("forgotten: cancellation of " + request.id());
                     } else {
-                        unanswered.run();
+                        onFailure.run();
                     }
                 });
     }
@@ -134,14 +142,14 @@
         });
     }
 
-    /** Queries all controllers, which must report the same state of a finished job. */
+    /** Queries every controller; all must report the same state of a finished job. */
     void queryAllControllers() {
         if (accepted) {
             users.addresses().forEach(this::query);
         }
     }
 
-    /** Repeats the submission, which must be answered with the job's state. */
+    /** Repeats the submission of an accepted job; the response must contain the job's state. */
     void resubmit() {
         if (!accepted) {
             return;
@@ -155,13 +163,13 @@
         });
     }
 
-    /** Time from the submission until the first task started; null if none has. */
+    /** Time from the submission until the first task started; null if no task has started. */
     Duration timeToFirstStart() {
-        Instant first = invariants.firstStartOf(request.id());
-        return first == null ? null : Duration.between(submittedAt, first);
+        Instant firstStart = invariants.firstStartOf(request.id());
+        return firstStart == null ? null : Duration.between(submittedAt, firstStart);
     }
 
-    /** Time from the submission until it was accepted; null if it was not. */
+    /** Time from the submission until a response accepted it; null if none has. */
     Duration timeToAcceptance() {
         return acceptedAt == null ? null : Duration.between(submittedAt, acceptedAt);
     }
@@ -182,7 +190,7 @@
                     invariants.cancellationLimit(), () -> invariants.checkCancellationLimit(request.id(), loop.now()));
         }
         if (isFinished() && !wasFinished) {
-            users.stateChanged(this);
+            users.notifyAcceptedOrFinished(this);
         }
     }
 }
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -13,7 +13,7 @@
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpClient;
 
-/** All users with their jobs; agents get the descriptions and run times of jobs from here. */
+/** All users of a test. The fake agents get the request and the run time of each job from this class. */
 final class TestUsers implements FakeAgent.Environment {
     private final EventLoop loop;
     private final HttpClient client;
@@ -32,16 +32,16 @@
             EventLoop loop,
             HttpClient client,
             InvariantChecker invariants,
-            RandomGenerator burstRandom,
+            RandomGenerator random,
             List<String> addresses) {
         this.loop = loop;
         this.client = client;
         this.invariants = invariants;
-        this.random = burstRandom;
+        this.random = random;
         this.addresses = new ArrayList<>(addresses);
     }
 
-    /** A new user submits this job. */
+    /** Creates a user and makes the user submit this job. */
     TestUser submit(JobRequest request, Duration runTime) {
         TestUser user = new TestUser(this, request, runTime);
         users.put(request.id(), user);
@@ -61,32 +61,35 @@
                 .toList();
     }
 
-    /** From now on users query this many times as often. */
+    /** Makes users query this many times as often from now on. */
     void multiplyQueryRate(int times) {
         queryRateFactor = times;
     }
 
-    /** The listener is called at the moment at which the last task of a job has completed. */
+    /** Sets the listener that is called when the last task of a job completes on its machine. */
     void onAllTasksCompleted(Consumer<TestUser> listener) {
         onAllTasksCompleted = listener;
     }
 
-    /** The listener is called at the first response that accepts a job, and at the first one with a final state. */
+    /**
+     * Sets the listener that is called at the first response that accepts a job and at the first response that reports a
+     * final state.
+     */
     void onAcceptedOrFinished(Consumer<TestUser> listener) {
         onAcceptedOrFinished = listener;
     }
 
-    /** From now on the events at users and machines are recorded here. */
-    void recordIn(JobHistory recorder) {
-        history = recorder;
+    /** Records the requests of users and the starts and ends of tasks in this history from now on. */
+    void recordIn(JobHistory target) {
+        history = target;
     }
 
-    /** Decides by machine and job whether a task fails. */
+    /** Sets the predicate that decides by machine and job whether a task fails. */
     void failTasks(BiPredicate<String, String> fails) {
         taskFails = fails;
     }
 
-    /** The user queries all controllers, several times within milliseconds, and repeats the submission. */
+    /** Makes the user query all controllers several times within 6 ms and repeat the submission once. */
     void queryInBursts(TestUser user, RandomGenerator burstRandom) {
         for (int i = 0; i < 4; i++) {
             loop.after(Duration.ofNanos(burstRandom.nextInt(6_000_000)), user::queryAllControllers);
@@ -94,7 +97,7 @@
         loop.after(Duration.ofNanos(burstRandom.nextInt(6_000_000)), user::resubmit);
     }
 
-    // For users
+    // Used by TestUser
 
     EventLoop loop() {
         return loop;
@@ -120,7 +123,7 @@
         return queryRateFactor;
     }
 
-    void stateChanged(TestUser user) {
+    void notifyAcceptedOrFinished(TestUser user) {
         onAcceptedOrFinished.accept(user);
     }
 
@@ -128,7 +131,7 @@
         return history;
     }
 
-    // For agents
+    // Environment of the fake agents
 
     private static String job(String task) {
         return task.substring(0, task.indexOf('/'));
