--- a/src/test/java/org/gullway/ControllerProcesses.java
+++ b/src/test/java/org/gullway/ControllerProcesses.java
@@ -19,8 +19,8 @@
 import java.util.stream.Stream;
 
 /**
- * Controllers as processes of their own, with their logs. A thread of this class starts and signals them, since that
- * would block an event loop for long.
+ * Starts, signals and kills controllers that run in processes of their own, and reads their logs. A separate thread
+ * starts and signals the processes, since that would block an event loop for long.
  */
 final class ControllerProcesses implements AutoCloseable {
     private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(10);
@@ -29,71 +29,73 @@
     private final Map<String, List<String>> commandsByController = new ConcurrentHashMap<>();
     private final String logLevel;
     private final Path directory;
-    private final Consumer<String> ended;
+    private final Consumer<String> onUnexpectedExit;
     private final Map<String, Process> processes = new ConcurrentSkipListMap<>();
-    private final ExecutorService starter = Executors.newSingleThreadExecutor();
-    /** Ends the processes also when this one is ended from outside. */
-    private final Thread atShutdown = new Thread(this::killAll);
+    private final ExecutorService executor = Executors.newSingleThreadExecutor();
+    /** Kills the controllers if this process is terminated before {@link #close}. */
+    private final Thread shutdownHook = new Thread(this::killAll);
 
     /**
-     * @param command starts a controller, up to its options
-     * @param directory holds the settings of each controller, and gets its log
-     * @param ended is notified, on any thread, of controllers that end by themselves or cannot be started
+     * @param command the command line that starts a controller, without --config and --operator-settings
+     * @param directory the directory to which the logs of the controllers are written
+     * @param onUnexpectedExit called, on any thread, with the cause when a controller exits by itself or cannot be
+     *     started
      */
-    ControllerProcesses(List<String> command, String logLevel, Path directory, Consumer<String> ended) {
+    ControllerProcesses(List<String> command, String logLevel, Path directory, Consumer<String> onUnexpectedExit) {
         this.command = List.copyOf(command);
         this.logLevel = logLevel;
         this.directory = directory;
-        this.ended = ended;
-        Runtime.getRuntime().addShutdownHook(atShutdown);
+        this.onUnexpectedExit = onUnexpectedExit;
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
-    /** Sets the command with which this controller is started from now on, instead of the command of all controllers. */
+    /** Sets the command that starts this controller from now on, in place of the common command. */
     void useCommand(String name, List<String> ownCommand) {
         commandsByController.put(name, List.copyOf(ownCommand));
     }
 
-    /** Starts the controller unless it runs. */
+    /** Starts the controller unless it is already running. */
     void start(String name, Path settings, Path operatorSettings) {
-        starter.execute(() -> processes.computeIfAbsent(name, n -> startProcess(n, settings, operatorSettings)));
+        executor.execute(() -> processes.computeIfAbsent(name, n -> startProcess(n, settings, operatorSettings)));
     }
 
     private Process startProcess(String name, Path settings, Path operatorSettings) {
-        List<String> whole = new ArrayList<>(commandsByController.getOrDefault(name, command));
-        whole.addAll(List.of("--config", settings.toString(), "--operator-settings", operatorSettings.toString()));
-        ProcessBuilder builder = new ProcessBuilder(whole);
+        List<String> fullCommand = new ArrayList<>(commandsByController.getOrDefault(name, command));
+        fullCommand.addAll(
+                List.of("--config", settings.toString(), "--operator-settings", operatorSettings.toString()));
+        ProcessBuilder builder = new ProcessBuilder(fullCommand);
         builder.environment().put("LOG_LEVEL", logLevel);
         builder.redirectErrorStream(true);
-        builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log(name).toFile()));
+        builder.redirectOutput(ProcessBuilder.Redirect.appendTo(logFile(name).toFile()));
         try {
             Process process = builder.start();
             CompletableFuture<Void> unused = process.onExit().thenAccept(exited -> onExit(name, exited));
             return process;
         } catch (IOException e) {
-            ended.accept(name + " cannot be started: " + e);
+            onUnexpectedExit.accept(name + " cannot be started: " + e);
             return null;
         }
     }
 
     private void onExit(String name, Process process) {
         if (processes.remove(name, process)) {
-            ended.accept(
-                    name + " ended by itself, with code " + process.exitValue() + ", its last line: " + lastLine(name));
+            onUnexpectedExit.accept(name + " exited unexpectedly with code " + process.exitValue() + ", last log line: "
+                    + lastLogLine(name));
         }
     }
 
-    private String lastLine(String name) {
+    private String lastLogLine(String name) {
         try {
-            List<String> lines = Files.readAllLines(log(name));
+            List<String> lines = Files.readAllLines(logFile(name));
             return lines.isEmpty() ? "none" : lines.get(lines.size() - 1);
         } catch (IOException e) {
             return "unreadable: " + e.getMessage();
         }
     }
 
-    /** Ends the process at once, as a crash does. */
+    /** Kills the process, which simulates a crash. */
     void kill(String name) {
-        starter.execute(() -> {
+        executor.execute(() -> {
             Process process = processes.remove(name);
             if (process != null) {
                 process.destroyForcibly();
@@ -101,9 +103,9 @@
         });
     }
 
-    /** Asks the process to end, so that it can write its recordings. */
+    /** Requests an orderly exit, in which the process can still write recordings such as those of Java Flight Recorder. */
     void terminate(String name) {
-        starter.execute(() -> {
+        executor.execute(() -> {
             Process process = processes.remove(name);
             if (process != null) {
                 process.destroy();
@@ -111,12 +113,12 @@
         });
     }
 
-    /** Suspends the process, or resumes it. */
-    void pause(String name, boolean on) {
-        starter.execute(() -> {
+    /** Suspends the process (paused is true) or resumes it. */
+    void pause(String name, boolean paused) {
+        executor.execute(() -> {
             Process process = processes.get(name);
             if (process != null) {
-                signal(process, on ? "-STOP" : "-CONT");
+                signal(process, paused ? "-STOP" : "-CONT");
             }
         });
     }
@@ -129,25 +131,25 @@
         }
     }
 
-    /** Ids of the processes that run now, by controller. */
+    /** Process ids of the running controllers, by controller name. */
     Map<String, Long> ids() {
         Map<String, Long> ids = new TreeMap<>();
         processes.forEach((name, process) -> ids.put(name, process.pid()));
         return ids;
     }
 
-    private Path log(String name) {
+    private Path logFile(String name) {
         return directory.resolve(name + ".log");
     }
 
-    /** Lines of these controllers' logs that contain any of these texts. */
+    /** The log lines of these controllers that contain any of these texts, each prefixed with its controller's name. */
     List<String> logLines(List<String> names, List<String> texts) {
         List<String> found = new ArrayList<>();
         for (String name : names) {
-            if (!Files.exists(log(name))) {
+            if (!Files.exists(logFile(name))) {
                 continue;
             }
-            try (Stream<String> lines = Files.lines(log(name))) {
+            try (Stream<String> lines = Files.lines(logFile(name))) {
                 lines.filter(line -> texts.stream().anyMatch(line::contains))
                         .forEach(line -> found.add(name + ": " + line));
             } catch (IOException e) {
@@ -158,22 +160,22 @@
     }
 
     private List<Process> killAll() {
-        List<Process> all = List.copyOf(processes.values());
+        List<Process> running = List.copyOf(processes.values());
         processes.clear();
-        all.forEach(Process::destroyForcibly);
-        return all;
+        running.forEach(Process::destroyForcibly);
+        return running;
     }
 
-    /** Ends all processes and waits for their ends. */
+    /** Kills all controllers and waits until their processes have exited, for at most 10 s each. */
     @Override
     public void close() {
-        starter.shutdown();
+        executor.shutdown();
         try {
-            // A process that is being started now has to be ended as well.
-            starter.awaitTermination(CLOSE_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
-            List<Process> all = killAll();
-            Runtime.getRuntime().removeShutdownHook(atShutdown);
-            for (Process process : all) {
+            // Waits for a start in progress, so that its process is killed below as well.
+            executor.awaitTermination(CLOSE_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
+            List<Process> killed = killAll();
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
+            for (Process process : killed) {
                 process.waitFor(CLOSE_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
             }
         } catch (InterruptedException e) {
--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -9,20 +9,20 @@
 import java.util.stream.Stream;
 import org.gullway.fake.FaultyLink.Conditions;
 
-/** Faults at random moments, determined by a seed. */
+/** A schedule of random faults at random times, determined by a seed. */
 final class FaultSchedule {
-    /** Longer than the lease of agents. */
+    /** The longest delay of a delayed request; longer than the agent lease. */
     private static final Duration MAX_DELAY = LoopbackCluster.AGENT_LEASE.plusSeconds(1);
 
     private static final Conditions LOSSY_STORE =
             new Conditions(0.02, 0.1, 0.1, MAX_DELAY, 0, 0.5, Duration.ofMillis(400));
     private static final Conditions SLOW_STORE =
             new Conditions(0, 0, 0, Duration.ZERO, 0, 0.25, Duration.ofMillis(800));
-    /** For agents and users, whose requests are lost, late or repeated. */
+    /** For the links of agents and users to the controllers: requests are lost, delayed or duplicated. */
     private static final Conditions LOSSY_CLIENTS =
             new Conditions(0.05, 0.05, 0.1, MAX_DELAY, 0.3, 0.5, Duration.ofMillis(200));
 
-    /** One fault; it ends by itself. */
+    /** A fault that starts at a fixed time of the run; its action also schedules the end of the fault. */
     record Fault(Duration at, String description, Action action) {
         @Override
         public String toString() {
@@ -30,7 +30,7 @@
         }
     }
 
-    /** What a fault does to the cluster. */
+    /** Applies a fault to the cluster. */
     interface Action {
         void run(LoopbackCluster cluster);
     }
@@ -42,7 +42,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Faults between these two moments, on average one in each interval. */
+    /** Returns the faults of this seed between these two times, on average one per interval, sorted by time. */
     static List<Fault> of(long seed, Duration from, Duration to, Duration interval) {
         FaultSchedule schedule = new FaultSchedule(seed);
         long span = to.minus(from).toMillis();
@@ -87,14 +87,14 @@
     }
 
     private void kill(Duration at, String node, Duration restartDelay) {
-        add(at, node + " is killed and started after " + restartDelay.toMillis() + " ms", cluster -> {
+        add(at, node + " is killed and restarted after " + restartDelay.toMillis() + " ms", cluster -> {
             cluster.kill(node);
             cluster.loop.after(restartDelay, () -> cluster.startController(node));
         });
     }
 
     private void killLeader(Duration at, Duration restartDelay) {
-        add(at, "the leader is killed and started after " + restartDelay.toMillis() + " ms", cluster -> {
+        add(at, "the leader is killed and restarted after " + restartDelay.toMillis() + " ms", cluster -> {
             String leader = cluster.leader();
             if (leader != null) {
                 cluster.kill(leader);
@@ -104,35 +104,35 @@
     }
 
     private void killAll(Duration at, Duration restartDelay) {
-        add(at, "all are killed and started after " + restartDelay.toMillis() + " ms", cluster -> {
+        add(at, "all controllers are killed and restarted after " + restartDelay.toMillis() + " ms", cluster -> {
             cluster.nodes().forEach(cluster::kill);
             cluster.loop.after(restartDelay, () -> cluster.nodes().forEach(cluster::startController));
         });
     }
 
     private void pause(Duration at, String node, Duration span) {
-        add(at, node + " is stopped for " + span.toMillis() + " ms", cluster -> {
+        add(at, node + " is suspended for " + span.toMillis() + " ms", cluster -> {
             cluster.pause(node, true);
             cluster.loop.after(span, () -> cluster.pause(node, false));
         });
     }
 
     private void cut(Duration at, String link, Duration span) {
-        add(at, link + " is cut for " + span.toMillis() + " ms", cluster -> {
+        add(at, "link " + link + " is cut for " + span.toMillis() + " ms", cluster -> {
             cluster.links.get(link).cut(true);
             cluster.loop.after(span, () -> cluster.links.get(link).cut(false));
         });
     }
 
-    /** Partitions machines outbound, inbound, or both. */
+    /** Partitions machines from the controllers: their outbound messages, their inbound messages, or both. */
     private void partitionMachines(Duration at, int count, Duration span) {
         int directions = random.nextInt(1, 4);
         boolean outbound = (directions & 1) != 0;
         boolean inbound = (directions & 2) != 0;
         add(
                 at,
-                count + " machines are" + (outbound ? " outbound" : "") + (inbound ? " inbound" : "")
-                        + " partitioned for " + span.toMillis() + " ms",
+                count + " machines are" + " partitioned" + (outbound ? " outbound" : "") + (inbound ? " inbound" : "")
+                        + " for " + span.toMillis() + " ms",
                 cluster -> {
                     List<String> names = cluster.cloud.agents().stream()
                             .limit(count)
@@ -158,16 +158,16 @@
         }
     }
 
-    private void degradeLinks(Duration at, String links, Conditions conditions, Duration span) {
-        add(at, "all of " + links + " are " + conditions + " for " + span.toMillis() + " ms", cluster -> {
-            set(cluster, links, conditions);
-            cluster.loop.after(span, () -> set(cluster, links, Conditions.NO_FAULTS));
+    private void degradeLinks(Duration at, String linkSuffix, Conditions conditions, Duration span) {
+        add(at, "links *" + linkSuffix + " have " + conditions + " for " + span.toMillis() + " ms", cluster -> {
+            set(cluster, linkSuffix, conditions);
+            cluster.loop.after(span, () -> set(cluster, linkSuffix, Conditions.NO_FAULTS));
         });
     }
 
-    private static void set(LoopbackCluster cluster, String links, Conditions conditions) {
+    private static void set(LoopbackCluster cluster, String linkSuffix, Conditions conditions) {
         cluster.links.forEach((name, link) -> {
-            if (name.endsWith(links)) {
+            if (name.endsWith(linkSuffix)) {
                 link.set(conditions);
             }
         });
--- a/src/test/java/org/gullway/LoopbackAddresses.java
+++ b/src/test/java/org/gullway/LoopbackAddresses.java
@@ -2,17 +2,20 @@
 
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Hosts on loopback for servers of tests. */
+/** Random loopback addresses for the servers of tests. */
 final class LoopbackAddresses {
     private LoopbackAddresses() {}
 
-    /** A host of its own in the loopback range; no outgoing connection takes its ports, since those come from 127.0.0.1. */
+    /**
+     * A random host in the loopback range. Outgoing connections bind to 127.0.0.1, so that none of them occupies a port of
+     * this host.
+     */
     static String host() {
         ThreadLocalRandom random = ThreadLocalRandom.current();
         return "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + "." + random.nextInt(1, 255);
     }
 
-    /** The address at which a server listens on a port that the system chooses when it begins to listen. */
+    /** An address with port 0: the operating system chooses the port when a server starts to listen. */
     static String anyPort() {
         return host() + ":0";
     }
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -28,8 +28,9 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Three controllers as processes of their own on loopback, with the stand-ins of state store, cloud and agents behind
- * real sockets in this process. Everything except starting and ending it runs on its event loop.
+ * Three controllers, each in a process of its own, connected over loopback sockets to fakes of the state store, the cloud
+ * and the agents, which run in this process. The fakes, the links and {@link #start} must be used on the event loop of
+ * this cluster.
  */
 final class LoopbackCluster implements AutoCloseable {
     static final Duration AGENT_LEASE = Duration.ofSeconds(4);
@@ -38,24 +39,25 @@
     private static final String OPERATOR_SETTINGS = "operator.xml";
 
     /**
-     * What a cluster is made of.
+     * Parameters of a cluster.
      *
-     * @param capacity machines of each type, zone and kind
-     * @param spareServers servers for machines that are started beforehand, since to start one takes a while
-     * @param command starts a controller, up to its options
+     * @param membershipLease the lease that a controller renews in the state store to stay a member
+     * @param capacity how many machines the cloud has of each combination of type, zone and spot or on-demand
+     * @param spareServers how many servers for future machines to start in advance, since starting one takes long
+     * @param command the command line that starts a controller, without --config and --operator-settings
      */
     record Setup(
             Duration heartbeatInterval,
-            Duration lease,
-            Duration cancel,
-            Duration membership,
+            Duration agentLease,
+            Duration cancellationLimit,
+            Duration membershipLease,
             int capacity,
             Map<String, Settings.Team> teams,
             int spareServers,
             List<String> command,
             String logLevel) {
 
-        /** A few machines, short leases, and controllers from the classes of this process that log everything. */
+        /** Few machines and short leases; controllers run from the class path of this process and log at level debug. */
         static Setup small() {
             return new Setup(
                     Duration.ofMillis(500),
@@ -77,7 +79,7 @@
                     "debug");
         }
 
-        /** The java program that runs this process. */
+        /** Path of the java executable of the Java installation that runs this process. */
         static String java() {
             return Path.of(System.getProperty("java.home"), "bin", "java").toString();
         }
@@ -88,7 +90,10 @@
     private final HttpClient client;
     final FakeStateStore store;
     final FakeCloud cloud;
-    /** By the names of both parties, "from>to"; agents have one link to all controllers and one from them. */
+    /**
+     * All links by name, "from>to". Each machine has one link to all controllers, "machine>controllers", and one from
+     * all controllers, "controllers>machine".
+     */
     final Map<String, FaultyLink> links = new TreeMap<>();
 
     private final LoopbackTransport transport;
@@ -101,10 +106,12 @@
     private final Path directory;
 
     /**
-     * @param machines is notified of every machine that is up
-     * @param ended is notified of controllers that end by themselves
+     * @param onUnexpectedExit called, on the event loop, with the cause when a controller exits by itself or cannot be
+     *     started
+     * @param machineListener called for every machine that boots
      */
-    LoopbackCluster(long seed, Setup setup, Consumer<String> ended, MachineListener machines) throws IOException {
+    LoopbackCluster(long seed, Setup setup, Consumer<String> onUnexpectedExit, MachineListener machineListener)
+            throws IOException {
         this.setup = setup;
         this.random = new SplittableRandom(seed);
         this.directory = Files.createTempDirectory("gullway-soak");
@@ -112,16 +119,20 @@
         this.loop = transport.loop();
         this.client = transport.client();
         this.processes = new ControllerProcesses(
-                setup.command(), setup.logLevel(), directory, cause -> loop.execute(() -> ended.accept(cause)));
+                setup.command(),
+                setup.logLevel(),
+                directory,
+                cause -> loop.execute(() -> onUnexpectedExit.accept(cause)));
         this.store = new FakeStateStore(loop);
         for (int i = 0; i < 3; i++) {
             publicAddresses.put("perch-" + i, reserveAddress());
             peerAddresses.put("perch-" + i, reserveAddress());
         }
-        this.cloud = new FakeCloud(loop, types(), setup.capacity(), (name, kind) -> boot(name, kind, machines));
+        this.cloud = new FakeCloud(
+                loop, machineTypes(), setup.capacity(), (name, kind) -> boot(name, kind, machineListener));
     }
 
-    /** A server that listens, for a machine that will be provisioned. */
+    /** A listening server for a machine that is not provisioned yet; until then it responds with status 404. */
     private static final class SpareServer {
         private String address;
         private Consumer<HttpExchange> handler = exchange -> exchange.respond(HttpStatus.NOT_FOUND, new byte[0]);
@@ -133,39 +144,39 @@
         return address.toString();
     }
 
-    /** Is notified of every machine that is up, and returns the environment of its agent. */
+    /** Called for every machine that boots; returns the environment of the machine's agent. */
     interface MachineListener {
-        FakeAgent.Environment up(String name, FakeAgent.Kind kind);
+        FakeAgent.Environment onMachineUp(String name, FakeAgent.Kind kind);
     }
 
-    private static List<MachineType> types() {
+    private static List<MachineType> machineTypes() {
         return List.of(
                 new MachineType("small", 16, 0, 64, 50, 1, 1.0, 0.3, Duration.ofMillis(600), List.of("a", "b")),
                 new MachineType("large", 32, 0, 256, 50, 1, 2.5, 0.9, Duration.ofMillis(400), List.of("a", "b")));
     }
 
-    private FakeAgent boot(String name, FakeAgent.Kind kind, MachineListener machines) {
+    private FakeAgent boot(String name, FakeAgent.Kind kind, MachineListener machineListener) {
         SpareServer server = spareServers.isEmpty() ? newServer() : spareServers.remove();
-        FakeAgent machine = new FakeAgent(
+        FakeAgent agent = new FakeAgent(
                 loop,
-                link(name + ">controllers").wrapClient(client),
-                machines.up(name, kind),
+                link(name + ">controllers").client(client),
+                machineListener.onMachineUp(name, kind),
                 random.split(),
                 new FakeAgent.Machine(name, server.address, kind),
                 publicAddresses,
-                new FakeAgent.Timing(setup.heartbeatInterval(), setup.lease()));
-        server.handler = link("controllers>" + name).wrapHandler("", machine::handle);
-        return machine;
+                new FakeAgent.Timing(setup.heartbeatInterval(), setup.agentLease()));
+        server.handler = link("controllers>" + name).server("", agent::handle);
+        return agent;
     }
 
-    /** A server whose handler is set later, since starting one takes this process long. */
+    /** Starts a server whose handler is set when its machine boots, since starting a server blocks the event loop for long. */
     private SpareServer newServer() {
         SpareServer server = new SpareServer();
         server.address = transport.listen(exchange -> server.handler.accept(exchange));
         return server;
     }
 
-    /** The client with which users reach the controllers. */
+    /** A client for the users' requests to the controllers, through the link "users>controllers". */
     HttpClient userClient() {
         return link("users>controllers").wrapClient(client);
     }
@@ -174,14 +185,15 @@
         return links.computeIfAbsent(name, n -> new FaultyLink(loop, random.split()));
     }
 
-    /** Starts everything; fails if a server of a stand-in cannot listen. */
+    /** Starts the fakes' servers and the controllers; fails if a server cannot listen. */
     void start() {
         for (int i = 0; i < setup.spareServers(); i++) {
             spareServers.add(newServer());
         }
         write(
                 OPERATOR_SETTINGS,
-                "<gullway><membership-lease-s>" + setup.membership().toSeconds() + "</membership-lease-s></gullway>");
+                "<gullway><membership-lease-s>" + setup.membershipLease().toSeconds()
+                        + "</membership-lease-s></gullway>");
         for (String name : nodes()) {
             String storeAddress = transport.listen(link(name + ">state").wrapHandler(name, store::handle));
             String cloudAddress = transport.listen(link(name + ">cloud").wrapHandler(name, cloud::handle));
@@ -228,39 +240,39 @@
         return List.copyOf(publicAddresses.values());
     }
 
-    /** The name of the leader by the state store; null if there is none. */
+    /** The name of the leader as recorded in the state store; null if there is none. */
     String leader() {
         var leader = store.value(StoreKeys.LEADER);
         return leader == null ? null : leader.path("node").asText();
     }
 
-    // Processes
+    // Control of the controllers' processes
 
     void startController(String name) {
         processes.start(name, directory.resolve(name + ".toml"), directory.resolve(OPERATOR_SETTINGS));
     }
 
-    /** Sets the command with which this controller is started from now on, such as that of another build. */
+    /** Sets the command that starts this controller from now on, such as the command of another build. */
     void useCommand(String name, List<String> command) {
         processes.useCommand(name, command);
     }
 
-    /** Ends the process at once, as a crash does. */
+    /** Kills the process, which simulates a crash. */
     void kill(String name) {
         processes.kill(name);
     }
 
-    /** Asks the process to end, so that it can write its recordings. */
+    /** Requests an orderly exit, in which the process can still write recordings such as those of Java Flight Recorder. */
     void terminate(String name) {
         processes.terminate(name);
     }
 
-    /** Suspends the process, or resumes it. */
-    void pause(String name, boolean on) {
-        processes.pause(name, on);
+    /** Suspends the process (paused is true) or resumes it. */
+    void pause(String name, boolean paused) {
+        processes.pause(name, paused);
     }
 
-    /** Ids of the controllers' processes that run now, by controller. */
+    /** Process ids of the running controllers, by controller name. */
     Map<String, Long> processIds() {
         return processes.ids();
     }
@@ -270,7 +282,7 @@
         return processes.logLines(nodes(), texts);
     }
 
-    /** All links are good, all controllers run, and the state store serves everybody. */
+    /** Ends all faults: restores links and state store, resumes paused controllers and starts those that do not run. */
     void endFaults() {
         links.values().forEach(link -> {
             link.set(FaultyLink.Conditions.NO_FAULTS);
@@ -283,12 +295,12 @@
         });
     }
 
-    /** The address at which peers reach the controller of this name. */
+    /** The address at which the controller serves its peers. */
     String peerAddress(String name) {
         return peerAddresses.get(name);
     }
 
-    /** Ends all processes and removes their files. */
+    /** Kills all controllers and deletes the temporary directory with their settings and logs. */
     @Override
     public void close() {
         loop.stop();
--- a/src/test/java/org/gullway/LoopbackTransport.java
+++ b/src/test/java/org/gullway/LoopbackTransport.java
@@ -15,7 +15,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The event loop of this process with one client and with servers on loopback. */
+/** One event loop, with an HTTP client and HTTP servers on loopback addresses that all run on it. */
 final class LoopbackTransport implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_SOCKETS = 10_000;
@@ -43,17 +43,17 @@
         return client;
     }
 
-    /** Starts a server and returns the address that it got. */
+    /** Starts a server on a port that the operating system chooses, and returns the server's address. */
     String listen(Consumer<HttpExchange> handler) {
         return listenAt(LoopbackAddresses.anyPort(), handler);
     }
 
-    /** Starts a server at this address and returns the one that it got. */
+    /** Starts a server at this address; returns the server's address, which has the chosen port if the given port is 0. */
     String listenAt(String address, Consumer<HttpExchange> handler) {
         return HttpServer.start(worker, buffers, socketBudget, address, MAX_BODY_BYTES, handler::accept);
     }
 
-    /** Stops the loop first: a task that schedules another one on a closed worker would fail. */
+    /** Stops the loop first, since a task that schedules another task on a worker that is shut down would fail. */
     @Override
     public void close() {
         loop.stop();
--- a/src/test/java/org/gullway/NodeSettings.java
+++ b/src/test/java/org/gullway/NodeSettings.java
@@ -86,8 +86,8 @@
                         storeAddress,
                         teams,
                         seconds(setup.heartbeatInterval()),
-                        seconds(setup.lease()),
-                        seconds(setup.cancel()),
+                        seconds(setup.agentLease()),
+                        seconds(setup.cancellationLimit()),
                         (double) FakeStateStore.MAX_CHANGES_PER_SECOND,
                         FakeStateStore.MAX_CHANGES_PER_COMMIT);
     }
--- a/src/test/java/org/gullway/ReservedAddress.java
+++ b/src/test/java/org/gullway/ReservedAddress.java
@@ -6,8 +6,9 @@
 import java.net.Socket;
 
 /**
- * An address on loopback for a process that is still to be started. It is held by a socket that is bound and does not
- * listen: the system gives its port to nobody else, and a server that reuses addresses, as controllers do, can listen.
+ * A loopback address that is reserved for a process that starts later. A socket that is bound but does not listen
+ * reserves the port: the operating system assigns it to no other socket, while a server that sets SO_REUSEADDR, as
+ * controllers do, can still listen on it.
  */
 final class ReservedAddress implements AutoCloseable {
     private final Socket socket = new Socket();
@@ -20,7 +21,7 @@
         address = host + ":" + socket.getLocalPort();
     }
 
-    /** Holds an address that nobody uses. */
+    /** Reserves an address that no socket uses. */
     static ReservedAddress reserve() {
         try {
             return new ReservedAddress();
@@ -29,7 +30,7 @@
         }
     }
 
-    /** Host and port. */
+    /** Returns the address as "host:port". */
     @Override
     public String toString() {
         return address;
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -17,34 +17,49 @@
 import org.gullway.protocol.JobRequest;
 
 /**
- * A randomized test of faults over loopback: three controllers as processes of their own, users who query, resubmit
- * and cancel at the worst moments, and faults from a seed. The rules are checked from outside.
+ * A randomized fault-injection test over loopback. Three controllers run in processes of their own while a schedule of
+ * faults, determined by a seed, is applied. Users query, resubmit and cancel jobs, above all right after a job is
+ * accepted or finished. {@link InvariantChecker} checks the rules of the protocol by the responses to users and the tasks
+ * on machines.
  */
 public final class SoakRun {
     private static final Duration WARM_UP = Duration.ofSeconds(3);
     private static final Duration FAULT_INTERVAL = Duration.ofMillis(900);
     private static final Duration SUBMISSION_INTERVAL = Duration.ofMillis(220);
-    private static final Duration LAST_QUERIES_SPAN = Duration.ofSeconds(3);
-    /** A longer pause of this process makes agents late, which no controller can know. */
+    private static final Duration FINAL_QUERIES_SPAN = Duration.ofSeconds(3);
+    /**
+     * After a longer stall of this process, violations that depend on agents' leases are inconclusive: the fake agents run
+     * in this process, so that the stall also delays them, which no controller can detect.
+     */
     private static final Duration MAX_STALL = Duration.ofMillis(250);
 
-    /** Longer than a job may go without an answer; in this span half of all kinds of jobs must have started. */
-    private static final Duration SERVICE_SPAN = Duration.ofSeconds(80);
+    /**
+     * With at least this recovery time, {@link ServiceCheck} requires that half of the jobs of each kind have started. It
+     * is longer than a job may stay without a response.
+     */
+    private static final Duration MIN_RECOVERY_FOR_SERVICE_CHECK = Duration.ofSeconds(80);
 
     private static final int RESUBMISSIONS = 6;
     private static final int RESUBMISSIONS_WITHIN_MS = 400;
-    private static final Pattern JOB = Pattern.compile("run-\\d{6}");
+    private static final Pattern JOB_ID = Pattern.compile("run-\\d{6}");
 
-    /** How long a run is under faults, and how long it goes on without. */
-    record Length(Duration faults, Duration afterwards) {}
+    /**
+     * Durations of the phases of a run.
+     *
+     * @param faults the phase in which faults occur
+     * @param recovery the phase without faults that follows
+     */
+    record Durations(Duration faults, Duration recovery) {}
 
     /**
      * The outcome of a run.
      *
-     * @param violations rules that were broken, with what was seen
-     * @param unfinished jobs that were not finished at the end
-     * @param stall the longest pause of this process itself
-     * @param stalledAt when it ended
+     * @param violations each violation: the name of the rule and what was observed
+     * @param unfinished the jobs that were not finished at the end
+     * @param starts how many tasks started
+     * @param longestStall the longest stall of the event loop of this process
+     * @param longestStallEnd when the longest stall ended
+     * @param failureReport the fault schedule and the events of the jobs in violations; empty without violations
      */
     record Outcome(
             long seed,
@@ -52,37 +67,41 @@
             List<String> unfinished,
             int jobs,
             int starts,
-            Duration stall,
-            Instant stalledAt,
+            Duration longestStall,
+            Instant longestStallEnd,
             String failureReport) {
+        /** Whether no stall was long enough to cause violations that depend on agents' leases. */
         boolean conclusive() {
-            return stall.compareTo(MAX_STALL) <= 0;
+            return longestStall.compareTo(MAX_STALL) <= 0;
         }
 
-        /** Rules that rest on agents' leases need this process to be punctual; all others hold in any case. */
+        /**
+         * The violations that no stall of this process can have caused. If the run is not conclusive, this leaves out the
+         * rules that depend on agents' leases.
+         */
         List<String> certainViolations() {
             return violations.stream()
-                    .filter(rule -> conclusive()
-                            || !(rule.startsWith("ran_twice")
-                                    || rule.startsWith("quota")
-                                    || rule.startsWith("wrong_place")
-                                    || rule.startsWith("ran_cancelled")))
+                    .filter(violation -> conclusive()
+                            || !(violation.startsWith("ran_twice")
+                                    || violation.startsWith("quota")
+                                    || violation.startsWith("wrong_place")
+                                    || violation.startsWith("ran_cancelled")))
                     .toList();
         }
 
         @Override
         public String toString() {
-            return "seed " + seed + ": " + (violations.isEmpty() ? "no rule broken" : "BROKEN " + violations) + ", "
+            return "seed " + seed + ": " + (violations.isEmpty() ? "no violations" : "violations " + violations) + ", "
                     + jobs
                     + " jobs, " + starts + " starts, unfinished " + unfinished.size() + ", longest stall "
-                    + stall.toMillis() + " ms at "
-                    + JobHistory.formatSeconds(stalledAt).strip()
-                    + (conclusive() ? "" : " (leases inconclusive)");
+                    + longestStall.toMillis() + " ms at "
+                    + JobHistory.formatSeconds(longestStallEnd).strip()
+                    + (conclusive() ? "" : " (violations that depend on leases are inconclusive)");
         }
     }
 
     private final long seed;
-    private final Length length;
+    private final Durations durations;
     private final SplittableRandom random;
     private final InvariantChecker invariants =
             new InvariantChecker(LoopbackCluster.CANCELLATION_LIMIT, SimulatedCluster.Setup.SMALL_TEAMS);
@@ -90,72 +109,73 @@
     private final List<FaultSchedule.Fault> faults;
     private LoopbackCluster cluster;
     private TestUsers users;
-    private StallMonitor stalls;
+    private StallMonitor stallMonitor;
     private int jobs;
     private boolean submitting = true;
     private final Consumer<LoopbackCluster> beforeStart;
     private final CountDownLatch finished = new CountDownLatch(1);
 
-    private SoakRun(long seed, Length length, List<FaultSchedule.Fault> faults, Consumer<LoopbackCluster> beforeStart) {
+    private SoakRun(
+            long seed, Durations durations, List<FaultSchedule.Fault> faults, Consumer<LoopbackCluster> beforeStart) {
         this.seed = seed;
-        this.length = length;
+        this.durations = durations;
         this.beforeStart = beforeStart;
         this.random = new SplittableRandom(seed);
         this.faults = List.copyOf(faults);
     }
 
-    /** Plays one run. */
-    static Outcome play(long seed, Length length) throws IOException, InterruptedException {
-        return play(seed, length, cluster -> {});
+    /** Runs the test once with the faults and users of this seed. */
+    static Outcome run(long seed, Durations durations) throws IOException, InterruptedException {
+        return run(seed, durations, cluster -> {});
     }
 
-    /** Plays one run; the action is carried out before anything is started. */
-    static Outcome play(long seed, Length length, Consumer<LoopbackCluster> beforeStart)
+    /** Runs the test once; beforeStart is called before the servers and the controllers are started. */
+    static Outcome run(long seed, Durations durations, Consumer<LoopbackCluster> beforeStart)
             throws IOException, InterruptedException {
-        Duration faultsEnd = WARM_UP.plus(length.faults());
-        return play(seed, length, FaultSchedule.of(seed, WARM_UP, faultsEnd, FAULT_INTERVAL), beforeStart);
+        Duration faultsEnd = WARM_UP.plus(durations.faults());
+        return run(seed, durations, FaultSchedule.of(seed, WARM_UP, faultsEnd, FAULT_INTERVAL), beforeStart);
     }
 
-    /** Plays one run with these faults in place of random ones; the seed determines the users. */
-    static Outcome play(
-            long seed, Length length, List<FaultSchedule.Fault> faults, Consumer<LoopbackCluster> beforeStart)
+    /** Runs the test once with the given faults in place of random ones; the seed determines what users do. */
+    static Outcome run(
+            long seed, Durations durations, List<FaultSchedule.Fault> faults, Consumer<LoopbackCluster> beforeStart)
             throws IOException, InterruptedException {
-        return new SoakRun(seed, length, faults, beforeStart).play();
+        return new SoakRun(seed, durations, faults, beforeStart).run();
     }
 
-    private Outcome play() throws IOException, InterruptedException {
-        try (LoopbackCluster played = new LoopbackCluster(
-                seed, LoopbackCluster.Setup.small(), end -> endWith("process: " + end), (name, kind) -> {
+    private Outcome run() throws IOException, InterruptedException {
+        try (LoopbackCluster newCluster = new LoopbackCluster(
+                seed, LoopbackCluster.Setup.small(), cause -> abort("process: " + cause), (name, kind) -> {
                     invariants.onMachineUp(name, kind);
                     return users;
                 })) {
-            cluster = played;
-            stalls = new StallMonitor(cluster.loop);
-            cluster.loop.execute(this::beginOrEnd);
+            cluster = newCluster;
+            stallMonitor = new StallMonitor(cluster.loop);
+            cluster.loop.execute(this::startOrAbort);
             Duration total =
-                    WARM_UP.plus(length.faults()).plus(length.afterwards()).plus(LAST_QUERIES_SPAN);
+                    WARM_UP.plus(durations.faults()).plus(durations.recovery()).plus(FINAL_QUERIES_SPAN);
             if (!finished.await(total.plusSeconds(60).toSeconds(), TimeUnit.SECONDS)) {
-                invariants.violations.add("the run did not end");
+                invariants.violations.add("the run did not finish in time");
             }
             return outcome();
         }
     }
 
-    /** Ends a run that has failed for certain, with its cause. */
-    private void endWith(String cause) {
+    /** Records the cause as a violation and ends the run early. */
+    private void abort(String cause) {
         invariants.violations.add(cause);
         finished.countDown();
     }
 
-    private void beginOrEnd() {
+    private void startOrAbort() {
         try {
-            begin();
+            start();
         } catch (RuntimeException e) {
-            endWith("the run could not start: " + e);
+            abort("the run could not start: " + e);
         }
     }
 
-    private void begin() {
+    private void start() {
         users = new TestUsers(cluster.loop, cluster.userClient(), invariants, random.split(), cluster.userAddresses());
         users.recordIn(history);
         users.onAcceptedOrFinished(user -> {
@@ -170,21 +190,24 @@
         });
         beforeStart.accept(cluster);
         cluster.start();
-        // No lease can expire before that.
-        cluster.loop.after(WARM_UP, stalls::tick);
+        // No lease can expire before the end of the warm-up.
+        cluster.loop.after(WARM_UP, stallMonitor::tick);
         cluster.loop.after(Duration.ofSeconds(1), this::submitNext);
         faults.forEach(
                 fault -> cluster.loop.after(fault.at(), () -> fault.action().run(cluster)));
-        Duration faultsEnd = WARM_UP.plus(length.faults());
+        Duration faultsEnd = WARM_UP.plus(durations.faults());
         cluster.loop.after(faultsEnd, this::endFaults);
-        cluster.loop.after(faultsEnd.plus(length.afterwards()), () -> {
+        cluster.loop.after(faultsEnd.plus(durations.recovery()), () -> {
             users.all().forEach(TestUser::resubmit);
             users.all().forEach(TestUser::queryAllControllers);
         });
-        cluster.loop.after(faultsEnd.plus(length.afterwards()).plus(LAST_QUERIES_SPAN), finished::countDown);
+        cluster.loop.after(faultsEnd.plus(durations.recovery()).plus(FINAL_QUERIES_SPAN), finished::countDown);
     }
 
-    /** Repeats the submission without queries, from whose answers controllers would know a final state. */
+    /**
+     * Repeats the submission without any query: from the responses to queries, controllers would learn that a job is in a
+     * final state.
+     */
     private void resubmitRepeatedly(TestUser user) {
         for (int i = 0; i < RESUBMISSIONS; i++) {
             cluster.loop.after(Duration.ofMillis(random.nextInt(RESUBMISSIONS_WITHIN_MS)), user::resubmit);
@@ -211,7 +234,7 @@
     }
 
     private JobRequest request(int number, Duration runTime) {
-        int bounds = random.nextInt(8);
+        int constraint = random.nextInt(8);
         return new JobRequest(
                 String.format("run-%06d", number),
                 "render",
@@ -225,9 +248,9 @@
                 "img-" + number % 3,
                 0.5,
                 null,
-                bounds == 0 ? "b" : null,
-                bounds == 1,
-                bounds == 2,
+                constraint == 0 ? "b" : null,
+                constraint == 1,
+                constraint == 2,
                 random.nextInt(4) != 0,
                 runTime,
                 Duration.ZERO,
@@ -236,8 +259,8 @@
     }
 
     private Outcome outcome() {
-        if (length.afterwards().compareTo(SERVICE_SPAN) >= 0) {
-            invariants.violations.addAll(StartedJobsCheck.violations(users.all()));
+        if (durations.recovery().compareTo(MIN_RECOVERY_FOR_SERVICE_CHECK) >= 0) {
+            invariants.violations.addAll(ServiceCheck.unserved(users.all()));
         }
         invariants.violations.addAll(cluster.logLines(List.of("invariant violated")));
         return new Outcome(
@@ -246,62 +269,63 @@
                 unfinished(),
                 jobs,
                 invariants.startedTasks(),
-                stalls.longestStall(),
-                stalls.longestStallEnd(),
+                stallMonitor.longestStall(),
+                stallMonitor.longestStallEnd(),
                 invariants.violations.isEmpty() ? "" : failureReport());
     }
 
-    /** Unfinished jobs, each with its last event. */
+    /** The unfinished jobs, each with its last event in the history. */
     private List<String> unfinished() {
         List<String> unfinished = new ArrayList<>();
         for (TestUser user : users.all()) {
             if (!user.isFinished()) {
                 JobRequest job = user.request;
-                List<String> seen = history.of(job.id());
+                List<String> events = history.of(job.id());
                 unfinished.add(job.id() + " " + job.team() + " " + job.priority() + ", " + job.tasks() + " tasks of "
-                        + job.cpus() + ": " + (seen.isEmpty() ? "never answered" : seen.get(seen.size() - 1)));
+                        + job.cpus() + ": " + (events.isEmpty() ? "no response" : events.get(events.size() - 1)));
             }
         }
         return unfinished;
     }
 
-    /** Seed, schedule, and the histories of the jobs in violations. */
+    /** The seed, the fault schedule, the violations, and the histories and log lines of the jobs named in violations. */
     private String failureReport() {
         List<String> lines = new ArrayList<>();
         lines.add("seed " + seed);
         faults.forEach(fault -> lines.add(fault.toString()));
-        TreeSet<String> concerned = new TreeSet<>();
-        for (String rule : invariants.violations) {
-            lines.add(rule);
-            Matcher matcher = JOB.matcher(rule);
+        TreeSet<String> affectedJobs = new TreeSet<>();
+        for (String violation : invariants.violations) {
+            lines.add(violation);
+            Matcher matcher = JOB_ID.matcher(violation);
             while (matcher.find()) {
-                concerned.add(matcher.group());
+                affectedJobs.add(matcher.group());
             }
         }
-        for (String job : concerned) {
+        for (String job : affectedJobs) {
             lines.addAll(history.of(job));
             lines.addAll(cluster.logLines(List.of(job)));
         }
         return String.join("\n", lines);
     }
 
-    /** Arguments: the first seed, how many runs, and for how many seconds each is under faults. */
+    /** Arguments: the first seed, the number of runs, and the number of seconds with faults in each run. */
     public static void main(String[] arguments) throws Exception {
         Logger.getLogger("io.undertow").setLevel(Level.WARNING);
-        long first = Long.parseLong(arguments[0]);
+        long firstSeed = Long.parseLong(arguments[0]);
         int runs = Integer.parseInt(arguments[1]);
-        Length length = new Length(Duration.ofSeconds(Long.parseLong(arguments[2])), SERVICE_SPAN);
-        int broken = 0;
-        for (long seed = first; seed < first + runs; seed++) {
-            Outcome outcome = play(seed, length);
+        Durations durations =
+                new Durations(Duration.ofSeconds(Long.parseLong(arguments[2])), MIN_RECOVERY_FOR_SERVICE_CHECK);
+        int failedRuns = 0;
+        for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
+            Outcome outcome = run(seed, durations);
             System.out.println(outcome);
             outcome.unfinished().forEach(job -> System.out.println("  unfinished: " + job));
             if (!outcome.violations().isEmpty()) {
-                broken++;
+                failedRuns++;
                 System.out.println(outcome.failureReport());
             }
         }
-        System.out.println(runs + " runs, " + broken + " with a rule broken");
-        System.exit(broken == 0 ? 0 : 1);
+        System.out.println(runs + " runs, " + failedRuns + " with violations");
+        System.exit(failedRuns == 0 ? 0 : 1);
     }
 }
--- a/src/test/java/org/gullway/SoakStartTest.java
+++ b/src/test/java/org/gullway/SoakStartTest.java
@@ -13,21 +13,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Addresses of processes are not taken between their choice and the start, and a failed start ends the run at once
- * with its cause.
+ * Guards against two failures at the start of a soak run: another socket takes the address of a controller between its
+ * choice and the start of the process, and a failed start ends the run only after its full duration, without the cause.
  */
 class SoakStartTest {
-    private static final SoakRun.Length LONG = new SoakRun.Length(Duration.ofMinutes(2), Duration.ofMinutes(2));
-    private static final Duration AT_ONCE = Duration.ofSeconds(20);
+    private static final SoakRun.Durations LONG = new SoakRun.Durations(Duration.ofMinutes(2), Duration.ofMinutes(2));
+    private static final Duration MAX_TIME_TO_FAILURE = Duration.ofSeconds(20);
 
     private static InetSocketAddress parse(String address) {
         int colon = address.lastIndexOf(':');
         return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
-    private static ServerSocket listen(String address, boolean reuse) throws IOException {
+    private static ServerSocket listen(String address, boolean reuseAddress) throws IOException {
         ServerSocket socket = new ServerSocket();
-        socket.setReuseAddress(reuse);
+        socket.setReuseAddress(reuseAddress);
         socket.bind(parse(address));
         return socket;
     }
@@ -42,32 +42,33 @@
         }
     }
 
-    private static void assertEndsAtOnce(String cause, Consumer<LoopbackCluster> before) throws Exception {
-        long began = System.nanoTime();
-        SoakRun.Outcome outcome = SoakRun.play(1, LONG, before);
-        assertThat(outcome.violations()).anySatisfy(broken -> assertThat(broken).contains(cause));
-        assertThat(Duration.ofNanos(System.nanoTime() - began)).isLessThan(AT_ONCE);
+    private static void assertFailsEarly(String cause, Consumer<LoopbackCluster> beforeStart) throws Exception {
+        long startNanos = System.nanoTime();
+        SoakRun.Outcome outcome = SoakRun.run(1, LONG, beforeStart);
+        assertThat(outcome.violations())
+                .anySatisfy(violation -> assertThat(violation).contains(cause));
+        assertThat(Duration.ofNanos(System.nanoTime() - startNanos)).isLessThan(MAX_TIME_TO_FAILURE);
     }
 
     @Test
-    void aControllerWhosePortIsTakenEndsTheRunWithItsCause() throws Exception {
-        ServerSocket[] taken = new ServerSocket[1];
+    void portInUseByAnotherServerEndsTheRunEarlyWithItsCause() throws Exception {
+        ServerSocket[] otherServer = new ServerSocket[1];
         try {
-            assertEndsAtOnce("cannot listen on", cluster -> {
+            assertFailsEarly("cannot listen on", cluster -> {
                 try {
-                    taken[0] = listen(cluster.peerAddress("perch-1"), true);
+                    otherServer[0] = listen(cluster.peerAddress("perch-1"), true);
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
             });
         } finally {
-            taken[0].close();
+            otherServer[0].close();
         }
     }
 
     @Test
-    void aStandInThatCannotStartEndsTheRunWithItsCause() throws Exception {
-        assertEndsAtOnce("the run could not start: java.lang.IllegalStateException: port taken", cluster -> {
+    void failedStartOfTheFakesEndsTheRunEarlyWithItsCause() throws Exception {
+        assertFailsEarly("the run could not start: java.lang.IllegalStateException: port taken", cluster -> {
             throw new IllegalStateException("port taken");
         });
     }
--- a/src/test/java/org/gullway/SoakTest.java
+++ b/src/test/java/org/gullway/SoakTest.java
@@ -6,18 +6,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The short form of {@link SoakRun}: fixed seeds, and only violations that no slowness of this machine can cause. */
+/**
+ * Runs {@link SoakRun} briefly with fixed seeds, and fails only on violations that a slow machine cannot have caused.
+ */
 class SoakTest {
-    private static final SoakRun.Length SHORT = new SoakRun.Length(Duration.ofSeconds(10), Duration.ofSeconds(4));
+    private static final SoakRun.Durations SHORT = new SoakRun.Durations(Duration.ofSeconds(10), Duration.ofSeconds(4));
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void invariantsHoldForProcessesUnderFaults(long seed) throws Exception {
-        SoakRun.Outcome outcome = SoakRun.play(seed, SHORT);
+        SoakRun.Outcome outcome = SoakRun.run(seed, SHORT);
         System.out.println(outcome);
         assertThat(outcome.certainViolations()).as(outcome.failureReport()).isEmpty();
         assertThat(ProcessHandle.current().children().filter(ProcessHandle::isAlive))
-                .as("processes that still run")
+                .as("controller processes left after the run")
                 .isEmpty();
         assertThat(outcome.starts()).as("tasks that started").isPositive();
     }
--- a/src/test/java/org/gullway/StallMonitor.java
+++ b/src/test/java/org/gullway/StallMonitor.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import org.gullway.transport.EventLoop;
 
-/** Watches an event loop by a regular tick, and keeps the longest time by which a tick was late. */
+/** Measures stalls of an event loop: schedules a tick every 20 ms and records the longest delay of a tick. */
 final class StallMonitor {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
 
@@ -17,13 +17,13 @@
         this.loop = loop;
     }
 
-    /** Ticks from now on; to be called on the loop. */
+    /** Measures the delay of this tick and schedules the next tick. The first call starts the monitor, on the event loop. */
     void tick() {
         Instant now = loop.now();
         if (lastTick != null) {
-            Duration late = Duration.between(lastTick, now).minus(TICK_INTERVAL);
-            if (late.compareTo(longestStall) > 0) {
-                longestStall = late;
+            Duration delay = Duration.between(lastTick, now).minus(TICK_INTERVAL);
+            if (delay.compareTo(longestStall) > 0) {
+                longestStall = delay;
                 longestStallEnd = now;
             }
         }
--- a/src/test/java/org/gullway/StoppableEventLoop.java
+++ b/src/test/java/org/gullway/StoppableEventLoop.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import org.gullway.transport.EventLoop;
 
-/** An event loop that drops everything once it is stopped. */
+/** An event loop that can be stopped. Afterwards it discards new tasks and does not run those that it has accepted. */
 final class StoppableEventLoop implements EventLoop {
     private final EventLoop loop;
     private volatile boolean stopped;
