--- a/src/test/java/org/gullway/ArchitecturePageTest.java
+++ b/src/test/java/org/gullway/ArchitecturePageTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The pages for newcomers name classes and methods that exist. */
+/** Every class and member that the architecture, design and glossary pages name exists in the sources. */
 class ArchitecturePageTest {
     private static final Path SOURCES = Path.of("src/main/java/org/gullway");
-    /** A class, alone or with one of its members, such as {@code Transaction.putJob}. */
+    /** A class name in backquotes, optionally with a member, such as {@code Transaction.putJob}. */
     private static final Pattern NAME = Pattern.compile("`([A-Z][a-z][A-Za-z]+)(?:\\.([A-Za-z_]+))?`");
-    /** From here on a page lists names that are no longer used. */
-    private static final String FORMER_NAMES = "## Former names";
+    /** The heading above the names that no longer exist; the text from here on is not checked. */
+    private static final String FORMER_NAMES_HEADING = "## Former names";
 
-    /** Names in the same form that are no classes of this project. */
-    private static final List<String> OTHERS = List.of("InstantSource");
+    /** Names on the pages that are classes of other projects. */
+    private static final List<String> EXTERNAL_CLASSES = List.of("InstantSource");
 
     private static Map<String, String> sourcesByClass() throws IOException {
         Map<String, String> sources = new TreeMap<>();
@@ -41,11 +41,11 @@
         Map<String, String> sources = sourcesByClass();
         List<String> missing = new ArrayList<>();
         String text = Files.readString(Path.of("docs", page));
-        Matcher names = NAME.matcher(text.split(FORMER_NAMES, -1)[0]);
+        Matcher names = NAME.matcher(text.split(FORMER_NAMES_HEADING, -1)[0]);
         while (names.find()) {
             String type = names.group(1);
             String member = names.group(2);
-            if (OTHERS.contains(type)) {
+            if (EXTERNAL_CLASSES.contains(type)) {
                 continue;
             }
             String source = sources.get(type);
--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -15,16 +15,16 @@
 import org.gullway.transport.HttpResponse;
 
 /**
- * Plays a fixed list of simulated scenarios with fixed seeds and prints one hash over all messages on the simulated
- * network, those to the state store among them, with their times. A change that leaves behaviour as it is leaves the
- * hash as it is. Names of classes and texts of the log are not in it.
+ * Runs a fixed list of simulated scenarios with fixed seeds and prints a hash over the contents and times of all messages
+ * on the simulated network, including the messages to the state store. The hash stays the same if a change keeps the
+ * behaviour. Class names and log messages do not enter the hash.
  */
 public final class BehaviourFingerprint {
     private static final int FAULT_SCENARIOS = 12;
     private static final int ZONE_BOUND_SCENARIOS = 8;
     private static final int SCENARIO_BYTES = 8;
 
-    private final MessageDigest whole = sha256();
+    private final MessageDigest allScenarios = sha256();
 
     private BehaviourFingerprint() {}
 
@@ -69,7 +69,7 @@
             add(request.body());
         }
 
-        /** Codes that stay when constants are renamed or moved. */
+        /** A code for the outcome that does not change when the constants are renamed or reordered. */
         private static String codeOf(HttpResponse.Outcome outcome) {
             return switch (outcome) {
                 case ANSWERED -> "0";
@@ -87,28 +87,28 @@
     }
 
     private interface Scenario {
-        void play(SimulatedCluster cluster);
+        void run(SimulatedCluster cluster);
     }
 
-    private void play(String name, long seed, double faultShare, int capacity, Scenario scenario) {
-        // In a fixed order, unlike the teams of tests.
+    private void run(String name, long seed, double faultShare, int capacity, Scenario scenario) {
+        // SMALL_TEAMS is a Map.of, whose iteration order differs between processes; the TreeMap fixes the order.
         SimulatedCluster.Setup setup = new SimulatedCluster.Setup(
                 capacity, new TreeMap<>(SimulatedCluster.Setup.SMALL_TEAMS), Duration.ofSeconds(3), faultShare);
         Recorder[] recorder = new Recorder[1];
         SimulatedCluster cluster = new SimulatedCluster(seed, setup, time -> recorder[0] = new Recorder(time));
-        scenario.play(cluster);
+        scenario.run(cluster);
         byte[] hash = recorder[0].digest.digest();
-        whole.update(hash);
+        allScenarios.update(hash);
         System.out.println(name + " " + HexFormat.of().formatHex(hash, 0, SCENARIO_BYTES) + " " + recorder[0].messages
                 + " messages, " + cluster.startedTasks() + " starts");
     }
 
-    private void playAll() {
-        play("quiet", 1, 0, 4, cluster -> {
+    private void runAll() {
+        run("quiet", 1, 0, 4, cluster -> {
             SimulatedScenariosTest.submitJobs(cluster, new SplittableRandom(2), 30, Duration.ofSeconds(100));
             cluster.run(Duration.ofMinutes(4));
         });
-        play("crowded", 7, 0, 1, cluster -> {
+        run("crowded", 7, 0, 1, cluster -> {
             for (int i = 1; i <= 40; i++) {
                 int number = i;
                 cluster.after(
@@ -125,14 +125,14 @@
         });
         for (int seed = 1; seed <= FAULT_SCENARIOS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            play("rough-" + seed, random.nextLong(), 0.01, 3, cluster -> {
+            run("rough-" + seed, random.nextLong(), 0.01, 3, cluster -> {
                 SimulatedScenariosTest.submitJobs(cluster, random.split(), 25, Duration.ofMinutes(2));
                 SimulatedScenariosTest.runWithRandomFaults(cluster, random);
             });
         }
         for (int seed = 101; seed <= 100 + ZONE_BOUND_SCENARIOS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            play("bound-" + seed, random.nextLong(), 0.01, 3, cluster -> {
+            run("bound-" + seed, random.nextLong(), 0.01, 3, cluster -> {
                 SimulatedScenariosTest.submitJobs(cluster, random.split(), 10, Duration.ofMinutes(2));
                 SimulatedScenariosTest.submitConstrainedJobs(cluster, random.split(), 11, 15, Duration.ofMinutes(2));
                 SimulatedScenariosTest.runWithRandomFaults(cluster, random);
@@ -142,7 +142,7 @@
 
     public static void main(String[] arguments) {
         BehaviourFingerprint fingerprint = new BehaviourFingerprint();
-        fingerprint.playAll();
-        System.out.println("fingerprint " + HexFormat.of().formatHex(fingerprint.whole.digest()));
+        fingerprint.runAll();
+        System.out.println("fingerprint " + HexFormat.of().formatHex(fingerprint.allScenarios.digest()));
     }
 }
--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -26,9 +26,9 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Runs one controller as a process of its own against stand-ins on loopback until it has served a few jobs, then ends
- * it. The build lets that process write the class-data archive with which the service starts quickly; the test of the
- * real sockets plays the same scenario.
+ * Runs one controller in a process of its own against fakes on loopback until three jobs have completed, then terminates
+ * it. The build makes that process write the class-data archive, which shortens the start of the service.
+ * {@link RealSocketsTest} runs the same scenario.
  */
 public final class ClassArchiveTraining {
     private static final int TRIES = 3;
@@ -54,7 +54,7 @@
         this.loop = transport.loop();
     }
 
-    /** Arguments: the archive to write, the jar, then options of the virtual machine. */
+    /** Arguments: the archive to write, the jar, then options of the Java virtual machine. */
     public static void main(String[] args) throws Exception {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -66,7 +66,7 @@
                 run(command);
                 triesLeft = 0;
             } catch (ExecutionException | TimeoutException e) {
-                System.err.println("the training run failed, tries left: " + (triesLeft - 1) + ": " + e);
+                System.err.println("training run failed: tries_left=" + (triesLeft - 1) + " cause=" + e);
             }
         }
         if (!Files.exists(Path.of(args[0]))) {
@@ -75,28 +75,29 @@
         System.exit(0);
     }
 
-    /** Serves three jobs with the command, to which the settings are added. */
+    /** Starts a controller with this command, to which --config is appended, and runs three jobs on it. */
     static void run(List<String> command) throws Exception {
         try (LoopbackTransport transport = new LoopbackTransport()) {
-            new ClassArchiveTraining(transport).serveJobs(command);
+            new ClassArchiveTraining(transport).runJobs(command);
         }
     }
 
-    private void serveJobs(List<String> command) throws Exception {
+    private void runJobs(List<String> command) throws Exception {
         Path settings = Files.createTempFile("gullway", ".toml");
         Files.writeString(settings, settings(controllerAddress, storeAddress, cloudAddress));
-        loop.execute(this::startStandIns);
+        loop.execute(this::startFakes);
         List<String> fullCommand = new ArrayList<>(command);
         fullCommand.addAll(List.of("--config", settings.toString()));
         Process process = new ProcessBuilder(fullCommand).inheritIO().start();
         try {
-            List<CompletableFuture<Void>> done = new ArrayList<>();
+            List<CompletableFuture<Void>> jobsDone = new ArrayList<>();
             for (JobRequest job : jobs.values()) {
-                CompletableFuture<Void> future = new CompletableFuture<>();
-                done.add(future);
-                loop.execute(() -> submit(job, future));
+                CompletableFuture<Void> jobDone = new CompletableFuture<>();
+                jobsDone.add(jobDone);
+                loop.execute(() -> submit(job, jobDone));
             }
-            CompletableFuture.allOf(done.toArray(CompletableFuture[]::new)).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
+            CompletableFuture.allOf(jobsDone.toArray(CompletableFuture[]::new))
+                    .get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         } finally {
             process.destroy();
             if (!process.waitFor(TIMEOUT.toSeconds(), TimeUnit.SECONDS)) {
@@ -106,8 +107,8 @@
         }
     }
 
-    /** Starts the stand-ins of the state store and of the cloud, whose machines listen as soon as they are provisioned. */
-    private void startStandIns() {
+    /** Starts the fakes of the state store and of the cloud. The agents of machines start when their machines boot. */
+    private void startFakes() {
         FakeStateStore store = new FakeStateStore(loop);
         List<MachineType> types =
                 List.of(new MachineType("small", 16, 0, 64, 50, 1, 1, 0.3, Duration.ofMillis(300), List.of("a")));
@@ -184,13 +185,13 @@
                 Duration.ofMinutes(1));
     }
 
-    /** An address of its own in the loopback range, which no outgoing connection can have taken as its port. */
+    /** A random address in the loopback range, whose port no outgoing connection can occupy. */
     private static String freeAddress() {
         ThreadLocalRandom random = ThreadLocalRandom.current();
         return "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + "." + random.nextInt(1, 255) + ":18080";
     }
 
-    static String settings(String node, String state, String cloud) {
+    static String settings(String controllerAddress, String storeAddress, String cloudAddress) {
         return """
                 node_name = "perch-0"
                 site = "a"
@@ -231,10 +232,10 @@
                 mem_mb = 320.0
                 sockets = 1000
                 """
-                .formatted(node, freeAddress(), cloud, state);
+                .formatted(controllerAddress, freeAddress(), cloudAddress, storeAddress);
     }
 
-    /** Tasks that run for a tenth of a second and never fail. */
+    /** Makes every task run for 100 ms without failure. */
     private record ShortTasks(Map<String, JobRequest> jobs) implements FakeAgent.Environment {
         @Override
         public JobRequest jobOf(String job) {
--- a/src/test/java/org/gullway/ControllerProfile.java
+++ b/src/test/java/org/gullway/ControllerProfile.java
@@ -19,9 +19,10 @@
 import org.gullway.protocol.Settings;
 
 /**
- * Measures where real controllers spend processor time: three processes as the deploy file starts them, on loopback with
- * stand-ins behind real sockets. For each phase (start of all, a calm spell, a burst, restart of all) it prints the
- * processor time of every kind of thread, which separates compiler, collector and event loop.
+ * Measures the processor time of controllers in processes of their own, started with the command of the deploy file and
+ * connected over loopback sockets to fakes. For each phase (start of all controllers, steady load, a burst of jobs,
+ * restart of all controllers) it prints the processor time by thread name, which separates the JIT compiler, the garbage
+ * collector and the event loop.
  *
  * <p>Not part of the tests; docs/operations.md shows how to run it.
  */
@@ -36,9 +37,10 @@
     private static final int BURST_FACTOR = 3;
     private static final int MACHINE_KINDS = 8;
     private static final int NANOS_PER_TICK = 10_000_000;
-    /** Fields of a stat file after the name of the thread. */
+    /** Index of the field with the user-mode ticks, counted after the thread name in /proc/PID/task/TID/stat. */
     private static final int USER_TICKS = 11;
 
+    /** Index of the field with the kernel-mode ticks, counted in the same way. */
     private static final int SYSTEM_TICKS = 12;
 
     private final LoopbackCluster cluster;
@@ -47,7 +49,7 @@
     private TestUsers users;
     private int jobs;
     private int jobsPerSubmission = 1;
-    private Map<String, Long> before = Map.of();
+    private Map<String, Long> ticksAtPhaseStart = Map.of();
 
     private ControllerProfile(int machines, List<String> command) throws IOException {
         LoopbackCluster.Setup setup = new LoopbackCluster.Setup(
@@ -66,55 +68,56 @@
         });
     }
 
-    /** Arguments: how many machines there are at most, then options of the controllers' virtual machines. */
+    /** Arguments: the maximum number of machines, then options of the controllers' Java virtual machines. */
     public static void main(String[] arguments) throws Exception {
         Logger.getLogger("io.undertow").setLevel(Level.WARNING);
         int machines = Integer.parseInt(arguments[0]);
         ControllerProfile profile =
                 new ControllerProfile(machines, command(List.of(arguments).subList(1, arguments.length)));
-        profile.play();
+        profile.run();
         System.exit(0);
     }
 
-    /** The command of the deploy file, with further options. */
+    /** The command line of the deploy file with these additional options of the Java virtual machine. */
     private static List<String> command(List<String> options) throws IOException {
         String deploy = Files.readString(Path.of("deploy", "service.toml"));
-        String run = deploy.lines()
+        String runLine = deploy.lines()
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow();
-        List<String> words = new ArrayList<>(List.of(
-                run.substring(run.indexOf('"') + 1, run.lastIndexOf('"')).split(" ", -1)));
+        List<String> words =
+                new ArrayList<>(List.of(runLine.substring(runLine.indexOf('"') + 1, runLine.lastIndexOf('"'))
+                        .split(" ", -1)));
         words.set(0, LoopbackCluster.Setup.java());
         words.remove("--config");
         words.addAll(1, options);
         return words;
     }
 
-    private void play() throws InterruptedException {
+    private void run() throws InterruptedException {
         onLoop(() -> {
             users = new TestUsers(
                     cluster.loop, cluster.userClient(), invariants, random.split(), cluster.userAddresses());
             cluster.start();
         });
-        phase("start of all", Duration.ofSeconds(6));
+        phase("start of all controllers", Duration.ofSeconds(6));
         onLoop(this::submitNext);
-        phase("the fleet comes up", Duration.ofSeconds(60));
-        phase("calm", Duration.ofSeconds(30));
+        phase("first jobs, machines boot", Duration.ofSeconds(60));
+        phase("steady load", Duration.ofSeconds(30));
         jobsPerSubmission = BURST_FACTOR;
-        phase("burst, jobs " + BURST_FACTOR + " times as often", Duration.ofSeconds(30));
+        phase("burst, " + BURST_FACTOR + " times as many jobs", Duration.ofSeconds(30));
         jobsPerSubmission = 1;
         phase("after the burst", Duration.ofSeconds(20));
         cluster.nodes().forEach(cluster::terminate);
         Thread.sleep(3000);
-        before = Map.of();
+        ticksAtPhaseStart = Map.of();
         cluster.nodes().forEach(cluster::startController);
-        phase("restart of all, first 5 s", Duration.ofSeconds(5));
-        phase("restart of all, next 25 s", Duration.ofSeconds(25));
-        phase("calm again", Duration.ofSeconds(30));
+        phase("restart of all controllers, first 5 s", Duration.ofSeconds(5));
+        phase("restart of all controllers, next 25 s", Duration.ofSeconds(25));
+        phase("steady load after the restart", Duration.ofSeconds(30));
         cluster.nodes().forEach(cluster::terminate);
         Thread.sleep(3000);
-        System.out.println("rules broken: " + invariants.violations);
+        System.out.println("violations: " + invariants.violations);
         cluster.close();
     }
 
@@ -159,11 +162,11 @@
                 null);
     }
 
-    /** Lets time pass and prints the processor time of the controllers' threads in that span. */
+    /** Waits for this duration and prints the processor time that the controllers' threads took in it. */
     private void phase(String name, Duration length) throws InterruptedException {
         int startedBefore = invariants.startedTasks();
         Thread.sleep(length.toMillis());
-        Map<String, Long> now = processorTimes();
+        Map<String, Long> ticksNow = processorTicks();
         System.out.printf(
                 "%n%s, %d s: %d machines up, %d jobs so far, %d tasks started%n",
                 name,
@@ -172,22 +175,22 @@
                 jobs,
                 invariants.startedTasks() - startedBefore);
         Map<String, Long> byThread = new TreeMap<>();
-        now.forEach((key, ticks) ->
-                byThread.merge(key.substring(key.indexOf(' ') + 1), ticks - before.getOrDefault(key, 0L), Long::sum));
+        ticksNow.forEach((key, ticks) -> byThread.merge(
+                key.substring(key.indexOf(' ') + 1), ticks - ticksAtPhaseStart.getOrDefault(key, 0L), Long::sum));
         byThread.forEach((thread, ticks) -> {
             if (ticks > 0) {
                 System.out.printf(
-                        "  %-20s %7d ms  %6.1f ms a second of one controller%n",
+                        "  %-20s %7d ms  %6.1f ms per second and controller%n",
                         thread,
                         ticks * NANOS_PER_TICK / 1_000_000,
                         ticks * NANOS_PER_TICK / 1e6 / length.toMillis() * 1000 / 3);
             }
         });
-        before = now;
+        ticksAtPhaseStart = ticksNow;
     }
 
-    /** Ticks of processor time by process and kind of thread. */
-    private Map<String, Long> processorTimes() {
+    /** Ticks of processor time by process id and thread name. */
+    private Map<String, Long> processorTicks() {
         Map<String, Long> ticks = new HashMap<>();
         cluster.processIds().values().forEach(pid -> {
             try (Stream<Path> threads = Files.list(Path.of("/proc", Long.toString(pid), "task"))) {
@@ -201,7 +204,7 @@
                             Long::sum);
                 }
             } catch (IOException e) {
-                System.out.println("cannot read the times of " + pid + ": " + e.getMessage());
+                System.out.println("cannot read the processor time of process " + pid + ": " + e.getMessage());
             }
         });
         return ticks;
--- a/src/test/java/org/gullway/KnownRedTest.java
+++ b/src/test/java/org/gullway/KnownRedTest.java
@@ -9,33 +9,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The list of tests that are known to fail: exactly these are passed over, and each is printed. */
+/** The script .ci/known-red excludes exactly the listed tests, which are known to fail, and prints each of them. */
 class KnownRedTest {
     @TempDir
     private Path directory;
 
-    private record Ending(int code, String option, String notes) {}
+    private record ScriptResult(int exitCode, String option, String errorOutput) {}
 
-    private Ending read(String list) throws IOException, InterruptedException {
+    private ScriptResult runScript(String list) throws IOException, InterruptedException {
         Path file = Files.writeString(directory.resolve("KNOWN-RED.txt"), list);
-        Path notes = directory.resolve("notes");
+        Path errorOutput = directory.resolve("errors");
         Process process = new ProcessBuilder("bash", ".ci/known-red", file.toString())
-                .redirectError(notes.toFile())
+                .redirectError(errorOutput.toFile())
                 .start();
         String option = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return new Ending(process.waitFor(), option.strip(), Files.readString(notes));
+        return new ScriptResult(process.waitFor(), option.strip(), Files.readString(errorOutput));
     }
 
     @Test
     void listedTestsAreExcludedAndPrinted() throws Exception {
-        Ending ending = read(
+        ScriptResult result = runScript(
                 """
                 FaultsTest#deaf; mvn -B verify, seed 21; a task ran twice; issue 33
                 SoakTest; mvn -B verify -Dtest=SoakTest, seed 2; the run did not end; issue 33
                 """);
-        assertThat(ending.code()).isZero();
-        assertThat(ending.option()).isEqualTo("-Dtest=!FaultsTest#deaf,!SoakTest");
-        assertThat(ending.notes().lines())
+        assertThat(result.exitCode()).isZero();
+        assertThat(result.option()).isEqualTo("-Dtest=!FaultsTest#deaf,!SoakTest");
+        assertThat(result.errorOutput().lines())
                 .containsExactly(
                         "known red, not run: FaultsTest#deaf (mvn -B verify, seed 21; a task ran twice; issue 33)",
                         "known red, not run: SoakTest (mvn -B verify -Dtest=SoakTest, seed 2; the run did not end;"
@@ -44,13 +44,13 @@
 
     @Test
     void anEmptyListExcludesNothing() throws Exception {
-        assertThat(read("\n")).isEqualTo(new Ending(0, "", ""));
+        assertThat(runScript("\n")).isEqualTo(new ScriptResult(0, "", ""));
     }
 
     @Test
-    void aLineThatLacksAPartIsAnError() throws Exception {
-        Ending ending = read("FaultsTest#deaf; seed 21; issue 33\n");
-        assertThat(ending.code()).isEqualTo(2);
-        assertThat(ending.notes()).contains("lacks a part").contains("FaultsTest#deaf");
+    void lineWithTooFewFieldsIsAnError() throws Exception {
+        ScriptResult result = runScript("FaultsTest#deaf; seed 21; issue 33\n");
+        assertThat(result.exitCode()).isEqualTo(2);
+        assertThat(result.errorOutput()).contains("lacks a part").contains("FaultsTest#deaf");
     }
 }
--- a/src/test/java/org/gullway/LayersTest.java
+++ b/src/test/java/org/gullway/LayersTest.java
@@ -17,10 +17,13 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Dependencies between the layers point one way, and names of the wire stay in one place. */
+/**
+ * Checks that each package uses only the packages that it may use, without cycles, and that the field names of
+ * messages occur neither in the transport nor in the coordination packages.
+ */
 class LayersTest {
     private static final Path SOURCES = Path.of("src/main/java/org/gullway");
-    /** For each package those that it may use. */
+    /** For each package, the packages of this project that it may use. */
     private static final Map<String, Set<String>> MAY_USE = Map.ofEntries(
             entry("transport", Set.of()),
             entry("protocol", Set.of()),
@@ -106,12 +109,12 @@
                             "storage",
                             "transport")));
 
-    /** Only these put all others together. */
-    private static final Set<String> WIRING = Set.of("", "controller");
+    /** The packages that create and connect all components, and therefore may use every package. */
+    private static final Set<String> UNRESTRICTED = Set.of("", "controller");
 
-    private static final Pattern PACKAGE = Pattern.compile("org\\.gullway\\.([a-z.]+)\\.[A-Z]");
+    private static final Pattern PACKAGE_OF_CLASS = Pattern.compile("org\\.gullway\\.([a-z.]+)\\.[A-Z]");
 
-    /** All sources, by package below that of the project. */
+    /** All source files by package, as the name below org.gullway; the root package has the empty name. */
     private static Map<String, List<Path>> filesByPackage() throws IOException {
         Map<String, List<Path>> files = new TreeMap<>();
         try (Stream<Path> all = Files.walk(SOURCES)) {
@@ -123,12 +126,12 @@
         return files;
     }
 
-    /** Sources of the package and of all below it. */
-    private static List<Path> files(String layer) throws IOException {
+    /** The source files of the package and of its subpackages. */
+    private static List<Path> filesBelow(String layer) throws IOException {
         List<Path> files = new ArrayList<>();
-        filesByPackage().forEach((name, of) -> {
+        filesByPackage().forEach((name, sources) -> {
             if (name.equals(layer) || name.startsWith(layer + ".")) {
-                files.addAll(of);
+                files.addAll(sources);
             }
         });
         assertThat(files).as(layer).isNotEmpty();
@@ -137,18 +140,18 @@
 
     @Test
     void everyPackageIsListed() throws IOException {
-        Set<String> known = new TreeSet<>(MAY_USE.keySet());
-        known.addAll(WIRING);
-        assertThat(filesByPackage().keySet()).isEqualTo(known);
+        Set<String> listed = new TreeSet<>(MAY_USE.keySet());
+        listed.addAll(UNRESTRICTED);
+        assertThat(filesByPackage().keySet()).isEqualTo(listed);
     }
 
     @Test
-    void dependenciesPointOneWay() throws IOException {
+    void packagesUseOnlyTheirAllowedPackages() throws IOException {
         List<String> violations = new ArrayList<>();
         Map<String, List<Path>> files = filesByPackage();
         for (Map.Entry<String, Set<String>> layer : MAY_USE.entrySet()) {
             for (Path file : files.get(layer.getKey())) {
-                Matcher used = PACKAGE.matcher(Files.readString(file));
+                Matcher used = PACKAGE_OF_CLASS.matcher(Files.readString(file));
                 while (used.find()) {
                     String other = used.group(1);
                     if (!other.equals(layer.getKey()) && !layer.getValue().contains(other)) {
@@ -160,9 +163,9 @@
         assertThat(violations).isEmpty();
     }
 
-    /** No package uses, directly or through others, one that uses it. */
+    /** Checks the list of allowed dependencies: no package may reach itself, directly or through other packages. */
     @Test
-    void noPackagesUseEachOther() {
+    void allowedDependenciesHaveNoCycle() {
         Map<String, Set<String>> reachable = new TreeMap<>();
         MAY_USE.forEach((name, used) -> reachable.put(name, new TreeSet<>(used)));
         for (int i = 0; i < MAY_USE.size(); i++) {
@@ -173,7 +176,7 @@
 
     @Test
     void coordinationDoesNoInputOrOutputAndReadsNoClock() throws IOException {
-        for (Path file : files("coordination")) {
+        for (Path file : filesBelow("coordination")) {
             assertThat(Files.readString(file))
                     .as(file.toString())
                     .doesNotContain(
@@ -191,9 +194,9 @@
     }
 
     @Test
-    void wireNamesStayInTheProtocol() throws IOException {
+    void transportAndCoordinationContainNoFieldNamesOfMessages() throws IOException {
         for (String layer : List.of("transport", "coordination")) {
-            for (Path file : files(layer)) {
+            for (Path file : filesBelow(layer)) {
                 assertThat(Files.readString(file))
                         .as(file.toString())
                         .doesNotContain(
--- a/src/test/java/org/gullway/OuterNamesTest.java
+++ b/src/test/java/org/gullway/OuterNamesTest.java
@@ -14,20 +14,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Names that leave the process are still in the sources, letter for letter: fields and values of messages, settings and
- * stored records, keys of the state store, options, environment variables, metrics, and keys of log lines. A rename of an
- * identifier that also changes such a name would break users, agents, peers of another version, and operators' tools.
+ * Checks that every name of the external interface still occurs in the sources, letter for letter: fields and values of
+ * messages, settings and stored records, keys of the state store, command-line options, environment variables, metrics,
+ * and keys of log lines. Guards against a rename of an identifier that also changes such a name, which would break users,
+ * agents, peers of another version, and operators' tools.
  */
 class OuterNamesTest {
     private static final Path NAMES = Path.of("src/test/resources/golden/outer-names.txt");
     private static final Path SOURCES = Path.of("src/main/java");
     private static final List<Path> OTHER_FILES = List.of(Path.of("deploy/service.toml"), Path.of("pom.xml"));
-    /** Enum constants that log lines and options write out under their own names. */
+    /** The form of enum constants; log lines and options contain some of them under their names in the sources. */
     private static final Pattern CONSTANT = Pattern.compile("[A-Z][A-Z_]*");
 
-    private static final Pattern TOKEN =
+    /** A comment, or a string literal as group 1. */
+    private static final Pattern COMMENT_OR_LITERAL =
             Pattern.compile("//[^\\n]*|/\\*.*?\\*/|(\"(?:\\\\.|[^\"\\\\\\n])*\")", Pattern.DOTALL);
-    /** The command line library adds these two options itself. */
+    /** Options that the command-line library adds, so that they do not occur in the sources. */
     private static final List<String> LIBRARY_OPTIONS = List.of("--help", "--version");
 
     private static String sources() throws IOException {
@@ -42,9 +44,9 @@
     }
 
     private static String literalsOf(String sources) {
-        Matcher tokens = TOKEN.matcher(sources);
-        return tokens.results()
-                .map(token -> token.group(1))
+        Matcher matcher = COMMENT_OR_LITERAL.matcher(sources);
+        return matcher.results()
+                .map(match -> match.group(1))
                 .filter(Objects::nonNull)
                 .collect(Collectors.joining("\n"));
     }
@@ -73,7 +75,7 @@
     void everyOuterNameIsInTheSources() throws IOException {
         String sources = sources();
         String literals = literalsOf(sources);
-        String code = TOKEN.matcher(sources).replaceAll(" ");
+        String code = COMMENT_OR_LITERAL.matcher(sources).replaceAll(" ");
         String others = otherFiles();
         List<String> names = Files.readAllLines(NAMES);
         assertThat(names).hasSizeGreaterThan(250).doesNotHaveDuplicates();
--- a/src/test/java/org/gullway/ProfileRun.java
+++ b/src/test/java/org/gullway/ProfileRun.java
@@ -17,9 +17,9 @@
 import org.gullway.protocol.Settings;
 
 /**
- * Profiles three controllers with stand-ins in virtual time at the size of the grown deployments, with Java Flight
- * Recorder, and prints which activity of a controller takes which share of processor time and allocated memory. The
- * sockets are simulated, so what the HTTP library costs is not part of it.
+ * Profiles three controllers and the fakes around them with Java Flight Recorder, in virtual time and at the size of
+ * large deployments, and prints the share of processor time and of allocated memory of each activity of the controllers.
+ * The sockets are simulated, so that the cost of the HTTP library is not included.
  *
  * <p>Not part of the tests; docs/operations.md shows how to run it.
  */
@@ -35,13 +35,19 @@
     private static final String CPU_EVENT = "jdk.ExecutionSample";
     private static final String ALLOCATION_EVENT = "jdk.ObjectAllocationSample";
     private static final String PAUSE_EVENT = "jdk.GarbageCollection";
-    private static final String STAND_INS = "stand-ins and simulation";
+    private static final String FAKES = "fakes and simulation";
     private static final String OTHER = "other";
 
-    /** Samples with a frame of this class and method, and no earlier activity, belong to the activity. */
+    /**
+     * An activity of a controller. A sample belongs to it if any frame of the sample's stack is in this method.
+     *
+     * @param type the simple name of a class of this project, or, if it contains a dot, the prefix of class names
+     * @param method the name of the method, with its lambdas; empty for all methods of the class. "m under C.n" matches
+     *     frames of the method m in stacks that also contain the method n of class C.
+     */
     private record Activity(String name, String type, String method) {}
 
-    /** The first that matches counts; an empty method stands for all methods of the class. */
+    /** In order of precedence: a sample belongs to the first activity that matches. */
     private static final List<Activity> ACTIVITIES = List.of(
             new Activity("logging", "org.slf4j", ""),
             new Activity("commits: encoding", "StateStoreClient", "commit"),
@@ -57,7 +63,7 @@
             new Activity("step: best effort", "BestEffortQueue", "plan"),
             new Activity("step: completions", "CompletionBuffer", "plan"),
             new Activity("step: scaling", "FleetAutoscaler", "plan"),
-            new Activity("commands: finding them", "AgentReconciler", "commandsDue"),
+            new Activity("commands: selecting due commands", "AgentReconciler", "commandsDue"),
             new Activity("commands: encoding and sending", "CommandSender", ""),
             new Activity("ticks", "Controller", "tick"),
             new Activity("heartbeats: decoding", "Heartbeat", "parse"),
@@ -76,7 +82,7 @@
 
     private ProfileRun() {}
 
-    /** Argument: the file for the recording; without it a temporary one is used and removed. */
+    /** Argument: the file for the recording; without it, a temporary file is used and deleted. */
     public static void main(String[] args) throws IOException {
         Path file = args.length > 0 ? Path.of(args[0]) : Files.createTempFile("gullway", ".jfr");
         SimulatedCluster cluster = new SimulatedCluster(
@@ -84,7 +90,7 @@
         submitJobs(cluster);
         cluster.run(WARM_UP);
         int startedBefore = cluster.startedTasks();
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         try (Recording recording = new Recording()) {
             recording.enable(CPU_EVENT).withPeriod(Duration.ofMillis(10));
             recording.enable(ALLOCATION_EVENT).with("throttle", "1000/s");
@@ -94,13 +100,13 @@
             recording.stop();
             recording.dump(file);
         }
-        Duration took = Duration.ofNanos(System.nanoTime() - began);
+        Duration elapsed = Duration.ofNanos(System.nanoTime() - startNanos);
         System.out.printf(
-                "%d machines up, %d tasks started in %d s of virtual time, played in %.1f s; rules broken: %d%n%n",
+                "%d machines up, %d tasks started in %d s of virtual time, simulated in %.1f s; violations: %d%n%n",
                 cluster.cloud.agents().size(),
                 cluster.startedTasks() - startedBefore,
                 MEASURED.toSeconds(),
-                took.toMillis() / 1000.0,
+                elapsed.toMillis() / 1000.0,
                 cluster.violations.size());
         print(file);
         if (args.length == 0) {
@@ -141,8 +147,8 @@
                 }
             }
         }
-        double standInSamples = remove(samples, STAND_INS);
-        double standInBytes = remove(bytes, STAND_INS);
+        double fakeSamples = remove(samples, FAKES);
+        double fakeBytes = remove(bytes, FAKES);
         double allSamples = sum(samples);
         double allBytes = sum(bytes);
         System.out.println("| activity | processor time | allocated |\n| --- | --- | --- |");
@@ -151,8 +157,8 @@
                         "| %s | %.1f%% | %.1f%% |%n",
                         name, 100 * count / allSamples, 100 * bytes.getOrDefault(name, 0.0) / allBytes));
         System.out.printf(
-                "%ncontrollers: %.0f samples, %.0f MB; stand-ins: %.0f samples, %.0f MB; garbage collection: %d ms%n",
-                allSamples, allBytes / 1e6, standInSamples, standInBytes / 1e6, pauses.toMillis());
+                "%ncontrollers: %.0f samples, %.0f MB; fakes: %.0f samples, %.0f MB; garbage collection: %d ms%n",
+                allSamples, allBytes / 1e6, fakeSamples, fakeBytes / 1e6, pauses.toMillis());
     }
 
     private static double remove(Map<String, Double> amounts, String name) {
@@ -182,7 +188,7 @@
                 return activity.name();
             }
         }
-        return STAND_INS;
+        return FAKES;
     }
 
     private static boolean matches(RecordedFrame frame, Activity activity, List<RecordedFrame> frames) {
@@ -196,13 +202,14 @@
             return false;
         }
         String method = frame.getMethod().getName();
-        String wanted = activity.method();
-        int under = wanted.indexOf(" under ");
-        if (under >= 0) {
-            String caller = wanted.substring(under + " under ".length());
-            return method.equals(wanted.substring(0, under)) && frames.stream().anyMatch(f -> isMethod(f, caller));
+        String methodRule = activity.method();
+        int underIndex = methodRule.indexOf(" under ");
+        if (underIndex >= 0) {
+            String caller = methodRule.substring(underIndex + " under ".length());
+            return method.equals(methodRule.substring(0, underIndex))
+                    && frames.stream().anyMatch(f -> isMethod(f, caller));
         }
-        return wanted.isEmpty() || method.equals(wanted) || method.startsWith(wanted + "$");
+        return methodRule.isEmpty() || method.equals(methodRule) || method.startsWith(methodRule + "$");
     }
 
     private static boolean isMethod(RecordedFrame frame, String classAndMethod) {
--- a/src/test/java/org/gullway/RealSocketsTest.java
+++ b/src/test/java/org/gullway/RealSocketsTest.java
@@ -4,9 +4,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/**
- * A controller as a process of its own serves jobs over real sockets; the training run fails if any does not finish.
- */
+/** Runs jobs on a controller in a process of its own, over sockets; fails if any job does not complete within 40 s. */
 class RealSocketsTest {
     @Test
     void servesJobsOverLoopback() throws Exception {
