--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -70,7 +70,7 @@
             }
         }
         if (!Files.exists(Path.of(args[0]))) {
-            throw new IllegalStateException("no class-data archive was written");
+            throw new IllegalStateException("no class-data archive was written: file=" + args[0]);
         }
         System.exit(0);
     }
