--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -118,7 +118,7 @@
     }
 
     private void cut(Duration at, String link, Duration span) {
-        add(at, "link " + link + " is cut for " + span.toMillis() + " ms", cluster -> {
+        add(at, link + " link is cut for " + span.toMillis() + " ms", cluster -> {
             cluster.links.get(link).cut(true);
             cluster.loop.after(span, () -> cluster.links.get(link).cut(false));
         });
@@ -131,8 +131,8 @@
         boolean inbound = (directions & 2) != 0;
         add(
                 at,
-                count + " machines are" + " partitioned" + (outbound ? " outbound" : "") + (inbound ? " inbound" : "")
-                        + " for " + span.toMillis() + " ms",
+                count + " machines are partitioned:" + (outbound ? " outbound" : "") + (inbound ? " inbound" : "")
+                        + ", for " + span.toMillis() + " ms",
                 cluster -> {
                     List<String> names = cluster.cloud.agents().stream()
                             .limit(count)
--- a/src/test/java/org/gullway/ResponseLog.java
+++ b/src/test/java/org/gullway/ResponseLog.java
@@ -71,7 +71,7 @@
             this.time = time;
         }
 
-        private void recordStatus(int status) {
+        private void record(int status) {
             if (entry.answeredAt != null) {
                 throw new IllegalStateException(path() + " was answered twice");
             }
@@ -81,13 +81,13 @@
 
         @Override
         public void respond(int status, byte[] content) {
-            recordStatus(status);
+            record(status);
             super.respond(status, content);
         }
 
         @Override
         public void reject(int status, Duration retryAfter) {
-            recordStatus(status);
+            record(status);
             entry.retryAfter = retryAfter.compareTo(Duration.ofSeconds(1)) >= 0;
             super.reject(status, retryAfter);
         }
@@ -101,7 +101,7 @@
     }
 
     /** Adds an entry for this request and returns an exchange that records the response in the entry. */
-    HttpExchange record(String node, HttpExchange exchange) {
+    HttpExchange recordRequest(String node, HttpExchange exchange) {
         Entry entry = new Entry(node, Kind.of(exchange), time.now());
         entries.add(entry);
         return new LoggedExchange(exchange, entry, time);
--- a/src/test/java/org/gullway/SimulatedControllers.java
+++ b/src/test/java/org/gullway/SimulatedControllers.java
@@ -95,7 +95,9 @@
         controller.setViolationListener(onViolation);
         network.listen(settings.peerAddress(), process, controller::handlePeer);
         controller.start(() -> network.listen(
-                settings.publicAddress(), process, exchange -> controller.handle(responses.record(name, exchange))));
+                settings.publicAddress(),
+                process,
+                exchange -> controller.handle(responses.recordRequest(name, exchange))));
     }
 
     private InstantSource skewedClock() {
