--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -22,7 +22,7 @@
     private static final Conditions LOSSY_CLIENTS =
             new Conditions(0.05, 0.05, 0.1, MAX_DELAY, 0.3, 0.5, Duration.ofMillis(200));
 
-    /** A fault that starts at a fixed time of the run; its action also schedules the end of the fault. */
+    /** A fault that starts at a fixed time of the run; its action also schedules the end of a temporary fault. */
     record Fault(Duration at, String description, Action action) {
         @Override
         public String toString() {
--- a/src/test/java/org/gullway/SimulatedControllers.java
+++ b/src/test/java/org/gullway/SimulatedControllers.java
@@ -77,7 +77,7 @@
         publicAddresses.keySet().forEach(this::start);
     }
 
-    /** Starts the controller unless it is already processes. */
+    /** Starts the controller unless it is already running. */
     void start(String name) {
         if (processes.containsKey(name)) {
             return;
