--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -159,13 +159,13 @@
         SpareServer server = spareServers.isEmpty() ? newServer() : spareServers.remove();
         FakeAgent agent = new FakeAgent(
                 loop,
-                link(name + ">controllers").client(client),
+                link(name + ">controllers").wrapClient(client),
                 machineListener.onMachineUp(name, kind),
                 random.split(),
                 new FakeAgent.Machine(name, server.address, kind),
                 publicAddresses,
                 new FakeAgent.Timing(setup.heartbeatInterval(), setup.agentLease()));
-        server.handler = link("controllers>" + name).server("", agent::handle);
+        server.handler = link("controllers>" + name).wrapHandler("", agent::handle);
         return agent;
     }
 
