--- a/src/test/java/org/gullway/ExtremeLoadTest.java
+++ b/src/test/java/org/gullway/ExtremeLoadTest.java
@@ -121,7 +121,7 @@
         SimulatedCluster cluster = clusterWithGuestTeam(seed, 4);
         Set<String> failingJobs = new HashSet<>();
         Map<String, List<Instant>> failures = new HashMap<>();
-        cluster.failTasks((machine, job) -> {
+        cluster.setTaskFailurePredicate((machine, job) -> {
             if (failingJobs.contains(job)) {
                 failures.computeIfAbsent(job, id -> new ArrayList<>()).add(cluster.time.now());
             }
@@ -169,7 +169,7 @@
                 .map(FakeAgent::name)
                 .findFirst()
                 .orElseThrow();
-        cluster.failTasks((machine, job) -> machine.equals(faulty));
+        cluster.setTaskFailurePredicate((machine, job) -> machine.equals(faulty));
         cluster.run(Duration.ofSeconds(60));
         assertThat(agentNames(cluster)).doesNotContain(faulty);
         cluster.run(Duration.ofSeconds(90));
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -254,9 +254,9 @@
         jobs.submitInvalid(number);
     }
 
-    /** Makes users query this many times as often from now on. */
-    void multiplyQueryRate(int times) {
-        users.multiplyQueryRate(times);
+    /** Sets the rate of queries, as a multiple of the default rate, from now on. */
+    void setQueryRateFactor(int factor) {
+        users.setQueryRateFactor(factor);
     }
 
     /** Sets the listener that is called when the last task of a job completes on its machine. */
@@ -284,8 +284,8 @@
     }
 
     /** Sets the predicate that decides by machine and job whether a task fails. */
-    void failTasks(BiPredicate<String, String> fails) {
-        users.failTasks(fails);
+    void setTaskFailurePredicate(BiPredicate<String, String> fails) {
+        users.setTaskFailurePredicate(fails);
     }
 
     /** The name of the leader as recorded in the state store; null if there is none. */
--- a/src/test/java/org/gullway/StatusQueryLoadTest.java
+++ b/src/test/java/org/gullway/StatusQueryLoadTest.java
@@ -113,7 +113,7 @@
         SimulatedCluster cluster = clusterWithJobs(7, 12, Duration.ofSeconds(40));
         cluster.responses.clear();
         cluster.storeRequests.clear();
-        cluster.multiplyQueryRate(queryRateFactor);
+        cluster.setQueryRateFactor(queryRateFactor);
         submitDuringLoad(cluster, 100, 30);
         condition.apply(cluster);
         cluster.run(LOAD_SPAN);
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -61,9 +61,9 @@
                 .toList();
     }
 
-    /** Makes users query this many times as often from now on. */
-    void multiplyQueryRate(int times) {
-        queryRateFactor = times;
+    /** Sets the rate of queries, as a multiple of the default rate, from now on. */
+    void setQueryRateFactor(int factor) {
+        queryRateFactor = factor;
     }
 
     /** Sets the listener that is called when the last task of a job completes on its machine. */
@@ -85,7 +85,7 @@
     }
 
     /** Sets the predicate that decides by machine and job whether a task fails. */
-    void failTasks(BiPredicate<String, String> fails) {
+    void setTaskFailurePredicate(BiPredicate<String, String> fails) {
         taskFails = fails;
     }
 
