--- a/src/test/java/org/gullway/ControllerProfile.java
+++ b/src/test/java/org/gullway/ControllerProfile.java
@@ -97,7 +97,7 @@
     private void run() throws InterruptedException {
         onLoop(() -> {
             users = new TestUsers(
-                    cluster.loop, cluster.userClient(), invariants, random.split(), cluster.userAddresses());
+                    cluster.loop, cluster.userClient(), invariants, random.split(), cluster.publicAddresses());
             cluster.start();
         });
         phase("start of all controllers", Duration.ofSeconds(6));
--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -75,7 +75,7 @@
         cluster.network.cut("*", agent.address());
         cancelled.cancel();
         cluster.submit(4, "red", Priority.HIGH, 1, 14, Duration.ofSeconds(40), onType("small"));
-        cluster.onNewLeader(leader -> cluster.network.replayCopies(cluster.userAddresses()));
+        cluster.onNewLeader(leader -> cluster.network.replayCopies(cluster.publicAddresses()));
         cluster.run(seconds(0.5));
         if (seed % 2 == 0) {
             cluster.nodes().forEach(node -> cluster.crash(node, Duration.ofMillis(300)));
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -131,7 +131,7 @@
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration duration) {
             cluster.network.duplicateLate(
-                    0.3, "/agent/beat", SimulatedCluster.AGENT_LEASE.multipliedBy(3), cluster.userAddresses());
+                    0.3, "/agent/beat", SimulatedCluster.AGENT_LEASE.multipliedBy(3), cluster.publicAddresses());
         }
     },
     /** Some transactions get no response and are applied late, after newer transactions. */
@@ -241,7 +241,7 @@
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration duration) {
             cluster.network.recordCopies(0.3, "/agent/beat");
-            cluster.onNewLeader(leader -> cluster.network.replayCopies(cluster.userAddresses()));
+            cluster.onNewLeader(leader -> cluster.network.replayCopies(cluster.publicAddresses()));
             cluster.after(duration, () -> {
                 if (cluster.leader() != null) {
                     cluster.crash(cluster.leader(), Duration.ofMillis(200 + random.nextInt(6000)));
--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -63,7 +63,7 @@
     void lateHeartbeatCopiesReachRestartedControllers(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithJobs(seed);
         cluster.network.duplicateLate(
-                0.8, "/agent/beat", SimulatedCluster.AGENT_LEASE.multipliedBy(3), cluster.userAddresses());
+                0.8, "/agent/beat", SimulatedCluster.AGENT_LEASE.multipliedBy(3), cluster.publicAddresses());
         for (int at : List.of(4, 15, 40)) {
             cluster.after(Duration.ofSeconds(at), () -> {
                 cluster.nodes().forEach(node -> cluster.crash(node, Duration.ofMillis(300)));
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -236,7 +236,7 @@
         return List.copyOf(publicAddresses.keySet());
     }
 
-    List<String> userAddresses() {
+    List<String> publicAddresses() {
         return List.copyOf(publicAddresses.values());
     }
 
--- a/src/test/java/org/gullway/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/MachineFaultCombinationsTest.java
@@ -57,7 +57,7 @@
     void heartbeatsOfEarlierAgentEpochsArriveAfterNewerOnes(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(50));
         cluster.network.duplicateLate(
-                0.9, "/agent/beat", SimulatedCluster.AGENT_LEASE.multipliedBy(2), cluster.userAddresses());
+                0.9, "/agent/beat", SimulatedCluster.AGENT_LEASE.multipliedBy(2), cluster.publicAddresses());
         cluster.cloud.agents().stream().limit(3).forEach(agent -> {
             cluster.after(Duration.ofSeconds(4), () -> cluster.network.blockOutbound(agent.name(), true));
             cluster.after(
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -82,8 +82,8 @@
         controllers = new SimulatedControllers(
                 network, random, setup, responses, violation -> violations.add("invariant: " + violation));
         HttpClient userClient = network.client("users", loop);
-        users = new TestUsers(loop, userClient, invariants, random, userAddresses());
-        jobs = new SimulatedJobs(loop, userClient, invariants, random, userAddresses());
+        users = new TestUsers(loop, userClient, invariants, random, publicAddresses());
+        jobs = new SimulatedJobs(loop, userClient, invariants, random, publicAddresses());
         cloud = new FakeCloud(loop, machineTypes(), setup.capacity(), (name, kind) -> boot(name, kind, setup));
         network.listen(STORE, loop, exchange -> storeRequests.handle(exchange, store::handle));
         network.listen(CLOUD, loop, cloud::handle);
@@ -184,7 +184,7 @@
         return controllers.names();
     }
 
-    List<String> userAddresses() {
+    List<String> publicAddresses() {
         return List.copyOf(controllers.addresses().values());
     }
 
