--- a/src/test/java/org/gullway/ControllerProcesses.java
+++ b/src/test/java/org/gullway/ControllerProcesses.java
@@ -114,7 +114,7 @@
     }
 
     /** Suspends the process (paused is true) or resumes it. */
-    void pause(String name, boolean paused) {
+    void setPaused(String name, boolean paused) {
         executor.execute(() -> {
             Process process = processes.get(name);
             if (process != null) {
--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -248,7 +248,7 @@
         String leader = cluster.leader();
         Duration duration = SimulatedCluster.CANCELLATION_LIMIT.plusSeconds(20);
         partitionFromStore(cluster, leader, duration);
-        cluster.partitionPeers(leader, true);
+        cluster.setPeersPartitioned(leader, true);
         for (String other : cluster.nodes()) {
             if (!other.equals(leader)) {
                 cluster.network.cut(other, SimulatedCluster.cloudAddress());
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -97,8 +97,8 @@
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration duration) {
             String zone = random.nextBoolean() ? "a" : "b";
-            cluster.partitionZone(zone, true);
-            cluster.after(duration, () -> cluster.partitionZone(zone, false));
+            cluster.setZonePartitioned(zone, true);
+            cluster.after(duration, () -> cluster.setZonePartitioned(zone, false));
         }
     },
     /** Some machines can neither send nor receive requests. */
--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -112,8 +112,8 @@
 
     private void pause(Duration at, String node, Duration span) {
         add(at, node + " is suspended for " + span.toMillis() + " ms", cluster -> {
-            cluster.pause(node, true);
-            cluster.loop.after(span, () -> cluster.pause(node, false));
+            cluster.setPaused(node, true);
+            cluster.loop.after(span, () -> cluster.setPaused(node, false));
         });
     }
 
--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -118,9 +118,9 @@
         }
         cluster.run(Duration.ofSeconds(25));
         assertThat(cluster.startedTasks()).isEqualTo(12);
-        cluster.partitionZone("b", true);
+        cluster.setZonePartitioned("b", true);
         cluster.run(SimulatedCluster.CANCELLATION_LIMIT.minusSeconds(12));
-        cluster.partitionZone("b", false);
+        cluster.setZonePartitioned("b", false);
         assertFinishesWithin(cluster, Duration.ofSeconds(100));
         assertThat(cluster.startedTasks()).as("started tasks, none restarted").isEqualTo(12);
     }
@@ -137,9 +137,9 @@
             cluster.submit(i, i % 2 == 0 ? "red" : "blue", Priority.NORMAL, 2, 4, Duration.ofSeconds(200));
         }
         cluster.run(Duration.ofSeconds(25));
-        cluster.partitionZone("b", true);
+        cluster.setZonePartitioned("b", true);
         cluster.after(Duration.ofSeconds(9), () -> cluster.users().forEach(TestUser::cancel));
-        cluster.after(Duration.ofSeconds(70), () -> cluster.partitionZone("b", false));
+        cluster.after(Duration.ofSeconds(70), () -> cluster.setZonePartitioned("b", false));
         assertFinishesWithin(cluster, Duration.ofSeconds(150));
     }
 
--- a/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
@@ -31,7 +31,7 @@
         SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         String leader = cluster.leader();
         partitionFromStore(cluster, leader, Duration.ofSeconds(70));
-        cluster.partitionPeers(leader, true);
+        cluster.setPeersPartitioned(leader, true);
         cluster.after(
                 seconds(1 + seed % 12),
                 () -> cancelThrough(
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -268,8 +268,8 @@
     }
 
     /** Suspends the process (paused is true) or resumes it. */
-    void pause(String name, boolean paused) {
-        processes.pause(name, paused);
+    void setPaused(String name, boolean paused) {
+        processes.setPaused(name, paused);
     }
 
     /** Process ids of the running controllers, by controller name. */
@@ -290,7 +290,7 @@
         });
         store.clearFaults();
         nodes().forEach(name -> {
-            pause(name, false);
+            setPaused(name, false);
             startController(name);
         });
     }
--- a/src/test/java/org/gullway/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/MachineFaultCombinationsTest.java
@@ -126,8 +126,8 @@
         SimulatedCluster cluster = clusterWithRunningJobs(seed, LONG_RUN_TIME);
         String zone = seed % 2 == 0 ? "a" : "b";
         Duration duration = SimulatedCluster.AGENT_LEASE.plusSeconds(2 + seed % 40);
-        cluster.partitionZone(zone, true);
-        cluster.after(duration, () -> cluster.partitionZone(zone, false));
+        cluster.setZonePartitioned(zone, true);
+        cluster.after(duration, () -> cluster.setZonePartitioned(zone, false));
         submitSteadily(cluster, 9, 6);
         cluster.after(seconds(seed % 20), () -> cluster.users().subList(0, 4).forEach(TestUser::cancel));
         cluster.after(duration, () -> cluster.crash(cluster.nodes().get(seed % 3), Duration.ofSeconds(1)));
--- a/src/test/java/org/gullway/ResponseLog.java
+++ b/src/test/java/org/gullway/ResponseLog.java
@@ -38,7 +38,7 @@
         final Instant receivedAt;
         private Instant answeredAt;
         private int status;
-        private boolean retryAfter;
+        private boolean retryDelayOfAtLeastOneSecond;
 
         private Entry(String node, Kind kind, Instant receivedAt) {
             this.node = node;
@@ -50,9 +50,8 @@
             return status;
         }
 
-        /** Whether the response has a retry delay of at least 1 s. */
-        boolean hasRetryAfter() {
-            return retryAfter;
+        boolean hasRetryDelayOfAtLeastOneSecond() {
+            return retryDelayOfAtLeastOneSecond;
         }
 
         /** Time from the request to its response, or to now if there is no response yet. */
@@ -88,7 +87,7 @@
         @Override
         public void reject(int status, Duration retryAfter) {
             record(status);
-            entry.retryAfter = retryAfter.compareTo(Duration.ofSeconds(1)) >= 0;
+            entry.retryDelayOfAtLeastOneSecond = retryAfter.compareTo(Duration.ofSeconds(1)) >= 0;
             super.reject(status, retryAfter);
         }
     }
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -118,10 +118,10 @@
     }
 
     /**
-     * Starts (cut is true) or ends a network partition between a zone and everything outside it. Messages within the
+     * Starts (partitioned is true) or ends a network partition between a zone and everything outside it. Messages within the
      * zone still arrive.
      */
-    void partitionZone(String zone, boolean cut) {
+    void setZonePartitioned(String zone, boolean partitioned) {
         List<String> insideZone = new ArrayList<>();
         List<String> outsideZone = new ArrayList<>(List.of("users", STORE, CLOUD));
         for (String node : nodes()) {
@@ -134,17 +134,17 @@
         }
         for (String inside : insideZone) {
             for (String outside : outsideZone) {
-                setCut(inside, outside, cut);
-                setCut(outside, inside, cut);
+                setCut(inside, outside, partitioned);
+                setCut(outside, inside, partitioned);
             }
         }
     }
 
-    /** Starts (cut is true) or ends a network partition between this controller and its peers, in both directions. */
-    void partitionPeers(String node, boolean cut) {
+    /** Starts (partitioned is true) or ends a network partition between this controller and its peers, in both directions. */
+    void setPeersPartitioned(String node, boolean partitioned) {
         for (String other : nodes()) {
-            setCut(node, peerAddress(other), cut);
-            setCut(other, peerAddress(node), cut);
+            setCut(node, peerAddress(other), partitioned);
+            setCut(other, peerAddress(node), partitioned);
         }
     }
 
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -176,7 +176,8 @@
     }
 
     private void start() {
-        users = new TestUsers(cluster.loop, cluster.userClient(), invariants, random.split(), cluster.publicAddresses());
+        users = new TestUsers(
+                cluster.loop, cluster.userClient(), invariants, random.split(), cluster.publicAddresses());
         users.recordIn(history);
         users.onAcceptedOrFinished(user -> {
             if (random.nextBoolean()) {
--- a/src/test/java/org/gullway/StatusQueryScenarios.java
+++ b/src/test/java/org/gullway/StatusQueryScenarios.java
@@ -75,7 +75,7 @@
         assertThat(cluster.responses.of(Kind.QUERY).stream().map(ResponseLog.Entry::status))
                 .isSubsetOf(0, 200, 503);
         assertThat(cluster.responses.of(Kind.QUERY).stream()
-                        .filter(entry -> entry.hasRetryAfter() != (entry.status() == 503)))
+                        .filter(entry -> entry.hasRetryDelayOfAtLeastOneSecond() != (entry.status() == 503)))
                 .isEmpty();
     }
 
--- a/src/test/java/org/gullway/StoreFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/StoreFaultCombinationsTest.java
@@ -114,7 +114,7 @@
     /** {@link #assertCancelledTasksEndDuringOutage}, and the leader cannot reach its peers. */
     @Property(tries = 6, seed = "116")
     void leaderRejectedAndPartitionedThenCancellationsAndOutage(@ForAll @IntRange(min = 1, max = 1000) int seed) {
-        assertCancelledTasksEndDuringOutage(seed, (cluster, leader) -> cluster.partitionPeers(leader, true));
+        assertCancelledTasksEndDuringOutage(seed, (cluster, leader) -> cluster.setPeersPartitioned(leader, true));
     }
 
     /** {@link #assertCancelledTasksEndDuringOutage}, and the controller that confirmed the cancellations crashes. */
