--- a/src/test/java/org/gullway/InvariantChecker.java
+++ b/src/test/java/org/gullway/InvariantChecker.java
@@ -47,7 +47,7 @@
 
     void onTaskStarted(String machine, String task, Instant now) {
         startedTasks++;
-        ObservedJob job = jobs.get(ObservedJob.jobOf(task));
+        ObservedJob job = jobs.get(ObservedJob.jobIdOf(task));
         job.onTaskStarted(now);
         starvation.onTaskStarted(job);
         placements.onTaskStarted(job, machine, task, now);
@@ -56,7 +56,7 @@
     }
 
     void onTaskEnded(String machine, String task, boolean done) {
-        ObservedJob job = jobs.get(ObservedJob.jobOf(task));
+        ObservedJob job = jobs.get(ObservedJob.jobIdOf(task));
         if (placements.onTaskEnded(job, machine, task)) {
             quota.onTaskEnded(job.request);
         }
@@ -66,7 +66,7 @@
     }
 
     boolean isTaskCompleted(String task) {
-        return jobs.get(ObservedJob.jobOf(task)).isCompleted(task);
+        return jobs.get(ObservedJob.jobIdOf(task)).isCompleted(task);
     }
 
     boolean allTasksCompleted(String id) {
@@ -109,7 +109,7 @@
 
     /** Returns the final state that was reported to the user, or an empty string. */
     String reportedState(String id) {
-        return jobs.get(id).reportedState();
+        return jobs.get(id).reportedFinalState();
     }
 
     /** Returns when the first task of the job started, or null if none has started. */
--- a/src/test/java/org/gullway/ObservedJob.java
+++ b/src/test/java/org/gullway/ObservedJob.java
@@ -13,7 +13,7 @@
     private boolean cancellationRequested;
     private Instant acceptedAt;
     private Instant firstStart;
-    private String reportedState = "";
+    private String reportedFinalState = "";
     private Instant finishedAt;
 
     ObservedJob(JobRequest request) {
@@ -21,7 +21,7 @@
     }
 
     /** The id of the job that a task belongs to; the id of a task is "job/number". */
-    static String jobOf(String task) {
+    static String jobIdOf(String task) {
         return task.substring(0, task.indexOf('/'));
     }
 
@@ -85,17 +85,17 @@
 
     /** Called at the first response that reports a final state to the user. */
     void onFinished(String state, Instant now) {
-        reportedState = state;
+        reportedFinalState = state;
         finishedAt = now;
     }
 
     boolean isFinished() {
-        return isFinal(reportedState);
+        return isFinal(reportedFinalState);
     }
 
     /** The final state that was reported to the user; empty before that. */
-    String reportedState() {
-        return reportedState;
+    String reportedFinalState() {
+        return reportedFinalState;
     }
 
     /** When the final state was first reported to the user; null before that. */
@@ -105,6 +105,6 @@
 
     /** Whether a response to the user reported the final state of a cancelled job. */
     boolean isCancelled() {
-        return reportedState.equals("aborted");
+        return reportedFinalState.equals("aborted");
     }
 }
