--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -40,7 +40,7 @@
     final FakeStateStore store;
     final FakeCloud cloud;
     final InvariantChecker invariants;
-    final StoreRequestLog storeRequests = new StoreRequestLog(time);
+    final StoreRequestMeter storeRequests = new StoreRequestMeter(time);
     final ResponseLog responses = new ResponseLog(time);
     final List<String> violations;
     private final SimulatedTime.SimulatedProcess loop = time.newProcess();
@@ -52,7 +52,7 @@
      * Parameters of a cluster.
      *
      * @param capacity how many machines the cloud has of each combination of type, zone and spot or on-demand
-     * @param faultShare fraction of messages that the network delays or duplicates
+     * @param faultShare share of requests that are delayed, and share of requests that are delivered twice
      */
     record Setup(int capacity, Map<String, Settings.Team> teams, Duration heartbeatInterval, double faultShare) {
         static final Map<String, Settings.Team> SMALL_TEAMS =
@@ -312,6 +312,7 @@
         return users.all();
     }
 
+    /** The unfinished jobs, as {@link TestUsers#unfinished} returns them. */
     List<String> unfinished() {
         return users.unfinished();
     }
--- a/src/test/java/org/gullway/SimulatedControllers.java
+++ b/src/test/java/org/gullway/SimulatedControllers.java
@@ -124,7 +124,7 @@
                 setup.heartbeatInterval(),
                 SimulatedCluster.AGENT_LEASE,
                 SimulatedCluster.CANCELLATION_LIMIT,
-                StoreRequestLog.REQUESTS_PER_SECOND,
+                StoreRequestMeter.REQUESTS_PER_SECOND,
                 FakeStateStore.MAX_CHANGES_PER_SECOND,
                 FakeStateStore.MAX_VALUE_BYTES,
                 FakeStateStore.MAX_CHANGES_PER_COMMIT,
--- a/src/test/java/org/gullway/StatusQueryScenarios.java
+++ b/src/test/java/org/gullway/StatusQueryScenarios.java
@@ -14,7 +14,7 @@
  */
 final class StatusQueryScenarios {
     /** Number of requests per second that each of the three controllers may send to the state store. */
-    static final double REQUESTS_PER_CONTROLLER = StoreRequestLog.REQUESTS_PER_SECOND / 3.0;
+    static final double REQUESTS_PER_CONTROLLER = StoreRequestMeter.REQUESTS_PER_SECOND / 3.0;
 
     private static final double VERSION_CHECK_FRACTION = 0.075;
     static final double QUERY_READ_FRACTION = 0.12;
--- a/src/test/java/org/gullway/StoreRequestMeter.java
+++ b/src/test/java/org/gullway/StoreRequestMeter.java
@@ -14,11 +14,11 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Counts the requests of each controller to the state store and, once its rate limit is enforced, rejects the requests
- * above the limit.
+ * Counts, by controller, two kinds of requests to the state store: version checks and reads of single jobs. Once the rate
+ * limit is enforced, it also rejects all requests above the limit.
  */
-final class StoreRequestLog {
-    /** The rate limit that the controllers' settings state; a burst may have as many requests as one second allows. */
+final class StoreRequestMeter {
+    /** The rate limit in the controllers' settings, and the capacity of the token bucket. */
     static final int REQUESTS_PER_SECOND = 150;
 
     private final SimulatedTime time;
@@ -29,7 +29,7 @@
     private Instant tokensUpdatedAt = Instant.EPOCH;
     private int rejected;
 
-    StoreRequestLog(SimulatedTime time) {
+    StoreRequestMeter(SimulatedTime time) {
         this.time = time;
     }
 
@@ -85,7 +85,10 @@
         return true;
     }
 
-    /** How many transactions without changes this controller sent, which check key versions before it answers queries. */
+    /**
+     * The number of transactions without changes that this controller sent. A controller uses them to check key versions
+     * before it answers a query.
+     */
     int versionChecks(String node) {
         return versionChecks.getOrDefault(node, 0);
     }
