--- a/src/test/java/org/gullway/ArchitecturePageTest.java
+++ b/src/test/java/org/gullway/ArchitecturePageTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Every class and member that the architecture, design and glossary pages name exists in the sources. */
+/**
+ * Checks the class names, with or without a member, on the architecture, design and glossary pages: the class must exist,
+ * and the name of the member must occur in its source file.
+ */
 class ArchitecturePageTest {
     private static final Path SOURCES = Path.of("src/main/java/org/gullway");
     /** A class name in backquotes, optionally with a member, such as {@code Transaction.putJob}. */
@@ -23,8 +26,8 @@
     /** The heading above the names that no longer exist; the text from here on is not checked. */
     private static final String FORMER_NAMES_HEADING = "## Former names";
 
-    /** Names on the pages that are classes of other projects. */
-    private static final List<String> EXTERNAL_CLASSES = List.of("InstantSource");
+    /** Class names on the pages that belong to the JDK. */
+    private static final List<String> JDK_CLASSES = List.of("InstantSource");
 
     private static Map<String, String> sourcesByClass() throws IOException {
         Map<String, String> sources = new TreeMap<>();
@@ -33,6 +36,7 @@
                 sources.put(file.getFileName().toString().replace(".java", ""), Files.readString(file));
             }
         }
+        // The pages also name this test, which is not in src/main/java.
         sources.put("LayersTest", "");
         return sources;
     }
@@ -45,7 +49,7 @@
         while (names.find()) {
             String type = names.group(1);
             String member = names.group(2);
-            if (EXTERNAL_CLASSES.contains(type)) {
+            if (JDK_CLASSES.contains(type)) {
                 continue;
             }
             String source = sources.get(type);
--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -16,13 +16,13 @@
 
 /**
  * Runs a fixed list of simulated scenarios with fixed seeds and prints a hash over the contents and times of all messages
- * on the simulated network, including the messages to the state store. The hash stays the same if a change keeps the
- * behaviour. Class names and log messages do not enter the hash.
+ * on the simulated network, including the messages to the state store. If the hash differs after a change, the
+ * change has altered the messages or their times. Class names and log messages are not hashed.
  */
 public final class BehaviourFingerprint {
     private static final int FAULT_SCENARIOS = 12;
     private static final int ZONE_BOUND_SCENARIOS = 8;
-    private static final int SCENARIO_BYTES = 8;
+    private static final int PRINTED_HASH_BYTES = 8;
 
     private final MessageDigest allScenarios = sha256();
 
@@ -99,10 +99,11 @@
         scenario.run(cluster);
         byte[] hash = recorder[0].digest.digest();
         allScenarios.update(hash);
-        System.out.println(name + " " + HexFormat.of().formatHex(hash, 0, SCENARIO_BYTES) + " " + recorder[0].messages
-                + " messages, " + cluster.startedTasks() + " starts");
+        System.out.println(name + " " + HexFormat.of().formatHex(hash, 0, PRINTED_HASH_BYTES) + " "
+                + recorder[0].messages + " messages, " + cluster.startedTasks() + " starts");
     }
 
+    /** Runs all scenarios. Their names stay as they are, so that the output can be compared with that of earlier builds. */
     private void runAll() {
         run("quiet", 1, 0, 4, cluster -> {
             SimulatedScenariosTest.submitJobs(cluster, new SplittableRandom(2), 30, Duration.ofSeconds(100));
--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -27,7 +27,7 @@
 
 /**
  * Runs one controller in a process of its own against fakes on loopback until three jobs have completed, then terminates
- * it. The build makes that process write the class-data archive, which shortens the start of the service.
+ * it. The build makes that process write the class data sharing (CDS) archive, which shortens the start of the service.
  * {@link RealSocketsTest} runs the same scenario.
  */
 public final class ClassArchiveTraining {
@@ -38,9 +38,9 @@
 
     private final LoopbackTransport transport;
     private final EventLoop loop;
-    private final String controllerAddress = freeAddress();
-    private final String storeAddress = freeAddress();
-    private final String cloudAddress = freeAddress();
+    private final String controllerAddress = randomAddress();
+    private final String storeAddress = randomAddress();
+    private final String cloudAddress = randomAddress();
     private final Map<String, JobRequest> jobs = Map.of(
             "run-000001",
             job("run-000001", Priority.HIGH),
@@ -118,7 +118,7 @@
     }
 
     private FakeAgent boot(String name, FakeAgent.Kind kind) {
-        String address = freeAddress();
+        String address = randomAddress();
         FakeAgent agent = new FakeAgent(
                 loop,
                 transport.client(),
@@ -185,8 +185,11 @@
                 Duration.ofMinutes(1));
     }
 
-    /** A random address in the loopback range, whose port no outgoing connection can occupy. */
-    private static String freeAddress() {
+    /**
+     * An address with port 18080 on a random host in the loopback range. Outgoing connections on loopback have the source
+     * address 127.0.0.1 by default, so that they do not occupy this port.
+     */
+    private static String randomAddress() {
         ThreadLocalRandom random = ThreadLocalRandom.current();
         return "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + "." + random.nextInt(1, 255) + ":18080";
     }
@@ -232,7 +235,7 @@
                 mem_mb = 320.0
                 sockets = 1000
                 """
-                .formatted(controllerAddress, freeAddress(), cloudAddress, storeAddress);
+                .formatted(controllerAddress, randomAddress(), cloudAddress, storeAddress);
     }
 
     /** Makes every task run for 100 ms without failure. */
--- a/src/test/java/org/gullway/ControllerProcesses.java
+++ b/src/test/java/org/gullway/ControllerProcesses.java
@@ -20,7 +20,7 @@
 
 /**
  * Starts, signals and kills controllers that run in processes of their own, and reads their logs. A separate thread
- * starts and signals the processes, since that would block an event loop for long.
+ * starts and signals the processes, since that would block an event loop for a long time.
  */
 final class ControllerProcesses implements AutoCloseable {
     private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(10);
@@ -29,7 +29,7 @@
     private final Map<String, List<String>> commandsByController = new ConcurrentHashMap<>();
     private final String logLevel;
     private final Path directory;
-    private final Consumer<String> onUnexpectedExit;
+    private final Consumer<String> onProcessFailure;
     private final Map<String, Process> processes = new ConcurrentSkipListMap<>();
     private final ExecutorService executor = Executors.newSingleThreadExecutor();
     /** Kills the controllers if this process is terminated before {@link #close}. */
@@ -38,14 +38,14 @@
     /**
      * @param command the command line that starts a controller, without --config and --operator-settings
      * @param directory the directory to which the logs of the controllers are written
-     * @param onUnexpectedExit called, on any thread, with the cause when a controller exits by itself or cannot be
-     *     started
+     * @param onProcessFailure called, on any thread, with the cause when a controller cannot be started or exits by
+     *     itself
      */
-    ControllerProcesses(List<String> command, String logLevel, Path directory, Consumer<String> onUnexpectedExit) {
+    ControllerProcesses(List<String> command, String logLevel, Path directory, Consumer<String> onProcessFailure) {
         this.command = List.copyOf(command);
         this.logLevel = logLevel;
         this.directory = directory;
-        this.onUnexpectedExit = onUnexpectedExit;
+        this.onProcessFailure = onProcessFailure;
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
@@ -72,14 +72,14 @@
             CompletableFuture<Void> unused = process.onExit().thenAccept(exited -> onExit(name, exited));
             return process;
         } catch (IOException e) {
-            onUnexpectedExit.accept(name + " cannot be started: " + e);
+            onProcessFailure.accept(name + " cannot be started: " + e);
             return null;
         }
     }
 
     private void onExit(String name, Process process) {
         if (processes.remove(name, process)) {
-            onUnexpectedExit.accept(name + " exited unexpectedly with code " + process.exitValue() + ", last log line: "
+            onProcessFailure.accept(name + " exited unexpectedly with code " + process.exitValue() + ", last log line: "
                     + lastLogLine(name));
         }
     }
@@ -166,7 +166,10 @@
         return running;
     }
 
-    /** Kills all controllers and waits until their processes have exited, for at most 10 s each. */
+    /**
+     * Waits up to 10 s for pending starts and signals, then kills the running controllers and waits up to 10 s for the exit
+     * of each. It does not wait for controllers that were killed or terminated before.
+     */
     @Override
     public void close() {
         executor.shutdown();
--- a/src/test/java/org/gullway/ControllerProfile.java
+++ b/src/test/java/org/gullway/ControllerProfile.java
@@ -24,7 +24,8 @@
  * restart of all controllers) it prints the processor time by thread name, which separates the JIT compiler, the garbage
  * collector and the event loop.
  *
- * <p>Not part of the tests; docs/operations.md shows how to run it.
+ * <p>{@link ProfileRun} measures simulated controllers in virtual time instead, by activity. This run is not part of the
+ * tests; docs/operations.md shows how to run it.
  */
 public final class ControllerProfile {
     private static final Map<String, Settings.Team> TEAMS = Map.of(
@@ -180,7 +181,7 @@
         byThread.forEach((thread, ticks) -> {
             if (ticks > 0) {
                 System.out.printf(
-                        "  %-20s %7d ms  %6.1f ms per second and controller%n",
+                        "  %-20s %7d ms  %6.1f ms/s per controller%n",
                         thread,
                         ticks * NANOS_PER_TICK / 1_000_000,
                         ticks * NANOS_PER_TICK / 1e6 / length.toMillis() * 1000 / 3);
--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -11,16 +11,18 @@
 
 /** A schedule of random faults at random times, determined by a seed. */
 final class FaultSchedule {
-    /** The longest delay of a delayed request; longer than the agent lease. */
-    private static final Duration MAX_DELAY = LoopbackCluster.AGENT_LEASE.plusSeconds(1);
+    /** The range of the random delay of late requests; it exceeds the agent lease. */
+    private static final Duration LATE_DELAY_RANGE = LoopbackCluster.AGENT_LEASE.plusSeconds(1);
 
+    /** For the links to the state store: requests and responses are lost, and requests and responses are delayed. */
     private static final Conditions LOSSY_STORE =
-            new Conditions(0.02, 0.1, 0.1, MAX_DELAY, 0, 0.5, Duration.ofMillis(400));
+            new Conditions(0.02, 0.1, 0.1, LATE_DELAY_RANGE, 0, 0.5, Duration.ofMillis(400));
+    /** For the links to the state store: a quarter of the responses is delayed by up to 800 ms. */
     private static final Conditions SLOW_STORE =
             new Conditions(0, 0, 0, Duration.ZERO, 0, 0.25, Duration.ofMillis(800));
     /** For the links of agents and users to the controllers: requests are lost, delayed or duplicated. */
     private static final Conditions LOSSY_CLIENTS =
-            new Conditions(0.05, 0.05, 0.1, MAX_DELAY, 0.3, 0.5, Duration.ofMillis(200));
+            new Conditions(0.05, 0.05, 0.1, LATE_DELAY_RANGE, 0.3, 0.5, Duration.ofMillis(200));
 
     /** A fault that starts at a fixed time of the run; its action also schedules the end of a temporary fault. */
     record Fault(Duration at, String description, Action action) {
@@ -42,7 +44,10 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Returns the faults of this seed between these two times, on average one per interval, sorted by time. */
+    /**
+     * Returns the faults of this seed between these two times, sorted by time. The number of random choices is the span
+     * divided by the interval; a choice that cuts a controller from both peers yields four faults, any other choice one.
+     */
     static List<Fault> of(long seed, Duration from, Duration to, Duration interval) {
         FaultSchedule schedule = new FaultSchedule(seed);
         long span = to.minus(from).toMillis();
@@ -58,8 +63,8 @@
         return "perch-" + random.nextInt(3);
     }
 
-    private Duration randomMillis(int least, int most) {
-        return Duration.ofMillis(random.nextInt(least, most));
+    private Duration randomMillis(int from, int untilExclusive) {
+        return Duration.ofMillis(random.nextInt(from, untilExclusive));
     }
 
     private void add(Duration at) {
--- a/src/test/java/org/gullway/FaultScheduleTest.java
+++ b/src/test/java/org/gullway/FaultScheduleTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** A run can be repeated by its seed: the seed always gives the same schedule, sorted and within the given times. */
+/** Checks that a seed always gives the same schedule of faults, sorted by time and within the given bounds. */
 class FaultScheduleTest {
     private static final Duration FROM = Duration.ofSeconds(3);
     private static final Duration TO = Duration.ofSeconds(43);
--- a/src/test/java/org/gullway/KnownRedTest.java
+++ b/src/test/java/org/gullway/KnownRedTest.java
@@ -9,7 +9,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The script .ci/known-red excludes exactly the listed tests, which are known to fail, and prints each of them. */
+/**
+ * Tests the script .ci/known-red, which reads the list of tests that are known to fail ("known red"). CI must exclude
+ * exactly these tests and print each of them. A line of the list has four fields, separated by semicolons: the test, the
+ * command with its seed, the observed failure, and the issue.
+ */
 class KnownRedTest {
     @TempDir
     private Path directory;
--- a/src/test/java/org/gullway/LayersTest.java
+++ b/src/test/java/org/gullway/LayersTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks that each package uses only the packages that it may use, without cycles, and that the field names of
- * messages occur neither in the transport nor in the coordination packages.
+ * Checks that each package uses only the packages that it may use, without cycles, that the coordination packages use no
+ * I/O, clock or randomness, and that neither they nor the transport package contain any of eight field names of messages.
  */
 class LayersTest {
     private static final Path SOURCES = Path.of("src/main/java/org/gullway");
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void coordinationDoesNoInputOrOutputAndReadsNoClock() throws IOException {
+    void coordinationUsesNoIoClockOrRandomness() throws IOException {
         for (Path file : filesBelow("coordination")) {
             assertThat(Files.readString(file))
                     .as(file.toString())
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -43,7 +43,7 @@
      *
      * @param membershipLease the lease that a controller renews in the state store to stay a member
      * @param capacity how many machines the cloud has of each combination of type, zone and spot or on-demand
-     * @param spareServers how many servers for future machines to start in advance, since starting one takes long
+     * @param spareServers how many servers for future machines to start in advance, since starting a server blocks the event loop for a long time
      * @param command the command line that starts a controller, without --config and --operator-settings
      */
     record Setup(
@@ -106,11 +106,11 @@
     private final Path directory;
 
     /**
-     * @param onUnexpectedExit called, on the event loop, with the cause when a controller exits by itself or cannot be
-     *     started
+     * @param onProcessFailure called, on the event loop, with the cause when a controller cannot be started or exits by
+     *     itself
      * @param machineListener called for every machine that boots
      */
-    LoopbackCluster(long seed, Setup setup, Consumer<String> onUnexpectedExit, MachineListener machineListener)
+    LoopbackCluster(long seed, Setup setup, Consumer<String> onProcessFailure, MachineListener machineListener)
             throws IOException {
         this.setup = setup;
         this.random = new SplittableRandom(seed);
@@ -122,7 +122,7 @@
                 setup.command(),
                 setup.logLevel(),
                 directory,
-                cause -> loop.execute(() -> onUnexpectedExit.accept(cause)));
+                cause -> loop.execute(() -> onProcessFailure.accept(cause)));
         this.store = new FakeStateStore(loop);
         for (int i = 0; i < 3; i++) {
             publicAddresses.put("perch-" + i, reserveAddress());
@@ -169,7 +169,7 @@
         return agent;
     }
 
-    /** Starts a server whose handler is set when its machine boots, since starting a server blocks the event loop for long. */
+    /** Starts a server whose handler is set when its machine boots, since starting a server blocks the event loop for a long time. */
     private SpareServer newServer() {
         SpareServer server = new SpareServer();
         server.address = transport.listen(exchange -> server.handler.accept(exchange));
@@ -197,12 +197,12 @@
         for (String name : nodes()) {
             String storeAddress = transport.listen(link(name + ">state").wrapHandler(name, store::handle));
             String cloudAddress = transport.listen(link(name + ">cloud").wrapHandler(name, cloud::handle));
-            List<Settings.Peer> seeds = new ArrayList<>();
+            List<Settings.Peer> peers = new ArrayList<>();
             for (String peer : nodes()) {
                 if (!peer.equals(name)) {
                     String address = transport.listen(
                             link(name + ">" + peer).forwarder(peerAddresses.get(peer), client, PEER_TIMEOUT));
-                    seeds.add(new Settings.Peer(peer, zone(peer), address));
+                    peers.add(new Settings.Peer(peer, zone(peer), address));
                 }
             }
             write(
@@ -212,7 +212,7 @@
                                     zone(name),
                                     publicAddresses.get(name),
                                     peerAddresses.get(name),
-                                    seeds,
+                                    peers,
                                     cloudAddress,
                                     storeAddress)
                             .toToml(setup));
--- a/src/test/java/org/gullway/LoopbackTransport.java
+++ b/src/test/java/org/gullway/LoopbackTransport.java
@@ -45,7 +45,7 @@
 
     /** Starts a server on a port that the operating system chooses, and returns the server's address. */
     String listen(Consumer<HttpExchange> handler) {
-        return listenAt(LoopbackAddresses.anyPort(), handler);
+        return listenAt(LoopbackAddresses.addressWithAnyPort(), handler);
     }
 
     /** Starts a server at this address; returns the server's address, which has the chosen port if the given port is 0. */
--- a/src/test/java/org/gullway/MixedVersionRun.java
+++ b/src/test/java/org/gullway/MixedVersionRun.java
@@ -9,7 +9,7 @@
 import java.util.logging.Logger;
 
 /**
- * Tests a rolling upgrade and a rollback: controllers of two builds run side by side under the load and the checks of
+ * Tests a rolling upgrade and a rollback in which each replaced controller is killed: controllers of two builds run side by side under the load and the checks of
  * {@link SoakRun}, with the same settings files and the same state store. Not part of the tests, since it needs the jar of
  * an earlier build.
  *
@@ -28,7 +28,9 @@
 
     private final List<String> oldCommand;
     private final List<String> newCommand;
+    /** The replacements and crashes, which {@link SoakRun} applies as faults. */
     private final List<FaultSchedule.Fault> steps = new ArrayList<>();
+
     private Duration nextStepAt = FIRST_STEP_AT;
 
     private MixedVersionRun(Path oldJar, Path newJar) {
--- a/src/test/java/org/gullway/NodeSettings.java
+++ b/src/test/java/org/gullway/NodeSettings.java
@@ -39,10 +39,10 @@
                 .formatted(team.name(), team.cpus(), team.cpusMax());
     }
 
-    /** The content of the settings file in the form in which the platform provides it. */
+    /** Formats the settings as TOML, as a controller reads them from the file given with --config. */
     String toToml(LoopbackCluster.Setup setup) {
-        StringBuilder seeds = new StringBuilder();
-        peers.forEach(peer -> seeds.append(toToml(peer)));
+        StringBuilder peerTables = new StringBuilder();
+        peers.forEach(peer -> peerTables.append(toToml(peer)));
         StringBuilder teams = new StringBuilder();
         setup.teams().values().forEach(team -> teams.append(toToml(team)));
         return """
@@ -81,7 +81,7 @@
                         zone,
                         publicAddress,
                         peerAddress,
-                        seeds,
+                        peerTables,
                         cloudAddress,
                         storeAddress,
                         teams,
--- a/src/test/java/org/gullway/OuterNamesTest.java
+++ b/src/test/java/org/gullway/OuterNamesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks that every name of the external interface still occurs in the sources, letter for letter: fields and values of
+ * Checks that every outer name, which is a name of the external interface, still occurs in the sources, letter for letter: fields and values of
  * messages, settings and stored records, keys of the state store, command-line options, environment variables, metrics,
  * and keys of log lines. Guards against a rename of an identifier that also changes such a name, which would break users,
  * agents, peers of another version, and operators' tools.
@@ -23,7 +23,7 @@
     private static final Path NAMES = Path.of("src/test/resources/golden/outer-names.txt");
     private static final Path SOURCES = Path.of("src/main/java");
     private static final List<Path> OTHER_FILES = List.of(Path.of("deploy/service.toml"), Path.of("pom.xml"));
-    /** The form of enum constants; log lines and options contain some of them under their names in the sources. */
+    /** Matches enum constants. Log lines and options show them by their declared names, so the code is searched too. */
     private static final Pattern CONSTANT = Pattern.compile("[A-Z][A-Z_]*");
 
     /** A comment, or a string literal as group 1. */
@@ -88,7 +88,7 @@
             } else {
                 found = literals.contains('"' + name + '"') || isWordIn(name, others);
             }
-            assertThat(found).as("outer name %s", name).isTrue();
+            assertThat(found).as("external interface name %s", name).isTrue();
         });
     }
 }
--- a/src/test/java/org/gullway/ProfileRun.java
+++ b/src/test/java/org/gullway/ProfileRun.java
@@ -21,7 +21,8 @@
  * large deployments, and prints the share of processor time and of allocated memory of each activity of the controllers.
  * The sockets are simulated, so that the cost of the HTTP library is not included.
  *
- * <p>Not part of the tests; docs/operations.md shows how to run it.
+ * <p>{@link ControllerProfile} measures controllers in processes of their own instead, with sockets and by thread. This
+ * run is not part of the tests; docs/operations.md shows how to run it.
  */
 public final class ProfileRun {
     private static final Map<String, Settings.Team> TEAMS = Map.of(
@@ -35,15 +36,18 @@
     private static final String CPU_EVENT = "jdk.ExecutionSample";
     private static final String ALLOCATION_EVENT = "jdk.ObjectAllocationSample";
     private static final String PAUSE_EVENT = "jdk.GarbageCollection";
-    private static final String FAKES = "fakes and simulation";
+    /** Samples that match no activity; they are assumed to come from the fakes and the simulation. */
+    private static final String UNMATCHED = "fakes and simulation";
+
     private static final String OTHER = "other";
 
     /**
      * An activity of a controller. A sample belongs to it if any frame of the sample's stack is in this method.
      *
      * @param type the simple name of a class of this project, or, if it contains a dot, the prefix of class names
-     * @param method the name of the method, with its lambdas; empty for all methods of the class. "m under C.n" matches
-     *     frames of the method m in stacks that also contain the method n of class C.
+     * @param method the name of the method, whose lambdas match as well; empty for all methods of the class. The form
+     *     "m under C.n", which no activity uses at present, matches the method m only if the stack also contains the
+     *     method n of class C.
      */
     private record Activity(String name, String type, String method) {}
 
@@ -147,8 +151,8 @@
                 }
             }
         }
-        double fakeSamples = remove(samples, FAKES);
-        double fakeBytes = remove(bytes, FAKES);
+        double fakeSamples = remove(samples, UNMATCHED);
+        double fakeBytes = remove(bytes, UNMATCHED);
         double allSamples = sum(samples);
         double allBytes = sum(bytes);
         System.out.println("| activity | processor time | allocated |\n| --- | --- | --- |");
@@ -188,7 +192,7 @@
                 return activity.name();
             }
         }
-        return FAKES;
+        return UNMATCHED;
     }
 
     private static boolean matches(RecordedFrame frame, Activity activity, List<RecordedFrame> frames) {
--- a/src/test/java/org/gullway/ReservedAddress.java
+++ b/src/test/java/org/gullway/ReservedAddress.java
@@ -15,7 +15,7 @@
     private final String address;
 
     private ReservedAddress() throws IOException {
-        String host = LoopbackAddresses.host();
+        String host = LoopbackAddresses.randomHost();
         socket.setReuseAddress(true);
         socket.bind(new InetSocketAddress(host, 0));
         address = host + ":" + socket.getLocalPort();
@@ -26,7 +26,7 @@
         try {
             return new ReservedAddress();
         } catch (IOException e) {
-            throw new UncheckedIOException("no free address on loopback", e);
+            throw new UncheckedIOException("cannot bind a socket to a loopback address", e);
         }
     }
 
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -18,8 +18,8 @@
 
 /**
  * A randomized fault-injection test over loopback. Three controllers run in processes of their own while a schedule of
- * faults, determined by a seed, is applied. Users query, resubmit and cancel jobs, above all right after a job is
- * accepted or finished. {@link InvariantChecker} checks the rules of the protocol by the responses to users and the tasks
+ * faults, determined by a seed, is applied. Users query, resubmit and cancel jobs, in
+ * particular immediately after a job has been accepted or has finished. {@link InvariantChecker} checks the rules of the protocol by the responses to users and the tasks
  * on machines.
  */
 public final class SoakRun {
@@ -34,8 +34,8 @@
     private static final Duration MAX_STALL = Duration.ofMillis(250);
 
     /**
-     * With at least this recovery time, {@link ServiceCheck} requires that half of the jobs of each kind have started. It
-     * is longer than a job may stay without a response.
+     * The shortest recovery after which {@link ServiceCheck} is applied, which requires that half of the jobs of each kind
+     * have started. This duration is longer than {@link AvailabilityRules} allows a job to stay without a response.
      */
     private static final Duration MIN_RECOVERY_FOR_SERVICE_CHECK = Duration.ofSeconds(80);
 
@@ -54,7 +54,8 @@
     /**
      * The outcome of a run.
      *
-     * @param violations each violation: the name of the rule and what was observed
+     * @param violations violated rules, failures of the run itself, and the controllers' log lines about invariant
+     *     violations
      * @param unfinished the jobs that were not finished at the end
      * @param starts how many tasks started
      * @param longestStall the longest stall of the event loop of this process
@@ -77,9 +78,10 @@
 
         /**
          * The violations that no stall of this process can have caused. If the run is not conclusive, this leaves out the
-         * rules that depend on agents' leases.
+         * rules that hold only if agents end their tasks when their leases expire: an agent that is late because of the
+         * stall runs tasks that have been started elsewhere or cancelled meanwhile.
          */
-        List<String> certainViolations() {
+        List<String> violationsNotCausedByStalls() {
             return violations.stream()
                     .filter(violation -> conclusive()
                             || !(violation.startsWith("ran_twice")
@@ -178,7 +180,7 @@
     private void start() {
         users = new TestUsers(
                 cluster.loop, cluster.userClient(), invariants, random.split(), cluster.publicAddresses());
-        users.recordIn(history);
+        users.setHistory(history);
         users.onAcceptedOrFinished(user -> {
             if (random.nextBoolean()) {
                 users.queryInBursts(user, random);
@@ -191,7 +193,7 @@
         });
         beforeStart.accept(cluster);
         cluster.start();
-        // No lease can expire before the end of the warm-up.
+        // Stalls during the warm-up are not measured: no agent's lease can expire in it.
         cluster.loop.after(WARM_UP, stallMonitor::tick);
         cluster.loop.after(Duration.ofSeconds(1), this::submitNext);
         faults.forEach(
@@ -206,8 +208,8 @@
     }
 
     /**
-     * Repeats the submission without any query: from the responses to queries, controllers would learn that a job is in a
-     * final state.
+     * Repeats the submission without querying the job. To answer a query, a controller would have to look up the job and
+     * would then know its final state; here the submissions reach controllers that may not know it yet.
      */
     private void resubmitRepeatedly(TestUser user) {
         for (int i = 0; i < RESUBMISSIONS; i++) {
@@ -309,7 +311,10 @@
         return String.join("\n", lines);
     }
 
-    /** Arguments: the first seed, the number of runs, and the number of seconds with faults in each run. */
+    /**
+     * Arguments: the first seed, the number of runs, and the number of seconds with faults in each run. Exits with code 1
+     * if any run has violations, including inconclusive ones.
+     */
     public static void main(String[] arguments) throws Exception {
         Logger.getLogger("io.undertow").setLevel(Level.WARNING);
         long firstSeed = Long.parseLong(arguments[0]);
--- a/src/test/java/org/gullway/SoakStartTest.java
+++ b/src/test/java/org/gullway/SoakStartTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against two failures at the start of a soak run: another socket takes the address of a controller between its
- * choice and the start of the process, and a failed start ends the run only after its full duration, without the cause.
+ * Guards against two faults of the soak run. First, another socket could bind the address of a controller after the
+ * address was chosen and before the controller's process listens on it. Second, a run whose start fails could go on for
+ * its full duration and then end without the cause.
  */
 class SoakStartTest {
     private static final SoakRun.Durations LONG = new SoakRun.Durations(Duration.ofMinutes(2), Duration.ofMinutes(2));
@@ -67,7 +68,7 @@
     }
 
     @Test
-    void failedStartOfTheFakesEndsTheRunEarlyWithItsCause() throws Exception {
+    void exceptionBeforeTheStartEndsTheRunEarlyWithItsCause() throws Exception {
         assertFailsEarly("the run could not start: java.lang.IllegalStateException: port taken", cluster -> {
             throw new IllegalStateException("port taken");
         });
--- a/src/test/java/org/gullway/TestUser.java
+++ b/src/test/java/org/gullway/TestUser.java
@@ -81,7 +81,8 @@
                 }
                 poll();
             } else if (response.status() == HttpStatus.BAD_REQUEST || response.status() == HttpStatus.UNPROCESSABLE) {
-                invariants.violations.add("forgotten: " + request.id() + " was refused with " + response.status());
+                invariants.violations.add("forgotten: the valid submission of " + request.id()
+                        + " was rejected with status " + response.status());
             } else {
                 loop.after(Duration.ofSeconds(1), this::submit);
             }
@@ -90,7 +91,7 @@
 
     /**
      * Requests the cancellation, and repeats the request 1 s after each failure until the job is finished or a response
-     * has status 200.
+     * has status 200. Status 404 for an accepted job is a violation and also ends the repetition.
      */
     void cancel() {
         if (!isFinished()) {
@@ -169,7 +170,7 @@
         return firstStart == null ? null : Duration.between(submittedAt, firstStart);
     }
 
-    /** Time from the submission until a response accepted it; null if none has. */
+    /** Time from the submission until a response accepted the job; null if no response has. */
     Duration timeToAcceptance() {
         return acceptedAt == null ? null : Duration.between(submittedAt, acceptedAt);
     }
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -54,6 +54,7 @@
         return List.copyOf(users.values());
     }
 
+    /** The unfinished jobs: the id of each and its reported final state, which is empty as long as the job is unfinished. */
     List<String> unfinished() {
         return users.values().stream()
                 .filter(user -> !user.isFinished())
@@ -79,9 +80,9 @@
         onAcceptedOrFinished = listener;
     }
 
-    /** Records the requests of users and the starts and ends of tasks in this history from now on. */
-    void recordIn(JobHistory target) {
-        history = target;
+    /** Sets the history that records the responses to users and the starts and ends of tasks from now on. */
+    void setHistory(JobHistory newHistory) {
+        history = newHistory;
     }
 
     /** Sets the predicate that decides by machine and job whether a task fails. */
@@ -133,7 +134,7 @@
 
     // Environment of the fake agents
 
-    private static String job(String task) {
+    private static String jobIdOf(String task) {
         return task.substring(0, task.indexOf('/'));
     }
 
@@ -160,15 +161,18 @@
 
     @Override
     public void onTaskStarted(String machine, String task) {
-        history.add(job(task), loop.now(), () -> task + " starts on " + machine);
+        history.add(jobIdOf(task), loop.now(), () -> task + " starts on " + machine);
         invariants.onTaskStarted(machine, task, loop.now());
     }
 
     @Override
     public void onTaskEnded(String machine, String task, boolean done) {
-        history.add(job(task), loop.now(), () -> task + (done ? " is done on " : " is ended on ") + machine);
+        history.add(
+                jobIdOf(task),
+                loop.now(),
+                () -> task + (done ? " completes on " : " ends without completion on ") + machine);
         invariants.onTaskEnded(machine, task, done);
-        TestUser user = users.get(job(task));
+        TestUser user = users.get(jobIdOf(task));
         if (done && invariants.allCompleted(user.request.id())) {
             onAllTasksCompleted.accept(user);
         }
