--- a/src/test/java/org/gullway/ResponseLog.java
+++ b/src/test/java/org/gullway/ResponseLog.java
@@ -72,7 +72,8 @@
 
         private void record(int status) {
             if (entry.answeredAt != null) {
-                throw new IllegalStateException(path() + " was answered twice");
+                throw new IllegalStateException(entry.node + ": " + method() + " " + path()
+                        + " was answered twice, with status " + entry.status + " and " + status);
             }
             entry.answeredAt = time.now();
             entry.status = status;
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -157,7 +157,8 @@
             Duration total =
                     WARM_UP.plus(durations.faults()).plus(durations.recovery()).plus(FINAL_QUERIES_SPAN);
             if (!finished.await(total.plusSeconds(60).toSeconds(), TimeUnit.SECONDS)) {
-                invariants.violations.add("the run did not finish in time");
+                invariants.violations.add(
+                        "the run did not finish within " + total.plusSeconds(60).toSeconds() + " s");
             }
             return outcome();
         }
--- a/src/test/java/org/gullway/TestUser.java
+++ b/src/test/java/org/gullway/TestUser.java
@@ -117,7 +117,8 @@
                         onState(response, sentAt);
                         invariants.onCancellationAnswered(request.id(), state(response), loop.now());
                     } else if (response.status() == HttpStatus.NOT_FOUND && acceptedBefore) {
-                        invariants.violations.add("forgotten: cancellation of " + request.id());
+                        invariants.violations.add("forgotten: cancellation of accepted job " + request.id()
+                                + " got status " + response.status());
                     } else {
                         onFailure.run();
                     }
@@ -179,7 +180,7 @@
         try {
             return Cbor.decode(response.body()).path("tide").asText();
         } catch (MalformedMessageException e) {
-            invariants.violations.add("unreadable answer: " + e.getMessage());
+            invariants.violations.add("malformed response about " + request.id() + ": " + e.getMessage());
             return "";
         }
     }
