--- a/src/test/java/org/gullway/ReportedStateRules.java
+++ b/src/test/java/org/gullway/ReportedStateRules.java
@@ -35,8 +35,11 @@
      * the response to a request that was sent before the final state was reported; a different final state never is.
      */
     private void checkFinalStateUnchanged(ObservedJob job, String state, boolean isFinal, Instant sentAt, Instant now) {
-        if (job.isFinished() && !state.equals(job.reportedFinalState()) && (isFinal || sentAt.isAfter(job.finishedAt()))) {
-            violations.add("went_back: " + job.id() + " was " + job.reportedFinalState() + ", then " + state + " at " + now);
+        if (job.isFinished()
+                && !state.equals(job.reportedFinalState())
+                && (isFinal || sentAt.isAfter(job.finishedAt()))) {
+            violations.add(
+                    "went_back: " + job.id() + " was " + job.reportedFinalState() + ", then " + state + " at " + now);
         }
     }
 
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -34,10 +34,10 @@
     private static final Duration MAX_STALL = Duration.ofMillis(250);
 
     /**
-     * The shortest recovery after which {@link ServiceCheck} is applied, which requires that half of the jobs of each kind
+     * The shortest recovery after which {@link StartedJobsCheck} is applied, which requires that half of the jobs of each kind
      * have started. This duration is longer than {@link AvailabilityRules} allows a job to stay without a response.
      */
-    private static final Duration MIN_RECOVERY_FOR_SERVICE_CHECK = Duration.ofSeconds(80);
+    private static final Duration MIN_RECOVERY_FOR_STARTED_JOBS_CHECK = Duration.ofSeconds(80);
 
     private static final int RESUBMISSIONS = 6;
     private static final int RESUBMISSIONS_WITHIN_MS = 400;
@@ -263,8 +263,8 @@
     }
 
     private Outcome outcome() {
-        if (durations.recovery().compareTo(MIN_RECOVERY_FOR_SERVICE_CHECK) >= 0) {
-            invariants.violations.addAll(ServiceCheck.unserved(users.all()));
+        if (durations.recovery().compareTo(MIN_RECOVERY_FOR_STARTED_JOBS_CHECK) >= 0) {
+            invariants.violations.addAll(StartedJobsCheck.violations(users.all()));
         }
         invariants.violations.addAll(cluster.logLines(List.of("invariant violated")));
         return new Outcome(
@@ -321,7 +321,7 @@
         long firstSeed = Long.parseLong(arguments[0]);
         int runs = Integer.parseInt(arguments[1]);
         Durations durations =
-                new Durations(Duration.ofSeconds(Long.parseLong(arguments[2])), MIN_RECOVERY_FOR_SERVICE_CHECK);
+                new Durations(Duration.ofSeconds(Long.parseLong(arguments[2])), MIN_RECOVERY_FOR_STARTED_JOBS_CHECK);
         int failedRuns = 0;
         for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
             Outcome outcome = run(seed, durations);
--- a/src/test/java/org/gullway/StoreFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/StoreFaultCombinationsTest.java
@@ -50,7 +50,8 @@
         String leader = cluster.leader();
         cluster.store.addLatency(700, cluster.random.split());
         cluster.after(Duration.ofSeconds(5), () -> cluster.store.rejectFrom(leader, true));
-        scheduleStoreOutage(cluster, Duration.ofSeconds(9 + seed % 6), SimulatedCluster.CANCELLATION_LIMIT.plusSeconds(15));
+        scheduleStoreOutage(
+                cluster, Duration.ofSeconds(9 + seed % 6), SimulatedCluster.CANCELLATION_LIMIT.plusSeconds(15));
         for (int i = 0; i < 8; i++) {
             TestUser user = cluster.users().get(i);
             cluster.after(seconds(2.5 * i), user::cancel);
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -173,7 +173,7 @@
                 () -> task + (done ? " completes on " : " ends without completion on ") + machine);
         invariants.onTaskEnded(machine, task, done);
         TestUser user = users.get(jobIdOf(task));
-        if (done && invariants.allCompleted(user.request.id())) {
+        if (done && invariants.allTasksCompleted(user.request.id())) {
             onAllTasksCompleted.accept(user);
         }
     }
