--- a/src/test/java/org/gullway/ArchitecturePageTest.java
+++ b/src/test/java/org/gullway/ArchitecturePageTest.java
@@ -15,16 +15,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The pages for newcomers name classes and methods that exist. */
+/**
+ * Checks the class names, with or without a member, on the architecture, design and glossary pages: the class must exist,
+ * and the name of the member must occur in its source file.
+ */
 class ArchitecturePageTest {
     private static final Path SOURCES = Path.of("src/main/java/org/gullway");
-    /** A class, alone or with one of its members, such as {@code Transaction.putJob}. */
+    /** A class name in backquotes, optionally with a member, such as {@code Transaction.putJob}. */
     private static final Pattern NAME = Pattern.compile("`([A-Z][a-z][A-Za-z]+)(?:\\.([A-Za-z_]+))?`");
-    /** From here on a page lists names that are no longer used. */
-    private static final String FORMER_NAMES = "## Former names";
+    /** The heading above the names that no longer exist; the text from here on is not checked. */
+    private static final String FORMER_NAMES_HEADING = "## Former names";
 
-    /** Names in the same form that are no classes of this project. */
-    private static final List<String> OTHERS = List.of("InstantSource");
+    /** Class names on the pages that belong to the JDK. */
+    private static final List<String> JDK_CLASSES = List.of("InstantSource");
 
     private static Map<String, String> sourcesByClass() throws IOException {
         Map<String, String> sources = new TreeMap<>();
@@ -33,6 +36,7 @@
                 sources.put(file.getFileName().toString().replace(".java", ""), Files.readString(file));
             }
         }
+        // The pages also name this test, which is not in src/main/java.
         sources.put("LayersTest", "");
         return sources;
     }
@@ -41,11 +45,11 @@
         Map<String, String> sources = sourcesByClass();
         List<String> missing = new ArrayList<>();
         String text = Files.readString(Path.of("docs", page));
-        Matcher names = NAME.matcher(text.split(FORMER_NAMES, -1)[0]);
+        Matcher names = NAME.matcher(text.split(FORMER_NAMES_HEADING, -1)[0]);
         while (names.find()) {
             String type = names.group(1);
             String member = names.group(2);
-            if (OTHERS.contains(type)) {
+            if (JDK_CLASSES.contains(type)) {
                 continue;
             }
             String source = sources.get(type);
--- a/src/test/java/org/gullway/CommitFaultsTest.java
+++ b/src/test/java/org/gullway/CommitFaultsTest.java
@@ -10,13 +10,13 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.gullway.SimulatedCluster.Bounds;
+import org.gullway.SimulatedCluster.JobConstraints;
 import org.gullway.coordination.model.StoreKeys;
 import org.gullway.protocol.Priority;
 
 /** Transactions whose response is lost or that are applied late, combined with a second fault. */
 class CommitFaultsTest {
-    private static final Bounds ANYWHERE = new Bounds(null, null, false, false, true);
+    private static final JobConstraints ANYWHERE = new JobConstraints(null, null, false, false, true);
 
     /**
      * Commit responses are lost while other controllers act on the changes: a job is accepted, runs and finishes before
@@ -28,7 +28,7 @@
     void lostCommitResponsesDoNotCauseASecondAcceptance(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithRunningJobs(seed, Duration.ofSeconds(30));
         cluster.store.dropResponses(0.3, cluster.random.split());
-        cluster.onStateChange(user -> cluster.queryInBursts(user, cluster.random));
+        cluster.onAcceptedOrFinished(user -> cluster.queryInBursts(user, cluster.random));
         submitSteadily(cluster, 9, 8);
         for (int i = 0; i < 20; i++) {
             int number = 30 + i;
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -97,8 +97,8 @@
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration duration) {
             String zone = random.nextBoolean() ? "a" : "b";
-            cluster.partitionZone(zone, true);
-            cluster.after(duration, () -> cluster.partitionZone(zone, false));
+            cluster.setZonePartitioned(zone, true);
+            cluster.after(duration, () -> cluster.setZonePartitioned(zone, false));
         }
     },
     /** Some machines can neither send nor receive requests. */
@@ -131,7 +131,7 @@
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration duration) {
             cluster.network.duplicateLate(
-                    0.3, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(3), cluster.userAddresses());
+                    0.3, "/agent/beat", SimulatedCluster.AGENT_LEASE.multipliedBy(3), cluster.publicAddresses());
         }
     },
     /** Some transactions get no response and are applied late, after newer transactions. */
@@ -178,7 +178,7 @@
             cancelRandomJobs(cluster, random, 0.4);
             cluster.after(Duration.ofMillis(500 + random.nextInt(6000)), () -> {
                 cluster.store.setDown(true);
-                cluster.after(SimulatedCluster.CANCEL.plus(duration), () -> {
+                cluster.after(SimulatedCluster.CANCELLATION_LIMIT.plus(duration), () -> {
                     cluster.store.rejectFrom(node, false);
                     cluster.store.setDown(false);
                 });
@@ -241,7 +241,7 @@
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration duration) {
             cluster.network.recordCopies(0.3, "/agent/beat");
-            cluster.onNewLeader(leader -> cluster.network.replayCopies(cluster.userAddresses()));
+            cluster.onNewLeader(leader -> cluster.network.replayCopies(cluster.publicAddresses()));
             cluster.after(duration, () -> {
                 if (cluster.leader() != null) {
                     cluster.crash(cluster.leader(), Duration.ofMillis(200 + random.nextInt(6000)));
@@ -263,8 +263,8 @@
     QUERY_BURSTS {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration duration) {
-            cluster.onStateChange(user -> cluster.queryInBursts(user, random));
-            cluster.after(duration, () -> cluster.onStateChange(user -> {}));
+            cluster.onAcceptedOrFinished(user -> cluster.queryInBursts(user, random));
+            cluster.after(duration, () -> cluster.onAcceptedOrFinished(user -> {}));
         }
     },
     /** Users repeat submissions, cancel finished jobs, and submit malformed and infeasible jobs. */
--- a/src/test/java/org/gullway/FaultsTest.java
+++ b/src/test/java/org/gullway/FaultsTest.java
@@ -63,7 +63,7 @@
     void lateHeartbeatCopiesReachRestartedControllers(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = clusterWithJobs(seed);
         cluster.network.duplicateLate(
-                0.8, "/agent/beat", SimulatedCluster.LEASE.multipliedBy(3), cluster.userAddresses());
+                0.8, "/agent/beat", SimulatedCluster.AGENT_LEASE.multipliedBy(3), cluster.publicAddresses());
         for (int at : List.of(4, 15, 40)) {
             cluster.after(Duration.ofSeconds(at), () -> {
                 cluster.nodes().forEach(node -> cluster.crash(node, Duration.ofMillis(300)));
@@ -118,9 +118,9 @@
         }
         cluster.run(Duration.ofSeconds(25));
         assertThat(cluster.startedTasks()).isEqualTo(12);
-        cluster.partitionZone("b", true);
-        cluster.run(SimulatedCluster.CANCEL.minusSeconds(12));
-        cluster.partitionZone("b", false);
+        cluster.setZonePartitioned("b", true);
+        cluster.run(SimulatedCluster.CANCELLATION_LIMIT.minusSeconds(12));
+        cluster.setZonePartitioned("b", false);
         assertFinishesWithin(cluster, Duration.ofSeconds(100));
         assertThat(cluster.startedTasks()).as("started tasks, none restarted").isEqualTo(12);
     }
@@ -137,9 +137,9 @@
             cluster.submit(i, i % 2 == 0 ? "red" : "blue", Priority.NORMAL, 2, 4, Duration.ofSeconds(200));
         }
         cluster.run(Duration.ofSeconds(25));
-        cluster.partitionZone("b", true);
+        cluster.setZonePartitioned("b", true);
         cluster.after(Duration.ofSeconds(9), () -> cluster.users().forEach(TestUser::cancel));
-        cluster.after(Duration.ofSeconds(70), () -> cluster.partitionZone("b", false));
+        cluster.after(Duration.ofSeconds(70), () -> cluster.setZonePartitioned("b", false));
         assertFinishesWithin(cluster, Duration.ofSeconds(150));
     }
 
--- a/src/test/java/org/gullway/NodeSettings.java
+++ b/src/test/java/org/gullway/NodeSettings.java
@@ -5,7 +5,7 @@
 import org.gullway.fake.FakeStateStore;
 import org.gullway.protocol.Settings;
 
-/** The settings file of one controller on loopback. */
+/** The settings of one controller on loopback addresses, written as its settings file. */
 record NodeSettings(
         String name,
         String zone,
@@ -39,10 +39,10 @@
                 .formatted(team.name(), team.cpus(), team.cpusMax());
     }
 
-    /** The file as the platform would write it. */
+    /** Formats the settings as TOML, as a controller reads them from the file given with --config. */
     String toToml(LoopbackCluster.Setup setup) {
-        StringBuilder seeds = new StringBuilder();
-        peers.forEach(peer -> seeds.append(toToml(peer)));
+        StringBuilder peerTables = new StringBuilder();
+        peers.forEach(peer -> peerTables.append(toToml(peer)));
         StringBuilder teams = new StringBuilder();
         setup.teams().values().forEach(team -> teams.append(toToml(team)));
         return """
@@ -81,13 +81,13 @@
                         zone,
                         publicAddress,
                         peerAddress,
-                        seeds,
+                        peerTables,
                         cloudAddress,
                         storeAddress,
                         teams,
                         seconds(setup.heartbeatInterval()),
-                        seconds(setup.lease()),
-                        seconds(setup.cancel()),
+                        seconds(setup.agentLease()),
+                        seconds(setup.cancellationLimit()),
                         (double) FakeStateStore.MAX_CHANGES_PER_SECOND,
                         FakeStateStore.MAX_CHANGES_PER_COMMIT);
     }
--- a/src/test/java/org/gullway/ResponseLog.java
+++ b/src/test/java/org/gullway/ResponseLog.java
@@ -8,9 +8,8 @@
 import org.gullway.fake.SimulatedTime;
 import org.gullway.transport.HttpExchange;
 
-/** The responses of the controllers to every request at their public addresses, and their times. */
+/** Records each request at the controllers' public addresses with the status and the latency of its response. */
 final class ResponseLog {
-    /** The purpose of a request. */
     enum Kind {
         QUERY,
         SUBMISSION,
@@ -32,31 +31,30 @@
         }
     }
 
-    /** One request; until it is answered its status is 0 and the time of its response null. */
+    /** A request and its response; until the response is sent, status is 0 and answeredAt is null. */
     static final class Entry {
         final String node;
         final Kind kind;
         final Instant receivedAt;
         private Instant answeredAt;
         private int status;
-        private boolean retryAfter;
+        private boolean retryDelayOfAtLeastOneSecond;
 
-        private Entry(String node, Kind kind, Instant came) {
+        private Entry(String node, Kind kind, Instant receivedAt) {
             this.node = node;
             this.kind = kind;
-            this.receivedAt = came;
+            this.receivedAt = receivedAt;
         }
 
         int status() {
             return status;
         }
 
-        /** Whether the response says when to retry. */
-        boolean hasRetryAfter() {
-            return retryAfter;
+        boolean hasRetryDelayOfAtLeastOneSecond() {
+            return retryDelayOfAtLeastOneSecond;
         }
 
-        /** How long the response took; the time until now, if there is none. */
+        /** Time from the request to its response, or to now if there is no response yet. */
         Duration elapsed(Instant now) {
             return Duration.between(receivedAt, answeredAt == null ? now : answeredAt);
         }
@@ -74,7 +72,8 @@
 
         private void record(int status) {
             if (entry.answeredAt != null) {
-                throw new IllegalStateException(path() + " is answered a second time");
+                throw new IllegalStateException(entry.node + ": " + method() + " " + path()
+                        + " was answered twice, with status " + entry.status + " and " + status);
             }
             entry.answeredAt = time.now();
             entry.status = status;
@@ -89,7 +88,7 @@
         @Override
         public void reject(int status, Duration retryAfter) {
             record(status);
-            entry.retryAfter = retryAfter.compareTo(Duration.ofSeconds(1)) >= 0;
+            entry.retryDelayOfAtLeastOneSecond = retryAfter.compareTo(Duration.ofSeconds(1)) >= 0;
             super.reject(status, retryAfter);
         }
     }
@@ -101,7 +100,8 @@
         this.time = time;
     }
 
-    HttpExchange logged(String node, HttpExchange exchange) {
+    /** Adds an entry for this request and returns an exchange that records the response in the entry. */
+    HttpExchange recordRequest(String node, HttpExchange exchange) {
         Entry entry = new Entry(node, Kind.of(exchange), time.now());
         entries.add(entry);
         return new LoggedExchange(exchange, entry, time);
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -22,15 +22,15 @@
 import org.gullway.transport.HttpClient;
 
 /**
- * Three whole controllers with stand-ins in virtual time, users who submit jobs and query them, and a check of the
- * protocol's rules.
+ * A cluster in virtual time: three complete controllers, fakes of the state store, the cloud and the agents, and users
+ * who submit and query jobs. {@link InvariantChecker} checks the rules of the protocol throughout.
  */
 final class SimulatedCluster {
-    /** All priorities, for choices among them. */
+    /** The priorities in their declared order, for random choices. */
     static final List<Priority> PRIORITIES = List.of(Priority.values());
 
-    static final Duration LEASE = Duration.ofSeconds(20);
-    static final Duration CANCEL = Duration.ofSeconds(40);
+    static final Duration AGENT_LEASE = Duration.ofSeconds(20);
+    static final Duration CANCELLATION_LIMIT = Duration.ofSeconds(40);
     private static final String STORE = "10.2.0.1:2379";
     private static final String CLOUD = "10.2.0.2:8443";
 
@@ -40,7 +40,7 @@
     final FakeStateStore store;
     final FakeCloud cloud;
     final InvariantChecker invariants;
-    final StoreRequestLog storeRequests = new StoreRequestLog(time);
+    final StoreRequestMeter storeRequests = new StoreRequestMeter(time);
     final ResponseLog responses = new ResponseLog(time);
     final List<String> violations;
     private final SimulatedTime.SimulatedProcess loop = time.newProcess();
@@ -49,42 +49,42 @@
     private final SimulatedJobs jobs;
 
     /**
-     * Size of a cluster.
+     * Parameters of a cluster.
      *
-     * @param capacity machines of each type, zone and kind
-     * @param faultShare share of messages that are late, or repeated
+     * @param capacity how many machines the cloud has of each combination of type, zone and spot or on-demand
+     * @param faultShare share of requests that are delayed, and share of requests that are delivered twice
      */
-    record Shape(int capacity, Map<String, Settings.Team> teams, Duration heartbeatInterval, double faultShare) {
+    record Setup(int capacity, Map<String, Settings.Team> teams, Duration heartbeatInterval, double faultShare) {
         static final Map<String, Settings.Team> SMALL_TEAMS =
                 Map.of("red", new Settings.Team("red", 16, 24, 0, 0), "blue", new Settings.Team("blue", 16, 64, 0, 0));
 
-        static Shape small(double faultShare, int capacity) {
-            return new Shape(capacity, SMALL_TEAMS, Duration.ofSeconds(3), faultShare);
+        static Setup small(double faultShare, int capacity) {
+            return new Setup(capacity, SMALL_TEAMS, Duration.ofSeconds(3), faultShare);
         }
     }
 
     SimulatedCluster(long seed, double faultShare, int capacity) {
-        this(seed, Shape.small(faultShare, capacity));
+        this(seed, Setup.small(faultShare, capacity));
     }
 
-    SimulatedCluster(long seed, Shape shape) {
-        this(seed, shape, time -> SimulatedNetwork.TrafficListener.NONE);
+    SimulatedCluster(long seed, Setup setup) {
+        this(seed, setup, time -> SimulatedNetwork.TrafficListener.NONE);
     }
 
-    /** @param traffic makes, for the cluster's time, a listener that sees all messages */
-    SimulatedCluster(long seed, Shape shape, Function<SimulatedTime, SimulatedNetwork.TrafficListener> traffic) {
-        invariants = new InvariantChecker(CANCEL, shape.teams());
+    /** @param traffic given the cluster's virtual time, returns the listener for all messages on the network */
+    SimulatedCluster(long seed, Setup setup, Function<SimulatedTime, SimulatedNetwork.TrafficListener> traffic) {
+        invariants = new InvariantChecker(CANCELLATION_LIMIT, setup.teams());
         violations = invariants.violations;
         random = new SplittableRandom(seed);
-        network = new SimulatedNetwork(time, random.split(), shape.faultShare());
+        network = new SimulatedNetwork(time, random.split(), setup.faultShare());
         network.observe(traffic.apply(time));
         store = new FakeStateStore(loop);
         controllers = new SimulatedControllers(
-                network, random, shape, responses, violation -> violations.add("invariant: " + violation));
+                network, random, setup, responses, violation -> violations.add("invariant: " + violation));
         HttpClient userClient = network.client("users", loop);
-        users = new TestUsers(loop, userClient, invariants, random, userAddresses());
-        jobs = new SimulatedJobs(loop, userClient, invariants, random, userAddresses());
-        cloud = new FakeCloud(loop, machineTypes(), shape.capacity(), (name, kind) -> boot(name, kind, shape));
+        users = new TestUsers(loop, userClient, invariants, random, publicAddresses());
+        jobs = new SimulatedJobs(loop, userClient, invariants, random, publicAddresses());
+        cloud = new FakeCloud(loop, machineTypes(), setup.capacity(), (name, kind) -> boot(name, kind, setup));
         network.listen(STORE, loop, exchange -> storeRequests.handle(exchange, store::handle));
         network.listen(CLOUD, loop, cloud::handle);
         controllers.startAll();
@@ -97,7 +97,7 @@
                 new MachineType("large", 32, 0, 256, 50, 1, 2.5, 0.9, Duration.ofSeconds(4), List.of("a", "b")));
     }
 
-    private FakeAgent boot(String name, FakeAgent.Kind kind, Shape shape) {
+    private FakeAgent boot(String name, FakeAgent.Kind kind, Setup setup) {
         String address = "10.1.0." + Integer.parseInt(name.substring(3)) + ":9000";
         FakeAgent agent = new FakeAgent(
                 loop,
@@ -106,7 +106,7 @@
                 random.split(),
                 new FakeAgent.Machine(name, address, kind),
                 controllers.addresses(),
-                new FakeAgent.Timing(shape.heartbeatInterval(), LEASE));
+                new FakeAgent.Timing(setup.heartbeatInterval(), AGENT_LEASE));
         network.listen(address, loop, agent::handle);
         invariants.onMachineUp(name, kind);
         return agent;
@@ -117,30 +117,34 @@
         return agent != null && agent.alive() && !agent.hung();
     }
 
-    /** Partitions a zone from everything else, or ends that; messages inside of it still arrive. */
-    void partitionZone(String zone, boolean cut) {
-        List<String> inside = new ArrayList<>();
-        List<String> outside = new ArrayList<>(List.of("users", STORE, CLOUD));
+    /**
+     * Starts (partitioned is true) or ends a network partition between a zone and everything outside it. Messages within the
+     * zone still arrive.
+     */
+    void setZonePartitioned(String zone, boolean partitioned) {
+        List<String> insideZone = new ArrayList<>();
+        List<String> outsideZone = new ArrayList<>(List.of("users", STORE, CLOUD));
         for (String node : nodes()) {
-            (SimulatedControllers.zone(node).equals(zone) ? inside : outside)
+            (SimulatedControllers.zone(node).equals(zone) ? insideZone : outsideZone)
                     .addAll(List.of(node, address(node), peerAddress(node)));
         }
         for (FakeAgent agent : cloud.agents()) {
-            (agent.kind().zone().equals(zone) ? inside : outside).addAll(List.of(agent.name(), agent.address()));
+            (agent.kind().zone().equals(zone) ? insideZone : outsideZone)
+                    .addAll(List.of(agent.name(), agent.address()));
         }
-        for (String in : inside) {
-            for (String out : outside) {
-                setCut(in, out, cut);
-                setCut(out, in, cut);
+        for (String inside : insideZone) {
+            for (String outside : outsideZone) {
+                setCut(inside, outside, partitioned);
+                setCut(outside, inside, partitioned);
             }
         }
     }
 
-    /** Cuts the connections of this controller to the others, both ways, or ends that. */
-    void partitionPeers(String node, boolean cut) {
+    /** Starts (partitioned is true) or ends a network partition between this controller and its peers, in both directions. */
+    void setPeersPartitioned(String node, boolean partitioned) {
         for (String other : nodes()) {
-            setCut(node, peerAddress(other), cut);
-            setCut(other, peerAddress(node), cut);
+            setCut(node, peerAddress(other), partitioned);
+            setCut(other, peerAddress(node), partitioned);
         }
     }
 
@@ -152,17 +156,23 @@
         }
     }
 
-    /** Ends the controller's process at once; it starts again after the delay. */
+    /** Kills the controller's process immediately and restarts it after the delay. */
     void crash(String name, Duration restartDelay) {
         controllers.crash(name, restartDelay);
     }
 
-    /** The controller runs nothing for this span, while clocks and network go on; then it does all that was due. */
+    /**
+     * Suspends the controller for this span while clocks and the network continue. Afterwards the controller runs every
+     * task that became due.
+     */
     void freeze(String name, Duration span) {
         controllers.freeze(name, span);
     }
 
-    /** Ends all faults: from now on no query may go unanswered for long, and no job may wait beside free machines. */
+    /**
+     * Ends the faults of the network and the state store. From now on the checker reports queries that stay unanswered
+     * for long and jobs that wait although machines with enough free capacity are up.
+     */
     void endFaults() {
         network.heal();
         store.clearFaults();
@@ -174,7 +184,7 @@
         return controllers.names();
     }
 
-    List<String> userAddresses() {
+    List<String> publicAddresses() {
         return List.copyOf(controllers.addresses().values());
     }
 
@@ -194,78 +204,106 @@
         return CLOUD;
     }
 
-    /** Where a job's tasks may run; null for any type or zone. */
-    record Bounds(List<String> types, String zone, boolean oneZone, boolean spread, boolean spot) {
-        static final Bounds ONE_ZONE = new Bounds(null, null, true, false, true);
-        static final Bounds SPREAD = new Bounds(null, null, false, true, true);
-
-        static Bounds in(String zone) {
-            return new Bounds(null, zone, false, false, true);
+    /**
+     * Placement constraints of a job.
+     *
+     * @param machineTypes the machine types on which tasks may run; null for any type
+     * @param zone the zone in which tasks may run; null for any zone
+     * @param singleZone whether all tasks must run in the same zone
+     * @param spreadAcrossZones whether no zone may have more than half of the tasks
+     * @param spotAllowed whether tasks may run on spot machines
+     */
+    record JobConstraints(
+            List<String> machineTypes,
+            String zone,
+            boolean singleZone,
+            boolean spreadAcrossZones,
+            boolean spotAllowed) {
+        static final JobConstraints SINGLE_ZONE = new JobConstraints(null, null, true, false, true);
+        static final JobConstraints SPREAD = new JobConstraints(null, null, false, true, true);
+
+        static JobConstraints in(String zone) {
+            return new JobConstraints(null, zone, false, false, true);
         }
     }
 
     TestUser submit(int number, String team, Priority priority, int tasks, double cpus, Duration runTime) {
         return submit(
-                number, team, priority, tasks, cpus, runTime, new Bounds(null, null, false, false, number % 4 != 0));
+                number,
+                team,
+                priority,
+                tasks,
+                cpus,
+                runTime,
+                new JobConstraints(null, null, false, false, number % 4 != 0));
     }
 
     TestUser submit(
-            int number, String team, Priority priority, int tasks, double cpus, Duration runTime, Bounds bounds) {
-        return users.submit(SimulatedJobs.array(number, team, priority, tasks, cpus, runTime, bounds), runTime);
+            int number,
+            String team,
+            Priority priority,
+            int tasks,
+            double cpus,
+            Duration runTime,
+            JobConstraints constraints) {
+        return users.submit(SimulatedJobs.array(number, team, priority, tasks, cpus, runTime, constraints), runTime);
     }
 
-    /** A submission that lacks a field, and one that fits no machine; both are refused, and leave no job. */
+    /** Submits one job that lacks a field and one whose tasks fit no machine; both must be rejected and not stored. */
     void submitInvalid(int number) {
         jobs.submitInvalid(number);
     }
 
-    /** From now on users query this many times as often. */
-    void multiplyQueryRate(int times) {
-        users.multiplyQueryRate(times);
+    /** Sets the rate of queries, as a multiple of the default rate, from now on. */
+    void setQueryRateFactor(int factor) {
+        users.setQueryRateFactor(factor);
     }
 
-    /** The listener is called at the moment at which the last task of a job has completed. */
-    void onDone(Consumer<TestUser> listener) {
-        users.onDone(listener);
+    /** Sets the listener that is called when the last task of a job completes on its machine. */
+    void onAllTasksCompleted(Consumer<TestUser> listener) {
+        users.onAllTasksCompleted(listener);
     }
 
-    /** The listener is called at the first response that accepts a job, and at the first one with a final state. */
-    void onStateChange(Consumer<TestUser> listener) {
-        users.onStateChange(listener);
+    /**
+     * Sets the listener that is called at the first response that accepts a job and at the first response that reports a
+     * final state.
+     */
+    void onAcceptedOrFinished(Consumer<TestUser> listener) {
+        users.onAcceptedOrFinished(listener);
     }
 
-    /** The user queries all controllers, several times within milliseconds, and repeats the submission. */
+    /** Makes the user query all controllers several times within 6 ms and repeat the submission once. */
     void queryInBursts(TestUser user, RandomGenerator random) {
         users.queryInBursts(user, random);
     }
 
-    /** The listener is given the name of a new leader at the moment at which the state store has it. */
+    /** Sets the listener that is given the name of a new leader as soon as the state store contains it. */
     void onNewLeader(Consumer<String> listener) {
         store.onPut(
                 StoreKeys.LEADER, value -> listener.accept(value.path("node").asText()));
     }
 
-    /** Decides by machine and job whether a task fails. */
-    void failTasks(BiPredicate<String, String> fails) {
-        users.failTasks(fails);
+    /** Sets the predicate that decides by machine and job whether a task fails. */
+    void setTaskFailurePredicate(BiPredicate<String, String> fails) {
+        users.setTaskFailurePredicate(fails);
     }
 
-    /** The name of the leader by the state store; null if there is none. */
+    /** The name of the leader as recorded in the state store; null if there is none. */
     String leader() {
         JsonNode leader = store.value(StoreKeys.LEADER);
         return leader == null ? null : leader.path("node").asText();
     }
 
     String otherNode(String node) {
-        return nodes().stream().filter(n -> !n.equals(node)).findFirst().orElseThrow();
+        return nodes().stream().filter(other -> !other.equals(node)).findFirst().orElseThrow();
     }
 
-    /** Runs the task after the delay in virtual time. */
+    /** Schedules the task to run after the delay in virtual time. */
     void after(Duration delay, Runnable task) {
         loop.after(delay, task);
     }
 
-    /** Lets this span of virtual time pass. */
+    /** Advances virtual time by this span and runs everything that is due in it. */
     void run(Duration span) {
         time.runUntil(time.now().plus(span));
     }
@@ -274,6 +312,7 @@
         return users.all();
     }
 
+    /** The unfinished jobs, as {@link TestUsers#unfinished} returns them. */
     List<String> unfinished() {
         return users.unfinished();
     }
--- a/src/test/java/org/gullway/StoreRequestLog.java
+++ b/src/test/java/org/gullway/StoreRequestMeter.java
@@ -13,26 +13,29 @@
 import org.gullway.transport.HttpExchange;
 import org.gullway.transport.HttpStatus;
 
-/** Counts the requests of each controller to the state store, and rejects those above its rate limit. */
-final class StoreRequestLog {
-    /** The limit of the settings in requests per second, with bursts of one second's worth. */
-    static final int PER_SECOND = 150;
+/**
+ * Counts, by controller, two kinds of requests to the state store: version checks and reads of single jobs. Once the rate
+ * limit is enforced, it also rejects all requests above the limit.
+ */
+final class StoreRequestMeter {
+    /** The rate limit in the controllers' settings, and the capacity of the token bucket. */
+    static final int REQUESTS_PER_SECOND = 150;
 
     private final SimulatedTime time;
     private final Map<String, Integer> versionChecks = new HashMap<>();
     private final Map<String, Integer> jobReads = new HashMap<>();
-    private boolean limited;
-    private double tokens = PER_SECOND;
-    private Instant tokensAt = Instant.EPOCH;
+    private boolean rateLimitEnforced;
+    private double tokens = REQUESTS_PER_SECOND;
+    private Instant tokensUpdatedAt = Instant.EPOCH;
     private int rejected;
 
-    StoreRequestLog(SimulatedTime time) {
+    StoreRequestMeter(SimulatedTime time) {
         this.time = time;
     }
 
-    /** From now on requests above the limit get 429. */
-    void limit() {
-        limited = true;
+    /** Answers requests above the rate limit with status 429 from now on. */
+    void enforceRateLimit() {
+        rateLimitEnforced = true;
     }
 
     void clear() {
@@ -43,7 +46,7 @@
 
     void handle(HttpExchange exchange, Consumer<HttpExchange> store) {
         count(exchange);
-        if (limited && !mayPass()) {
+        if (rateLimitEnforced && !takeToken()) {
             rejected++;
             exchange.respond(HttpStatus.TOO_MANY_REQUESTS, new byte[0]);
         } else {
@@ -69,10 +72,12 @@
         }
     }
 
-    private boolean mayPass() {
+    private boolean takeToken() {
         Instant now = time.now();
-        tokens = Math.min(PER_SECOND, tokens + Duration.between(tokensAt, now).toMillis() / 1000.0 * PER_SECOND);
-        tokensAt = now;
+        tokens = Math.min(
+                REQUESTS_PER_SECOND,
+                tokens + Duration.between(tokensUpdatedAt, now).toMillis() / 1000.0 * REQUESTS_PER_SECOND);
+        tokensUpdatedAt = now;
         if (tokens < 1) {
             return false;
         }
@@ -80,12 +85,15 @@
         return true;
     }
 
-    /** Transactions without changes, which check key versions for the answers to queries. */
+    /**
+     * The number of transactions without changes that this controller sent. A controller uses them to check key versions
+     * before it answers a query.
+     */
     int versionChecks(String node) {
         return versionChecks.getOrDefault(node, 0);
     }
 
-    /** Reads of single jobs. */
+    /** How many times this controller read a single job. */
     int jobReads(String node) {
         return jobReads.getOrDefault(node, 0);
     }
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -13,7 +13,7 @@
 import org.gullway.transport.EventLoop;
 import org.gullway.transport.HttpClient;
 
-/** All users with their jobs; agents get the descriptions and run times of jobs from here. */
+/** All users of a test. The fake agents get the request and the run time of each job from this class. */
 final class TestUsers implements FakeAgent.Environment {
     private final EventLoop loop;
     private final HttpClient client;
@@ -21,8 +21,8 @@
     private final RandomGenerator random;
     private final List<String> addresses;
     private final Map<String, TestUser> users = new LinkedHashMap<>();
-    private Consumer<TestUser> onDone = user -> {};
-    private Consumer<TestUser> onStateChange = user -> {};
+    private Consumer<TestUser> onAllTasksCompleted = user -> {};
+    private Consumer<TestUser> onAcceptedOrFinished = user -> {};
     private int queryRateFactor = 1;
     private JobHistory history = JobHistory.none();
     private BiPredicate<String, String> taskFails = (machine, job) -> false;
@@ -32,16 +32,16 @@
             EventLoop loop,
             HttpClient client,
             InvariantChecker invariants,
-            RandomGenerator burstRandom,
+            RandomGenerator random,
             List<String> addresses) {
         this.loop = loop;
         this.client = client;
         this.invariants = invariants;
-        this.random = burstRandom;
+        this.random = random;
         this.addresses = new ArrayList<>(addresses);
     }
 
-    /** A new user submits this job. */
+    /** Creates a user and makes the user submit this job. */
     TestUser submit(JobRequest request, Duration runTime) {
         TestUser user = new TestUser(this, request, runTime);
         users.put(request.id(), user);
@@ -54,6 +54,7 @@
         return List.copyOf(users.values());
     }
 
+    /** The unfinished jobs: the id of each and its reported final state, which is empty as long as the job is unfinished. */
     List<String> unfinished() {
         return users.values().stream()
                 .filter(user -> !user.isFinished())
@@ -61,32 +62,35 @@
                 .toList();
     }
 
-    /** From now on users query this many times as often. */
-    void multiplyQueryRate(int times) {
-        queryRateFactor = times;
+    /** Sets the rate of queries, as a multiple of the default rate, from now on. */
+    void setQueryRateFactor(int factor) {
+        queryRateFactor = factor;
     }
 
-    /** The listener is called at the moment at which the last task of a job has completed. */
-    void onDone(Consumer<TestUser> listener) {
-        onDone = listener;
+    /** Sets the listener that is called when the last task of a job completes on its machine. */
+    void onAllTasksCompleted(Consumer<TestUser> listener) {
+        onAllTasksCompleted = listener;
     }
 
-    /** The listener is called at the first response that accepts a job, and at the first one with a final state. */
-    void onStateChange(Consumer<TestUser> listener) {
-        onStateChange = listener;
+    /**
+     * Sets the listener that is called at the first response that accepts a job and at the first response that reports a
+     * final state.
+     */
+    void onAcceptedOrFinished(Consumer<TestUser> listener) {
+        onAcceptedOrFinished = listener;
     }
 
-    /** From now on the events at users and machines are recorded here. */
-    void recordIn(JobHistory recorder) {
-        history = recorder;
+    /** Sets the history that records the responses to users and the starts and ends of tasks from now on. */
+    void setHistory(JobHistory newHistory) {
+        history = newHistory;
     }
 
-    /** Decides by machine and job whether a task fails. */
-    void failTasks(BiPredicate<String, String> fails) {
+    /** Sets the predicate that decides by machine and job whether a task fails. */
+    void setTaskFailurePredicate(BiPredicate<String, String> fails) {
         taskFails = fails;
     }
 
-    /** The user queries all controllers, several times within milliseconds, and repeats the submission. */
+    /** Makes the user query all controllers several times within 6 ms and repeat the submission once. */
     void queryInBursts(TestUser user, RandomGenerator burstRandom) {
         for (int i = 0; i < 4; i++) {
             loop.after(Duration.ofNanos(burstRandom.nextInt(6_000_000)), user::queryAllControllers);
@@ -94,7 +98,7 @@
         loop.after(Duration.ofNanos(burstRandom.nextInt(6_000_000)), user::resubmit);
     }
 
-    // For users
+    // Used by TestUser
 
     EventLoop loop() {
         return loop;
@@ -120,17 +124,17 @@
         return queryRateFactor;
     }
 
-    void stateChanged(TestUser user) {
-        onStateChange.accept(user);
+    void notifyAcceptedOrFinished(TestUser user) {
+        onAcceptedOrFinished.accept(user);
     }
 
     JobHistory history() {
         return history;
     }
 
-    // For agents
+    // Environment of the fake agents
 
-    private static String job(String task) {
+    private static String jobIdOf(String task) {
         return task.substring(0, task.indexOf('/'));
     }
 
@@ -157,17 +161,20 @@
 
     @Override
     public void onTaskStarted(String machine, String task) {
-        history.add(job(task), loop.now(), () -> task + " starts on " + machine);
+        history.add(jobIdOf(task), loop.now(), () -> task + " starts on " + machine);
         invariants.onTaskStarted(machine, task, loop.now());
     }
 
     @Override
     public void onTaskEnded(String machine, String task, boolean done) {
-        history.add(job(task), loop.now(), () -> task + (done ? " is done on " : " is ended on ") + machine);
+        history.add(
+                jobIdOf(task),
+                loop.now(),
+                () -> task + (done ? " completes on " : " ends without completion on ") + machine);
         invariants.onTaskEnded(machine, task, done);
-        TestUser user = users.get(job(task));
+        TestUser user = users.get(jobIdOf(task));
         if (done && invariants.allTasksCompleted(user.request.id())) {
-            onDone.accept(user);
+            onAllTasksCompleted.accept(user);
         }
     }
 }
