--- a/src/main/java/org/gullway/agent/CommandSender.java
+++ b/src/main/java/org/gullway/agent/CommandSender.java
@@ -35,11 +35,11 @@
     private final StartAuthorization authorization;
     private final StartGate startGate;
     private final Metrics metrics;
-    private final Runnable triggerSchedulingCycle;
+    private final Runnable requestCycle;
 
     /**
      * @param holdsValidLease returns whether this controller holds a valid lease, without which it must not start tasks
-     * @param triggerSchedulingCycle requests a scheduling cycle; called after the outcome of each command batch
+     * @param requestCycle requests a scheduling cycle; called after the outcome of each command batch
      */
     public CommandSender(
             EventLoop loop,
@@ -50,7 +50,7 @@
             BooleanSupplier holdsValidLease,
             InvariantMonitor invariants,
             Metrics metrics,
-            Runnable triggerSchedulingCycle) {
+            Runnable requestCycle) {
         this.loop = loop;
         this.httpClient = httpClient;
         this.agentReconciler = agentReconciler;
@@ -58,7 +58,7 @@
         this.authorization = authorization;
         this.startGate = new StartGate(authorization, holdsValidLease, invariants);
         this.metrics = metrics;
-        this.triggerSchedulingCycle = triggerSchedulingCycle;
+        this.requestCycle = requestCycle;
     }
 
     /**
@@ -98,7 +98,7 @@
             if (outcome == CommandOutcome.ANSWERED) {
                 parseResponse(batch, response, onResponse);
             }
-            triggerSchedulingCycle.run();
+            requestCycle.run();
         });
     }
 
--- a/src/main/java/org/gullway/agent/HeartbeatHandler.java
+++ b/src/main/java/org/gullway/agent/HeartbeatHandler.java
@@ -33,10 +33,10 @@
     private final AgentReconciler agentReconciler;
     private final CancellationEnforcer cancellationEnforcer;
     private final LeaseRenewalGate leaseRenewalGate;
-    private final Runnable triggerSchedulingCycle;
+    private final Runnable requestCycle;
     private final HeartbeatResponseEncoder responseEncoder = new HeartbeatResponseEncoder();
 
-    /** @param triggerSchedulingCycle requests a scheduling cycle; called after a heartbeat that may require one */
+    /** @param requestCycle requests a scheduling cycle; called after a heartbeat that may require one */
     public HeartbeatHandler(
             EventLoop loop,
             ClusterState clusterState,
@@ -45,13 +45,13 @@
             CancellationEnforcer cancellationEnforcer,
             CancellationWatermark cancellationWatermark,
             LeaseRenewalPolicy leaseRenewal,
-            Runnable triggerSchedulingCycle) {
+            Runnable requestCycle) {
         this.loop = loop;
         this.clusterState = clusterState;
         this.agentReconciler = agentReconciler;
         this.cancellationEnforcer = cancellationEnforcer;
         this.leaseRenewalGate = new LeaseRenewalGate(replicatedState, cancellationWatermark, leaseRenewal);
-        this.triggerSchedulingCycle = triggerSchedulingCycle;
+        this.requestCycle = requestCycle;
     }
 
     /**
@@ -107,7 +107,7 @@
         if (response instanceof HeartbeatResponse.Accepted accepted) {
             exchange.respond(HttpStatus.OK, responseEncoder.encode(accepted.fencingToken(), accepted.commands()));
             if (accepted.mayRequireCycle()) {
-                triggerSchedulingCycle.run();
+                requestCycle.run();
             }
         } else if (response instanceof HeartbeatResponse.Redirect redirect) {
             exchange.respond(HttpStatus.MISDIRECTED, AgentCommand.encodeRedirect(redirect.controller()));
--- a/src/main/java/org/gullway/api/CancellationHandler.java
+++ b/src/main/java/org/gullway/api/CancellationHandler.java
@@ -72,7 +72,7 @@
 
     private void enqueue(String id, UserRequest request, long readRevision) {
         pending.add(id, request, () -> new Cancellation(id, readRevision));
-        context.triggerSchedulingCycle().run();
+        context.requestCycle().run();
     }
 
     /** Adds as many pending cancellations to the transaction as it has capacity for. */
--- a/src/main/java/org/gullway/api/RequestContext.java
+++ b/src/main/java/org/gullway/api/RequestContext.java
@@ -7,7 +7,7 @@
 /**
  * The dependencies that the handlers of submissions, status queries and cancellations share.
  *
- * @param triggerSchedulingCycle requests a scheduling cycle, which commits pending submissions and cancellations
+ * @param requestCycle requests a scheduling cycle, which commits pending submissions and cancellations
  */
 record RequestContext(
         EventLoop loop,
@@ -16,4 +16,4 @@
         FinalStateCache finalStates,
         LinearizableResponses responses,
         RequestMetrics metrics,
-        Runnable triggerSchedulingCycle) {}
+        Runnable requestCycle) {}
--- a/src/main/java/org/gullway/api/SubmissionHandler.java
+++ b/src/main/java/org/gullway/api/SubmissionHandler.java
@@ -73,7 +73,7 @@
             UserResponses.rejectOverloaded(request, OVERLOADED_RETRY_AFTER);
         } else {
             pending.add(id, request, () -> admission.withKnownMachineTypes(job));
-            context.triggerSchedulingCycle().run();
+            context.requestCycle().run();
         }
     }
 
--- a/src/main/java/org/gullway/api/UserApi.java
+++ b/src/main/java/org/gullway/api/UserApi.java
@@ -33,7 +33,7 @@
      * @param admission decides which jobs are accepted and which controllers own them
      * @param conditionsPerTransaction maximum number of key versions that one request to the state store can compare
      * @param onViolation receives a description of each response that was withheld because its state was too old
-     * @param triggerSchedulingCycle requests a scheduling cycle, which commits pending submissions and cancellations
+     * @param requestCycle requests a scheduling cycle, which commits pending submissions and cancellations
      */
     public UserApi(
             EventLoop loop,
@@ -44,7 +44,7 @@
             int conditionsPerTransaction,
             CancellationEnforcer cancellationEnforcer,
             Consumer<String> onViolation,
-            Runnable triggerSchedulingCycle) {
+            Runnable requestCycle) {
         this.loop = loop;
         this.finalStates = new FinalStateCache(clusterState);
         RequestContext context = new RequestContext(
@@ -54,7 +54,7 @@
                 finalStates,
                 new LinearizableResponses(loop, finalStates::find, onViolation),
                 metrics,
-                triggerSchedulingCycle);
+                requestCycle);
         // Lookups for submissions and cancellations have a rate limit of their own, so that status queries cannot delay
         // them.
         JobLookup queryLookup = newJobLookup(context, replicatedState.queryReadLimit(), cancellationEnforcer);
--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -28,13 +28,13 @@
     private final PeerMessageTargets targets;
     private final StoreStatusExchange storeStatusExchange;
     private final CancellationExchange cancellationExchange;
-    private final Runnable triggerSchedulingCycle;
+    private final Runnable requestCycle;
     private Instant lastPolledAt = Instant.MIN;
 
     /**
      * @param targets the components that process messages of other controllers
      * @param storeKnownThrough returns the send time of the last watch or full read that the state store has answered
-     * @param triggerSchedulingCycle requests a scheduling cycle; called after every message that may require one
+     * @param requestCycle requests a scheduling cycle; called after every message that may require one
      */
     public PeerExchange(
             EventLoop loop,
@@ -43,13 +43,13 @@
             List<Settings.Peer> peers,
             PeerMessageTargets targets,
             Supplier<Instant> storeKnownThrough,
-            Runnable triggerSchedulingCycle) {
+            Runnable requestCycle) {
         this.loop = loop;
         this.client = new PeerClient(httpClient, peers);
         this.targets = targets;
         this.storeStatusExchange = new StoreStatusExchange(loop, client, storeKnownThrough);
         this.cancellationExchange = new CancellationExchange(loop, client, self, targets);
-        this.triggerSchedulingCycle = triggerSchedulingCycle;
+        this.requestCycle = requestCycle;
     }
 
     /** Returns the names of all other controllers. */
@@ -78,20 +78,20 @@
         switch (exchange.path()) {
             case PeerPaths.OFFERS -> {
                 targets.bestEffortQueue().onOffers(ResourceOffer.decode(exchange.body()), loop.now());
-                acknowledgeAndTriggerCycle(exchange);
+                acknowledgeAndRequestCycle(exchange);
             }
             case PeerPaths.COMPLETIONS -> {
                 targets.agentReconciler().onCompletions(AttemptCompletion.decode(exchange.body()), loop.now());
-                acknowledgeAndTriggerCycle(exchange);
+                acknowledgeAndRequestCycle(exchange);
             }
             case PeerPaths.CANCELLATIONS -> cancellationExchange.respond(exchange);
             default -> exchange.respond(HttpStatus.NOT_FOUND);
         }
     }
 
-    private void acknowledgeAndTriggerCycle(HttpExchange exchange) {
+    private void acknowledgeAndRequestCycle(HttpExchange exchange) {
         exchange.respond(HttpStatus.OK);
-        triggerSchedulingCycle.run();
+        requestCycle.run();
     }
 
     /** Returns whether all other controllers have recently reported that the state store does not respond to them. */
--- a/src/main/java/org/gullway/storage/MembershipLease.java
+++ b/src/main/java/org/gullway/storage/MembershipLease.java
@@ -34,7 +34,7 @@
     private final ClusterState clusterState;
     private final Membership membership;
     private final Runnable onJoined;
-    private final Runnable requestSchedulingCycle;
+    private final Runnable requestCycle;
     private Phase phase = Phase.NOT_MEMBER;
     /** Revision at which this controller's member key was last written. */
     private long memberKeyRevision;
@@ -50,7 +50,7 @@
 
     /**
      * @param onJoined runs whenever a membership has begun
-     * @param requestSchedulingCycle runs when this controller may have gained a valid lease; on a join, runs after
+     * @param requestCycle runs when this controller may have gained a valid lease; on a join, runs after
      *     {@code onJoined}
      */
     MembershipLease(
@@ -59,13 +59,13 @@
             ClusterState clusterState,
             Membership membership,
             Runnable onJoined,
-            Runnable requestSchedulingCycle) {
+            Runnable requestCycle) {
         this.loop = loop;
         this.store = store;
         this.clusterState = clusterState;
         this.membership = membership;
         this.onJoined = onJoined;
-        this.requestSchedulingCycle = requestSchedulingCycle;
+        this.requestCycle = requestCycle;
     }
 
     void start() {
@@ -181,7 +181,7 @@
         membershipNumber++;
         onJoined.run();
         LOG.info("joined the cluster incarnation={} lease={}", self(), leaseId);
-        requestSchedulingCycle.run();
+        requestCycle.run();
     }
 
     private void renew() {
@@ -206,7 +206,7 @@
             membership.onRenewed(sentAt);
             if (!wasValid) {
                 LOG.info("membership lease valid again after a late renewal lease={}", membership.leaseId());
-                requestSchedulingCycle.run();
+                requestCycle.run();
             }
         } else if (outcome.isNotFound()) {
             LOG.info("membership lease expired in the state store; joining again lease={}", membership.leaseId());
--- a/src/main/java/org/gullway/storage/ReplicatedState.java
+++ b/src/main/java/org/gullway/storage/ReplicatedState.java
@@ -88,7 +88,7 @@
     /**
      * @param rateLimits rate limits of the state store
      * @param watchWait how long the state store may delay its response to a watch while there are no changes
-     * @param requestSchedulingCycle runs on the event loop whenever a new scheduling cycle may find work: the cluster
+     * @param requestCycle runs on the event loop whenever a new scheduling cycle may find work: the cluster
      *     state has changed, a valid lease may have been gained, or a pause between transactions has ended
      */
     public ReplicatedState(
@@ -98,7 +98,7 @@
             Membership membership,
             StoreRateLimits rateLimits,
             Duration watchWait,
-            Runnable requestSchedulingCycle) {
+            Runnable requestCycle) {
         this.store = store;
         this.clusterState = clusterState;
         this.queryReadLimit = rateLimits.requestLimit(loop, StoreRateLimits.QUERY_READ_SHARE);
@@ -109,13 +109,12 @@
                 clusterState,
                 rateLimits.requestLimit(loop, StoreRateLimits.WATCH_SHARE),
                 watchWait,
-                requestSchedulingCycle);
-        this.membershipLease =
-                new MembershipLease(loop, store, clusterState, membership, this::onJoined, requestSchedulingCycle);
+                requestCycle);
+        this.membershipLease = new MembershipLease(loop, store, clusterState, membership, this::onJoined, requestCycle);
         this.commitPacing = new CommitPacing(
-                loop, rateLimits, rateLimits.requestLimit(loop, StoreRateLimits.COMMIT_SHARE), requestSchedulingCycle);
+                loop, rateLimits, rateLimits.requestLimit(loop, StoreRateLimits.COMMIT_SHARE), requestCycle);
         this.committer = new TransactionCommitter(
-                loop, store, clusterState, membershipLease, watchStream, commitPacing, requestSchedulingCycle);
+                loop, store, clusterState, membershipLease, watchStream, commitPacing, requestCycle);
         this.versionChecker = new VersionChecker(
                 store, clusterState, rateLimits.requestLimit(loop, StoreRateLimits.VERSION_CHECK_SHARE));
     }
--- a/src/main/java/org/gullway/storage/TransactionCommitter.java
+++ b/src/main/java/org/gullway/storage/TransactionCommitter.java
@@ -27,7 +27,7 @@
     private final MembershipLease membershipLease;
     private final WatchStream watchStream;
     private final CommitPacing pacing;
-    private final Runnable requestSchedulingCycle;
+    private final Runnable requestCycle;
     private final TransactionFence fence;
     private final ConflictHistory conflictHistory = new ConflictHistory();
     private boolean inFlight;
@@ -48,14 +48,14 @@
             MembershipLease membershipLease,
             WatchStream watchStream,
             CommitPacing pacing,
-            Runnable requestSchedulingCycle) {
+            Runnable requestCycle) {
         this.loop = loop;
         this.store = store;
         this.clusterState = clusterState;
         this.membershipLease = membershipLease;
         this.watchStream = watchStream;
         this.pacing = pacing;
-        this.requestSchedulingCycle = requestSchedulingCycle;
+        this.requestCycle = requestCycle;
         this.fence = new TransactionFence(loop, store, clusterState, membershipLease);
     }
 
@@ -133,7 +133,7 @@
         clusterState.apply(sent.transaction().changes(), revision);
         pacing.onCommitted();
         callback.accept(CommitResult.committed(revision));
-        requestSchedulingCycle.run();
+        requestCycle.run();
     }
 
     private void logCommitted(SentTransaction sent, long revision) {
--- a/src/main/java/org/gullway/storage/WatchStream.java
+++ b/src/main/java/org/gullway/storage/WatchStream.java
@@ -31,7 +31,7 @@
     private final ClusterState clusterState;
     private final TokenBucket requestLimit;
     private final Duration watchWait;
-    private final Runnable requestSchedulingCycle;
+    private final Runnable requestCycle;
     private boolean synced;
     private Instant lastResponseAt = Instant.MIN;
     /** Send time of the latest answered watch or, if none was answered since, of the first request of the full read. */
@@ -46,7 +46,7 @@
     /**
      * @param requestLimit rate limit that delays the next watch after a prompt response
      * @param watchWait how long the store may delay its response to a watch while there are no changes
-     * @param requestSchedulingCycle runs when the cluster state has changed, and on each watch response while a
+     * @param requestCycle runs when the cluster state has changed, and on each watch response while a
      *     revision is awaited
      */
     WatchStream(
@@ -55,13 +55,13 @@
             ClusterState clusterState,
             TokenBucket requestLimit,
             Duration watchWait,
-            Runnable requestSchedulingCycle) {
+            Runnable requestCycle) {
         this.loop = loop;
         this.store = store;
         this.clusterState = clusterState;
         this.requestLimit = requestLimit;
         this.watchWait = watchWait;
-        this.requestSchedulingCycle = requestSchedulingCycle;
+        this.requestCycle = requestCycle;
     }
 
     /** See {@link ReplicatedState#isFresh()}. */
@@ -141,7 +141,7 @@
         lastResponseAt = loop.now();
         knownThrough = sentAt;
         LOG.info("full read of the state store complete revision={} keys={}", revision, items.size());
-        requestSchedulingCycle.run();
+        requestCycle.run();
         watch(readGeneration, revision);
     }
 
@@ -197,7 +197,7 @@
         lastResponseAt = loop.now();
         knownThrough = sentAt;
         if (changed || awaitedRevision > 0) {
-            requestSchedulingCycle.run();
+            requestCycle.run();
         }
         // The store answers immediately while there are changes; a short pause before the next watch collects several
         // changes in one response and saves requests.
