--- a/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
+++ b/src/main/java/org/gullway/coordination/cancellation/CancellationEnforcer.java
@@ -30,11 +30,11 @@
     private final DirectStops directStops;
     private final Duration releaseDelay;
 
-    /** @param cancelLimit how long after its cancellation a job may still have tasks */
-    public CancellationEnforcer(ClusterState clusterState, Duration cancelLimit) {
+    /** @param cancellationLimit how long after its cancellation a job may still have tasks */
+    public CancellationEnforcer(ClusterState clusterState, Duration cancellationLimit) {
         this.cancellations = new KnownCancellations(clusterState);
         this.directStops = new DirectStops(clusterState);
-        this.releaseDelay = cancelLimit.minus(cancelLimit.dividedBy(RELEASE_DIVISOR));
+        this.releaseDelay = cancellationLimit.minus(cancellationLimit.dividedBy(RELEASE_DIVISOR));
     }
 
     /** Adds a cancelled job from a peer's list. */
--- a/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
+++ b/src/main/java/org/gullway/coordination/cancellation/LeaseRenewalPolicy.java
@@ -63,20 +63,20 @@
     private Instant lastExternalContact = Instant.MIN;
 
     /**
-     * @param cancelLimit how long after its cancellation a job may still have tasks
+     * @param cancellationLimit how long after its cancellation a job may still have tasks
      * @param agentLease how long an agent's lease lasts after a renewal
      */
     public LeaseRenewalPolicy(
             ClusterState clusterState,
             Incarnation self,
             CancellationEnforcer cancellationEnforcer,
-            Duration cancelLimit,
+            Duration cancellationLimit,
             Duration agentLease) {
         this.clusterState = clusterState;
         this.self = self;
         this.cancellationEnforcer = cancellationEnforcer;
-        this.renewalWindow = cancelLimit
-                .minus(cancelLimit.dividedBy(DRIFT_DIVISOR))
+        this.renewalWindow = cancellationLimit
+                .minus(cancellationLimit.dividedBy(DRIFT_DIVISOR))
                 .minus(agentLease)
                 .minus(CLOCK_SLACK);
     }
--- a/src/test/java/org/gullway/ControllerProfile.java
+++ b/src/test/java/org/gullway/ControllerProfile.java
@@ -32,7 +32,7 @@
             "red", new Settings.Team("red", 9000, 30_000, 0, 0), "blue", new Settings.Team("blue", 9000, 30_000, 0, 0));
     private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(6);
     private static final Duration AGENT_LEASE = Duration.ofSeconds(32);
-    private static final Duration CANCEL_LIMIT = Duration.ofSeconds(62);
+    private static final Duration CANCELLATION_LIMIT = Duration.ofSeconds(62);
     private static final Duration MEMBERSHIP_LEASE = Duration.ofSeconds(6);
     private static final Duration SUBMISSION_INTERVAL = Duration.ofMillis(820);
     private static final int BURST_FACTOR = 3;
@@ -45,7 +45,7 @@
     private static final int SYSTEM_TICKS = 12;
 
     private final LoopbackCluster cluster;
-    private final InvariantChecker invariants = new InvariantChecker(CANCEL_LIMIT, TEAMS);
+    private final InvariantChecker invariants = new InvariantChecker(CANCELLATION_LIMIT, TEAMS);
     private final SplittableRandom random = new SplittableRandom(1);
     private TestUsers users;
     private int jobs;
@@ -56,7 +56,7 @@
         LoopbackCluster.Setup setup = new LoopbackCluster.Setup(
                 HEARTBEAT_INTERVAL,
                 AGENT_LEASE,
-                CANCEL_LIMIT,
+                CANCELLATION_LIMIT,
                 MEMBERSHIP_LEASE,
                 machines / MACHINE_KINDS,
                 TEAMS,
