--- a/src/main/java/org/gullway/coordination/failover/ShardBalancer.java
+++ b/src/main/java/org/gullway/coordination/failover/ShardBalancer.java
@@ -15,8 +15,8 @@
 final class ShardBalancer {
     private static final Duration INTERVAL = Duration.ofSeconds(5);
     /**
-     * A shard is moved only if its controller, after giving it up, would still command over this many machines more than
-     * the target commands before the move. This prevents shards from moving back and forth.
+     * A shard is moved only if its controller, after giving it up, would still command over this many machines more
+     * than the target commands before the move. This prevents shards from moving back and forth.
      */
     private static final int MIN_SURPLUS = MachineShard.MAX_MACHINES / 2;
 
--- a/src/main/java/org/gullway/coordination/model/JobRecord.java
+++ b/src/main/java/org/gullway/coordination/model/JobRecord.java
@@ -228,7 +228,9 @@
         return new JobRecord(request, owner, submittedAt, cancelledAt, completed, attempts, errors, live);
     }
 
-    /** This record marked as cancelled; it keeps the first cancellation time, from which the cancellation limit runs. */
+    /**
+     * This record marked as cancelled; it keeps the first cancellation time, from which the cancellation limit runs.
+     */
     public JobRecord withCancellation(Instant wallClockTime) {
         return isCancelled() ? this : with(owner, wallClockTime);
     }
