--- a/src/main/java/org/gullway/cloud/CloudProvisioner.java
+++ b/src/main/java/org/gullway/cloud/CloudProvisioner.java
@@ -83,10 +83,11 @@
     }
 
     /**
-     * Releases machines without recording it, while the state store cannot be written. This is the last resort for
-     * ending cancelled tasks within their time limit. This controller removes the records of the machines if it becomes
-     * the leader while its inventory still lists them as released; any other controller treats the machines as
-     * unresponsive.
+     * Releases up to one batch of the machines without recording it, while this controller holds no valid lease. Does
+     * nothing if a release is in flight or the rate limit is reached; the caller repeats the call. This is the last
+     * resort for ending cancelled tasks within their time limit. This controller removes the records of the machines if
+     * it becomes the leader while its inventory still lists them as released; any other controller treats the machines
+     * as unresponsive.
      */
     public void releaseWithoutRecord(Set<String> machines) {
         releaser.release(machines);
--- a/src/main/java/org/gullway/cloud/MachineTypeRefresh.java
+++ b/src/main/java/org/gullway/cloud/MachineTypeRefresh.java
@@ -12,8 +12,8 @@
 final class MachineTypeRefresh {
     private static final Duration INTERVAL = Duration.ofSeconds(30);
     /**
-     * Interval while the catalog is empty, and delay after a failed request. Short because tasks cannot be placed
-     * without machine types.
+     * Interval while the catalog is empty, and delay after a failed request if it is not empty. Short because tasks
+     * cannot be placed without machine types.
      */
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
--- a/src/main/java/org/gullway/transport/SocketBudget.java
+++ b/src/main/java/org/gullway/transport/SocketBudget.java
@@ -7,9 +7,9 @@
  * agents.
  *
  * <p>When the number of accepted connections comes close to its limit, each connection is closed after the next
- * response, so that connections of users and health checks can still be accepted. New connections beyond the limit are
- * not accepted, so the service would become unavailable for its users. A single remaining controller can reach the
- * limit, because each agent takes two connections.
+ * response, so that connections of users and health checks can still be accepted. Otherwise the number could reach the
+ * limit, at which no new connections are accepted and the service is unavailable for its users. A single remaining
+ * controller can reach the limit, because each agent takes two connections.
  */
 public final class SocketBudget {
     /** Share of all sockets that accepted connections may take. */
--- a/src/main/java/org/gullway/transport/TokenBucket.java
+++ b/src/main/java/org/gullway/transport/TokenBucket.java
@@ -52,7 +52,10 @@
         return refill() >= 1;
     }
 
-    /** Returns whether there are enough tokens for several requests: a quarter of the tokens of one second. */
+    /**
+     * Returns whether there are enough tokens for a batch of requests: a quarter of the tokens of one second, and at
+     * least one.
+     */
     public boolean hasTokensForBatch() {
         return refill() >= Math.max(1, tokensPerSecond / BATCH_DIVISOR);
     }
