--- a/src/test/java/org/gullway/fake/AgentProcess.java
+++ b/src/test/java/org/gullway/fake/AgentProcess.java
@@ -45,7 +45,7 @@
 
     /**
      * Runs the task after the delay, or when the process resumes if it hangs at that time. Running the returned handle
-     * cancels the task.
+     * cancels the task if the delay has not passed.
      */
     Runnable after(Duration delay, Runnable task) {
         return loop.after(delay, () -> runWhenResponsive(task));
--- a/src/test/java/org/gullway/fake/AgentTasks.java
+++ b/src/test/java/org/gullway/fake/AgentTasks.java
@@ -153,8 +153,8 @@
         if (usedCpus + job.cpus() > cpus + CPU_TOLERANCE) {
             return "full";
         }
-        // A task that has already completed, on any machine, has its result and exits as soon as it is started. A real
-        // task fetches its image first.
+        // A task that has already completed, on any machine, has its result and exits as soon as it is started, without
+        // the image fetch of a real task.
         return environment.isCompleted(task.id) ? "done" : null;
     }
 
--- a/src/test/java/org/gullway/fake/FaultyLink.java
+++ b/src/test/java/org/gullway/fake/FaultyLink.java
@@ -22,8 +22,8 @@
      * @param lateShare share of requests that are processed late and whose response is lost
      * @param lateDelayRange the range of the random delay of late requests and of copies, which is added to a minimum
      *     delay
-     * @param copiedShare share of requests that are answered and delivered a second time later
-     * @param slowShare share of the remaining requests, including the duplicated ones, whose responses are delayed
+     * @param copiedShare share of requests that are answered and of which a copy is delivered late, without a response
+     * @param slowShare share of the remaining requests, including the copied ones, whose responses are delayed
      * @param maxResponseDelay the upper bound of the delay of these responses
      */
     public record Conditions(
@@ -115,7 +115,7 @@
         };
     }
 
-    /** Returns a callback that passes on only the first call, which is a response or the timeout. */
+    /** Returns a callback that passes on only the first call: a response, a failure or the timeout. */
     private static Consumer<HttpResponse> once(Consumer<HttpResponse> callback) {
         boolean[] finished = new boolean[1];
         return response -> {
--- a/src/test/java/org/gullway/fake/SimulatedNetwork.java
+++ b/src/test/java/org/gullway/fake/SimulatedNetwork.java
@@ -159,7 +159,8 @@
     }
 
     /**
-     * Delivers the client's held requests to this address, in order. The client has timed out and gets no responses.
+     * Delivers the client's held requests to this address, each after a random latency and therefore in any order. The
+     * client gets no responses to them.
      */
     public void release(String client, String address) {
         heldClients.remove(client);
@@ -172,8 +173,8 @@
     }
 
     /**
-     * Delivers a copy of this share of the requests for a path to a random one of the addresses, up to about the
-     * maximum delay later.
+     * Delivers a copy of this share of the requests for a path to a random one of the addresses, after 0.5 s and a
+     * random time of up to {@code maxDelay}.
      */
     public void duplicateLate(double share, String path, Duration maxDelay, List<String> addresses) {
         lateCopies = new LateCopies(new PathFault(share, path), maxDelay, addresses);
@@ -208,7 +209,7 @@
         };
     }
 
-    /** Returns a callback that passes on only the first call, which is a response or the timeout. */
+    /** Returns a callback that passes on only the first call: a response, a failure or the timeout. */
     private Consumer<HttpResponse> once(String from, String address, Consumer<HttpResponse> callback) {
         boolean[] finished = new boolean[1];
         return response -> {
