--- a/src/main/java/org/gullway/protocol/HeartbeatResponseEncoder.java
+++ b/src/main/java/org/gullway/protocol/HeartbeatResponseEncoder.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Encodes responses to heartbeats. Most responses contain no commands; such a response is encoded once for each fencing
- * token and then reused. The encoder is not thread-safe.
+ * Encodes responses to heartbeats. Most responses contain no commands; such a response is encoded once and reused until
+ * the fencing token changes. The encoder is not thread-safe.
  */
 public final class HeartbeatResponseEncoder {
     private long cachedToken = -1;
--- a/src/main/java/org/gullway/protocol/TaskId.java
+++ b/src/main/java/org/gullway/protocol/TaskId.java
@@ -19,7 +19,10 @@
         throw new MalformedMessageException("leg is not a job id, a slash and an index from 0, such as run-000412/3");
     }
 
-    /** Whether {@link #parse} of these characters gives this id. */
+    /**
+     * Returns true if {@link #parse} of these characters would return an equal id. May return false for such characters
+     * if the index is not written with ASCII digits only, for example {@code +3}.
+     */
     boolean matches(char[] characters, int offset, int length) {
         int slash = job.length();
         if (length <= slash + 1 || characters[offset + slash] != '/') {
--- a/src/main/java/org/gullway/storage/CommitPacing.java
+++ b/src/main/java/org/gullway/storage/CommitPacing.java
@@ -14,7 +14,7 @@
     private static final Duration CONTENTION_PERIOD = Duration.ofSeconds(10);
     /** Pause after a transaction that was not applied for a reason other than failed conditions. */
     private static final Duration REJECTION_PAUSE = Duration.ofMillis(120);
-    /** Pause after failed conditions or fencing if the watch has already reached the revision. */
+    /** Pause after failed conditions or fencing if the watch has already reached the revision of that outcome. */
     private static final Duration CONFLICT_PAUSE = Duration.ofMillis(20);
 
     private final EventLoop loop;
--- a/src/main/java/org/gullway/storage/JobFormat.java
+++ b/src/main/java/org/gullway/storage/JobFormat.java
@@ -18,7 +18,10 @@
 import org.gullway.protocol.MalformedMessageException;
 import org.gullway.protocol.MessageFields;
 
-/** Stored encoding of a job that has not ended. Completed tasks are alternating first and last numbers of ranges. */
+/**
+ * Stored encoding of a job that has not ended. The indexes of completed tasks are stored as ranges: an array of the
+ * first and the last index of each range.
+ */
 final class JobFormat implements RecordFormat<JobRecord> {
     /**
      * Positions in an entry of the {@code live} list: the machine, its agent epoch and the time of the placements. From
--- a/src/main/java/org/gullway/storage/MembershipLease.java
+++ b/src/main/java/org/gullway/storage/MembershipLease.java
@@ -127,8 +127,8 @@
     private void tryJoin() {
         store.get(memberKey(), outcome -> {
             if (outcome.isOkWithBody() && outcome.hasLease()) {
-                // Only this controller writes this key, so the lease is left over from an earlier
-                // process or an earlier membership of this controller.
+                // Only this controller writes this key, so the lease is left over from an earlier process or an earlier
+                // membership of this controller.
                 revokeFormerLease(outcome.leaseId());
             } else if (outcome.isNotFound()) {
                 requestLease();
--- a/src/main/java/org/gullway/storage/RecordFormat.java
+++ b/src/main/java/org/gullway/storage/RecordFormat.java
@@ -13,8 +13,9 @@
     ObjectNode encode(T record);
 
     /**
-     * Decodes a stored record. Not everything is validated: values inside arrays, and the amounts of a quota partition,
-     * are decoded as 0, false or an empty text if they are missing or have another type.
+     * Decodes a stored record. Not everything is validated: the values of placements, completed tasks and machines, and
+     * the amounts of a quota partition, are converted to the required type, and are 0, false or an empty text if they
+     * are missing or cannot be converted. Unknown lifecycles and invalid ranges of completed tasks are still rejected.
      *
      * @param name the key without the prefix of the record type
      * @throws MalformedMessageException if the format rejects a field
--- a/src/main/java/org/gullway/storage/ReplicatedState.java
+++ b/src/main/java/org/gullway/storage/ReplicatedState.java
@@ -197,8 +197,8 @@
     }
 
     /**
-     * Compares the versions of the keys in the cluster state with those in the state store. A key that is missing
-     * from the cluster state is current only if it does not exist in the store.
+     * Compares the versions of the keys in the cluster state with those in the state store. A key that is missing from
+     * the cluster state is current only if it does not exist in the store.
      */
     public void checkVersions(Set<String> keys, Consumer<VersionCheckResult> callback) {
         versionChecker.checkVersions(keys, callback);
--- a/src/main/java/org/gullway/storage/StateStoreClient.java
+++ b/src/main/java/org/gullway/storage/StateStoreClient.java
@@ -20,8 +20,8 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Client for the HTTP API of the state store. The outcome of a request counts as unknown if its response has an
- * unexpected status, or has status 200 without a readable body.
+ * Client for the HTTP API of the state store. The outcome of a request counts as unknown if the request may have been
+ * sent but has no response, or if its response has an unexpected status, or status 200 without a readable body.
  */
 public final class StateStoreClient {
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
--- a/src/main/java/org/gullway/storage/TransactionFence.java
+++ b/src/main/java/org/gullway/storage/TransactionFence.java
@@ -21,8 +21,9 @@
          */
         MEMBERSHIP_ENDED,
         /**
-         * The lease of the fenced transactions is no longer current, and the member key could not be rewritten before.
-         * The outcome of the transactions no longer matters.
+         * The membership ended before the member key could be rewritten; this controller joins again or has already
+         * done so. A membership ends only once its lease has ended in the store, which removes the member key, or the
+         * version of the member key has changed. Either way the fenced transactions can no longer be applied.
          */
         LEASE_NOT_CURRENT
     }
@@ -30,8 +31,8 @@
     /** Receives the result of fencing. */
     interface Callback {
         /**
-         * Called once, when the result is certain. The rewrite is retried until the state store answers or the lease
-         * is no longer current.
+         * Called once, when the result is certain. The rewrite is retried until the state store answers or the lease is
+         * no longer current.
          *
          * @param membershipNumber number of the membership whose transactions were fenced
          * @param revision revision at which the member key was rewritten; 0 if it was not
--- a/src/test/java/org/gullway/protocol/HeartbeatTest.java
+++ b/src/test/java/org/gullway/protocol/HeartbeatTest.java
@@ -198,7 +198,7 @@
         }
     }
 
-    /** Jackson allocates a string for each task's id and phase; the reader allocates nothing else for a task. */
+    /** For an unchanged task, Jackson allocates strings for its id and phase; the reader itself allocates nothing. */
     @Test
     void anUnchangedHeartbeatAllocatesLittle() throws MalformedMessageException {
         long withoutTasks = allocatedPerHeartbeat(0);
@@ -228,30 +228,28 @@
     }
 
     private static void assertAgrees(byte[] body) {
-        Heartbeat tree;
+        Heartbeat expectedHeartbeat;
         try {
-            tree = expected(body);
+            expectedHeartbeat = expected(body);
         } catch (MalformedMessageException e) {
             assertThatThrownBy(() -> read(body)).isInstanceOf(MalformedMessageException.class);
             return;
         }
         try {
-            assertThat(read(body)).isEqualTo(tree);
+            assertThat(read(body)).isEqualTo(expectedHeartbeat);
         } catch (MalformedMessageException e) {
-            throw new AssertionError("rejected although it is well-formed: " + tree, e);
+            throw new AssertionError("rejected although it is well-formed: " + expectedHeartbeat, e);
         }
     }
 
     @Test
-    void theResponseWithoutCommandsIsEncodedOnceForEachFencingToken() throws MalformedMessageException {
-        HeartbeatResponseEncoder responses = new HeartbeatResponseEncoder();
-        byte[] first = responses.encode(41, List.of());
-        assertThat(responses.encode(41, List.of()))
-                .isSameAs(first)
-                .isEqualTo(AgentCommand.encodeResponse(41, List.of()));
+    void responseWithoutCommandsIsReusedUntilTheFencingTokenChanges() throws MalformedMessageException {
+        HeartbeatResponseEncoder encoder = new HeartbeatResponseEncoder();
+        byte[] first = encoder.encode(41, List.of());
+        assertThat(encoder.encode(41, List.of())).isSameAs(first).isEqualTo(AgentCommand.encodeResponse(41, List.of()));
         List<AgentCommand> commands = List.of(AgentCommand.start(TaskId.parse("run-000412/4"), 2));
-        assertThat(responses.encode(41, commands)).isEqualTo(AgentCommand.encodeResponse(41, commands));
-        assertThat(responses.encode(42, List.of())).isEqualTo(AgentCommand.encodeResponse(42, List.of()));
-        assertThat(responses.encode(41, List.of())).isEqualTo(first);
+        assertThat(encoder.encode(41, commands)).isEqualTo(AgentCommand.encodeResponse(41, commands));
+        assertThat(encoder.encode(42, List.of())).isEqualTo(AgentCommand.encodeResponse(42, List.of()));
+        assertThat(encoder.encode(41, List.of())).isEqualTo(first);
     }
 }
--- a/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
+++ b/src/test/java/org/gullway/storage/GoldenStoreCallsTest.java
@@ -72,7 +72,8 @@
         clientFor("commit")
                 .commit(
                         List.of(StoreKeys.member("perch-0"), StoreKeys.FENCING_TOKEN, StoreKeys.job("run-000412")),
-                        // Any versions: the golden entry has the length of each key.
+                        // The versions are arbitrary; the golden entry was recorded with each key's length as its
+                        // version.
                         key -> key.length(),
                         changes,
                         17,
--- a/src/test/java/org/gullway/storage/RecordCodecTest.java
+++ b/src/test/java/org/gullway/storage/RecordCodecTest.java
@@ -37,9 +37,9 @@
         return RecordCodec.decode(key, Cbor.decode(Cbor.encode(RecordCodec.encode(value))));
     }
 
-    /** The size of the job is that of its JSON text, which must not exceed {@link JobRecord#estimatedEncodedBytes()}. */
+    /** The length of a job's JSON text must not exceed {@link JobRecord#estimatedEncodedBytes()}. */
     @Property(tries = 300, seed = "5")
-    void jobRoundTripStaysWithinMaxEncodedBytes(@ForAll long seed) throws MalformedMessageException {
+    void jobRoundTripStaysWithinEstimatedEncodedBytes(@ForAll long seed) throws MalformedMessageException {
         SplittableRandom random = new SplittableRandom(seed);
         IntegerRanges completed = IntegerRanges.EMPTY;
         for (int i = random.nextInt(40); i > 0; i--) {
@@ -74,7 +74,10 @@
         assertThat(RecordCodec.encode(job).toString().length()).isLessThanOrEqualTo(job.estimatedEncodedBytes());
     }
 
-    /** The record of a job with 400 tasks, each placed on a different machine, fits into 16 KiB. */
+    /**
+     * By the size estimate, the record of a job without placements has room for its 400 tasks within 16 KiB. The
+     * estimate has the same number of bytes for each placement, even if every placement is on a different machine.
+     */
     @Test
     void fourHundredPlacementsFitIntoOneRecord() {
         JobRecord job = JobRecord.accepted(
