--- a/src/main/java/org/gullway/api/CancellationHandler.java
+++ b/src/main/java/org/gullway/api/CancellationHandler.java
@@ -100,9 +100,10 @@
             JobLookupResult result = Found.ofFinalState(finalState.get());
             return Optional.of(request -> context.responses().respondToCancellation(request, result));
         }
-        // If the job was read by key, the watch may not have delivered it to the cluster state yet. The job counts as
-        // absent only once the cluster state has reached the revision of that read; otherwise each scheduling cycle
-        // would read the job again and use up the read rate limit that cancellations share with submissions.
+        // A job that is absent from the cluster state has ended, and a new lookup finds its final state. If the job
+        // was read by key, however, the watch may not have delivered it to the cluster state yet. The lookup waits
+        // until the cluster state has reached the revision of that read; otherwise each scheduling cycle would read
+        // the job again and use up the read rate limit that cancellations share with submissions.
         if (clusterState.job(id) == null && clusterState.watchedRevision() >= cancellation.readRevision()) {
             return Optional.of(request -> cancel(id, request));
         }
--- a/src/main/java/org/gullway/api/StatusQueryHandler.java
+++ b/src/main/java/org/gullway/api/StatusQueryHandler.java
@@ -13,11 +13,11 @@
  * Handles status queries from users. A final state that is known in memory is sent without a request to the state
  * store. Any other state, or the absence of the job, is sent only after the state store has confirmed that the state is
  * the newest. Queries for the same job share a response, and one request to the state store serves many jobs, so the
- * load on the state store does not grow with the number of queries. A query is rejected on
- * arrival if it would probably time out, and otherwise after {@link #TIMEOUT}.
+ * load on the state store does not grow with the number of queries. A query is rejected on arrival if the cluster state
+ * is not fresh or if the query would probably time out, and otherwise after {@link #TIMEOUT} at the latest.
  */
 final class StatusQueryHandler {
-    /** Time after which a query is rejected; shorter than the 2 s that a user waits for a response. */
+    /** Time after which a query is rejected; shorter than the 2 s after which a user's status query times out. */
     private static final Duration TIMEOUT = Duration.ofMillis(1200);
 
     private static final int MAX_REPEATED_SUBMISSIONS = 500;
@@ -57,7 +57,7 @@
 
     /**
      * Responds to a submission of a job that already exists with the job's current state, or with 503. If the state has
-     * to be confirmed first, this happens before the check of all queued status queries.
+     * to be confirmed first, its version check takes precedence over those of queued status requests.
      */
     void respondToRepeatedSubmission(String id, UserRequest request) {
         Optional<JobStatus> finalState = context.finalStates().find(id);
--- a/src/main/java/org/gullway/api/SubmissionHandler.java
+++ b/src/main/java/org/gullway/api/SubmissionHandler.java
@@ -27,7 +27,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
     private static final Duration OVERLOADED_RETRY_AFTER = UserResponses.RETRY_AFTER.multipliedBy(2);
     /**
-     * Required capacity for changes, the same as for the first change of any job, see {@link Transaction#canPutJob}.
+     * A new job is added only to a transaction with capacity for this many further changes. The new record is only one
+     * change, but the same capacity is required as for the first change of any job, see {@link Transaction#canPutJob}.
      */
     private static final int CAPACITY_PER_JOB = 2;
 
@@ -110,8 +111,8 @@
     /**
      * Responds to the pending submissions of a job whose record has been committed. A request gets the committed state
      * if it arrived before the transaction was sent and the cluster state contains exactly the committed version of the
-     * record. All other requests get the job's current state: the store's response to the commit can arrive late, after
-     * the job was cancelled and submitted again, and the committed state is outdated by then.
+     * record. All other requests get the job's current state: the store's response to the commit can arrive late, and a
+     * user who has cancelled the job and repeated the submission meanwhile must not get the outdated committed state.
      */
     void onCommitted(JobRecord job, StateFreshness freshness) {
         String id = job.request().id();
--- a/src/main/java/org/gullway/cli/StartOptions.java
+++ b/src/main/java/org/gullway/cli/StartOptions.java
@@ -17,8 +17,8 @@
     /**
      * Parses the exact command line with which the platform starts controllers: {@code --config FILE}, optionally
      * followed by {@code --operator-settings FILE}. {@link CommandLineInterface} parses all other command lines with
-     * the picocli library. It is not used for every start because its classes cannot be in the class-data sharing
-     * archive, and loading them without the archive takes time.
+     * the picocli library. Picocli is not used for every start because its classes cannot be in the class-data
+     * sharing archive, and loading them without the archive takes time.
      *
      * @return the options, or empty if the command line has another form
      */
--- a/src/main/java/org/gullway/controller/Controller.java
+++ b/src/main/java/org/gullway/controller/Controller.java
@@ -52,8 +52,10 @@
     private boolean hasHeldValidLease;
 
     /**
-     * @param wallClockTime the wall clock; the platform guarantees a bound for its drift, which is not among the settings
-     * @param seed the seed of all random decisions; must differ between processes, as does the incarnation
+     * @param wallClockTime the wall clock; the platform guarantees a bound for its drift, which is not among the
+     *     settings
+     * @param seed the seed of all random decisions and of the random bits of the incarnation number; must differ
+     *     between processes
      */
     public Controller(
             Settings settings,
--- a/src/main/java/org/gullway/controller/ControllerEnvironment.java
+++ b/src/main/java/org/gullway/controller/ControllerEnvironment.java
@@ -16,7 +16,8 @@
  * @param loop the event loop, whose thread runs all components and which provides the monotonic clock
  * @param wallClockTime the wall clock; the platform guarantees a bound for its drift, which is not among the settings
  * @param self the incarnation of this controller, which identifies this run of its process
- * @param clusterState the replicated state, as of the last change received from the watch of the state store
+ * @param clusterState this controller's replica of the state store; contains what full reads and the watch have
+ *     delivered, and this controller's own confirmed commits
  * @param requestCycle requests a scheduling cycle
  */
 record ControllerEnvironment(
--- a/src/main/java/org/gullway/controller/SchedulingCycle.java
+++ b/src/main/java/org/gullway/controller/SchedulingCycle.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Appends a step. Steps run in the order in which they were added, except that the cycle after one that exceeded
-     * its time budget begins with the first step that did not run.
+     * Appends a step. Steps run in the order in which they were added. If a cycle exceeds its time budget, the next
+     * cycle begins with the first step that did not run, and continues with the first of all steps after the last.
      */
     SchedulingCycle addStep(String name, PlanningStep step) {
         steps.add(name, () -> step.plan(currentTransaction, context()));
--- a/src/main/java/org/gullway/observability/Metrics.java
+++ b/src/main/java/org/gullway/observability/Metrics.java
@@ -70,10 +70,11 @@
     }
 
     /**
-     * Counts a transaction whose outcome is known. Its latency and its keys are recorded whether or not it was
-     * committed.
+     * Counts a transaction that was either confirmed by the state store or cannot be applied any more. Its latency and
+     * its keys are recorded in both cases.
      *
-     * @param committed whether the transaction was committed; if it was not, it counts as a conflict
+     * @param committed whether the state store confirmed the commit; if not, the transaction counts as a conflict,
+     *     although a transaction that had to be fenced may have been applied
      * @param keys the keys that the transaction changes
      * @param latency the time from the start of the transaction's scheduling cycle until the outcome was known
      */
--- a/src/main/java/org/gullway/peer/PeerExchange.java
+++ b/src/main/java/org/gullway/peer/PeerExchange.java
@@ -17,9 +17,10 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Exchanges messages with the other controllers: resource offers, attempt completions and, while the state store does
- * not respond, reports of its status and known cancellations. Responses to offers and completions are ignored: if a
- * message is lost, later heartbeats show the same free resources or ended attempts again.
+ * Exchanges messages with the other controllers: resource offers, attempt completions, known cancellations and reports
+ * of whether the state store responds. A controller asks for the last two while it holds no valid lease. Responses to
+ * offers and completions are ignored: if a message is lost, later heartbeats show the same free resources or ended
+ * attempts again.
  */
 public final class PeerExchange {
     private static final Duration POLL_INTERVAL = Duration.ofSeconds(1);
--- a/src/main/java/org/gullway/peer/package-info.java
+++ b/src/main/java/org/gullway/peer/package-info.java
@@ -1,2 +1,5 @@
-/** Exchanges messages between controllers: resource offers, attempt completions and known cancellations. */
+/**
+ * Exchanges messages between controllers: resource offers, attempt completions, known cancellations and reports of
+ * whether the state store responds.
+ */
 package org.gullway.peer;
