--- a/src/test/java/org/gullway/FailoverFaultsTest.java
+++ b/src/test/java/org/gullway/FailoverFaultsTest.java
@@ -196,13 +196,14 @@
     @Property(tries = 4, seed = "215")
     void theOnlyMachineOfItsTypeHasAnInboundPartition(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 1);
-        JobConstraints bounds = new JobConstraints(List.of("large"), "a", false, false, false);
-        cluster.submit(1, "blue", Priority.HIGH, 1, 20, Duration.ofSeconds(400), bounds);
+        JobConstraints constraints = new JobConstraints(List.of("large"), "a", false, false, false);
+        cluster.submit(1, "blue", Priority.HIGH, 1, 20, Duration.ofSeconds(400), constraints);
         cluster.run(Duration.ofSeconds(25));
         partitionInbound(cluster, agentOfType(cluster, "large"), Duration.ofDays(1));
         cluster.after(seconds(seed % 30), () -> cluster.users().forEach(TestUser::cancel));
         cluster.after(
-                Duration.ofSeconds(31), () -> cluster.submit(2, "blue", Priority.HIGH, 1, 20, seconds(10), bounds));
+                Duration.ofSeconds(31),
+                () -> cluster.submit(2, "blue", Priority.HIGH, 1, 20, seconds(10), constraints));
         cluster.run(Duration.ofSeconds(110));
         assertThat(cluster.violations).isEmpty();
         assertThat(cluster.unfinished()).isEmpty();
--- a/src/test/java/org/gullway/InvariantCheckerTest.java
+++ b/src/test/java/org/gullway/InvariantCheckerTest.java
@@ -15,9 +15,9 @@
 
 /** {@link InvariantChecker} reports a violation of each rule, and no violation for valid sequences of events. */
 class InvariantCheckerTest {
-    private static final Duration CANCEL = Duration.ofSeconds(40);
+    private static final Duration CANCELLATION_LIMIT = Duration.ofSeconds(40);
     private final InvariantChecker invariants =
-            new InvariantChecker(CANCEL, Map.of("red", new Settings.Team("red", 8, 24, 0, 0)));
+            new InvariantChecker(CANCELLATION_LIMIT, Map.of("red", new Settings.Team("red", 8, 24, 0, 0)));
 
     @BeforeEach
     void addMachines() {
@@ -30,7 +30,7 @@
         return Instant.EPOCH.plusSeconds(second);
     }
 
-    private String submitJob(int number, int tasks, SimulatedCluster.JobConstraints bounds) {
+    private String submitJob(int number, int tasks, SimulatedCluster.JobConstraints constraints) {
         String id = String.format("run-%06d", number);
         invariants.onSubmitted(new JobRequest(
                 id,
@@ -44,12 +44,12 @@
                 4,
                 "img-1",
                 1,
-                bounds.machineTypes(),
-                bounds.zone(),
-                bounds.singleZone(),
-                bounds.spreadAcrossZones(),
-                bounds.spotAllowed(),
-                CANCEL,
+                constraints.machineTypes(),
+                constraints.zone(),
+                constraints.singleZone(),
+                constraints.spreadAcrossZones(),
+                constraints.spotAllowed(),
+                CANCELLATION_LIMIT,
                 Duration.ZERO,
                 Duration.ZERO,
                 null));
--- a/src/test/java/org/gullway/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/MachineFaultCombinationsTest.java
@@ -140,7 +140,7 @@
      */
     private static void assertZoneConstrainedJobsFinish(int seed, List<Priority> priorities) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        List<JobConstraints> bounds = List.of(
+        List<JobConstraints> constraints = List.of(
                 JobConstraints.in("a"),
                 JobConstraints.SINGLE_ZONE,
                 JobConstraints.SPREAD,
@@ -154,7 +154,7 @@
                     5,
                     4,
                     Duration.ofSeconds(25),
-                    bounds.get(i % 5));
+                    constraints.get(i % 5));
         }
         cluster.run(Duration.ofSeconds(25));
         assertThat(cluster.invariants.runningTasks()).isPositive();
