--- a/src/test/java/org/gullway/ArchitecturePageTest.java
+++ b/src/test/java/org/gullway/ArchitecturePageTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Checks the class names, with or without a member, on the architecture, design and glossary pages: the class must exist,
- * and the name of the member must occur in its source file.
+ * Checks the class names, with or without a member, on the architecture, design and glossary pages: the class must
+ * exist, and the name of the member must occur in its source file.
  */
 class ArchitecturePageTest {
     private static final Path SOURCES = Path.of("src/main/java/org/gullway");
--- a/src/test/java/org/gullway/BehaviourFingerprint.java
+++ b/src/test/java/org/gullway/BehaviourFingerprint.java
@@ -15,8 +15,8 @@
 import org.gullway.transport.HttpResponse;
 
 /**
- * Runs a fixed list of simulated scenarios with fixed seeds and prints a hash over the contents and times of all messages
- * on the simulated network, including the messages to the state store. If the hash differs after a change, the
+ * Runs a fixed list of simulated scenarios with fixed seeds and prints a hash over the contents and times of all
+ * messages on the simulated network, including the messages to the state store. If the hash differs after a change, the
  * change has altered the messages or their times. Class names and log messages are not hashed.
  */
 public final class BehaviourFingerprint {
@@ -103,7 +103,10 @@
                 + recorder[0].messages + " messages, " + cluster.startedTasks() + " starts");
     }
 
-    /** Runs all scenarios. Their names stay as they are, so that the output can be compared with that of earlier builds. */
+    /**
+     * Runs all scenarios. The names of the scenarios must not change, so that the output can be compared with that of
+     * earlier builds.
+     */
     private void runAll() {
         run("quiet", 1, 0, 4, cluster -> {
             SimulatedScenariosTest.submitJobs(cluster, new SplittableRandom(2), 30, Duration.ofSeconds(100));
--- a/src/test/java/org/gullway/ClassArchiveTraining.java
+++ b/src/test/java/org/gullway/ClassArchiveTraining.java
@@ -26,9 +26,9 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Runs one controller in a process of its own against fakes on loopback until three jobs have completed, then terminates
- * it. The build makes that process write the class data sharing (CDS) archive, which shortens the start of the service.
- * {@link RealSocketsTest} runs the same scenario.
+ * Runs one controller in a process of its own against fakes on loopback until three jobs have completed, then
+ * terminates it. The build makes that process write the class data sharing (CDS) archive, which shortens the start of
+ * the service. {@link RealSocketsTest} runs the same scenario.
  */
 public final class ClassArchiveTraining {
     private static final int TRIES = 3;
@@ -186,8 +186,8 @@
     }
 
     /**
-     * An address with port 18080 on a random host in the loopback range. Outgoing connections on loopback have the source
-     * address 127.0.0.1 by default, so that they do not occupy this port.
+     * An address with port 18080 on a random host in the loopback range. Outgoing connections on loopback have the
+     * source address 127.0.0.1 by default, so that they do not occupy this port.
      */
     private static String randomAddress() {
         ThreadLocalRandom random = ThreadLocalRandom.current();
--- a/src/test/java/org/gullway/ControllerProcesses.java
+++ b/src/test/java/org/gullway/ControllerProcesses.java
@@ -103,7 +103,9 @@
         });
     }
 
-    /** Requests an orderly exit, in which the process can still write recordings such as those of Java Flight Recorder. */
+    /**
+     * Requests an orderly exit, in which the process can still write recordings such as those of Java Flight Recorder.
+     */
     void terminate(String name) {
         executor.execute(() -> {
             Process process = processes.remove(name);
@@ -167,8 +169,8 @@
     }
 
     /**
-     * Waits up to 10 s for pending starts and signals, then kills the running controllers and waits up to 10 s for the exit
-     * of each. It does not wait for controllers that were killed or terminated before.
+     * Waits up to 10 s for pending starts and signals, then kills the running controllers and waits up to 10 s for the
+     * exit of each. It does not wait for controllers that were killed or terminated before.
      */
     @Override
     public void close() {
--- a/src/test/java/org/gullway/ControllerProfile.java
+++ b/src/test/java/org/gullway/ControllerProfile.java
@@ -21,18 +21,18 @@
 /**
  * Measures the processor time of controllers in processes of their own, started with the command of the deploy file and
  * connected over loopback sockets to fakes. For each phase (start of all controllers, steady load, a burst of jobs,
- * restart of all controllers) it prints the processor time by thread name, which separates the JIT compiler, the garbage
- * collector and the event loop.
+ * restart of all controllers) it prints the processor time by thread name, which separates the JIT compiler, the
+ * garbage collector and the event loop.
  *
- * <p>{@link ProfileRun} measures simulated controllers in virtual time instead, by activity. This run is not part of the
- * tests; docs/operations.md shows how to run it.
+ * <p>{@link ProfileRun} measures simulated controllers in virtual time instead, by activity. This run is not part of
+ * the tests; docs/operations.md shows how to run it.
  */
 public final class ControllerProfile {
     private static final Map<String, Settings.Team> TEAMS = Map.of(
             "red", new Settings.Team("red", 9000, 30_000, 0, 0), "blue", new Settings.Team("blue", 9000, 30_000, 0, 0));
     private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(6);
     private static final Duration AGENT_LEASE = Duration.ofSeconds(32);
-    private static final Duration CANCEL_LIMIT = Duration.ofSeconds(62);
+    private static final Duration CANCELLATION_LIMIT = Duration.ofSeconds(62);
     private static final Duration MEMBERSHIP_LEASE = Duration.ofSeconds(6);
     private static final Duration SUBMISSION_INTERVAL = Duration.ofMillis(820);
     private static final int BURST_FACTOR = 3;
@@ -45,7 +45,7 @@
     private static final int SYSTEM_TICKS = 12;
 
     private final LoopbackCluster cluster;
-    private final InvariantChecker invariants = new InvariantChecker(CANCEL_LIMIT, TEAMS);
+    private final InvariantChecker invariants = new InvariantChecker(CANCELLATION_LIMIT, TEAMS);
     private final SplittableRandom random = new SplittableRandom(1);
     private TestUsers users;
     private int jobs;
@@ -56,7 +56,7 @@
         LoopbackCluster.Setup setup = new LoopbackCluster.Setup(
                 HEARTBEAT_INTERVAL,
                 AGENT_LEASE,
-                CANCEL_LIMIT,
+                CANCELLATION_LIMIT,
                 MEMBERSHIP_LEASE,
                 machines / MACHINE_KINDS,
                 TEAMS,
--- a/src/test/java/org/gullway/ExtremeLoadTest.java
+++ b/src/test/java/org/gullway/ExtremeLoadTest.java
@@ -177,7 +177,7 @@
         assertThat(cluster.unfinished()).isEmpty();
     }
 
-    /** Submits two jobs every 3 s. */
+    /** Submits one job of two tasks every 1.5 s, alternately of teams red and blue. Each task runs for 6 s. */
     private static void submitTwoTaskJobs(SimulatedCluster cluster, int first, int jobs) {
         for (int i = 0; i < jobs; i++) {
             int number = first + i;
--- a/src/test/java/org/gullway/Fault.java
+++ b/src/test/java/org/gullway/Fault.java
@@ -26,7 +26,7 @@
             cluster.nodes().forEach(name -> cluster.crash(name, Duration.ofMillis(200 + random.nextInt(6000))));
         }
     },
-    /** Either one controller or random ones crash four times within 4 s, each for less than half a second. */
+    /** Four crashes within 4 s, each for less than half a second: all of one controller, or each of a random one. */
     REPEATED_CONTROLLER_CRASHES {
         @Override
         void inject(SimulatedCluster cluster, SplittableRandom random, Duration duration) {
--- a/src/test/java/org/gullway/FaultSchedule.java
+++ b/src/test/java/org/gullway/FaultSchedule.java
@@ -46,7 +46,8 @@
 
     /**
      * Returns the faults of this seed between these two times, sorted by time. The number of random choices is the span
-     * divided by the interval; a choice that cuts a controller from both peers yields four faults, any other choice one.
+     * divided by the interval; a choice that cuts a controller from both peers yields four faults, any other choice
+     * one.
      */
     static List<Fault> of(long seed, Duration from, Duration to, Duration interval) {
         FaultSchedule schedule = new FaultSchedule(seed);
--- a/src/test/java/org/gullway/JobHistory.java
+++ b/src/test/java/org/gullway/JobHistory.java
@@ -8,7 +8,9 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** For each job, the responses to its user and the starts and ends of its tasks, in the order in which they occurred. */
+/**
+ * For each job, the responses to its user and the starts and ends of its tasks, in the order in which they occurred.
+ */
 final class JobHistory {
     private final boolean recording;
     private final Map<String, List<String>> events = new HashMap<>();
--- a/src/test/java/org/gullway/KnownRedTest.java
+++ b/src/test/java/org/gullway/KnownRedTest.java
@@ -11,8 +11,8 @@
 
 /**
  * Tests the script .ci/known-red, which reads the list of tests that are known to fail ("known red"). CI must exclude
- * exactly these tests and print each of them. A line of the list has four fields, separated by semicolons: the test, the
- * command with its seed, the observed failure, and the issue.
+ * exactly these tests and print each of them. A line of the list has four fields, separated by semicolons: the test,
+ * the command with its seed, the observed failure, and the issue.
  */
 class KnownRedTest {
     @TempDir
--- a/src/test/java/org/gullway/LayersTest.java
+++ b/src/test/java/org/gullway/LayersTest.java
@@ -18,8 +18,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks that each package uses only the packages that it may use, without cycles, that the coordination packages use no
- * I/O, clock or randomness, and that neither they nor the transport package contain any of eight field names of messages.
+ * Checks that each package uses only the packages that it may use, without cycles, that the coordination packages use
+ * no I/O, clock or randomness, and that neither they nor the transport package contain any of eight field names of
+ * messages.
  */
 class LayersTest {
     private static final Path SOURCES = Path.of("src/main/java/org/gullway");
--- a/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
+++ b/src/test/java/org/gullway/LeaderFaultCombinationsTest.java
@@ -98,7 +98,8 @@
     @Property(tries = 6, seed = "110")
     void tasksOfOneJobEndFarApartAcrossFailovers(@ForAll @IntRange(min = 1, max = 1000) int seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed, 0, 3);
-        // The quotas of the teams (24 and 64 CPUs) do not admit all tasks of a job at the same time.
+        // The tasks of the first job exceed the quota of team red (24 CPUs), and those of the second job exceed the
+        // quota of team blue (64 CPUs). The third job needs the whole quota of team blue.
         cluster.submit(1, "red", Priority.HIGH, 3, 16, Duration.ofSeconds(15));
         cluster.submit(2, "blue", Priority.NORMAL, 3, 32, Duration.ofSeconds(11));
         cluster.submit(3, "blue", Priority.HIGH, 2, 32, Duration.ofSeconds(13));
--- a/src/test/java/org/gullway/LoopbackAddresses.java
+++ b/src/test/java/org/gullway/LoopbackAddresses.java
@@ -7,8 +7,8 @@
     private LoopbackAddresses() {}
 
     /**
-     * A random host in the loopback range. Outgoing connections on loopback have the source address 127.0.0.1 by default,
-     * so that they occupy no port of this host.
+     * A random host in the loopback range. Outgoing connections on loopback have the source address 127.0.0.1 by
+     * default, so that they occupy no port of this host.
      */
     static String randomHost() {
         ThreadLocalRandom random = ThreadLocalRandom.current();
--- a/src/test/java/org/gullway/LoopbackCluster.java
+++ b/src/test/java/org/gullway/LoopbackCluster.java
@@ -28,9 +28,9 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Three controllers, each in a process of its own, connected over loopback sockets to fakes of the state store, the cloud
- * and the agents, which run in this process. The fakes, the links and {@link #start} must be used on the event loop of
- * this cluster.
+ * Three controllers, each in a process of its own, connected over loopback sockets to fakes of the state store, the
+ * cloud and the agents, which run in this process. The fakes, the links and {@link #start} must be used on the event
+ * loop of this cluster.
  */
 final class LoopbackCluster implements AutoCloseable {
     static final Duration AGENT_LEASE = Duration.ofSeconds(4);
@@ -43,7 +43,8 @@
      *
      * @param membershipLease the lease that a controller renews in the state store to stay a member
      * @param capacity how many machines the cloud has of each combination of type, zone and spot or on-demand
-     * @param spareServers how many servers for future machines to start in advance, since starting a server blocks the event loop for a long time
+     * @param spareServers how many servers for future machines to start in advance, since starting a server blocks the
+     *     event loop for a long time
      * @param command the command line that starts a controller, without --config and --operator-settings
      */
     record Setup(
@@ -57,7 +58,9 @@
             List<String> command,
             String logLevel) {
 
-        /** Few machines and short leases; controllers run from the class path of this process and log at level debug. */
+        /**
+         * Few machines and short leases; controllers run from the class path of this process and log at level debug.
+         */
         static Setup small() {
             return new Setup(
                     Duration.ofMillis(500),
@@ -169,7 +172,10 @@
         return agent;
     }
 
-    /** Starts a server whose handler is set when its machine boots, since starting a server blocks the event loop for a long time. */
+    /**
+     * Starts a server whose handler is set when its machine boots, since starting a server blocks the event loop for a
+     * long time.
+     */
     private SpareServer newServer() {
         SpareServer server = new SpareServer();
         server.address = transport.listen(exchange -> server.handler.accept(exchange));
@@ -262,7 +268,9 @@
         processes.kill(name);
     }
 
-    /** Requests an orderly exit, in which the process can still write recordings such as those of Java Flight Recorder. */
+    /**
+     * Requests an orderly exit, in which the process can still write recordings such as those of Java Flight Recorder.
+     */
     void terminate(String name) {
         processes.terminate(name);
     }
--- a/src/test/java/org/gullway/LoopbackTransport.java
+++ b/src/test/java/org/gullway/LoopbackTransport.java
@@ -48,7 +48,9 @@
         return listenAt(LoopbackAddresses.addressWithAnyPort(), handler);
     }
 
-    /** Starts a server at this address; returns the server's address, which has the chosen port if the given port is 0. */
+    /**
+     * Starts a server at this address; returns the server's address, which has the chosen port if the given port is 0.
+     */
     String listenAt(String address, Consumer<HttpExchange> handler) {
         return HttpServer.start(worker, buffers, socketBudget, address, MAX_BODY_BYTES, handler::accept);
     }
--- a/src/test/java/org/gullway/MixedVersionRun.java
+++ b/src/test/java/org/gullway/MixedVersionRun.java
@@ -9,9 +9,9 @@
 import java.util.logging.Logger;
 
 /**
- * Tests a rolling upgrade and a rollback in which each replaced controller is killed: controllers of two builds run side by side under the load and the checks of
- * {@link SoakRun}, with the same settings files and the same state store. Not part of the tests, since it needs the jar of
- * an earlier build.
+ * Tests a rolling upgrade and a rollback, in which each controller is killed and then started from the other build.
+ * Controllers of two builds run side by side under the load and the checks of {@link SoakRun}, with the same settings
+ * files and the same state store. Not part of the tests, since it needs the jar of an earlier build.
  *
  * <p>Three controllers of the old build are replaced one after the other by the new build, and one controller crashes
  * in each mixture of the two builds. Then all controllers are replaced by the old build at once, which has to read the
@@ -21,7 +21,10 @@
     private static final Duration FIRST_STEP_AT = Duration.ofSeconds(8);
     private static final Duration STEP_INTERVAL = Duration.ofSeconds(8);
     private static final Duration RESTART_DELAY = Duration.ofMillis(300);
-    /** Longer than a job may stay without a response; at its end all jobs must be finished. */
+    /**
+     * The phase without faults after the last step, at the end of which all jobs must be finished. It is longer than
+     * {@link AvailabilityRules} allows queries about a job to stay unanswered after the faults.
+     */
     private static final Duration RECOVERY = Duration.ofSeconds(80);
 
     private static final List<String> CONTROLLERS = List.of("perch-0", "perch-1", "perch-2");
--- a/src/test/java/org/gullway/OuterNamesTest.java
+++ b/src/test/java/org/gullway/OuterNamesTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks that every outer name, which is a name of the external interface, still occurs in the sources, letter for letter: fields and values of
- * messages, settings and stored records, keys of the state store, command-line options, environment variables, metrics,
- * and keys of log lines. Guards against a rename of an identifier that also changes such a name, which would break users,
- * agents, peers of another version, and operators' tools.
+ * Checks that every outer name still occurs in the sources, letter for letter. The outer names are the names of the
+ * external interface: fields and values of messages, settings and stored records, keys of the state store, command-line
+ * options, environment variables, metrics, and keys of log lines. Guards against a rename of an identifier that also
+ * changes such a name, which would break users, agents, peers of another version, and operators' tools.
  */
 class OuterNamesTest {
     private static final Path NAMES = Path.of("src/test/resources/golden/outer-names.txt");
--- a/src/test/java/org/gullway/ProfileRun.java
+++ b/src/test/java/org/gullway/ProfileRun.java
@@ -18,8 +18,8 @@
 
 /**
  * Profiles three controllers and the fakes around them with Java Flight Recorder, in virtual time and at the size of
- * large deployments, and prints the share of processor time and of allocated memory of each activity of the controllers.
- * The sockets are simulated, so that the cost of the HTTP library is not included.
+ * large deployments, and prints the share of processor time and of allocated memory of each activity of the
+ * controllers. The sockets are simulated, so that the cost of the HTTP library is not included.
  *
  * <p>{@link ControllerProfile} measures controllers in processes of their own instead, with sockets and by thread. This
  * run is not part of the tests; docs/operations.md shows how to run it.
--- a/src/test/java/org/gullway/SimulatedCluster.java
+++ b/src/test/java/org/gullway/SimulatedCluster.java
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Starts (partitioned is true) or ends a network partition between a zone and everything outside it. Messages within the
-     * zone still arrive.
+     * Starts (partitioned is true) or ends a network partition between a zone and everything outside it. Messages
+     * within the zone still arrive.
      */
     void setZonePartitioned(String zone, boolean partitioned) {
         List<String> insideZone = new ArrayList<>();
@@ -140,7 +140,10 @@
         }
     }
 
-    /** Starts (partitioned is true) or ends a network partition between this controller and its peers, in both directions. */
+    /**
+     * Starts (partitioned is true) or ends a network partition between this controller and its peers, in both
+     * directions.
+     */
     void setPeersPartitioned(String node, boolean partitioned) {
         for (String other : nodes()) {
             setCut(node, peerAddress(other), partitioned);
@@ -265,8 +268,8 @@
     }
 
     /**
-     * Sets the listener that is called at the first response that accepts a job and at the first response that reports a
-     * final state.
+     * Sets the listener that is called at the first response that accepts a job and at the first response that reports
+     * a final state.
      */
     void onAcceptedOrFinished(Consumer<TestUser> listener) {
         users.onAcceptedOrFinished(listener);
--- a/src/test/java/org/gullway/SimulatedScenariosTest.java
+++ b/src/test/java/org/gullway/SimulatedScenariosTest.java
@@ -82,7 +82,8 @@
 
     /**
      * No machine may be declared lost after an outage of the state store, even if the outage exceeds the heartbeat
-     * timeout. A lost machine would be seen by its restarted tasks.
+     * timeout. If a machine were declared lost, its tasks would be restarted, and the number of started tasks would
+     * increase.
      */
     @Test
     void noMachineIsDeclaredLostAfterAStoreOutage() {
--- a/src/test/java/org/gullway/SoakRun.java
+++ b/src/test/java/org/gullway/SoakRun.java
@@ -18,9 +18,9 @@
 
 /**
  * A randomized fault-injection test over loopback. Three controllers run in processes of their own while a schedule of
- * faults, determined by a seed, is applied. Users query, resubmit and cancel jobs, in
- * particular immediately after a job has been accepted or has finished. {@link InvariantChecker} checks the rules of the protocol by the responses to users and the tasks
- * on machines.
+ * faults, determined by a seed, is applied. Users query, resubmit and cancel jobs, in particular immediately after a
+ * job has been accepted or has finished. {@link InvariantChecker} checks the rules of the protocol by the responses to
+ * users and the tasks on machines.
  */
 public final class SoakRun {
     private static final Duration WARM_UP = Duration.ofSeconds(3);
@@ -28,14 +28,15 @@
     private static final Duration SUBMISSION_INTERVAL = Duration.ofMillis(220);
     private static final Duration FINAL_QUERIES_SPAN = Duration.ofSeconds(3);
     /**
-     * After a longer stall of this process, violations that depend on agents' leases are inconclusive: the fake agents run
-     * in this process, so that the stall also delays them, which no controller can detect.
+     * After a longer stall of this process, violations that depend on agents' leases are inconclusive: the fake agents
+     * run in this process, so that the stall also delays them, which no controller can detect.
      */
     private static final Duration MAX_STALL = Duration.ofMillis(250);
 
     /**
-     * The shortest recovery after which {@link StartedJobsCheck} is applied, which requires that half of the jobs of each kind
-     * have started. This duration is longer than {@link AvailabilityRules} allows a job to stay without a response.
+     * The shortest recovery after which {@link StartedJobsCheck} is applied. That check requires that at least half of
+     * the jobs of each group have started. This duration is longer than {@link AvailabilityRules} allows queries about
+     * a job to stay unanswered after the faults.
      */
     private static final Duration MIN_RECOVERY_FOR_STARTED_JOBS_CHECK = Duration.ofSeconds(80);
 
@@ -77,9 +78,9 @@
         }
 
         /**
-         * The violations that no stall of this process can have caused. If the run is not conclusive, this leaves out the
-         * rules that hold only if agents end their tasks when their leases expire: an agent that is late because of the
-         * stall runs tasks that have been started elsewhere or cancelled meanwhile.
+         * The violations that no stall of this process can have caused. If the run is not conclusive, this leaves out
+         * the rules that hold only if agents end their tasks when their leases expire: an agent that is late because of
+         * the stall runs tasks that have been started elsewhere or cancelled meanwhile.
          */
         List<String> violationsNotCausedByStalls() {
             return violations.stream()
@@ -209,8 +210,8 @@
     }
 
     /**
-     * Repeats the submission without querying the job. To answer a query, a controller would have to look up the job and
-     * would then know its final state; here the submissions reach controllers that may not know it yet.
+     * Repeats the submission without querying the job. To answer a query, a controller would have to look up the job
+     * and would then know its final state; here the submissions reach controllers that may not know it yet.
      */
     private void resubmitRepeatedly(TestUser user) {
         for (int i = 0; i < RESUBMISSIONS; i++) {
@@ -292,7 +293,9 @@
         return unfinished;
     }
 
-    /** The seed, the fault schedule, the violations, and the histories and log lines of the jobs named in violations. */
+    /**
+     * The seed, the fault schedule, the violations, and the histories and log lines of the jobs named in violations.
+     */
     private String failureReport() {
         List<String> lines = new ArrayList<>();
         lines.add("seed " + seed);
@@ -313,8 +316,8 @@
     }
 
     /**
-     * Arguments: the first seed, the number of runs, and the number of seconds with faults in each run. Exits with code 1
-     * if any run has violations, including inconclusive ones.
+     * Arguments: the first seed, the number of runs, and the number of seconds with faults in each run. Exits with
+     * code 1 if any run has violations, including inconclusive ones.
      */
     public static void main(String[] arguments) throws Exception {
         Logger.getLogger("io.undertow").setLevel(Level.WARNING);
--- a/src/test/java/org/gullway/StallMonitor.java
+++ b/src/test/java/org/gullway/StallMonitor.java
@@ -17,7 +17,10 @@
         this.loop = loop;
     }
 
-    /** Measures the delay of this tick and schedules the next tick. The first call starts the monitor, on the event loop. */
+    /**
+     * Measures the delay of this tick and schedules the next tick. The first call starts the monitor and must be made
+     * on the event loop.
+     */
     void tick() {
         Instant now = loop.now();
         if (lastTick != null) {
--- a/src/test/java/org/gullway/StoreRequestMeter.java
+++ b/src/test/java/org/gullway/StoreRequestMeter.java
@@ -14,8 +14,8 @@
 import org.gullway.transport.HttpStatus;
 
 /**
- * Counts, by controller, two kinds of requests to the state store: version checks and reads of single jobs. Once the rate
- * limit is enforced, it also rejects all requests above the limit.
+ * Counts, by controller, two kinds of requests to the state store: version checks and reads of single jobs. Once the
+ * rate limit is enforced, it also rejects all requests above the limit.
  */
 final class StoreRequestMeter {
     /** The rate limit in the controllers' settings, and the capacity of the token bucket. */
@@ -86,8 +86,8 @@
     }
 
     /**
-     * The number of transactions without changes that this controller sent. A controller uses them to check key versions
-     * before it answers a query.
+     * The number of transactions without changes that this controller sent. A controller uses them to check key
+     * versions before it answers a query.
      */
     int versionChecks(String node) {
         return versionChecks.getOrDefault(node, 0);
--- a/src/test/java/org/gullway/TestUsers.java
+++ b/src/test/java/org/gullway/TestUsers.java
@@ -54,7 +54,7 @@
         return List.copyOf(users.values());
     }
 
-    /** The unfinished jobs: the id of each and its reported final state, which is empty as long as the job is unfinished. */
+    /** The ids of the unfinished jobs, each followed by a space and the reported final state, which is empty. */
     List<String> unfinished() {
         return users.values().stream()
                 .filter(user -> !user.isFinished())
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Sets the listener that is called at the first response that accepts a job and at the first response that reports a
-     * final state.
+     * Sets the listener that is called at the first response that accepts a job and at the first response that reports
+     * a final state.
      */
     void onAcceptedOrFinished(Consumer<TestUser> listener) {
         onAcceptedOrFinished = listener;
