--- a/src/test/java/org/gullway/ControllerProfile.java
+++ b/src/test/java/org/gullway/ControllerProfile.java
@@ -21,11 +21,11 @@
 /**
  * Measures the processor time of controllers in processes of their own, started with the command of the deploy file and
  * connected over loopback sockets to fakes. For each phase (start of all controllers, steady load, a burst of jobs,
- * restart of all controllers) it prints the processor time by thread name, which separates the JIT compiler, the garbage
- * collector and the event loop.
+ * restart of all controllers) it prints the processor time by thread name, which separates the JIT compiler, the
+ * garbage collector and the event loop.
  *
- * <p>{@link ProfileRun} measures simulated controllers in virtual time instead, by activity. This run is not part of the
- * tests; docs/operations.md shows how to run it.
+ * <p>{@link ProfileRun} measures simulated controllers in virtual time instead, by activity. This run is not part of
+ * the tests; docs/operations.md shows how to run it.
  */
 public final class ControllerProfile {
     private static final Map<String, Settings.Team> TEAMS = Map.of(
